--- a/benchmarks/RelayBenchmark.cpp
+++ b/benchmarks/RelayBenchmark.cpp
@@ -80,7 +80,7 @@
 
 double chooseTime(int engines)
 {
-    BackendBook book({ "a" }, ChoiceSettings {});
+    BackendTable book({ "a" }, ChoiceSettings {});
     for (int i = 0; i < engines; ++i)
         book.put({ engineId(i), { "drafts" }, { "10.0.0.1", 80 }, { "a" }, 24, false, true, { engineId(i).value_ }, {} });
     RequestShape shape;
--- a/include/pistachioloom/Admission.h
+++ b/include/pistachioloom/Admission.h
@@ -22,11 +22,11 @@
     /// It is a stream of a model engine; other requests wait for a few milliseconds.
     bool isEngineStream_ = false;
     /// It has been sent to an engine before, or its caller has some of its events.
-    bool hasBegun_ = false;
+    bool hasStarted_ = false;
     /// Estimated wait for the requests ahead of it at the engine chosen.
-    milliseconds ahead_ {};
-    /// The longest wait that its route admits; see Route::admittedWait_.
-    milliseconds admitted_ {};
+    milliseconds queueWait_ {};
+    /// The longest wait that its route admits; see Route::maxQueueWait_.
+    milliseconds maxQueueWait_ {};
 };
 
 struct AdmissionSettings {
@@ -34,13 +34,13 @@
     double admittedShare_ = 1;
     /// The shortest time to return in: engines that are full have room again after a
     /// few answers.
-    milliseconds shortestReturn_ { 150 };
+    milliseconds minRetryAfter_ { 150 };
     /// The longest one: the strictest objectives are 400 ms, and callers wait a third
     /// of their time.
-    milliseconds longestReturn_ { 800 };
+    milliseconds maxRetryAfter_ { 800 };
 };
 
 /// When the caller of a refused request may return; nullopt if it is admitted.
-std::optional<milliseconds> refuseForWait(const AdmissionView& view, const AdmissionSettings& settings);
+std::optional<milliseconds> retryAfterIfRejected(const AdmissionView& view, const AdmissionSettings& settings);
 
 } // namespace pistachioloom
--- a/include/pistachioloom/Backends.h
+++ b/include/pistachioloom/Backends.h
@@ -25,7 +25,7 @@
 using BackendName = Id<struct BackendNameTag>;
 /// When a backend server started, in ms since the start of 1970; 0 where that is
 /// not told.
-using BackendStart = Quantity<struct BackendStartTag>;
+using BackendStartTime = Quantity<struct BackendStartTimeTag>;
 /// One start of a backend server: what is believed of it ends with that start.
 using BackendId = Id<struct BackendIdTag>;
 
@@ -33,7 +33,7 @@
 using BackendVersion = Id<struct BackendVersionTag>;
 
 /// The id of the start of \p name at \p start.
-BackendId backendId(const BackendName& name, BackendStart start);
+BackendId backendId(const BackendName& name, BackendStartTime start);
 
 /// A backend server as it registered itself.
 struct BackendRecord {
@@ -47,7 +47,7 @@
     /// It may be taken away at a few seconds' notice.
     bool isReclaimable_ = false;
     BackendName name_;
-    BackendStart start_ {};
+    BackendStartTime startTime_ {};
     /// Empty where that is not told.
     BackendVersion version_ {};
 };
@@ -75,7 +75,7 @@
 struct RequestShape {
     ServiceName service_;
     TokenCount promptTokens_;
-    TokenCount mostOutputTokens_;
+    TokenCount maxOutputTokens_;
     std::vector<PromptPart> parts_;
     /// Lower is more urgent.
     unsigned urgency_ = 0;
@@ -84,7 +84,7 @@
     bool isSuspect_ = false;
     /// Set for a stream that moves: the reclaimable engines of its data centre are
     /// taken away together, so none of them is chosen.
-    std::optional<DataCentreId> reclaimed_;
+    std::optional<DataCentreId> reclaimedDataCentre_;
     std::optional<VersionRule> version_;
 };
 
@@ -126,7 +126,7 @@
     /// Estimated wait for the first byte.
     milliseconds estimate_ {};
     /// The part of it that is for requests ahead of this one.
-    milliseconds ahead_ {};
+    milliseconds queueWait_ {};
     /// Candidates that were weighed.
     std::size_t candidates_ = 0;
     /// Prompt tokens that it has to read: those that it is not likely to cache.
@@ -143,9 +143,9 @@
     /// As BackendChoice told.
     TokenCount uncached_ {};
     /// Whether began() was called.
-    bool hasBegun_ = false;
+    bool hasFirstByte_ = false;
     /// From the first byte to the end.
-    milliseconds streamed_ {};
+    milliseconds streamingTime_ {};
 };
 
 /// Figures of the estimates; all may be set.
@@ -156,20 +156,20 @@
     /// What an engine takes for a first event beside reading the prompt, until it is
     /// known better. Were it counted as reading, engines that get short prompts would seem
     /// slow, and prompts would not go where their shared part was read.
-    double firstEventMs_ = 30;
+    double firstEventOverheadMs_ = 30;
     /// What one more running request adds to a request's wait, in ms: a step of
     /// a batch takes about a tenth of a millisecond longer for each.
-    double perRunningMs_ = 0.3;
+    double delayPerRunningMs_ = 0.3;
     /// How long a request holds its slot, from its first event to its end, until the
     /// mean is learnt from answers.
-    milliseconds slotHeld_ { 500 };
+    milliseconds slotHoldTime_ { 500 };
     /// What a data centre crossing weighs, in ms, beside its network delay.
-    double crossingMs_ = 8;
+    double remotePenaltyMs_ = 8;
     /// How long a shared part counts as cached after this node sent it.
-    milliseconds cacheMemory_ { 20000 };
+    milliseconds assumedCacheLifetime_ { 20000 };
     /// First pause after failures in a row; doubles up to the longest.
-    milliseconds firstEjection_ { 500 };
-    milliseconds longestEjection_ { 4000 };
+    milliseconds initialEjection_ { 500 };
+    milliseconds maxEjection_ { 4000 };
     /// Failures in a row that eject. One reset may be an idle connection's end.
     unsigned failuresToEject_ = 2;
     /// Loads told by peers are left out after this silence.
@@ -178,29 +178,29 @@
     /// sample of them, beside those that may have its prompt's part cached: nodes
     /// that all weigh all on loads 0.4 s old send what they do at the same time to
     /// the same few.
-    std::size_t weighAllUpTo_ = 24;
-    std::size_t sample_ = 4;
+    std::size_t samplingThreshold_ = 24;
+    std::size_t sampleSize_ = 4;
     /// Backend servers of a data centre that fail one after the other, while none of it
     /// answers, before it counts as cut off. A node that is cut off with its data centre
     /// would try the others' engines, one by one, for as long as the cut lasts.
-    std::size_t failuresToLose_ = 3;
+    std::size_t failuresToCutOff_ = 3;
     /// How long a backend server that told it was full is passed over.
-    milliseconds fullPause_ { 100 };
+    milliseconds fullBackoff_ { 100 };
     /// The longest pause that a backend server may ask for.
-    milliseconds longestPause_ { 3'600'000 };
+    milliseconds maxPause_ { 3'600'000 };
 };
 
 /// Thread-safe.
-class BackendBook {
+class BackendTable {
 public:
-    BackendBook(DataCentreId own, ChoiceSettings settings);
+    BackendTable(DataCentreId own, ChoiceSettings settings);
 
     /// What put() made of a record.
-    enum class Registered {
+    enum class PutResult {
         /// The backend server was not known.
         New,
         /// Its record was replaced.
-        Again,
+        Updated,
         /// It started anew: what was believed of the start before is forgotten.
         Restarted,
         /// The record is of an earlier start and changes nothing.
@@ -209,7 +209,7 @@
 
     /// Adds or replaces the record of one backend server. Word of an earlier start may
     /// come late, through peers or a list that lags.
-    Registered put(const BackendRecord& record);
+    PutResult put(const BackendRecord& record);
     void remove(const BackendId& id, SteadyTime now);
     /// Marks one as leaving without its own record: learnt from peers, or from an answer
     /// of its own. That stands against any later record of this start, also after it
@@ -222,7 +222,7 @@
     void setPause(const BackendId& id, milliseconds pause, SteadyTime now);
     /// Time until a backend server of \p service may be chosen again; nullopt unless
     /// pauses alone keep all of them from it.
-    std::optional<milliseconds> pauseOf(const ServiceName& service, SteadyTime now) const;
+    std::optional<milliseconds> remainingPause(const ServiceName& service, SteadyTime now) const;
     /// Whether a request that was chosen for \p id may still be sent there.
     bool mayReceive(const BackendId& id, SteadyTime now) const;
     std::vector<BackendRecord> records() const;
@@ -232,31 +232,31 @@
     /// The newest start of \p name, if it is there.
     std::optional<BackendRecord> findNewest(const BackendName& name) const;
     /// Whether \p id will be gone within seconds: it is reclaimable and leaving.
-    bool isDeparting(const BackendId& id) const;
+    bool isBeingReclaimed(const BackendId& id) const;
 
     /// Chooses for \p shape among those not in \p excluded, and counts the
     /// request as under way there until end().
     std::optional<BackendChoice> choose(const RequestShape& shape, const std::set<BackendId>& excluded, SteadyTime now);
     /// The request is sent as chosen: its tokens are demand of its service.
-    void accept(const BackendChoice& choice);
+    void noteAdmitted(const BackendChoice& choice);
     /// The request is refused instead. Half of its tokens count as demand, since its
     /// caller returns once: counted whole, demand would be overstated in an overload.
-    void refuse(const BackendChoice& choice);
+    void noteRejected(const BackendChoice& choice);
     /// There is no backend server for the request: half of its tokens count as demand,
     /// like those of a refused one. Without it a service that has lost all of its engines
     /// is asked for nothing, and gets no new ones.
-    void refuseWithout(const RequestShape& shape);
+    void noteNoBackend(const RequestShape& shape);
     /// The first byte of an answer came after \p wait.
     /// \returns the wait as a multiple of the estimate for a backend server of usual speed.
-    double began(const BackendChoice& choice, const RequestShape& shape, milliseconds wait);
+    double noteFirstByte(const BackendChoice& choice, const RequestShape& shape, milliseconds wait);
     /// \p id could be connected to.
-    void noteReached(const BackendId& id);
+    void noteReachable(const BackendId& id);
     /// One backend server, drawn at random, of each data centre that this node does
     /// not reach as far as it knows: their connections and requests failed in a row.
-    /// They are chosen only where there are no others, until noteReached().
-    std::vector<BackendRecord> unreached() const;
+    /// They are chosen only where there are no others, until noteReachable().
+    std::vector<BackendRecord> unreachableSample() const;
     /// Whether \p dataCentre is not cut off as far as this node knows.
-    bool isReached(const DataCentreId& dataCentre) const;
+    bool isReachable(const DataCentreId& dataCentre) const;
     /// The request is over.
     void end(const BackendId& id, const SendResult& result, SteadyTime now);
 
@@ -267,14 +267,14 @@
     void forgetPeer(const VmId& peer);
 
     /// What this node was asked for of one service's engines, and learnt of them.
-    struct ServiceView {
+    struct ServiceStatistics {
         /// Prompt tokens that were asked for since the start, without those cached.
-        std::uint64_t tokensAsked_ = 0;
+        std::uint64_t tokensRequested_ = 0;
         /// Prompt tokens that an engine reads in a millisecond.
         double prefillPerMs_ = 0;
         std::uint64_t observations_ = 0;
     };
-    std::map<ServiceName, ServiceView> services() const;
+    std::map<ServiceName, ServiceStatistics> services() const;
 
     /// Slots of a service's backend servers that take new work, and those of them that
     /// are taken by requests of all nodes as far as known.
@@ -286,13 +286,13 @@
     Occupancy occupancy(const ServiceName& service) const;
 
     /// Backend servers of a service that take new work, by whether they are of a version.
-    struct Versions {
+    struct VersionCounts {
         std::size_t target_ = 0;
         std::size_t others_ = 0;
         /// Requests of all nodes at the others, also at leaving ones.
         std::uint64_t othersRunning_ = 0;
     };
-    Versions versions(const ServiceName& service, const BackendVersion& target) const;
+    VersionCounts versions(const ServiceName& service, const BackendVersion& target) const;
 
 private:
     struct Backend {
@@ -314,47 +314,47 @@
         std::unordered_map<std::string, SteadyTime> cached_;
     };
     struct PeerLoads {
-        SteadyTime at_ {};
+        SteadyTime receivedAt_ {};
         std::map<BackendKey, BackendLoad> loads_;
     };
 
     bool isUsable(const Backend& backend, SteadyTime now) const;
-    bool isReachedLocked(const DataCentreId& dataCentre) const;
-    void noteReached(const Backend& backend) { failedIn_.erase(backend.record_.dataCentre_); }
+    bool isReachableLocked(const DataCentreId& dataCentre) const;
+    void noteReachable(const Backend& backend) { failedByDataCentre_.erase(backend.record_.dataCentre_); }
     /// A straight line through waits over prompt tokens, by least squares with
     /// fading weights: its slope is the time that a token takes to read.
-    struct ServiceRate {
-        void observe(double tokens, double waitedMs);
-        void observeHeld(milliseconds held);
+    struct ServiceEstimator {
+        void observeWait(double tokens, double waitedMs);
+        void observeSlotHold(milliseconds held);
         double prefillPerMs(double fallback) const;
-        double firstEventMs(double prefillPerMs, double fallback) const;
+        double firstEventOverheadMs(double prefillPerMs, double fallback) const;
 
         std::uint64_t observations_ = 0;
         double meanTokens_ = 0;
         double meanWait_ = 0;
         double meanSquare_ = 0;
         double meanProduct_ = 0;
-        std::uint64_t tokensAsked_ = 0;
+        std::uint64_t tokensRequested_ = 0;
         /// Mean time that a request holds its slot.
-        std::optional<double> heldMs_;
+        std::optional<double> meanSlotHoldMs_;
     };
 
-    double rateOf(const ServiceName& service) const;
-    double firstEventMs(const ServiceName& service) const;
-    static double slowFactor(const Backend& backend);
+    double prefillRateOf(const ServiceName& service) const;
+    double firstEventOverheadMs(const ServiceName& service) const;
+    static double slowdownFactor(const Backend& backend);
     /// The wait for those that are at \p backend already.
-    double aheadMs(const Backend& backend, const RequestShape& shape) const;
+    double queueWaitMs(const Backend& backend, const RequestShape& shape) const;
     double estimateMs(const Backend& backend, const RequestShape& shape, TokenCount uncached) const;
     double slotWaitMs(const Backend& backend) const;
-    TokenCount uncachedAt(const Backend& backend, const RequestShape& shape, const BackendId& home, SteadyTime now) const;
+    TokenCount uncachedAt(const Backend& backend, const RequestShape& shape, const BackendId& affinityBackend, SteadyTime now) const;
     /// The backend server that reads the shared part of \p shape unless it is busy.
-    BackendId homeOf(const RequestShape& shape, const std::vector<Backend*>& candidates) const;
+    BackendId affinityBackendOf(const RequestShape& shape, const std::vector<Backend*>& candidates) const;
     /// Keeps those of \p candidates that \p rule allows.
-    void applyRule(std::vector<Backend*>& candidates, const VersionRule& rule, const ServiceName& service) const;
+    void applyVersionRule(std::vector<Backend*>& candidates, const VersionRule& rule, const ServiceName& service) const;
     /// Leaves a sample of \p candidates, and those that may have the part cached.
-    void takeSample(std::vector<Backend*>& candidates, const RequestShape& shape, const BackendId& home, SteadyTime now) const;
-    static void takeBack(Backend& backend, TokenCount uncached, bool hasBegun);
-    void fail(Backend& backend, SteadyTime now);
+    void reduceToSample(std::vector<Backend*>& candidates, const RequestShape& shape, const BackendId& affinityBackend, SteadyTime now) const;
+    static void releaseLoad(Backend& backend, TokenCount uncached, bool hasFirstByte);
+    void recordFailure(Backend& backend, SteadyTime now);
     void sumPeerLoads(SteadyTime now);
     void forget(const BackendId& id);
     void rememberLeaving(const BackendId& id, SteadyTime now);
@@ -364,15 +364,15 @@
     mutable std::mutex mutex_;
     std::map<BackendId, Backend> backends_;
     /// The newest start heard of by each name, also of those that are gone.
-    std::map<BackendName, BackendStart> newestStarts_;
+    std::map<BackendName, BackendStartTime> newestStarts_;
     /// Leaving ones whose record is gone or was never there, and since when.
-    std::map<BackendId, SteadyTime> goneLeaving_;
+    std::map<BackendId, SteadyTime> removedLeaving_;
     /// Names that are gone, oldest first.
-    std::deque<BackendName> goneNames_;
+    std::deque<BackendName> removedNames_;
     std::map<VmId, PeerLoads> peers_;
-    std::map<ServiceName, ServiceRate> rates_;
+    std::map<ServiceName, ServiceEstimator> estimators_;
     /// Backend servers that failed since any of their data centre was reached.
-    std::map<DataCentreId, std::set<BackendId>> failedIn_;
+    std::map<DataCentreId, std::set<BackendId>> failedByDataCentre_;
 };
 
 } // namespace pistachioloom
--- a/include/pistachioloom/Fleet.h
+++ b/include/pistachioloom/Fleet.h
@@ -80,8 +80,8 @@
     /// Engines that the demand needs, with its margin.
     std::uint64_t needed_ = 0;
     /// Bounds of both kinds together in each data centre.
-    std::uint64_t least_ = 0;
-    std::uint64_t most_ = 0;
+    std::uint64_t minEngines_ = 0;
+    std::uint64_t maxEngines_ = 0;
     /// Reclaimable engines to hold in each data centre.
     std::uint64_t reclaimablePerPlace_ = 0;
     /// Part of the largest data centre's reclaimable engines that is not counted
--- a/include/pistachioloom/Forward.h
+++ b/include/pistachioloom/Forward.h
@@ -104,7 +104,7 @@
     ForwardHooks hooks_;
     /// See fingerprintOf().
     std::string fingerprintSecret_;
-    BackendBook& backends_;
+    BackendTable& backends_;
     QuotaBook& quotas_;
     RetryBudget& retries_;
     QuarantineBook& quarantine_;
--- a/include/pistachioloom/Routes.h
+++ b/include/pistachioloom/Routes.h
@@ -40,20 +40,20 @@
     /// Requests share prompt parts that engines cache.
     bool hasAffinity_ = false;
     /// Backend servers that one request may be sent to, at most.
-    unsigned mostAttempts_ = 1;
+    unsigned maxAttempts_ = 1;
     /// The longest time a request is kept waiting.
     milliseconds timeout_ { 15000 };
     /// The latency objective: whole answers, or a stream's first event.
     milliseconds objective_ { 1000 };
     /// The longest pause between events of an answer on time; 0 for none.
-    milliseconds longestPause_ {};
+    milliseconds maxEventGap_ {};
     /// 0 is the most urgent.
     unsigned priority_ = 0;
     std::vector<SplitShare> split_;
     /// The wait for an engine by which its admission is bounded: the objective, but
     /// no more than twice that of more urgent routes to the same service, which
     /// would wait behind it. Set by RouteTable::build().
-    milliseconds admittedWait_ {};
+    milliseconds maxQueueWait_ {};
 
     /// Whether a request may be sent again after it may have run.
     bool mayRepeat() const { return isStream_ ? isResumable_ : isIdempotent_; }
@@ -67,16 +67,16 @@
     /// Tokens in one event of a stream.
     std::uint64_t tokensPerEvent_ = 1;
     /// A running stream's KV cache can be moved to another engine.
-    bool canMove_ = false;
+    bool canMoveKvCache_ = false;
 };
 
 /// How many engines of a service may be ordered in each data centre.
 struct FleetBounds {
-    std::uint64_t least_ = 0;
-    std::uint64_t most_ = 0;
-    milliseconds boot_ {};
+    std::uint64_t minEngines_ = 0;
+    std::uint64_t maxEngines_ = 0;
+    milliseconds bootTime_ {};
     /// Price of a reclaimable engine against a lasting one.
-    double reclaimablePrice_ = 1;
+    double reclaimablePriceRatio_ = 1;
     /// Price of an engine's second in each data centre.
     std::map<DataCentreId, double> prices_;
 };
@@ -85,7 +85,7 @@
     ServiceName name_;
     std::string healthPath_;
     /// Connections that one backend server accepts from all nodes together.
-    std::uint64_t mostConnections_ = 1;
+    std::uint64_t maxConnections_ = 1;
     /// Set if the service's backend servers are model engines.
     std::optional<EngineTraits> engine_;
     std::optional<FleetBounds> fleet_;
@@ -99,7 +99,7 @@
     /// The quota counts tokens, not requests.
     bool countsTokens_ = false;
     /// What a request without a token count counts as.
-    std::uint64_t plainTokens_ = 1;
+    std::uint64_t defaultTokens_ = 1;
     /// 0 for no limit.
     double ratePerSecond_ = 0;
     double burst_ = 0;
@@ -110,8 +110,8 @@
     ByteCount header_ { 16UL * 1024 };
     ByteCount body_ { 4UL * 1024 * 1024 };
     /// Time for a request's head.
-    milliseconds headerTime_ { 5000 };
-    milliseconds idle_ { 15000 };
+    milliseconds headerTimeout_ { 5000 };
+    milliseconds idleTimeout_ { 15000 };
 };
 
 /// One whole version, as decoded.
--- a/include/pistachioloom/Routing.h
+++ b/include/pistachioloom/Routing.h
@@ -19,7 +19,7 @@
 /// One engine as the entry knows it.
 struct EngineCandidate {
     VmId engine_;
-    VmId home_;
+    VmId dispatcher_;
     ModelLoad load_;
     /// Requests we sent there since the load was reported.
     std::uint32_t sentSince_ = 0;
@@ -33,7 +33,7 @@
 };
 
 /// What an estimate rests on.
-struct RoutingCost {
+struct RoutingParameters {
     /// Time to prefill the whole prompt on an engine that has none of it.
     milliseconds prefill_ {};
     /// Time until a slot of a full engine becomes free.
@@ -46,10 +46,10 @@
 
 /// Fills in the estimates and ranks \p candidates: the estimated time to first
 /// token first; inside the target the cheaper one.
-std::vector<EngineCandidate> rankEngines(std::vector<EngineCandidate> candidates, const RoutingCost& cost);
+std::vector<EngineCandidate> rankEngines(std::vector<EngineCandidate> candidates, const RoutingParameters& cost);
 
-/// Picks the engines worth an estimate: the \p favourites best of the prefix
-/// by rendezvous hashing, and \p others at random from \p draws.
-std::vector<VmId> sampleEngines(std::uint64_t prefix, const std::vector<VmId>& engines, std::size_t favourites, std::size_t others, const std::function<std::uint64_t()>& draws);
+/// Picks the engines worth an estimate: the \p topRanked best of the prefix
+/// by rendezvous hashing, and \p others at random from \p nextRandom.
+std::vector<VmId> sampleEngines(std::uint64_t prefix, const std::vector<VmId>& engines, std::size_t topRanked, std::size_t others, const std::function<std::uint64_t()>& nextRandom);
 
 } // namespace pistachioloom
--- a/lib/Backends/Registration.cpp
+++ b/lib/Backends/Registration.cpp
@@ -13,50 +13,50 @@
 
 // Names whose newest start is remembered after they are gone: some minutes' worth at
 // 2,100 backend servers, 100 bytes each.
-static constexpr std::size_t mostGoneNames = 1024;
+static constexpr std::size_t maxRemovedNames = 1024;
 // A backend server that leaves is gone within a minute.
-static constexpr milliseconds leavingMemory { 60000 };
+static constexpr milliseconds leavingRetention { 60000 };
 
-BackendBook::Registered BackendBook::put(const BackendRecord& record)
+BackendTable::PutResult BackendTable::put(const BackendRecord& record)
 {
     assert(!record.name_.isEmpty() && "a backend server registers by a name");
     std::lock_guard lock(mutex_);
-    BackendStart& newest = newestStarts_.try_emplace(record.name_, record.start_).first->second;
-    if (record.start_ < newest)
-        return Registered::Outdated;
-    bool isRestart = newest < record.start_ && backends_.contains(backendId(record.name_, newest));
+    BackendStartTime& newest = newestStarts_.try_emplace(record.name_, record.startTime_).first->second;
+    if (record.startTime_ < newest)
+        return PutResult::Outdated;
+    bool isRestart = newest < record.startTime_ && backends_.contains(backendId(record.name_, newest));
     if (isRestart)
         forget(backendId(record.name_, newest));
-    newest = record.start_;
+    newest = record.startTime_;
     bool isNew = !backends_.contains(record.id_);
     Backend& backend = backends_[record.id_];
     // A leaving backend server never takes new work again under the same id.
-    bool isLeaving = backend.record_.isLeaving_ || record.isLeaving_ || goneLeaving_.contains(record.id_);
+    bool isLeaving = backend.record_.isLeaving_ || record.isLeaving_ || removedLeaving_.contains(record.id_);
     backend.record_ = record;
     backend.hash_ = stableHash(record.id_.value_);
     backend.key_ = keyOf(record.id_);
     backend.record_.isLeaving_ = isLeaving;
     if (isRestart)
-        return Registered::Restarted;
-    return isNew ? Registered::New : Registered::Again;
+        return PutResult::Restarted;
+    return isNew ? PutResult::New : PutResult::Updated;
 }
 
 /// What is believed of \p id ends with it.
-void BackendBook::forget(const BackendId& id)
+void BackendTable::forget(const BackendId& id)
 {
-    for (auto& [dataCentre, failed] : failedIn_)
+    for (auto& [dataCentre, failed] : failedByDataCentre_)
         failed.erase(id);
     backends_.erase(id);
 }
 
-void BackendBook::rememberLeaving(const BackendId& id, SteadyTime now)
+void BackendTable::rememberLeaving(const BackendId& id, SteadyTime now)
 {
-    std::erase_if(goneLeaving_, [&](const auto& gone) { return now - gone.second > leavingMemory; });
-    if (goneLeaving_.size() < mostGoneNames)
-        goneLeaving_.try_emplace(id, now);
+    std::erase_if(removedLeaving_, [&](const auto& gone) { return now - gone.second > leavingRetention; });
+    if (removedLeaving_.size() < maxRemovedNames)
+        removedLeaving_.try_emplace(id, now);
 }
 
-void BackendBook::remove(const BackendId& id, SteadyTime now)
+void BackendTable::remove(const BackendId& id, SteadyTime now)
 {
     std::lock_guard lock(mutex_);
     auto found = backends_.find(id);
@@ -64,18 +64,18 @@
         return;
     if (found->second.record_.isLeaving_)
         rememberLeaving(id, now);
-    goneNames_.push_back(found->second.record_.name_);
+    removedNames_.push_back(found->second.record_.name_);
     backends_.erase(found);
-    if (goneNames_.size() <= mostGoneNames)
+    if (removedNames_.size() <= maxRemovedNames)
         return;
-    BackendName oldest = goneNames_.front();
-    goneNames_.pop_front();
+    BackendName oldest = removedNames_.front();
+    removedNames_.pop_front();
     auto newest = newestStarts_.find(oldest);
     if (newest != newestStarts_.end() && !backends_.contains(backendId(oldest, newest->second)))
         newestStarts_.erase(newest);
 }
 
-bool BackendBook::setLeaving(const BackendId& id, SteadyTime now)
+bool BackendTable::setLeaving(const BackendId& id, SteadyTime now)
 {
     std::lock_guard lock(mutex_);
     auto found = backends_.find(id);
@@ -87,23 +87,23 @@
     return true;
 }
 
-void BackendBook::setEnded(const BackendId& id, SteadyTime now)
+void BackendTable::setEnded(const BackendId& id, SteadyTime now)
 {
     std::lock_guard lock(mutex_);
     auto found = backends_.find(id);
     if (found != backends_.end())
-        found->second.ejectedUntil_ = std::max(found->second.ejectedUntil_, now + settings_.longestEjection_);
+        found->second.ejectedUntil_ = std::max(found->second.ejectedUntil_, now + settings_.maxEjection_);
 }
 
-void BackendBook::setPause(const BackendId& id, milliseconds pause, SteadyTime now)
+void BackendTable::setPause(const BackendId& id, milliseconds pause, SteadyTime now)
 {
     std::lock_guard lock(mutex_);
     auto found = backends_.find(id);
     if (found != backends_.end())
-        found->second.pausedUntil_ = std::max(found->second.pausedUntil_, now + std::min(pause, settings_.longestPause_));
+        found->second.pausedUntil_ = std::max(found->second.pausedUntil_, now + std::min(pause, settings_.maxPause_));
 }
 
-std::optional<milliseconds> BackendBook::pauseOf(const ServiceName& service, SteadyTime now) const
+std::optional<milliseconds> BackendTable::remainingPause(const ServiceName& service, SteadyTime now) const
 {
     std::lock_guard lock(mutex_);
     std::optional<SteadyTime> first;
@@ -119,14 +119,14 @@
     return std::chrono::ceil<milliseconds>(*first - now);
 }
 
-bool BackendBook::mayReceive(const BackendId& id, SteadyTime now) const
+bool BackendTable::mayReceive(const BackendId& id, SteadyTime now) const
 {
     std::lock_guard lock(mutex_);
     auto found = backends_.find(id);
     return found != backends_.end() && !found->second.record_.isLeaving_ && found->second.pausedUntil_ <= now;
 }
 
-std::vector<BackendRecord> BackendBook::records() const
+std::vector<BackendRecord> BackendTable::records() const
 {
     std::lock_guard lock(mutex_);
     std::vector<BackendRecord> records;
@@ -135,7 +135,7 @@
     return records;
 }
 
-std::uint64_t BackendBook::fingerprint() const
+std::uint64_t BackendTable::fingerprint() const
 {
     std::lock_guard lock(mutex_);
     std::uint64_t hash = 0;
@@ -144,14 +144,14 @@
     return hash;
 }
 
-std::optional<BackendRecord> BackendBook::find(const BackendId& id) const
+std::optional<BackendRecord> BackendTable::find(const BackendId& id) const
 {
     std::lock_guard lock(mutex_);
     auto found = backends_.find(id);
     return found == backends_.end() ? std::nullopt : std::optional(found->second.record_);
 }
 
-std::optional<BackendRecord> BackendBook::findNewest(const BackendName& name) const
+std::optional<BackendRecord> BackendTable::findNewest(const BackendName& name) const
 {
     std::lock_guard lock(mutex_);
     auto newest = newestStarts_.find(name);
@@ -161,7 +161,7 @@
     return found == backends_.end() ? std::nullopt : std::optional(found->second.record_);
 }
 
-bool BackendBook::isDeparting(const BackendId& id) const
+bool BackendTable::isBeingReclaimed(const BackendId& id) const
 {
     std::lock_guard lock(mutex_);
     auto found = backends_.find(id);
--- a/lib/Fleet/FleetBook.cpp
+++ b/lib/Fleet/FleetBook.cpp
@@ -95,7 +95,7 @@
     recent.push_back({ now, needed });
     while (now - recent.front().at_ > settings_.reclaimableHold_)
         recent.pop_front();
-    FleetDemand demand { 0, view.bounds_.least_, view.bounds_.most_, 0, settings_.reserveShare_ };
+    FleetDemand demand { 0, view.bounds_.minEngines_, view.bounds_.maxEngines_, 0, settings_.reserveShare_ };
     std::uint64_t highest = 0;
     for (const Need& need : recent) {
         highest = std::max(highest, need.engines_);
@@ -103,7 +103,7 @@
             demand.needed_ = std::max(demand.needed_, need.engines_);
     }
     auto reclaimable = static_cast<std::uint64_t>(std::ceil(static_cast<double>(highest) * settings_.reclaimableShare_));
-    std::uint64_t room = demand.most_ - std::min(demand.most_, demand.least_);
+    std::uint64_t room = demand.maxEngines_ - std::min(demand.maxEngines_, demand.minEngines_);
     demand.reclaimablePerPlace_ = std::min(room, reclaimable);
     before = demand.needed_;
     return demand;
@@ -156,7 +156,7 @@
         const FleetPlace& place = *placeOf[order.dataCentre_];
         std::uint64_t present = order.isReclaimable_ ? place.reclaimable_ : place.lasting_;
         if (order.isReclaimable_)
-            order.wanted_ = std::min(order.wanted_, demand.most_ - std::min(demand.most_, lasting[order.dataCentre_]));
+            order.wanted_ = std::min(order.wanted_, demand.maxEngines_ - std::min(demand.maxEngines_, lasting[order.dataCentre_]));
         if (view.holdsAll_ && order.wanted_ < present)
             continue;
         if (!order.isReclaimable_) {
--- a/lib/Fleet/Plan.cpp
+++ b/lib/Fleet/Plan.cpp
@@ -42,21 +42,21 @@
     std::uint64_t present = 0;
     // Reclaimable engines that are there count towards the least number, too. Lasting
     // ones for it cost several times as much.
-    auto floorOf = [&](const FleetPlace& place) { return demand.least_ - std::min(demand.least_, place.reclaimable_); };
+    auto floorOf = [&](const FleetPlace& place) { return demand.minEngines_ - std::min(demand.minEngines_, place.reclaimable_); };
     auto expected = [&](const FleetPlace& place) { return std::max({ place.lasting_, place.lastingOrdered_, floorOf(place) }); };
     for (const FleetPlace& place : places)
         present += expected(place);
     for (const FleetPlace& place : places) {
-        std::uint64_t kept = std::min(present <= lasting ? expected(place) : floorOf(place), demand.most_);
+        std::uint64_t kept = std::min(present <= lasting ? expected(place) : floorOf(place), demand.maxEngines_);
         share[place.dataCentre_] = kept;
         placed += kept;
     }
     // The others one at a time where fewest are, so that no data centre holds most.
-    for (std::uint64_t level = 0; level < demand.most_; ++level) {
+    for (std::uint64_t level = 0; level < demand.maxEngines_; ++level) {
         for (const FleetPlace* place : byPrice) {
             // What is there of the other kind takes room, what is only wanted
             // does not: it may not be to be had.
-            bool hasRoom = level + std::min(place->reclaimable_, demand.reclaimablePerPlace_) < demand.most_;
+            bool hasRoom = level + std::min(place->reclaimable_, demand.reclaimablePerPlace_) < demand.maxEngines_;
             if (share[place->dataCentre_] != level || placed >= lasting || !hasRoom)
                 continue;
             ++share[place->dataCentre_];
@@ -66,7 +66,7 @@
     std::vector<FleetOrder> orders;
     for (const FleetPlace& place : places) {
         std::uint64_t wanted = share[place.dataCentre_];
-        orders.push_back({ service, place.dataCentre_, true, std::min(demand.reclaimablePerPlace_, demand.most_ - wanted) });
+        orders.push_back({ service, place.dataCentre_, true, std::min(demand.reclaimablePerPlace_, demand.maxEngines_ - wanted) });
         orders.push_back({ service, place.dataCentre_, false, wanted });
     }
     return orders;
--- a/lib/Forward/Answering.cpp
+++ b/lib/Forward/Answering.cpp
@@ -51,7 +51,7 @@
 {
     if (!keepsConnection_)
         return std::nullopt;
-    milliseconds idle = table_ ? table_->configuration().bounds_.idle_ : CallerBounds {}.idle_;
+    milliseconds idle = table_ ? table_->configuration().bounds_.idleTimeout_ : CallerBounds {}.idleTimeout_;
     caller_->promiseIdle(idle);
     return idle;
 }
--- a/lib/Forward/CallerConnection.cpp
+++ b/lib/Forward/CallerConnection.cpp
@@ -101,7 +101,7 @@
 {
     isIdle_ = true;
     SteadyTime idleSince = steadyNow();
-    bool hasArrived = co_await waitForRequest(idleSince + std::max(bounds.idle_, promisedIdle_));
+    bool hasArrived = co_await waitForRequest(idleSince + std::max(bounds.idleTimeout_, promisedIdle_));
     idleTime_ = std::chrono::duration_cast<milliseconds>(steadyNow() - idleSince);
     if (!hasArrived)
         co_return std::nullopt;
@@ -112,7 +112,7 @@
 asio::awaitable<std::optional<Result<CallerRequest>>> CallerConnection::readRequest(const CallerBounds& bounds)
 {
     RequestReader reader(bounds, steadyNow());
-    SteadyTime headUntil = steadyNow() + bounds.headerTime_;
+    SteadyTime headUntil = steadyNow() + bounds.headerTimeout_;
     for (;;) {
         RequestReader::Progress progress = reader.feed(input_);
         drained_.notify();
--- a/lib/Forward/EndProbe.cpp
+++ b/lib/Forward/EndProbe.cpp
@@ -42,7 +42,7 @@
         code = co_await tryConnection(backend.endpoint_, patience);
     }
     // What cuts a data centre off may refuse connections too.
-    bool hasEnded = code == asio::error::connection_refused && context.backends_.isReached(backend.dataCentre_);
+    bool hasEnded = code == asio::error::connection_refused && context.backends_.isReachable(backend.dataCentre_);
     LogLine line(hasEnded ? "Backend server has ended." : "Backend server cut a request off.");
     line.add("backend", backend.id_.value_).add("connection", code ? code.message() : "accepted");
     logger().info(line);
--- a/lib/Forward/Forwarding.cpp
+++ b/lib/Forward/Forwarding.cpp
@@ -64,7 +64,7 @@
     shape.service_ = pickService(*route_, randomBits());
     if (auto counts = parseTokenCounts(request_.field(context_.names_.tokenCount_))) {
         shape.promptTokens_ = counts->first;
-        shape.mostOutputTokens_ = counts->second;
+        shape.maxOutputTokens_ = counts->second;
     }
     shape.parts_ = parsePromptParts(request_.field(context_.names_.promptParts_));
     const ServicePolicy* service = table_->findService(shape.service_);
@@ -77,10 +77,10 @@
 {
     if (!organisation_)
         return std::nullopt;
-    std::uint64_t tokens = shape_.promptTokens_.value_ + shape_.mostOutputTokens_.value_;
+    std::uint64_t tokens = shape_.promptTokens_.value_ + shape_.maxOutputTokens_.value_;
     cost_ = 1;
     if (organisation_->countsTokens_)
-        cost_ = static_cast<double>(tokens ? tokens : organisation_->plainTokens_);
+        cost_ = static_cast<double>(tokens ? tokens : organisation_->defaultTokens_);
     auto wait = context_.quotas_.take(organisation_->name_, { organisation_->ratePerSecond_, organisation_->burst_ }, cost_, steadyNow());
     if (wait) {
         context_.metrics_.add(Counter::RequestsRefused);
@@ -155,7 +155,7 @@
         return false;
     if (end == SendEnd::Unreachable || end == SendEnd::NoConnection || end == SendEnd::Withdrawn)
         return ++unreachable_ < mostUnreachable;
-    if (sends_ >= route_->mostAttempts_)
+    if (sends_ >= route_->maxAttempts_)
         return false;
     if (end != SendEnd::NotRun && !route_->mayRepeat())
         return false;
@@ -167,11 +167,11 @@
 
 std::optional<Forwarding::HeldAnswer> Forwarding::refuseWait(const BackendChoice& choice) const
 {
-    AdmissionView view { shape_.isForEngine_ && route_->isStream_, sends_ || events_.last(), choice.ahead_, route_->admittedWait_ };
-    auto returnIn = refuseForWait(view, context_.settings_.admission_);
+    AdmissionView view { shape_.isForEngine_ && route_->isStream_, sends_ || events_.last(), choice.queueWait_, route_->maxQueueWait_ };
+    auto returnIn = retryAfterIfRejected(view, context_.settings_.admission_);
     if (!returnIn)
         return std::nullopt;
-    return refusal(503, "engines are busy for " + std::to_string(choice.ahead_.count()) + " ms", *returnIn);
+    return refusal(503, "engines are busy for " + std::to_string(choice.queueWait_.count()) + " ms", *returnIn);
 }
 
 /// Every send passes here: first ones, repeats, and streams that move.
@@ -222,17 +222,17 @@
         if (!choice)
             choice = context_.backends_.choose(shape_, excluded_, steadyNow());
         if (!choice) {
-            context_.backends_.refuseWithout(shape_);
+            context_.backends_.noteNoBackend(shape_);
             break;
         }
         if (auto refused = refuseWait(*choice)) {
-            context_.backends_.refuse(*choice);
+            context_.backends_.noteRejected(*choice);
             context_.metrics_.add(Counter::RequestsRefused);
             held_ = std::move(refused);
             logRefusal(*held_);
             break;
         }
-        context_.backends_.accept(*choice);
+        context_.backends_.noteAdmitted(*choice);
         Attempt attempt;
         attempt.choice_ = std::move(*choice);
         attempt.startedAt_ = steadyNow();
@@ -410,7 +410,7 @@
 {
     // 503 promises that the request has not run and never will.
     if (!mayHaveRun_ && stopped_ != StopReason::TimeOver) {
-        auto pause = context_.backends_.pauseOf(shape_.service_, steadyNow());
+        auto pause = context_.backends_.remainingPause(shape_.service_, steadyNow());
         std::string reason = pause ? "all backend servers asked for a pause" : "no backend server";
         return refusal(503, lastDetail_.empty() ? reason : lastDetail_, std::max(retryFull, pause.value_or(retryFull)));
     }
--- a/lib/Forward/Moving.cpp
+++ b/lib/Forward/Moving.cpp
@@ -28,9 +28,9 @@
     if (move_ || !route_->mayRepeat() || !events_.last() || !context_.hooks_.copyStream_)
         return false;
     const ServicePolicy* service = table_->findService(shape_.service_);
-    if (!service || !service->engine_ || !service->engine_->canMove_)
+    if (!service || !service->engine_ || !service->engine_->canMoveKvCache_)
         return false;
-    return context_.backends_.isDeparting(attempt.choice_.backend_.id_);
+    return context_.backends_.isBeingReclaimed(attempt.choice_.backend_.id_);
 }
 
 void Forwarding::startMove(const Attempt& attempt)
@@ -42,7 +42,7 @@
     RequestShape shape = shape_;
     shape.promptTokens_ = {};
     shape.parts_.clear();
-    shape.reclaimed_ = from.dataCentre_;
+    shape.reclaimedDataCentre_ = from.dataCentre_;
     shape.version_ = context_.rollouts_.assign(shape.service_, routeKeyOf(route_->name_), RolloutBook::Send::Again, steadyNow());
     auto to = context_.backends_.choose(shape, excluded_, steadyNow());
     if (!to)
--- a/lib/Forward/Sending.cpp
+++ b/lib/Forward/Sending.cpp
@@ -82,7 +82,7 @@
 {
     const ServicePolicy* service = table_->findService(shape_.service_);
     std::uint64_t sharers = std::max<std::uint64_t>(1, context_.nodes_ * context_.workers_);
-    std::uint64_t share = std::max<std::uint64_t>(1, service ? service->mostConnections_ / sharers : 1);
+    std::uint64_t share = std::max<std::uint64_t>(1, service ? service->maxConnections_ / sharers : 1);
     return pool_.openTo(backend) < share;
 }
 
@@ -111,7 +111,7 @@
     auto [code] = co_await attempt.connection_->socket_.async_connect(address, asTuple);
     patienceUntil_ = SteadyTime::max();
     if (!code) {
-        context_.backends_.noteReached(backend.id_);
+        context_.backends_.noteReachable(backend.id_);
         beast::error_code ignored;
         attempt.connection_->socket_.set_option(tcp::no_delay(true), ignored);
         co_return SendEnd::Held;
@@ -140,7 +140,7 @@
 /// has all the time that is left.
 bool Forwarding::mayGoElsewhere(const Attempt& attempt) const
 {
-    return route_->mayRepeat() && sends_ < route_->mostAttempts_ && attempt.choice_.candidates_ > 1;
+    return route_->mayRepeat() && sends_ < route_->maxAttempts_ && attempt.choice_.candidates_ > 1;
 }
 
 asio::awaitable<SendEnd> Forwarding::send(Attempt& attempt)
@@ -281,7 +281,7 @@
             co_return SendEnd::Lost;
         }
         attempt.connection_->arrivedAt_ = steadyNow();
-        context_.backends_.noteReached(attempt.choice_.backend_.id_);
+        context_.backends_.noteReachable(attempt.choice_.backend_.id_);
         if (parser.get().result_int() / 100 == 1)
             continue;
         noteSignals(attempt, parser);
@@ -302,7 +302,7 @@
     attempt.hasBegun_ = true;
     attempt.begunAt_ = steadyNow();
     auto wait = std::chrono::duration_cast<milliseconds>(attempt.begunAt_ - attempt.startedAt_);
-    attempt.waitRatio_ = context_.backends_.began(attempt.choice_, shape_, wait);
+    attempt.waitRatio_ = context_.backends_.noteFirstByte(attempt.choice_, shape_, wait);
     if (hasCountedBegin_)
         return;
     hasCountedBegin_ = true;
--- a/lib/Gateway/DutyRunner.cpp
+++ b/lib/Gateway/DutyRunner.cpp
@@ -177,7 +177,7 @@
 {
     SteadyTime now = steadyNow();
     for (const auto& [service, view] : context_.backends_.services()) {
-        context_.demand_.countOwn(service, { view.tokensAsked_ }, now);
+        context_.demand_.countOwn(service, { view.tokensRequested_ }, now);
         // What it tells its peers stands beside theirs; the rate is counted above.
         context_.demand_.setSource(context_.settings_.vm_, service, { 0, view.prefillPerMs_, view.observations_ }, now);
     }
@@ -353,7 +353,7 @@
         view.places_.push_back(std::move(place));
     view.tokensPerSecond_ = context_.demand_.peakRate(service.name_, now);
     view.prefillPerMs_ = context_.demand_.prefillPerMs(service.name_, context_.settings_.choice_.prefillPerMs_);
-    BackendBook::Occupancy occupancy = context_.backends_.occupancy(service.name_);
+    BackendTable::Occupancy occupancy = context_.backends_.occupancy(service.name_);
     view.slots_ = occupancy.slots_;
     view.slotsTaken_ = occupancy.taken_;
     view.isWhole_ = reports_->coverage(now).isWhole();
--- a/lib/Gateway/Feed.cpp
+++ b/lib/Gateway/Feed.cpp
@@ -152,13 +152,13 @@
     const BackendRecord& record = *change.record_;
     auto before = context_.backends_.find(record.id_);
     auto newest = context_.backends_.findNewest(record.name_);
-    BackendBook::Registered registered = context_.backends_.put(record);
-    if (registered == BackendBook::Registered::Outdated)
+    BackendTable::PutResult registered = context_.backends_.put(record);
+    if (registered == BackendTable::PutResult::Outdated)
         return;
-    if (registered == BackendBook::Registered::Restarted && newest && !newest->isLeaving_)
+    if (registered == BackendTable::PutResult::Restarted && newest && !newest->isLeaving_)
         noteBackendEnded(context_.forward_, newest->id_);
     if (!before)
-        logger_.info(LogLine(registered == BackendBook::Registered::Restarted ? "Backend server started anew." : "Backend server is there.").add("backend", record.id_.value_).add("service", record.service_.value_).add("address", record.endpoint_.toString()).add("data_centre", record.dataCentre_.value_).add("version", record.version_.value_).add("reclaimable", record.isReclaimable_).add("leaving", record.isLeaving_));
+        logger_.info(LogLine(registered == BackendTable::PutResult::Restarted ? "Backend server started anew." : "Backend server is there.").add("backend", record.id_.value_).add("service", record.service_.value_).add("address", record.endpoint_.toString()).add("data_centre", record.dataCentre_.value_).add("version", record.version_.value_).add("reclaimable", record.isReclaimable_).add("leaving", record.isLeaving_));
     if (record.isLeaving_ && (!before || !before->isLeaving_)) {
         logger_.info(LogLine("Backend server is leaving.").add("backend", record.id_.value_).add("from", source));
         reports_.noteLeaving(record.id_);
@@ -328,7 +328,7 @@
     for (const BackendRecord& record : context_.backends_.records()) {
         wire::BackendEntry& entry = *update.add_backends();
         entry.set_name(record.name_.value_);
-        entry.set_started_ms(record.start_.value_);
+        entry.set_started_ms(record.startTime_.value_);
         entry.set_service(record.service_.value_);
         entry.set_address(record.endpoint_.toString());
         entry.set_data_centre(record.dataCentre_.value_);
--- a/lib/Gateway/GatewayContext.h
+++ b/lib/Gateway/GatewayContext.h
@@ -37,7 +37,7 @@
     const GatewayPlatform platform_;
     const std::uint64_t incarnation_;
     Metrics metrics_;
-    BackendBook backends_;
+    BackendTable backends_;
     QuotaBook quotas_;
     RetryBudget retries_;
     QuarantineBook quarantine_;
--- a/lib/Gateway/ReachProbe.cpp
+++ b/lib/Gateway/ReachProbe.cpp
@@ -16,10 +16,10 @@
 
 } // namespace
 
-void ReachProbe::logChanges(const std::vector<BackendRecord>& unreached)
+void ReachProbe::logChanges(const std::vector<BackendRecord>& unreachableSample)
 {
     std::set<DataCentreId> lost;
-    for (const BackendRecord& backend : unreached)
+    for (const BackendRecord& backend : unreachableSample)
         lost.insert(backend.dataCentre_);
     for (const DataCentreId& dataCentre : lost) {
         if (!lost_.contains(dataCentre))
@@ -36,7 +36,7 @@
 {
     auto failed = co_await tryConnection(backend.endpoint_, probePatience);
     if (!failed)
-        context_.backends_.noteReached(backend.id_);
+        context_.backends_.noteReachable(backend.id_);
     if (failed == asio::error::invalid_argument)
         logger_.warn("Address of backend server " + backend.id_.value_ + " cannot be read: " + backend.endpoint_.host_);
 }
@@ -45,9 +45,9 @@
 {
     for (;;) {
         co_await sleepFor(probePeriod);
-        std::vector<BackendRecord> unreached = context_.backends_.unreached();
-        logChanges(unreached);
-        for (const BackendRecord& backend : unreached)
+        std::vector<BackendRecord> unreachableSample = context_.backends_.unreachableSample();
+        logChanges(unreachableSample);
+        for (const BackendRecord& backend : unreachableSample)
             co_await probe(backend);
     }
 }
--- a/lib/Gateway/ReachProbe.h
+++ b/lib/Gateway/ReachProbe.h
@@ -22,7 +22,7 @@
 
 private:
     asio::awaitable<void> probe(BackendRecord backend);
-    void logChanges(const std::vector<BackendRecord>& unreached);
+    void logChanges(const std::vector<BackendRecord>& unreachableSample);
 
     GatewayContext& context_;
     std::set<DataCentreId> lost_;
--- a/lib/Gateway/RolloutRunner.cpp
+++ b/lib/Gateway/RolloutRunner.cpp
@@ -100,7 +100,7 @@
     if (isFinal(pilot.state().phase_))
         return;
     RolloutState before = pilot.state();
-    BackendBook::Versions versions = context_.backends_.versions(order.service_, order.target_);
+    BackendTable::VersionCounts versions = context_.backends_.versions(order.service_, order.target_);
     RolloutView view { context_.rollouts_.total(order.service_), versions.target_, versions.others_, versions.othersRunning_ };
     RolloutState after = pilot.steer(view, now);
     // Said anew each time: a trial whose holder is silent ends at the other nodes.
--- a/lib/Gateway/RolloutRunner.h
+++ b/lib/Gateway/RolloutRunner.h
@@ -39,7 +39,7 @@
         RolloutState state_;
         std::string reason_;
         RolloutTally tally_;
-        BackendBook::Versions versions_;
+        BackendTable::VersionCounts versions_;
     };
     std::vector<Shown> shown() const;
 
--- a/lib/Node/EngineRouter.cpp
+++ b/lib/Node/EngineRouter.cpp
@@ -40,21 +40,21 @@
 {
     EngineCandidate candidate;
     candidate.engine_ = engine;
-    candidate.home_ = homeOf(view, engine, question.excluded_);
+    candidate.dispatcher_ = homeOf(view, engine, question.excluded_);
     candidate.prefixRank_ = rank;
     const Vm* vm = view.find(engine);
     candidate.pricePerHour_ = vm->pricePerHour_;
     candidate.isLocal_ = vm->dataCentre_ == view.dataCentre_;
     candidate.network_ = candidate.isLocal_ ? milliseconds {} : remoteNetwork;
     candidate.load_ = unknownLoad;
-    auto digest = view.digests_.find(candidate.home_);
+    auto digest = view.digests_.find(candidate.dispatcher_);
     if (digest == view.digests_.end())
         return candidate;
     auto load = digest->second.loads_.find(question.model_);
     if (load != digest->second.loads_.end())
         candidate.load_ = load->second;
     std::lock_guard lock(mutex_);
-    auto sent = sent_.find({ candidate.home_, question.model_ });
+    auto sent = sent_.find({ candidate.dispatcher_, question.model_ });
     if (sent != sent_.end() && sent->second.heartbeat_ == digest->second.heartbeat_)
         candidate.sentSince_ = sent->second.count_;
     return candidate;
@@ -65,7 +65,7 @@
     auto view = context_.membership();
     std::vector<std::uint64_t> blocks = prefixBlocks(question.prompt_);
     std::uint64_t prefix = blocks.empty() ? 0 : blocks.front();
-    RoutingCost cost;
+    RoutingParameters cost;
     cost.prefill_ = prefillPerBlock * static_cast<std::int64_t>(blocks.size());
     cost.latencyTarget_ = question.latencyTarget_;
     cost.isPaid_ = question.isPaid_;
@@ -75,7 +75,7 @@
         std::size_t rank = 0;
         for (const VmId& engine : sampleEngines(prefix, engines, favourites, others, randomBits)) {
             EngineCandidate candidate = describeEngine(*view, question, engine, rank++);
-            if (!candidate.home_.isEmpty())
+            if (!candidate.dispatcher_.isEmpty())
                 candidates.push_back(std::move(candidate));
         }
     };
@@ -108,7 +108,7 @@
     for (const EngineCandidate& candidate : candidates) {
         list.push_back(boost::json::object {
             { "engine", candidate.engine_.value_ },
-            { "home", candidate.home_.value_ },
+            { "home", candidate.dispatcher_.value_ },
             { "estimate_ms", candidate.estimate_.count() },
             { "free_slots", candidate.load_.freeSlots_ },
             { "queued", candidate.load_.queued_ },
--- a/lib/Node/GenerationOwner.cpp
+++ b/lib/Node/GenerationOwner.cpp
@@ -156,8 +156,8 @@
     // First whoever has a free slot; then the best one's queue.
     for (bool mayQueue : { false, true }) {
         for (const EngineCandidate& candidate : candidates) {
-            router_.countSent(candidate.home_, generation->model());
-            auto outcome = co_await tryEngine(generation, candidate.engine_, candidate.home_, mayQueue, preference, refusal);
+            router_.countSent(candidate.dispatcher_, generation->model());
+            auto outcome = co_await tryEngine(generation, candidate.engine_, candidate.dispatcher_, mayQueue, preference, refusal);
             if (outcome != AttemptOutcome::TryNext)
                 co_return outcome;
         }
--- a/lib/Routes/Routes.cpp
+++ b/lib/Routes/Routes.cpp
@@ -34,7 +34,7 @@
         return services;
     }
 
-    milliseconds admittedWait(const Route& route, const ObjectivesByService& services)
+    milliseconds maxQueueWait(const Route& route, const ObjectivesByService& services)
     {
         milliseconds wait = route.objective_;
         for (const SplitShare& share : route.split_) {
@@ -56,7 +56,7 @@
     // routes 663 ms of processor time instead of 1.07 (the least of 9 builds).
     const ObjectivesByService objectives = collectObjectives(table->configuration_.routes_);
     for (Route& route : table->configuration_.routes_)
-        route.admittedWait_ = admittedWait(route, objectives);
+        route.maxQueueWait_ = maxQueueWait(route, objectives);
     for (const Route& route : table->configuration_.routes_)
         table->byHost_[route.host_].push_back(&route);
     for (auto& [host, routes] : table->byHost_)
--- a/lib/Routing/Routing.cpp
+++ b/lib/Routing/Routing.cpp
@@ -12,7 +12,7 @@
 namespace {
 
     constexpr std::size_t blockBytes = 256;
-    constexpr std::size_t mostBlocks = 64;
+    constexpr std::size_t maxBlocks = 64;
 
 } // namespace
 
@@ -20,14 +20,14 @@
 {
     std::vector<std::uint64_t> blocks;
     std::uint64_t hash = 0;
-    for (std::size_t begin = 0; begin < prompt.size() && blocks.size() < mostBlocks; begin += blockBytes) {
+    for (std::size_t begin = 0; begin < prompt.size() && blocks.size() < maxBlocks; begin += blockBytes) {
         hash = stableHash(prompt.substr(begin, blockBytes), hash);
         blocks.push_back(hash);
     }
     return blocks;
 }
 
-static milliseconds estimateFirstToken(const EngineCandidate& candidate, const RoutingCost& cost)
+static milliseconds estimateFirstToken(const EngineCandidate& candidate, const RoutingParameters& cost)
 {
     // Our own sends since the report have taken free slots already.
     std::uint32_t free = candidate.load_.freeSlots_ > candidate.sentSince_ ? candidate.load_.freeSlots_ - candidate.sentSince_ : 0;
@@ -42,7 +42,7 @@
     return wait + prefill + candidate.network_;
 }
 
-std::vector<EngineCandidate> rankEngines(std::vector<EngineCandidate> candidates, const RoutingCost& cost)
+std::vector<EngineCandidate> rankEngines(std::vector<EngineCandidate> candidates, const RoutingParameters& cost)
 {
     for (EngineCandidate& candidate : candidates)
         candidate.estimate_ = estimateFirstToken(candidate, cost);
@@ -63,13 +63,13 @@
     return candidates;
 }
 
-std::vector<VmId> sampleEngines(std::uint64_t prefix, const std::vector<VmId>& engines, std::size_t favourites, std::size_t others, const std::function<std::uint64_t()>& draws)
+std::vector<VmId> sampleEngines(std::uint64_t prefix, const std::vector<VmId>& engines, std::size_t topRanked, std::size_t others, const std::function<std::uint64_t()>& nextRandom)
 {
     std::vector<VmId> ranked = rankByRendezvous(std::to_string(prefix), engines);
-    std::size_t kept = std::min(favourites, ranked.size());
+    std::size_t kept = std::min(topRanked, ranked.size());
     std::vector<VmId> sample(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(kept));
     for (std::size_t i = 0; i < others && kept < ranked.size(); ++i, ++kept) {
-        std::size_t pick = kept + draws() % (ranked.size() - kept);
+        std::size_t pick = kept + nextRandom() % (ranked.size() - kept);
         std::swap(ranked[kept], ranked[pick]);
         sample.push_back(ranked[kept]);
     }
--- a/unittests/Admission/AdmissionTest.cpp
+++ b/unittests/Admission/AdmissionTest.cpp
@@ -14,7 +14,7 @@
     struct Row {
         const char* name_;
         AdmissionView view_;
-        std::optional<milliseconds> returnIn_;
+        std::optional<milliseconds> retryAfter_;
     };
     auto row = GENERATE(values<Row>({
         { "nothing ahead", { true, false, milliseconds(0), milliseconds(800) }, std::nullopt },
@@ -26,7 +26,7 @@
         { "a plain service", { false, false, milliseconds(60000), milliseconds(800) }, std::nullopt },
     }));
     CAPTURE(row.name_);
-    CHECK(refuseForWait(row.view_, {}) == row.returnIn_);
+    CHECK(retryAfterIfRejected(row.view_, {}) == row.retryAfter_);
 }
 
 TEST_CASE("in an overload, refusals keep those that are admitted on time", "[admission]")
@@ -40,7 +40,7 @@
         int count = 0;
         for (milliseconds now {}; now < milliseconds(20000); now += every) {
             milliseconds ahead = std::max(milliseconds(0), freeAt - now);
-            if (refuseForWait({ true, false, ahead, objective - reading }, settings))
+            if (retryAfterIfRejected({ true, false, ahead, objective - reading }, settings))
                 continue;
             freeAt = std::max(now, freeAt) + reading;
             count += freeAt - now <= objective;
--- a/unittests/Backends/BackendsTest.cpp
+++ b/unittests/Backends/BackendsTest.cpp
@@ -20,11 +20,11 @@
 }
 
 /// The start of \p name at \p startMs.
-BackendRecord startOf(const std::string& name, std::uint64_t startMs)
+BackendRecord recordWithStart(const std::string& name, std::uint64_t startMs)
 {
     BackendRecord started = record(name);
-    started.start_ = { startMs };
-    started.id_ = backendId(started.name_, started.start_);
+    started.startTime_ = { startMs };
+    started.id_ = backendId(started.name_, started.startTime_);
     return started;
 }
 
@@ -45,9 +45,9 @@
     return shape;
 }
 
-std::string chosen(BackendBook& book, const RequestShape& shape, const std::set<BackendId>& excluded = {}, SteadyTime now = start)
+std::string chosen(BackendTable& table, const RequestShape& shape, const std::set<BackendId>& excluded = {}, SteadyTime now = start)
 {
-    auto choice = book.choose(shape, excluded, now);
+    auto choice = table.choose(shape, excluded, now);
     return choice ? choice->backend_.id_.value_ : "";
 }
 
@@ -55,94 +55,94 @@
 
 TEST_CASE("work goes where fewer prompt tokens are queued", "[backends]")
 {
-    BackendBook book({ "a" }, ChoiceSettings {});
+    BackendTable table({ "a" }, ChoiceSettings {});
     // Slots enough for all: only tokens decide.
     for (const char* id : { "x", "y" }) {
-        BackendRecord roomy = record(id);
-        roomy.slots_ = 24;
-        book.put(roomy);
+        BackendRecord backend = record(id);
+        backend.slots_ = 24;
+        table.put(backend);
     }
-    book.setPeerLoads({ "peer" }, { { keyOf({ "x" }), { 3, 9000 } } }, start);
-    CHECK(chosen(book, engineRequest(1000)) == "y");
+    table.setPeerLoads({ "peer" }, { { keyOf({ "x" }), { 3, 9000 } } }, start);
+    CHECK(chosen(table, engineRequest(1000)) == "y");
     // Own sends count at once: y has 1,000 queued now, x has 9,000.
     for (int i = 0; i < 7; ++i)
-        CHECK(chosen(book, engineRequest(1000)) == "y");
+        CHECK(chosen(table, engineRequest(1000)) == "y");
     // A peer that fell silent says nothing of the present.
     SteadyTime later = start + milliseconds(5000);
-    book.setPeerLoads({ "other" }, {}, later);
-    CHECK(chosen(book, engineRequest(1000), {}, later) == "x");
+    table.setPeerLoads({ "other" }, {}, later);
+    CHECK(chosen(table, engineRequest(1000), {}, later) == "x");
 }
 
 TEST_CASE("a shared part goes to the engine that has it, until that one is busy", "[backends]")
 {
-    BackendBook book({ "a" }, ChoiceSettings {});
+    BackendTable table({ "a" }, ChoiceSettings {});
     for (const char* id : { "v", "w", "x", "y" })
-        book.put(record(id));
+        table.put(record(id));
     RequestShape shape = engineRequest(12000, { { "common", { 500 } }, { "subject", { 10000 } }, { "own", { 1500 } } });
-    auto first = book.choose(shape, {}, start);
+    auto first = table.choose(shape, {}, start);
     REQUIRE(first);
     CHECK(first->uncached_.value_ == 1500);
     for (int i = 0; i < 3; ++i)
-        CHECK(chosen(book, shape) == first->backend_.id_.value_);
-    book.setPeerLoads({ "peer" }, { { keyOf(first->backend_.id_), { 10, 60000 } } }, start);
-    CHECK(chosen(book, shape) != first->backend_.id_.value_);
+        CHECK(chosen(table, shape) == first->backend_.id_.value_);
+    table.setPeerLoads({ "peer" }, { { keyOf(first->backend_.id_), { 10, 60000 } } }, start);
+    CHECK(chosen(table, shape) != first->backend_.id_.value_);
 }
 
 TEST_CASE("tokens that are refused count half as demand, and are queued nowhere", "[backends]")
 {
-    BackendBook book({ "a" }, ChoiceSettings {});
-    book.put(record("x"));
-    auto refused = book.choose(engineRequest(1000), {}, start);
+    BackendTable table({ "a" }, ChoiceSettings {});
+    table.put(record("x"));
+    auto refused = table.choose(engineRequest(1000), {}, start);
     REQUIRE(refused);
-    CHECK(book.services()[service].tokensAsked_ == 0);
-    book.refuse(*refused);
-    CHECK(book.services()[service].tokensAsked_ == 500);
-    CHECK(book.ownLoads().empty());
-    auto sent = book.choose(engineRequest(1000), {}, start);
+    CHECK(table.services()[service].tokensRequested_ == 0);
+    table.noteRejected(*refused);
+    CHECK(table.services()[service].tokensRequested_ == 500);
+    CHECK(table.ownLoads().empty());
+    auto sent = table.choose(engineRequest(1000), {}, start);
     REQUIRE(sent);
     CHECK(sent->queuedAhead_.value_ == 0);
-    book.accept(*sent);
-    CHECK(book.services()[service].tokensAsked_ == 1500);
-    CHECK(book.ownLoads().size() == 1);
+    table.noteAdmitted(*sent);
+    CHECK(table.services()[service].tokensRequested_ == 1500);
+    CHECK(table.ownLoads().size() == 1);
 }
 
 TEST_CASE("where all slots are taken, a request waits for one", "[backends]")
 {
-    BackendBook book({ "a" }, ChoiceSettings {});
-    book.put(record("x"));
-    book.put(record("y"));
+    BackendTable table({ "a" }, ChoiceSettings {});
+    table.put(record("x"));
+    table.put(record("y"));
     // Four slots: x has room, though more prompt tokens are queued there than at y.
-    book.setPeerLoads({ "peer" }, { { keyOf({ "x" }), { 3, 5000 } }, { keyOf({ "y" }), { 12, 0 } } }, start);
-    auto choice = book.choose(engineRequest(1000), {}, start);
+    table.setPeerLoads({ "peer" }, { { keyOf({ "x" }), { 3, 5000 } }, { keyOf({ "y" }), { 12, 0 } } }, start);
+    auto choice = table.choose(engineRequest(1000), {}, start);
     REQUIRE(choice);
     CHECK(choice->backend_.id_.value_ == "x");
     CHECK(choice->running_ == 3);
-    book.remove({ "x" }, start);
+    table.remove({ "x" }, start);
     // Nine are before it, and four slots are held for 500 ms each until it is known better.
-    choice = book.choose(engineRequest(1000), {}, start);
+    choice = table.choose(engineRequest(1000), {}, start);
     REQUIRE(choice);
-    CHECK(choice->ahead_ >= milliseconds(9 * 500 / 4));
+    CHECK(choice->queueWait_ >= milliseconds(9 * 500 / 4));
     for (int i = 0; i < 400; ++i)
-        book.end({ "y" }, { BackendOutcome::Served, {}, true, milliseconds(100) }, start);
-    choice = book.choose(engineRequest(1000), {}, start);
+        table.end({ "y" }, { BackendOutcome::Served, {}, true, milliseconds(100) }, start);
+    choice = table.choose(engineRequest(1000), {}, start);
     REQUIRE(choice);
-    CHECK(choice->ahead_ >= milliseconds(9 * 100 / 4));
-    CHECK(choice->ahead_ < milliseconds(400));
+    CHECK(choice->queueWait_ >= milliseconds(9 * 100 / 4));
+    CHECK(choice->queueWait_ < milliseconds(400));
 }
 
 TEST_CASE("leaving, gone and excluded ones take nothing", "[backends]")
 {
-    BackendBook book({ "a" }, ChoiceSettings {});
+    BackendTable table({ "a" }, ChoiceSettings {});
     for (const char* id : { "w", "x", "y" })
-        book.put(record(id));
-    CHECK(book.setLeaving({ "w" }, start));
-    CHECK_FALSE(book.setLeaving({ "w" }, start));
-    book.remove({ "x" }, start);
-    CHECK(chosen(book, plainRequest()) == "y");
-    CHECK(chosen(book, plainRequest(), { { "y" } }).empty());
+        table.put(record(id));
+    CHECK(table.setLeaving({ "w" }, start));
+    CHECK_FALSE(table.setLeaving({ "w" }, start));
+    table.remove({ "x" }, start);
+    CHECK(chosen(table, plainRequest()) == "y");
+    CHECK(chosen(table, plainRequest(), { { "y" } }).empty());
     // An old record does not call it back.
-    book.put(record("w"));
-    CHECK(chosen(book, plainRequest(), { { "y" } }).empty());
+    table.put(record("w"));
+    CHECK(chosen(table, plainRequest(), { { "y" } }).empty());
 }
 
 TEST_CASE("what failed is passed over for a while and tried again", "[backends]")
@@ -150,7 +150,7 @@
     struct Row {
         BackendOutcome outcome_;
         int times_;
-        milliseconds passedOver_;
+        milliseconds skippedFor_;
     };
     auto row = GENERATE(values<Row>({
         { BackendOutcome::Broken, 1, milliseconds(0) },
@@ -160,58 +160,58 @@
         { BackendOutcome::Full, 1, milliseconds(100) },
         { BackendOutcome::Abandoned, 3, milliseconds(0) },
     }));
-    BackendBook book({ "a" }, ChoiceSettings {});
-    book.put(record("x"));
-    book.put(record("y", "far"));
+    BackendTable table({ "a" }, ChoiceSettings {});
+    table.put(record("x"));
+    table.put(record("y", "far"));
     for (int i = 0; i < row.times_; ++i)
-        book.end({ "x" }, { row.outcome_ }, start);
+        table.end({ "x" }, { row.outcome_ }, start);
     CAPTURE(toString(row.outcome_), row.times_);
-    if (row.passedOver_.count())
-        CHECK(chosen(book, plainRequest(), {}, start + row.passedOver_ - milliseconds(1)) == "y");
-    book.end({ "y" }, { BackendOutcome::Served }, start);
-    CHECK(chosen(book, plainRequest(), {}, start + row.passedOver_) == "x");
+    if (row.skippedFor_.count())
+        CHECK(chosen(table, plainRequest(), {}, start + row.skippedFor_ - milliseconds(1)) == "y");
+    table.end({ "y" }, { BackendOutcome::Served }, start);
+    CHECK(chosen(table, plainRequest(), {}, start + row.skippedFor_) == "x");
 }
 
 TEST_CASE("a doubtful one is better than none", "[backends]")
 {
-    BackendBook book({ "a" }, ChoiceSettings {});
-    book.put(record("x"));
-    book.end({ "x" }, { BackendOutcome::Unreachable }, start);
-    CHECK(chosen(book, plainRequest()) == "x");
+    BackendTable table({ "a" }, ChoiceSettings {});
+    table.put(record("x"));
+    table.end({ "x" }, { BackendOutcome::Unreachable }, start);
+    CHECK(chosen(table, plainRequest()) == "x");
 }
 
 TEST_CASE("a stale record is dropped when another has its address", "[backends]")
 {
-    BackendBook book({ "a" }, ChoiceSettings {});
-    book.put(record("x"));
-    book.end({ "x" }, { BackendOutcome::WrongInstance }, start);
-    CHECK_FALSE(book.find({ "x" }));
+    BackendTable table({ "a" }, ChoiceSettings {});
+    table.put(record("x"));
+    table.end({ "x" }, { BackendOutcome::WrongInstance }, start);
+    CHECK_FALSE(table.find({ "x" }));
 }
 
 TEST_CASE("an engine that fails most of its requests is left out", "[backends]")
 {
-    BackendBook book({ "a" }, ChoiceSettings {});
-    book.put(record("x"));
-    book.put(record("y", "far"));
+    BackendTable table({ "a" }, ChoiceSettings {});
+    table.put(record("x"));
+    table.put(record("y", "far"));
     for (int i = 0; i < 10; ++i)
-        book.end({ "x" }, { i % 4 ? BackendOutcome::Failed : BackendOutcome::Served, {}, true }, start);
-    CHECK(chosen(book, plainRequest()) == "y");
+        table.end({ "x" }, { i % 4 ? BackendOutcome::Failed : BackendOutcome::Served, {}, true }, start);
+    CHECK(chosen(table, plainRequest()) == "y");
 }
 
 TEST_CASE("the reading rate is learnt beside a fixed part of each wait", "[backends]")
 {
-    BackendBook book({ "a" }, ChoiceSettings {});
-    book.put(record("x"));
+    BackendTable table({ "a" }, ChoiceSettings {});
+    table.put(record("x"));
     for (int i = 0; i < 200; ++i) {
         RequestShape shape = engineRequest(1000 + 97 * static_cast<std::uint64_t>(i % 50));
-        auto choice = book.choose(shape, {}, start);
+        auto choice = table.choose(shape, {}, start);
         REQUIRE(choice);
         double wait = 31 + static_cast<double>(shape.promptTokens_.value_) / 112;
-        book.began(*choice, shape, milliseconds(static_cast<std::int64_t>(wait)));
-        book.end({ "x" }, { BackendOutcome::Served, choice->uncached_, true }, start);
+        table.noteFirstByte(*choice, shape, milliseconds(static_cast<std::int64_t>(wait)));
+        table.end({ "x" }, { BackendOutcome::Served, choice->uncached_, true }, start);
     }
-    CHECK(book.services()[service].prefillPerMs_ == Approx(112).epsilon(0.1));
-    CHECK(book.services()[service].observations_ == 200);
+    CHECK(table.services()[service].prefillPerMs_ == Approx(112).epsilon(0.1));
+    CHECK(table.services()[service].observations_ == 200);
 }
 
 TEST_CASE("nodes that know the same late loads do not all send to one engine", "[backends]")
@@ -220,15 +220,15 @@
     constexpr int nodes = 20;
     int atIdle = 0;
     for (int node = 0; node < nodes; ++node) {
-        BackendBook book({ "a" }, ChoiceSettings {});
+        BackendTable table({ "a" }, ChoiceSettings {});
         std::map<BackendKey, BackendLoad> loads;
         for (int i = 0; i < 40; ++i) {
             std::string id = "e" + std::to_string(i);
-            book.put(record(id));
+            table.put(record(id));
             loads[keyOf({ id })] = { 2, i ? 9000U : 0U };
         }
-        book.setPeerLoads({ "peer" }, loads, start);
-        atIdle += chosen(book, engineRequest(1000)) == "e0";
+        table.setPeerLoads({ "peer" }, loads, start);
+        atIdle += chosen(table, engineRequest(1000)) == "e0";
     }
     // A tenth of samples hold it; more than 12 of 20 come once in ten million runs.
     CHECK(atIdle <= 12);
@@ -236,186 +236,186 @@
 
 TEST_CASE("an estimate tells the wait for those ahead from the own prompt's", "[backends]")
 {
-    BackendBook book({ "a" }, ChoiceSettings {});
-    book.put(record("x"));
-    book.setPeerLoads({ "peer" }, { { keyOf({ "x" }), { 0, 10000 } } }, start);
-    auto choice = book.choose(engineRequest(5000), {}, start);
+    BackendTable table({ "a" }, ChoiceSettings {});
+    table.put(record("x"));
+    table.setPeerLoads({ "peer" }, { { keyOf({ "x" }), { 0, 10000 } } }, start);
+    auto choice = table.choose(engineRequest(5000), {}, start);
     REQUIRE(choice);
-    CHECK(choice->ahead_ == milliseconds(200));
+    CHECK(choice->queueWait_ == milliseconds(200));
     // 15,000 tokens at 50 a millisecond, and the first event.
     CHECK(choice->estimate_ == milliseconds(330));
 }
 
 TEST_CASE("an engine that has a part keeps its requests though all take a while to begin", "[backends]")
 {
-    BackendBook book({ "a" }, ChoiceSettings {});
+    BackendTable table({ "a" }, ChoiceSettings {});
     for (const char* id : { "v", "w", "x", "y" })
-        book.put(record(id));
+        table.put(record(id));
     RequestShape shape = engineRequest(3000, { { "subject", { 2000 } }, { "own", { 1000 } } });
     // Some wait behind others that this node has not heard of.
     auto waits = GENERATE(values<std::vector<int>>({ { 65 }, { 40, 40, 110 }, { 50, 160, 50 } }));
-    std::string home = chosen(book, shape);
-    book.end({ home }, { BackendOutcome::Abandoned, { 1000 }, false, {} }, start);
+    std::string affinityBackend = chosen(table, shape);
+    table.end({ affinityBackend }, { BackendOutcome::Abandoned, { 1000 }, false, {} }, start);
     for (int i = 0; i < 30; ++i) {
         SteadyTime now = start + milliseconds(100 * i);
-        auto choice = book.choose(shape, {}, now);
+        auto choice = table.choose(shape, {}, now);
         REQUIRE(choice);
-        CHECK(choice->backend_.id_.value_ == home);
-        book.began(*choice, shape, milliseconds(waits[static_cast<std::size_t>(i) % waits.size()]));
-        book.end(choice->backend_.id_, { BackendOutcome::Served, choice->uncached_, true, {} }, now);
+        CHECK(choice->backend_.id_.value_ == affinityBackend);
+        table.noteFirstByte(*choice, shape, milliseconds(waits[static_cast<std::size_t>(i) % waits.size()]));
+        table.end(choice->backend_.id_, { BackendOutcome::Served, choice->uncached_, true, {} }, now);
     }
 }
 
 TEST_CASE("a data centre whose backend servers all fail is left alone until one is reached", "[backends]")
 {
     auto outcome = GENERATE(BackendOutcome::Unreachable, BackendOutcome::Broken);
-    BackendBook book({ "a" }, ChoiceSettings {});
+    BackendTable table({ "a" }, ChoiceSettings {});
     for (const char* id : { "b1", "b2", "b3", "b4" })
-        book.put(record(id, "b"));
-    book.put(record("a1", "a"));
-    auto failAt = [&](const std::string& id) { book.end({ id }, { outcome, {}, false, {} }, start); };
+        table.put(record(id, "b"));
+    table.put(record("a1", "a"));
+    auto failAt = [&](const std::string& id) { table.end({ id }, { outcome, {}, false, {} }, start); };
     // One that fails again and again says nothing of the others.
     for (int i = 0; i < 5; ++i)
         failAt("b1");
     failAt("b2");
-    CHECK(book.unreached().empty());
+    CHECK(table.unreachableSample().empty());
     failAt("b3");
-    REQUIRE(book.unreached().size() == 1);
-    CHECK(book.unreached().front().dataCentre_.value_ == "b");
+    REQUIRE(table.unreachableSample().size() == 1);
+    CHECK(table.unreachableSample().front().dataCentre_.value_ == "b");
     // Even where the near one has much to do.
-    book.setPeerLoads({ "peer" }, { { keyOf({ "a1" }), { 3, 50000 } } }, start);
+    table.setPeerLoads({ "peer" }, { { keyOf({ "a1" }), { 3, 50000 } } }, start);
     SteadyTime later = start + milliseconds(100);
     for (int i = 0; i < 8; ++i)
-        CHECK(chosen(book, engineRequest(1000), {}, later) == "a1");
+        CHECK(chosen(table, engineRequest(1000), {}, later) == "a1");
     // Where there is no other it is tried, rather than refused.
-    CHECK_FALSE(chosen(book, engineRequest(1000), { { "a1" } }, later).empty());
-    book.noteReached(BackendId { "b4" });
-    CHECK(book.unreached().empty());
-    CHECK(chosen(book, engineRequest(1000), {}, later) != "a1");
+    CHECK_FALSE(chosen(table, engineRequest(1000), { { "a1" } }, later).empty());
+    table.noteReachable(BackendId { "b4" });
+    CHECK(table.unreachableSample().empty());
+    CHECK(chosen(table, engineRequest(1000), {}, later) != "a1");
     // An answer, also a failure, shows that the way is there.
     failAt("b1");
     failAt("b2");
-    book.end({ "b4" }, { BackendOutcome::Failed, {}, false, {} }, later);
+    table.end({ "b4" }, { BackendOutcome::Failed, {}, false, {} }, later);
     failAt("b3");
-    CHECK(book.unreached().empty());
+    CHECK(table.unreachableSample().empty());
 }
 
 TEST_CASE("a stream does not move to engines that are taken away with its own", "[backends]")
 {
-    BackendBook book({ "a" }, ChoiceSettings {});
+    BackendTable table({ "a" }, ChoiceSettings {});
     BackendRecord first = record("first", "a");
     first.isReclaimable_ = true;
     BackendRecord second = record("second", "a");
     second.isReclaimable_ = true;
-    book.put(first);
-    book.put(second);
-    CHECK_FALSE(book.isDeparting(first.id_));
+    table.put(first);
+    table.put(second);
+    CHECK_FALSE(table.isBeingReclaimed(first.id_));
     first.isLeaving_ = true;
-    book.put(first);
-    CHECK(book.isDeparting(first.id_));
+    table.put(first);
+    CHECK(table.isBeingReclaimed(first.id_));
     RequestShape moved = engineRequest(0);
-    moved.reclaimed_ = { "a" };
-    CHECK(chosen(book, engineRequest(0)) == "second");
-    CHECK(chosen(book, moved).empty());
-    book.put(record("lasting", "a"));
-    CHECK(chosen(book, moved) == "lasting");
+    moved.reclaimedDataCentre_ = { "a" };
+    CHECK(chosen(table, engineRequest(0)) == "second");
+    CHECK(chosen(table, moved).empty());
+    table.put(record("lasting", "a"));
+    CHECK(chosen(table, moved) == "lasting");
     BackendRecord elsewhere = record("elsewhere", "b");
     elsewhere.isReclaimable_ = true;
-    book.put(elsewhere);
-    CHECK(chosen(book, moved, { { "lasting" } }) == "elsewhere");
+    table.put(elsewhere);
+    CHECK(chosen(table, moved, { { "lasting" } }) == "elsewhere");
     // An engine that only leaves serves on for as long as its streams last.
     BackendRecord leaving = record("lasting", "a");
     leaving.isLeaving_ = true;
-    book.put(leaving);
-    CHECK_FALSE(book.isDeparting(leaving.id_));
+    table.put(leaving);
+    CHECK_FALSE(table.isBeingReclaimed(leaving.id_));
 }
 
 TEST_CASE("a backend server that starts anew under its name is believed nothing of before", "[backends]")
 {
-    BackendBook book({ "a" }, ChoiceSettings {});
-    BackendRecord before = startOf("x", 1000);
-    BackendRecord after = startOf("x", 2000);
-    CHECK(book.put(before) == BackendBook::Registered::New);
+    BackendTable table({ "a" }, ChoiceSettings {});
+    BackendRecord before = recordWithStart("x", 1000);
+    BackendRecord after = recordWithStart("x", 2000);
+    CHECK(table.put(before) == BackendTable::PutResult::New);
     RequestShape shape = engineRequest(12000, { { "common", { 500 } }, { "subject", { 10000 } }, { "own", { 1500 } } });
-    auto running = book.choose(shape, {}, start);
+    auto running = table.choose(shape, {}, start);
     REQUIRE(running);
-    book.setPeerLoads({ "peer" }, { { keyOf(before.id_), { 9, 90000 } } }, start);
+    table.setPeerLoads({ "peer" }, { { keyOf(before.id_), { 9, 90000 } } }, start);
     // Two failures in a row eject it.
     for (int i = 0; i < 2; ++i) {
-        auto failed = book.choose(plainRequest(), {}, start);
+        auto failed = table.choose(plainRequest(), {}, start);
         REQUIRE(failed);
-        book.end(failed->backend_.id_, { BackendOutcome::Broken, failed->uncached_, false, {} }, start);
+        table.end(failed->backend_.id_, { BackendOutcome::Broken, failed->uncached_, false, {} }, start);
     }
-    CHECK(book.put(after) == BackendBook::Registered::Restarted);
-    CHECK(book.records().size() == 1);
+    CHECK(table.put(after) == BackendTable::PutResult::Restarted);
+    CHECK(table.records().size() == 1);
     // What peers tell is of the start before, too.
-    book.setPeerLoads({ "peer" }, { { keyOf(before.id_), { 9, 90000 } } }, start);
-    auto choice = book.choose(shape, {}, start);
+    table.setPeerLoads({ "peer" }, { { keyOf(before.id_), { 9, 90000 } } }, start);
+    auto choice = table.choose(shape, {}, start);
     REQUIRE(choice);
-    CHECK(choice->backend_.start_ == after.start_);
+    CHECK(choice->backend_.startTime_ == after.startTime_);
     CHECK(choice->running_ == 0);
     CHECK(choice->queuedAhead_.value_ == 0);
     // The request that ran at the start before ends there.
-    book.end(running->backend_.id_, { BackendOutcome::Served, running->uncached_, true, {} }, start);
-    CHECK(book.ownLoads().at(keyOf(after.id_)).running_ == 1);
+    table.end(running->backend_.id_, { BackendOutcome::Served, running->uncached_, true, {} }, start);
+    CHECK(table.ownLoads().at(keyOf(after.id_)).running_ == 1);
 }
 
 TEST_CASE("late word of an earlier start changes nothing", "[backends]")
 {
-    BackendBook book({ "a" }, ChoiceSettings {});
-    BackendRecord before = startOf("x", 1000);
-    BackendRecord after = startOf("x", 2000);
-    auto isThere = [&] {
-        auto newest = book.findNewest({ "x" });
+    BackendTable table({ "a" }, ChoiceSettings {});
+    BackendRecord before = recordWithStart("x", 1000);
+    BackendRecord after = recordWithStart("x", 2000);
+    auto isNewestAndStaying = [&] {
+        auto newest = table.findNewest({ "x" });
         return newest && newest->id_ == after.id_ && !newest->isLeaving_;
     };
-    book.put(before);
-    book.put(after);
+    table.put(before);
+    table.put(after);
     BackendRecord leaving = before;
     leaving.isLeaving_ = true;
-    CHECK(book.put(leaving) == BackendBook::Registered::Outdated);
-    CHECK(isThere());
-    CHECK_FALSE(book.setLeaving(before.id_, start));
-    CHECK(isThere());
-    book.remove(before.id_, start);
-    CHECK(isThere());
+    CHECK(table.put(leaving) == BackendTable::PutResult::Outdated);
+    CHECK(isNewestAndStaying());
+    CHECK_FALSE(table.setLeaving(before.id_, start));
+    CHECK(isNewestAndStaying());
+    table.remove(before.id_, start);
+    CHECK(isNewestAndStaying());
     // Also once the newer one is gone.
-    book.remove(after.id_, start);
-    CHECK(book.put(before) == BackendBook::Registered::Outdated);
-    CHECK(book.records().empty());
+    table.remove(after.id_, start);
+    CHECK(table.put(before) == BackendTable::PutResult::Outdated);
+    CHECK(table.records().empty());
     // One that left is back with its next start only.
-    book.put(startOf("x", 2000));
-    CHECK(book.setLeaving(after.id_, start));
-    CHECK(book.put(after) == BackendBook::Registered::Again);
-    CHECK_FALSE(isThere());
-    CHECK(book.put(startOf("x", 3000)) == BackendBook::Registered::Restarted);
-    CHECK_FALSE(book.findNewest({ "x" })->isLeaving_);
+    table.put(recordWithStart("x", 2000));
+    CHECK(table.setLeaving(after.id_, start));
+    CHECK(table.put(after) == BackendTable::PutResult::Updated);
+    CHECK_FALSE(isNewestAndStaying());
+    CHECK(table.put(recordWithStart("x", 3000)) == BackendTable::PutResult::Restarted);
+    CHECK_FALSE(table.findNewest({ "x" })->isLeaving_);
 }
 
 TEST_CASE("names that are gone are remembered within a bound", "[backends]")
 {
-    BackendBook book({ "a" }, ChoiceSettings {});
+    BackendTable table({ "a" }, ChoiceSettings {});
     constexpr int manyNames = 5000;
     for (int i = 0; i < manyNames; ++i) {
-        BackendRecord gone = startOf("n" + std::to_string(i), 2000);
-        book.put(gone);
-        book.remove(gone.id_, start);
+        BackendRecord gone = recordWithStart("n" + std::to_string(i), 2000);
+        table.put(gone);
+        table.remove(gone.id_, start);
     }
-    CHECK(book.put(startOf("n0", 1000)) == BackendBook::Registered::New);
-    CHECK(book.put(startOf("n4999", 1000)) == BackendBook::Registered::Outdated);
+    CHECK(table.put(recordWithStart("n0", 1000)) == BackendTable::PutResult::New);
+    CHECK(table.put(recordWithStart("n4999", 1000)) == BackendTable::PutResult::Outdated);
 }
 
 TEST_CASE("a request that may crash its server goes where the fewest others run", "[backends]")
 {
-    BackendBook book({ "a" }, ChoiceSettings {});
+    BackendTable table({ "a" }, ChoiceSettings {});
     for (const char* id : { "x", "y", "z" })
-        book.put(record(id));
+        table.put(record(id));
     // The least wait is at x, the fewest requests run at y.
-    book.setPeerLoads({ "peer" }, { { keyOf({ "x" }), { 3, 0 } }, { keyOf({ "y" }), { 1, 20000 } }, { keyOf({ "z" }), { 2, 0 } } }, start);
+    table.setPeerLoads({ "peer" }, { { keyOf({ "x" }), { 3, 0 } }, { keyOf({ "y" }), { 1, 20000 } }, { keyOf({ "z" }), { 2, 0 } } }, start);
     RequestShape suspect = engineRequest(1000);
-    CHECK(chosen(book, suspect) != "y");
+    CHECK(chosen(table, suspect) != "y");
     suspect.isSuspect_ = true;
-    CHECK(chosen(book, suspect) == "y");
+    CHECK(chosen(table, suspect) == "y");
 }
 
 TEST_CASE("a server that said it leaves stays so when its record comes again", "[backends]")
@@ -427,67 +427,67 @@
     };
     auto row = GENERATE(values<Row>({ { "told again", true, false }, { "gone and back in a list of before", true, true }, { "heard of before its registration", false, false } }));
     CAPTURE(row.name_);
-    BackendBook book({ "a" }, ChoiceSettings {});
+    BackendTable table({ "a" }, ChoiceSettings {});
     if (row.isKnownFirst_)
-        book.put(record("x"));
-    CHECK(book.setLeaving({ "x" }, start) == row.isKnownFirst_);
+        table.put(record("x"));
+    CHECK(table.setLeaving({ "x" }, start) == row.isKnownFirst_);
     if (row.isRemoved_)
-        book.remove({ "x" }, start);
-    book.put(record("x"));
-    CHECK(chosen(book, plainRequest()).empty());
-    CHECK_FALSE(book.mayReceive({ "x" }, start));
+        table.remove({ "x" }, start);
+    table.put(record("x"));
+    CHECK(chosen(table, plainRequest()).empty());
+    CHECK_FALSE(table.mayReceive({ "x" }, start));
     // Another start of the same name has said nothing.
-    book.put(startOf("x", 77));
-    CHECK(chosen(book, plainRequest()) == "x@77");
-    CHECK(book.mayReceive({ "x@77" }, start));
+    table.put(recordWithStart("x", 77));
+    CHECK(chosen(table, plainRequest()) == "x@77");
+    CHECK(table.mayReceive({ "x@77" }, start));
 }
 
 TEST_CASE("a server that asked for a pause is left alone until its end, also where there is no other", "[backends]")
 {
-    BackendBook book({ "a" }, ChoiceSettings {});
-    book.put(record("x"));
-    book.put(record("y"));
+    BackendTable table({ "a" }, ChoiceSettings {});
+    table.put(record("x"));
+    table.put(record("y"));
     auto at = [](std::int64_t ms) { return start + milliseconds(ms); };
-    book.setPause({ "x" }, milliseconds(2000), start);
+    table.setPause({ "x" }, milliseconds(2000), start);
     // A shorter one later does not cut it.
-    book.setPause({ "x" }, milliseconds(100), at(10));
+    table.setPause({ "x" }, milliseconds(100), at(10));
     for (int i = 0; i < 10; ++i)
-        CHECK(chosen(book, plainRequest(), {}, at(20)) == "y");
-    CHECK_FALSE(book.pauseOf(service, at(20)));
-    CHECK_FALSE(book.mayReceive({ "x" }, at(20)));
-    book.setPause({ "y" }, milliseconds(500), at(20));
-    CHECK(chosen(book, plainRequest(), {}, at(20)).empty());
-    CHECK(book.pauseOf(service, at(20)) == milliseconds(500));
-    CHECK(chosen(book, plainRequest(), {}, at(520)) == "y");
-    CHECK(chosen(book, plainRequest(), { { "y" } }, at(2000)) == "x");
+        CHECK(chosen(table, plainRequest(), {}, at(20)) == "y");
+    CHECK_FALSE(table.remainingPause(service, at(20)));
+    CHECK_FALSE(table.mayReceive({ "x" }, at(20)));
+    table.setPause({ "y" }, milliseconds(500), at(20));
+    CHECK(chosen(table, plainRequest(), {}, at(20)).empty());
+    CHECK(table.remainingPause(service, at(20)) == milliseconds(500));
+    CHECK(chosen(table, plainRequest(), {}, at(520)) == "y");
+    CHECK(chosen(table, plainRequest(), { { "y" } }, at(2000)) == "x");
     // Nonsense is bounded.
-    book.setPause({ "x" }, std::chrono::hours(10000), at(2000));
-    CHECK(chosen(book, plainRequest(), { { "y" } }, at(2000) + std::chrono::hours(1)) == "x");
+    table.setPause({ "x" }, std::chrono::hours(10000), at(2000));
+    CHECK(chosen(table, plainRequest(), { { "y" } }, at(2000) + std::chrono::hours(1)) == "x");
     // Another start has asked for nothing.
-    book.setPause({ "x" }, milliseconds(5000), at(4'000'000));
-    book.put(startOf("x", 77));
-    CHECK(chosen(book, plainRequest(), { { "y" }, { "x" } }, at(4'000'000)) == "x@77");
+    table.setPause({ "x" }, milliseconds(5000), at(4'000'000));
+    table.put(recordWithStart("x", 77));
+    CHECK(chosen(table, plainRequest(), { { "y" }, { "x" } }, at(4'000'000)) == "x@77");
 }
 
 TEST_CASE("what is asked of a service without backend servers is demand", "[backends]")
 {
-    BackendBook book({ "a" }, ChoiceSettings {});
-    REQUIRE_FALSE(book.choose(engineRequest(1000), {}, start));
-    book.refuseWithout(engineRequest(1000));
-    CHECK(book.services().at(service).tokensAsked_ == 500);
+    BackendTable table({ "a" }, ChoiceSettings {});
+    REQUIRE_FALSE(table.choose(engineRequest(1000), {}, start));
+    table.noteNoBackend(engineRequest(1000));
+    CHECK(table.services().at(service).tokensRequested_ == 500);
 }
 
 TEST_CASE("a backend server that has ended is passed over while others are there", "[backends]")
 {
-    BackendBook book({ "a" }, ChoiceSettings {});
+    BackendTable table({ "a" }, ChoiceSettings {});
     for (const char* id : { "x", "y" })
-        book.put(record(id));
-    book.setEnded({ "x" }, start);
+        table.put(record(id));
+    table.setEnded({ "x" }, start);
     for (int i = 0; i < 20; ++i)
-        CHECK(chosen(book, plainRequest()) == "y");
+        CHECK(chosen(table, plainRequest()) == "y");
     // It is the last resort, should the word have been wrong.
-    CHECK(chosen(book, plainRequest(), { { "y" } }) == "x");
-    book.setEnded({ "unknown" }, start);
+    CHECK(chosen(table, plainRequest(), { { "y" } }) == "x");
+    table.setEnded({ "unknown" }, start);
 }
 
 TEST_CASE("a request reaches a version that it may not be sent to", "[backends]")
@@ -513,17 +513,17 @@
     };
     for (const Row& row : rows) {
         CAPTURE(row.what_);
-        BackendBook book({ "a" }, ChoiceSettings {});
+        BackendTable table({ "a" }, ChoiceSettings {});
         for (std::size_t i = 0; i < row.stable_ + row.target_; ++i) {
             BackendRecord added = record("x-" + std::to_string(i));
             added.version_ = { i < row.stable_ ? "v1" : "v2" };
-            book.put(added);
+            table.put(added);
         }
         RequestShape shape = plainRequest();
         shape.version_ = row.rule_;
         std::set<BackendId> used;
         for (int i = 0; i < 200; ++i) {
-            auto choice = book.choose(shape, {}, start);
+            auto choice = table.choose(shape, {}, start);
             if (!choice)
                 continue;
             CHECK((choice->backend_.version_ == v2) == row.isTarget_);
@@ -531,12 +531,12 @@
         }
         CHECK(used.size() == row.used_);
     }
-    BackendBook book({ "a" }, ChoiceSettings {});
+    BackendTable table({ "a" }, ChoiceSettings {});
     BackendRecord other = record("x");
     other.version_ = { "v1" };
-    book.put(other);
-    (void)book.choose(plainRequest(), {}, start);
-    BackendBook::Versions versions = book.versions(service, v2);
+    table.put(other);
+    (void)table.choose(plainRequest(), {}, start);
+    BackendTable::VersionCounts versions = table.versions(service, v2);
     CHECK(versions.others_ == 1);
     CHECK(versions.othersRunning_ == 1);
     CHECK(versions.target_ == 0);
--- a/unittests/Fleet/FleetTest.cpp
+++ b/unittests/Fleet/FleetTest.cpp
@@ -72,8 +72,8 @@
         lasting += order.wanted_;
         // The platform bounds both kinds together.
         auto place = std::find_if(places.begin(), places.end(), [&](const FleetPlace& known) { return known.dataCentre_ == order.dataCentre_; });
-        CHECK(order.wanted_ + place->reclaimable_ >= row.demand_.least_);
-        CHECK(order.wanted_ <= row.demand_.most_);
+        CHECK(order.wanted_ + place->reclaimable_ >= row.demand_.minEngines_);
+        CHECK(order.wanted_ <= row.demand_.maxEngines_);
     }
     CHECK(lasting == row.lasting_);
 }
@@ -282,7 +282,7 @@
     FleetSettings settings;
     FleetBook book(settings);
     FleetView view = viewOf({ { 0, 18 }, { 0, 18 }, { 0, 18 } }, row.tokensPerSecond_);
-    view.bounds_.most_ = 60;
+    view.bounds_.maxEngines_ = 60;
     view.isWhole_ = row.isWhole_;
     SteadyTime now = settle(book, view);
     // What this would come to in each data centre is what is there.
@@ -325,7 +325,7 @@
     // data centre.
     FleetBook book(FleetSettings {});
     FleetView view = viewOf({ { 3, 18 }, { 3, 18 }, { 3, 18 } }, {});
-    view.bounds_.most_ = 60;
+    view.bounds_.maxEngines_ = 60;
     SteadyTime now = settle(book, view);
     constexpr std::uint64_t inherited = 25;
     book.inheritNeed(service, inherited, now);
--- a/unittests/Routes/RoutesTest.cpp
+++ b/unittests/Routes/RoutesTest.cpp
@@ -102,16 +102,16 @@
     elsewhere.split_ = { { { "b" }, 1 } };
     auto table = tableOf({ urgent, plan, elsewhere });
     const auto& routes = table->configuration().routes_;
-    CHECK(routes[0].admittedWait_ == milliseconds(400));
-    CHECK(routes[1].admittedWait_ == milliseconds(800));
-    CHECK(routes[2].admittedWait_ == milliseconds(1000));
+    CHECK(routes[0].maxQueueWait_ == milliseconds(400));
+    CHECK(routes[1].maxQueueWait_ == milliseconds(800));
+    CHECK(routes[2].maxQueueWait_ == milliseconds(1000));
 }
 
 namespace {
 
-/// What Route::admittedWait_ is by its definition: the least of the route's objective
+/// What Route::maxQueueWait_ is by its definition: the least of the route's objective
 /// and twice that of each more urgent route which shares a service with it.
-milliseconds admittedWaitByDefinition(const Route& route, const std::vector<Route>& routes)
+milliseconds maxQueueWaitByDefinition(const Route& route, const std::vector<Route>& routes)
 {
     milliseconds least = route.objective_;
     for (const Route& other : routes) {
@@ -127,25 +127,25 @@
 }
 
 /// How many of what random routes have: few of each make ties and shared services.
-struct Variety {
+struct RouteMix {
     unsigned routes_;
     unsigned services_;
     unsigned priorities_;
-    unsigned mostShares_;
+    unsigned maxShares_;
 };
 
-std::vector<Route> randomRoutes(const Variety& variety, unsigned seed)
+std::vector<Route> randomRoutes(const RouteMix& mix, unsigned seed)
 {
     std::mt19937 random(seed);
     std::vector<Route> routes;
-    for (unsigned i = 0; i < variety.routes_; ++i) {
+    for (unsigned i = 0; i < mix.routes_; ++i) {
         Route route = routeOf("r" + std::to_string(i), "h" + std::to_string(i % 16), "/" + std::to_string(i) + "/");
         route.objective_ = milliseconds(random() % 2000);
-        route.priority_ = random() % variety.priorities_;
+        route.priority_ = random() % mix.priorities_;
         route.split_.clear();
-        unsigned shares = random() % (variety.mostShares_ + 1);
+        unsigned shares = random() % (mix.maxShares_ + 1);
         for (unsigned share = 0; share < shares; ++share)
-            route.split_.push_back({ { "s" + std::to_string(random() % variety.services_) }, 1 });
+            route.split_.push_back({ { "s" + std::to_string(random() % mix.services_) }, 1 });
         routes.push_back(std::move(route));
     }
     return routes;
@@ -153,7 +153,7 @@
 
 /// The least processor time of several builds, in seconds, so that a busy machine does
 /// not count.
-double leastBuildTime(unsigned routes)
+double minBuildTime(unsigned routes)
 {
     constexpr int builds = 9;
     RouteConfiguration configuration;
@@ -161,13 +161,13 @@
     double least = 0;
     for (int i = 0; i < builds; ++i) {
         RouteConfiguration copy = configuration;
-        timespec began {};
-        timespec ended {};
-        clock_gettime(CLOCK_THREAD_CPUTIME_ID, &began);
+        timespec startedAt {};
+        timespec endedAt {};
+        clock_gettime(CLOCK_THREAD_CPUTIME_ID, &startedAt);
         auto table = RouteTable::build(std::move(copy));
-        clock_gettime(CLOCK_THREAD_CPUTIME_ID, &ended);
-        double taken = static_cast<double>(ended.tv_sec - began.tv_sec) + static_cast<double>(ended.tv_nsec - began.tv_nsec) * 1e-9;
-        least = i ? std::min(least, taken) : taken;
+        clock_gettime(CLOCK_THREAD_CPUTIME_ID, &endedAt);
+        double elapsed = static_cast<double>(endedAt.tv_sec - startedAt.tv_sec) + static_cast<double>(endedAt.tv_nsec - startedAt.tv_nsec) * 1e-9;
+        least = i ? std::min(least, elapsed) : elapsed;
     }
     return least;
 }
@@ -176,7 +176,7 @@
 
 TEST_CASE("what routes admit is what the definition says", "[routes]")
 {
-    auto variety = GENERATE(values<Variety>({
+    auto mix = GENERATE(values<RouteMix>({
         { 1, 1, 1, 1 },
         { 40, 1, 1, 1 },
         { 40, 1, 40, 1 },
@@ -186,22 +186,22 @@
         { 300, 2, 2, 1 },
     }));
     auto seed = GENERATE(range(1U, 21U));
-    CAPTURE(variety.routes_, variety.services_, variety.priorities_, variety.mostShares_, seed);
-    auto table = tableOf(randomRoutes(variety, seed));
+    CAPTURE(mix.routes_, mix.services_, mix.priorities_, mix.maxShares_, seed);
+    auto table = tableOf(randomRoutes(mix, seed));
     const auto& routes = table->configuration().routes_;
-    REQUIRE(routes.size() == variety.routes_);
+    REQUIRE(routes.size() == mix.routes_);
     for (const Route& route : routes) {
         CAPTURE(route.name_);
-        REQUIRE(route.admittedWait_ == admittedWaitByDefinition(route, routes));
+        REQUIRE(route.maxQueueWait_ == maxQueueWaitByDefinition(route, routes));
     }
 }
 
 TEST_CASE("eight times the routes take no square of eight the time to index", "[routes]")
 {
     // Linear is 8 and square is 64; caches that no longer hold the routes cost up to 2.
-    constexpr double most = 24;
-    double few = leastBuildTime(1000);
-    double many = leastBuildTime(8000);
+    constexpr double maxRatio = 24;
+    double few = minBuildTime(1000);
+    double many = minBuildTime(8000);
     CAPTURE(few, many, many / few);
-    CHECK(many < few * most);
+    CHECK(many < few * maxRatio);
 }
--- a/unittests/Routing/RoutingTest.cpp
+++ b/unittests/Routing/RoutingTest.cpp
@@ -45,7 +45,7 @@
         { "what we sent counts against a free report", { sent, candidate("other", 1, 1) }, "other" },
     }));
     INFO(rankCase.name_);
-    RoutingCost cost;
+    RoutingParameters cost;
     cost.prefill_ = milliseconds(100);
     cost.latencyTarget_ = milliseconds(400);
     CHECK(rankEngines(rankCase.candidates_, cost).front().engine_.value_ == rankCase.best_);
--- a/unittests/UsersPlatform/DecodingTest.cpp
+++ b/unittests/UsersPlatform/DecodingTest.cpp
@@ -40,7 +40,7 @@
     CHECK_FALSE(value.services_[1].engine_);
     CHECK(value.needsCredentials_);
     CHECK(value.organisations_[0].countsTokens_);
-    CHECK(value.bounds_.idle_ == milliseconds(15000));
+    CHECK(value.bounds_.idleTimeout_ == milliseconds(15000));
 }
 
 TEST_CASE("a configuration that cannot be decoded is refused with the reason", "[platform]")
@@ -75,7 +75,7 @@
     CHECK(good.value().isLeaving_);
     CHECK(good.value().isReclaimable_);
     CHECK(good.value().name_.value_ == "i-1");
-    CHECK(good.value().start_.value_ == 1764720000123);
+    CHECK(good.value().startTime_.value_ == 1764720000123);
     CHECK(good.value().id_ == backendId({ "i-1" }, { 1764720000123 }));
 }
 
