--- a/include/pistachioloom/Admission.h
+++ b/include/pistachioloom/Admission.h
@@ -1,13 +1,14 @@
-//===- pistachioloom/Admission.h - who waits and who is turned away --------===//
+//===- pistachioloom/Admission.h - admission control for streams -----------===//
 ///
 /// \file
-/// Whether a stream is sent to the engine that was chosen for it, or refused at once,
-/// and when its caller may return. Pure: figures come in, a decision goes out.
+/// Decides whether a stream is sent to the engine that was chosen for it or rejected
+/// immediately, and after what time its caller may retry. The decision is a pure
+/// function of its arguments.
 ///
-/// The load it answers: engines are asked for more than they can read. A request that
-/// would begin later than its objective takes the time of an engine from those behind
-/// it, which are late then too; refused at once, its caller may return while there is
-/// room.
+/// It protects engines that are asked for more prompt tokens than they can read. A
+/// request that misses its latency objective delays the requests queued behind it, so
+/// that these miss theirs too. When it is rejected immediately, its caller can retry
+/// once an engine has capacity.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -17,30 +18,32 @@
 
 namespace pistachioloom {
 
-/// What decides on one request.
+/// What the admission decision on one request depends on.
 struct AdmissionView {
-    /// It is a stream of a model engine; other requests wait for a few milliseconds.
+    /// The request is a stream of a model engine. Other requests wait for only a few
+    /// milliseconds and are always admitted.
     bool isEngineStream_ = false;
-    /// It has been sent to an engine before, or its caller has some of its events.
+    /// The request has been sent to an engine before, or its caller has received events.
     bool hasStarted_ = false;
-    /// Estimated wait for the requests ahead of it at the engine chosen.
+    /// Estimated wait for the requests ahead of it at the chosen engine.
     milliseconds queueWait_ {};
-    /// The longest wait that its route admits; see Route::maxQueueWait_.
+    /// Longest wait with which its route admits a request; see Route::maxQueueWait_.
     milliseconds maxQueueWait_ {};
 };
 
 struct AdmissionSettings {
-    /// Part of the admitted wait up to which a request is sent.
+    /// Requests are admitted up to this multiple of AdmissionView::maxQueueWait_.
     double admittedShare_ = 1;
-    /// The shortest time to return in: engines that are full have room again after a
-    /// few answers.
+    /// Lower bound of the retry delay. Full engines have capacity again after a few
+    /// answers.
     milliseconds minRetryAfter_ { 150 };
-    /// The longest one: the strictest objectives are 400 ms, and callers wait a third
-    /// of their time.
+    /// Upper bound of the retry delay. The strictest latency objectives are 400 ms, and
+    /// callers spend a third of their time waiting.
     milliseconds maxRetryAfter_ { 800 };
 };
 
-/// When the caller of a refused request may return; nullopt if it is admitted.
+/// Returns the delay after which the caller of a rejected request may retry, or nullopt
+/// if the request is admitted.
 std::optional<milliseconds> retryAfterIfRejected(const AdmissionView& view, const AdmissionSettings& settings);
 
 } // namespace pistachioloom
--- a/include/pistachioloom/Backends.h
+++ b/include/pistachioloom/Backends.h
@@ -1,10 +1,10 @@
-//===- pistachioloom/Backends.h - backend servers and the choice among them -===//
+//===- pistachioloom/Backends.h - table of backend servers, load balancing -===//
 ///
 /// \file
-/// What a node knows of the backend servers that serve transparent requests:
-/// their registration, the load that this node and its peers have put on them,
-/// and how they have behaved. From this it chooses one for each request. Pure
-/// but for a mutex: time comes in, a decision goes out.
+/// Holds what a node knows of the backend servers that serve transparent requests: their
+/// registration, the load that this node and its peers have put on them, and the
+/// outcomes of their requests. From this it chooses a backend server for each request.
+/// It reads no clock and does no I/O; callers pass the time in.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -21,18 +21,19 @@
 
 namespace pistachioloom {
 
-/// What a backend server registers by. It may keep its name when it starts again.
+/// The name by which a backend server registers. It may stay the same after a restart.
 using BackendName = Id<struct BackendNameTag>;
-/// When a backend server started, in ms since the start of 1970; 0 where that is
-/// not told.
+/// The start time of a backend server in milliseconds since the Unix epoch; 0 if it is
+/// not reported.
 using BackendStartTime = Quantity<struct BackendStartTimeTag>;
-/// One start of a backend server: what is believed of it ends with that start.
+/// Identifies one incarnation of a backend server, by name and start time. Everything
+/// learnt about the server is discarded with its incarnation.
 using BackendId = Id<struct BackendIdTag>;
 
 /// The version of the software that a backend server runs.
 using BackendVersion = Id<struct BackendVersionTag>;
 
-/// The id of the start of \p name at \p start.
+/// Returns the id of the incarnation of \p name that started at \p start.
 BackendId backendId(const BackendName& name, BackendStartTime start);
 
 /// A backend server as it registered itself.
@@ -42,242 +43,257 @@
     Endpoint endpoint_;
     DataCentreId dataCentre_;
     std::uint64_t slots_ = 1;
-    /// It takes no new work.
+    /// The server takes no new requests.
     bool isLeaving_ = false;
-    /// It may be taken away at a few seconds' notice.
+    /// The server's VM may be reclaimed at a few seconds' notice.
     bool isReclaimable_ = false;
     BackendName name_;
     BackendStartTime startTime_ {};
-    /// Empty where that is not told.
+    /// Empty if it is not reported.
     BackendVersion version_ {};
 };
 
-/// Which versions of a service a request may be sent to while a new one is on trial.
+/// The versions of a service to which a request may be sent during a trial.
 struct VersionRule {
     BackendVersion target_;
-    /// To backend servers of the target, or to the others.
+    /// The request is sent to backend servers of the target version, otherwise to those of
+    /// other versions.
     bool usesTarget_ = false;
-    /// The target's part of the service's requests.
+    /// Share of the service's requests that the target version gets.
     double share_ = 0;
-    /// Where there is no other backend server at all, the target's may be used.
+    /// Servers of the target version may be used if there are no others.
     bool mayFallBack_ = true;
 
     bool isTarget(const BackendRecord& record) const { return record.version_ == target_; }
 };
 
-/// One shared piece of a prompt.
+/// One part of a prompt that several requests may share.
 struct PromptPart {
     std::string id_;
     TokenCount tokens_;
 };
 
-/// What the choice needs to know of a request.
+/// The properties of a request on which the choice of a backend server depends.
 struct RequestShape {
     ServiceName service_;
     TokenCount promptTokens_;
     TokenCount maxOutputTokens_;
     std::vector<PromptPart> parts_;
-    /// Lower is more urgent.
+    /// Lower values are more urgent.
     unsigned urgency_ = 0;
     bool isForEngine_ = false;
-    /// Backend servers crashed under it: it goes where few others would be harmed.
+    /// Backend servers have crashed while they served this request. It is sent to the
+    /// server where a crash would affect the fewest other requests.
     bool isSuspect_ = false;
-    /// Set for a stream that moves: the reclaimable engines of its data centre are
-    /// taken away together, so none of them is chosen.
+    /// Set for a stream that moves away from a reclaimed engine. The reclaimable engines
+    /// of one data centre are reclaimed together, so that none of them is chosen.
     std::optional<DataCentreId> reclaimedDataCentre_;
     std::optional<VersionRule> version_;
 };
 
-/// A backend server's id, hashed to 32 bits for messages. Of 2,100 servers two
-/// share one with a chance of 0.05%, and then count each other's load.
+/// A backend server's id, hashed to 32 bits for messages. Among 2,100 servers the
+/// probability of a collision is 0.05%; colliding servers count each other's load.
 using BackendKey = std::uint32_t;
 
 BackendKey keyOf(const BackendId& id);
 
-/// Work that some node has under way at one backend server.
+/// Load that a node has in progress at one backend server.
 struct BackendLoad {
     std::uint32_t running_ = 0;
-    /// Prompt tokens of requests that have not begun to answer.
+    /// Prompt tokens of requests whose first byte has not arrived.
     std::uint64_t queuedTokens_ = 0;
 };
 
 /// How one request at a backend server ended.
 enum class BackendOutcome {
     Served,
-    /// It answered with a failure of its own.
+    /// The server answered with an error of its own.
     Failed,
-    /// It said that it has no room.
+    /// The server reported that it has no capacity.
     Full,
-    /// Another server has its address now.
+    /// Another server has its address.
     WrongInstance,
-    /// It could not be connected to.
+    /// The connection could not be established.
     Unreachable,
-    /// It broke off, answered wrong bytes or fell silent.
+    /// The answer was cut off, malformed or stalled.
     Broken,
-    /// The caller left; this says nothing of the backend server.
+    /// The caller disconnected. This has no bearing on the state of the backend server.
     Abandoned,
 };
 
 std::string_view toString(BackendOutcome outcome);
 
-/// A backend server that was chosen, with what decided it, for the logs.
+/// The chosen backend server with the figures behind the choice, for accounting and logs.
 struct BackendChoice {
     BackendRecord backend_;
     /// Estimated wait for the first byte.
     milliseconds estimate_ {};
-    /// The part of it that is for requests ahead of this one.
+    /// The part of the estimate that is spent on requests ahead of this one.
     milliseconds queueWait_ {};
-    /// Candidates that were weighed.
+    /// Number of candidates before sampling.
     std::size_t candidates_ = 0;
-    /// Prompt tokens that it has to read: those that it is not likely to cache.
+    /// Prompt tokens that the server has to read, since it is not likely to have them
+    /// cached.
     TokenCount uncached_;
-    /// Prompt tokens that were queued there before this request.
+    /// Prompt tokens queued at the server before this request.
     TokenCount queuedAhead_;
-    /// Requests under way there before this one, waiting or not.
+    /// Requests in progress at the server before this one, waiting or not.
     std::uint64_t running_ = 0;
 };
 
-/// How one send to a backend server went.
+/// The result of one attempt at a backend server.
 struct SendResult {
     BackendOutcome outcome_ = BackendOutcome::Served;
-    /// As BackendChoice told.
+    /// Copied from BackendChoice.
     TokenCount uncached_ {};
-    /// Whether began() was called.
+    /// Whether BackendTable::noteFirstByte() has been called.
     bool hasFirstByte_ = false;
     /// From the first byte to the end.
     milliseconds streamingTime_ {};
 };
 
-/// Figures of the estimates; all may be set.
+/// Parameters of the choice among backend servers.
 struct ChoiceSettings {
-    /// Prompt tokens that an engine reads in a millisecond until it is known
-    /// better from its answers.
+    /// Prompt tokens that an engine reads per millisecond, used until the rate is
+    /// learnt from answers.
     double prefillPerMs_ = 50;
-    /// What an engine takes for a first event beside reading the prompt, until it is
-    /// known better. Were it counted as reading, engines that get short prompts would seem
-    /// slow, and prompts would not go where their shared part was read.
+    /// Time to the first event that does not depend on the prompt's length, in ms, used
+    /// until it is learnt from answers. If it were counted as prefill time, engines that
+    /// get short prompts would seem slow, and prompts would not be sent to the engine that
+    /// has their shared part cached.
     double firstEventOverheadMs_ = 30;
-    /// What one more running request adds to a request's wait, in ms: a step of
-    /// a batch takes about a tenth of a millisecond longer for each.
+    /// Wait that each running request adds, in ms. A batch step takes about a tenth of a
+    /// millisecond longer for each request in it.
     double delayPerRunningMs_ = 0.3;
-    /// How long a request holds its slot, from its first event to its end, until the
-    /// mean is learnt from answers.
+    /// Time for which a request holds its slot, from its first event to its end, used
+    /// until the mean is learnt from answers.
     milliseconds slotHoldTime_ { 500 };
-    /// What a data centre crossing weighs, in ms, beside its network delay.
+    /// Penalty for a server in another data centre, in ms, in addition to the network
+    /// latency.
     double remotePenaltyMs_ = 8;
-    /// How long a shared part counts as cached after this node sent it.
+    /// Time for which a shared prompt part counts as cached after this node sent it.
     milliseconds assumedCacheLifetime_ { 20000 };
-    /// First pause after failures in a row; doubles up to the longest.
+    /// First ejection time after consecutive failures; it doubles up to maxEjection_.
     milliseconds initialEjection_ { 500 };
     milliseconds maxEjection_ { 4000 };
-    /// Failures in a row that eject. One reset may be an idle connection's end.
+    /// Consecutive failures that eject a server. A single reset may only mean that an idle
+    /// connection was closed.
     unsigned failuresToEject_ = 2;
-    /// Loads told by peers are left out after this silence.
+    /// Loads reported by a peer are ignored when they are older than this.
     milliseconds peerLoadValidity_ { 1500 };
-    /// In a service with more backend servers than this, a request weighs only a
-    /// sample of them, beside those that may have its prompt's part cached: nodes
-    /// that all weigh all on loads 0.4 s old send what they do at the same time to
-    /// the same few.
+    /// In a service with more backend servers than this, only a random sample and the
+    /// servers that may have the prompt's shared part cached are compared. If all nodes
+    /// compared all servers by loads that are 0.4 s old, they would simultaneously send
+    /// their requests to the same few servers.
     std::size_t samplingThreshold_ = 24;
+    /// Number of servers in the random sample.
     std::size_t sampleSize_ = 4;
-    /// Backend servers of a data centre that fail one after the other, while none of it
-    /// answers, before it counts as cut off. A node that is cut off with its data centre
-    /// would try the others' engines, one by one, for as long as the cut lasts.
+    /// Backend servers of a data centre that have to fail, while none of it answers,
+    /// before the data centre counts as unreachable. Otherwise a node whose data centre is
+    /// partitioned would try the engines of other data centres one by one for as long as
+    /// the partition lasts.
     std::size_t failuresToCutOff_ = 3;
-    /// How long a backend server that told it was full is passed over.
+    /// Time for which a backend server that reported that it is full is not chosen.
     milliseconds fullBackoff_ { 100 };
-    /// The longest pause that a backend server may ask for.
+    /// Upper bound of the pause that a backend server may ask for.
     milliseconds maxPause_ { 3'600'000 };
 };
 
-/// Thread-safe.
+/// The backend servers that a node knows, and the choice among them. Thread-safe.
 class BackendTable {
 public:
     BackendTable(DataCentreId own, ChoiceSettings settings);
 
-    /// What put() made of a record.
+    /// The effect of put().
     enum class PutResult {
-        /// The backend server was not known.
+        /// The backend server was unknown.
         New,
         /// Its record was replaced.
         Updated,
-        /// It started anew: what was believed of the start before is forgotten.
+        /// The backend server has restarted; what was learnt about its earlier incarnation
+        /// is discarded.
         Restarted,
-        /// The record is of an earlier start and changes nothing.
+        /// The record is of an earlier incarnation and changes nothing.
         Outdated,
     };
 
-    /// Adds or replaces the record of one backend server. Word of an earlier start may
-    /// come late, through peers or a list that lags.
+    /// Adds or replaces the record of one backend server. Records of an earlier
+    /// incarnation may arrive late, through peers or from a list that lags behind.
     PutResult put(const BackendRecord& record);
     void remove(const BackendId& id, SteadyTime now);
-    /// Marks one as leaving without its own record: learnt from peers, or from an answer
-    /// of its own. That stands against any later record of this start, also after it
-    /// was removed. \returns whether it was news.
+    /// Marks a backend server as leaving, as reported by peers or by one of its answers.
+    /// No later record of this incarnation reverts that, not even after a removal.
+    /// \returns whether the server was known and not marked before.
     bool setLeaving(const BackendId& id, SteadyTime now);
-    /// \p id was found to have ended: it is passed over like one that failed in a row.
+    /// Notes that \p id has terminated. It is ejected as after consecutive failures.
     void setEnded(const BackendId& id, SteadyTime now);
-    /// \p id asked to be left alone for \p pause: it is not chosen until then, also
-    /// where there is no other.
+    /// Notes that \p id asked for no requests for \p pause. It is not chosen before then,
+    /// even if there is no other server.
     void setPause(const BackendId& id, milliseconds pause, SteadyTime now);
-    /// Time until a backend server of \p service may be chosen again; nullopt unless
-    /// pauses alone keep all of them from it.
+    /// Returns the time until the first backend server of \p service ends its pause, or
+    /// nullopt unless all that are not leaving are paused.
     std::optional<milliseconds> remainingPause(const ServiceName& service, SteadyTime now) const;
-    /// Whether a request that was chosen for \p id may still be sent there.
+    /// Whether a request for which \p id was chosen may still be sent there.
     bool mayReceive(const BackendId& id, SteadyTime now) const;
     std::vector<BackendRecord> records() const;
-    /// Equal for books that know the same backend servers, leaving or not.
+    /// Returns a hash that is equal for tables with the same backend servers in the same
+    /// leaving state.
     std::uint64_t fingerprint() const;
     std::optional<BackendRecord> find(const BackendId& id) const;
-    /// The newest start of \p name, if it is there.
+    /// Returns the newest incarnation of \p name, if the table holds it.
     std::optional<BackendRecord> findNewest(const BackendName& name) const;
-    /// Whether \p id will be gone within seconds: it is reclaimable and leaving.
+    /// Whether \p id is reclaimable and leaving, so that its VM is reclaimed within
+    /// seconds.
     bool isBeingReclaimed(const BackendId& id) const;
 
-    /// Chooses for \p shape among those not in \p excluded, and counts the
-    /// request as under way there until end().
+    /// Chooses a backend server for \p shape among those not in \p excluded, and counts the
+    /// request as in progress there until end().
     std::optional<BackendChoice> choose(const RequestShape& shape, const std::set<BackendId>& excluded, SteadyTime now);
-    /// The request is sent as chosen: its tokens are demand of its service.
+    /// Notes that the request is sent as chosen. Its uncached tokens count as demand of its
+    /// service.
     void noteAdmitted(const BackendChoice& choice);
-    /// The request is refused instead. Half of its tokens count as demand, since its
-    /// caller returns once: counted whole, demand would be overstated in an overload.
+    /// Notes that the request is rejected instead. Half of its tokens count as demand,
+    /// since its caller retries once: counting all of them would overstate the demand in an
+    /// overload.
     void noteRejected(const BackendChoice& choice);
-    /// There is no backend server for the request: half of its tokens count as demand,
-    /// like those of a refused one. Without it a service that has lost all of its engines
-    /// is asked for nothing, and gets no new ones.
+    /// Notes that there is no backend server for the request. Half of its tokens count as
+    /// demand, like those of a rejected request. Otherwise a service that has lost all of
+    /// its engines would show no demand and get no new ones.
     void noteNoBackend(const RequestShape& shape);
-    /// The first byte of an answer came after \p wait.
-    /// \returns the wait as a multiple of the estimate for a backend server of usual speed.
+    /// Notes that the first byte of an answer arrived after \p wait.
+    /// \returns the wait as a multiple of the estimate for a backend server of average
+    /// speed.
     double noteFirstByte(const BackendChoice& choice, const RequestShape& shape, milliseconds wait);
-    /// \p id could be connected to.
+    /// Notes that a connection to \p id could be established.
     void noteReachable(const BackendId& id);
-    /// One backend server, drawn at random, of each data centre that this node does
-    /// not reach as far as it knows: their connections and requests failed in a row.
-    /// They are chosen only where there are no others, until noteReachable().
+    /// Returns one random backend server of each data centre that counts as unreachable,
+    /// since connections and requests to several of its servers have failed and none has
+    /// succeeded. Servers of such a data centre are chosen only if there are no others,
+    /// until noteReachable().
     std::vector<BackendRecord> unreachableSample() const;
-    /// Whether \p dataCentre is not cut off as far as this node knows.
+    /// Whether \p dataCentre does not count as unreachable from this node.
     bool isReachable(const DataCentreId& dataCentre) const;
-    /// The request is over.
+    /// Ends a request at \p id and applies its outcome.
     void end(const BackendId& id, const SendResult& result, SteadyTime now);
 
-    /// What this node has under way, for its peers.
+    /// Returns the load that this node has in progress, to be reported to its peers.
     std::map<BackendKey, BackendLoad> ownLoads() const;
     void setPeerLoads(const VmId& peer, std::map<BackendKey, BackendLoad> loads, SteadyTime now);
-    /// Forgets \p peer, whose loads come through another one from now on.
+    /// Discards the loads of \p peer, which another peer reports from now on.
     void forgetPeer(const VmId& peer);
 
-    /// What this node was asked for of one service's engines, and learnt of them.
+    /// The demand that this node has for one service's engines, and their learnt speed.
     struct ServiceStatistics {
-        /// Prompt tokens that were asked for since the start, without those cached.
+        /// Uncached prompt tokens requested since this node started.
         std::uint64_t tokensRequested_ = 0;
-        /// Prompt tokens that an engine reads in a millisecond.
+        /// Prompt tokens that an engine reads per millisecond.
         double prefillPerMs_ = 0;
         std::uint64_t observations_ = 0;
     };
     std::map<ServiceName, ServiceStatistics> services() const;
 
-    /// Slots of a service's backend servers that take new work, and those of them that
-    /// are taken by requests of all nodes as far as known.
+    /// Slots of a service's backend servers that take new requests, and how many of them
+    /// are taken by requests of this node and, as reported, of its peers.
     struct Occupancy {
         std::uint64_t taken_ = 0;
         std::uint64_t slots_ = 0;
@@ -285,11 +301,12 @@
     };
     Occupancy occupancy(const ServiceName& service) const;
 
-    /// Backend servers of a service that take new work, by whether they are of a version.
+    /// Backend servers of a service that take new requests, of a target version and of
+    /// others.
     struct VersionCounts {
         std::size_t target_ = 0;
         std::size_t others_ = 0;
-        /// Requests of all nodes at the others, also at leaving ones.
+        /// Requests of all nodes at servers of other versions, including leaving ones.
         std::uint64_t othersRunning_ = 0;
     };
     VersionCounts versions(const ServiceName& service, const BackendVersion& target) const;
@@ -297,20 +314,21 @@
 private:
     struct Backend {
         BackendRecord record_;
-        /// Of its id; the key is its lower half.
+        /// Hash of the id; key_ is its lower half.
         std::uint64_t hash_ = 0;
         BackendKey key_ = 0;
         BackendLoad own_;
         BackendLoad peers_;
         unsigned failures_ = 0;
         SteadyTime ejectedUntil_ {};
-        /// As it asked.
+        /// End of the pause that the server asked for.
         SteadyTime pausedUntil_ {};
         milliseconds ejection_ {};
-        /// Observed wait against the estimate; 1 is as estimated.
+        /// Moving average of observed waits as multiples of their estimates.
         double slowness_ = 1;
-        /// Recent share of answers that were failures of its own.
+        /// Moving average of the share of requests that the server failed.
         double failedShare_ = 0;
+        /// Time at which this node last sent each shared prompt part, by the part's id.
         std::unordered_map<std::string, SteadyTime> cached_;
     };
     struct PeerLoads {
@@ -321,8 +339,8 @@
     bool isUsable(const Backend& backend, SteadyTime now) const;
     bool isReachableLocked(const DataCentreId& dataCentre) const;
     void noteReachable(const Backend& backend) { failedByDataCentre_.erase(backend.record_.dataCentre_); }
-    /// A straight line through waits over prompt tokens, by least squares with
-    /// fading weights: its slope is the time that a token takes to read.
+    /// Learns a service's speed. A least-squares fit with exponentially decaying weights
+    /// maps prompt tokens to waits; its slope is the time to read one token.
     struct ServiceEstimator {
         void observeWait(double tokens, double waitedMs);
         void observeSlotHold(milliseconds held);
@@ -335,23 +353,25 @@
         double meanSquare_ = 0;
         double meanProduct_ = 0;
         std::uint64_t tokensRequested_ = 0;
-        /// Mean time that a request holds its slot.
+        /// Moving average of the time for which a request holds its slot.
         std::optional<double> meanSlotHoldMs_;
     };
 
     double prefillRateOf(const ServiceName& service) const;
     double firstEventOverheadMs(const ServiceName& service) const;
     static double slowdownFactor(const Backend& backend);
-    /// The wait for those that are at \p backend already.
+    /// Returns the estimated wait for requests that are at \p backend already.
     double queueWaitMs(const Backend& backend, const RequestShape& shape) const;
     double estimateMs(const Backend& backend, const RequestShape& shape, TokenCount uncached) const;
     double slotWaitMs(const Backend& backend) const;
     TokenCount uncachedAt(const Backend& backend, const RequestShape& shape, const BackendId& affinityBackend, SteadyTime now) const;
-    /// The backend server that reads the shared part of \p shape unless it is busy.
+    /// Returns the backend server that gets requests with the shared part of \p shape
+    /// unless it is busy, by rendezvous hashing; empty if the prompt has no shared part.
     BackendId affinityBackendOf(const RequestShape& shape, const std::vector<Backend*>& candidates) const;
-    /// Keeps those of \p candidates that \p rule allows.
+    /// Removes the \p candidates that \p rule does not allow.
     void applyVersionRule(std::vector<Backend*>& candidates, const VersionRule& rule, const ServiceName& service) const;
-    /// Leaves a sample of \p candidates, and those that may have the part cached.
+    /// Reduces \p candidates to a random sample and those that may have the shared part
+    /// cached.
     void reduceToSample(std::vector<Backend*>& candidates, const RequestShape& shape, const BackendId& affinityBackend, SteadyTime now) const;
     static void releaseLoad(Backend& backend, TokenCount uncached, bool hasFirstByte);
     void recordFailure(Backend& backend, SteadyTime now);
@@ -363,15 +383,15 @@
     const ChoiceSettings settings_;
     mutable std::mutex mutex_;
     std::map<BackendId, Backend> backends_;
-    /// The newest start heard of by each name, also of those that are gone.
+    /// Newest known start time by name, including removed servers.
     std::map<BackendName, BackendStartTime> newestStarts_;
-    /// Leaving ones whose record is gone or was never there, and since when.
+    /// Leaving servers without a record, and the time at which they were noted.
     std::map<BackendId, SteadyTime> removedLeaving_;
-    /// Names that are gone, oldest first.
+    /// Names of removed servers, oldest first.
     std::deque<BackendName> removedNames_;
     std::map<VmId, PeerLoads> peers_;
     std::map<ServiceName, ServiceEstimator> estimators_;
-    /// Backend servers that failed since any of their data centre was reached.
+    /// Backend servers that failed since any server of their data centre was reachable.
     std::map<DataCentreId, std::set<BackendId>> failedByDataCentre_;
 };
 
--- a/lib/Admission/Admission.cpp
+++ b/lib/Admission/Admission.cpp
@@ -1,4 +1,4 @@
-//===- lib/Admission/Admission.cpp - who waits and who is turned away ------===//
+//===- lib/Admission/Admission.cpp - admission control for streams ---------===//
 ///
 /// \file
 /// See retryAfterIfRejected().
@@ -13,12 +13,13 @@
 std::optional<milliseconds> retryAfterIfRejected(const AdmissionView& view, const AdmissionSettings& settings)
 {
     assert(settings.minRetryAfter_ <= settings.maxRetryAfter_ && "bounds are in order");
-    // What has begun is not given up: its engine's work would be lost.
+    // A started stream is not rejected, since its engine's work would be lost.
     if (!view.isEngineStream_ || view.hasStarted_)
         return std::nullopt;
     if (std::chrono::duration<double, std::milli>(view.queueWait_) <= view.maxQueueWait_ * settings.admittedShare_)
         return std::nullopt;
-    // Half of what is admitted: by then there is room for more than the first.
+    // The wait falls to half of its bound by then, so that the engine has capacity for
+    // several retries and not only for the first one.
     return std::clamp(view.queueWait_ - view.maxQueueWait_ / 2, settings.minRetryAfter_, settings.maxRetryAfter_);
 }
 
--- a/lib/Backends/Backends.cpp
+++ b/lib/Backends/Backends.cpp
@@ -1,7 +1,8 @@
-//===- lib/Backends/Backends.cpp - records and loads of backend servers ----===//
+//===- lib/Backends/Backends.cpp - loads and outcomes of backend servers ---===//
 ///
 /// \file
-/// Loads and outcomes; registration is in Registration.cpp, the choice in Choice.cpp.
+/// Implements the accounting of loads and outcomes. Registration.cpp implements the
+/// registration, Choice.cpp the choice.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Backends.h"
 
@@ -9,17 +10,17 @@
 
 namespace pistachioloom {
 
-// How much one observation moves a running average.
+// Weight of one observation in a moving average.
 static constexpr double learningRate = 0.15;
-// The reading rate of a service is learnt from some hundred requests.
+// The prefill rate of a service is learnt from some hundred requests.
 static constexpr double prefillLearningRate = 0.005;
-// How long slots are held differs a hundredfold between requests.
+// Slot hold times differ by a factor of a hundred between requests.
 static constexpr double slotHoldLearningRate = 0.02;
 static constexpr std::uint64_t minObservations = 12;
-// A learnt rate may differ from the configured one by this factor at most.
+// A learnt rate differs from the configured one by at most this factor.
 static constexpr double maxFallbackRatio = 8;
-// A first event takes no longer than this beside the prompt, in ms: 15 ms and some
-// steps of a batch.
+// Upper bound in ms of the time to the first event without prefill, which is 15 ms and
+// some batch steps.
 static constexpr double maxFirstEventOverheadMs = 150;
 static constexpr double minSlowness = 0.5;
 static constexpr double maxSlowness = 8;
@@ -103,7 +104,7 @@
     estimators_[shape.service_].tokensRequested_ += shape.promptTokens_.value_ / 2;
 }
 
-/// Ends the count of a request that was under way at \p backend.
+/// Removes a request from the load in progress at \p backend.
 void BackendTable::releaseLoad(Backend& backend, TokenCount uncached, bool hasFirstByte)
 {
     if (backend.own_.running_)
@@ -126,9 +127,9 @@
     double observed = std::clamp(waited / estimated, minSlowness, maxSlowness);
     backend.slowness_ += learningRate * (observed - backend.slowness_);
     std::uint64_t tokens = choice.uncached_.value_;
-    // Behind a queue the rate would be that of others' requests, which are known
-    // late: what has long been read would count as read by this one. The same holds
-    // for the wait for a slot.
+    // Only requests that did not queue are observed. The loads of other requests are
+    // known with a delay, so that prompts already read would count as read during this
+    // wait. The same holds for the wait for a slot.
     if (shape.isForEngine_ && !choice.queuedAhead_.value_ && choice.running_ < choice.backend_.slots_)
         estimators_[shape.service_].observeWait(static_cast<double>(tokens), waited);
     return waited / estimated;
@@ -136,7 +137,7 @@
 
 void BackendTable::ServiceEstimator::observeWait(double tokens, double waitedMs)
 {
-    // The first observations count alike.
+    // The first observations have equal weights.
     double weight = std::max(prefillLearningRate, 1.0 / static_cast<double>(++observations_));
     meanTokens_ += weight * (tokens - meanTokens_);
     meanWait_ += weight * (waitedMs - meanWait_);
@@ -233,7 +234,7 @@
         backend.ejectedUntil_ = std::max(backend.ejectedUntil_, now + settings_.fullBackoff_);
         return;
     case BackendOutcome::WrongInstance:
-        // The record is stale: the address belongs to somebody else now.
+        // The record is outdated, since another server has the address.
         backends_.erase(found);
         return;
     case BackendOutcome::Unreachable:
--- a/lib/Backends/Choice.cpp
+++ b/lib/Backends/Choice.cpp
@@ -1,9 +1,9 @@
-//===- lib/Backends/Choice.cpp - which backend server takes a request ------===//
+//===- lib/Backends/Choice.cpp - load balancing over backend servers -------===//
 ///
 /// \file
-/// The least estimated wait wins. For engines it follows from the prompt tokens
-/// queued ahead and those of the request that the engine is not likely to have
-/// cached; for plain services from the requests under way.
+/// Chooses the backend server with the shortest estimated wait. For engines the estimate
+/// follows from the prompt tokens queued ahead and from the request's own tokens that the
+/// engine is not likely to have cached, for plain services from the requests in progress.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Backends.h"
 
@@ -12,9 +12,10 @@
 
 namespace pistachioloom {
 
-// An engine that failed this share of its recent requests is used only when no
-// other is there. Services fail up to a seventh of their requests on calm days.
+// An engine that failed this share of its recent requests is used only if there is no
+// other. Services fail up to a seventh of their requests in normal operation.
 static constexpr double maxFailedShare = 0.4;
+
 /// Spreads the bits of \p value evenly (the finaliser of SplitMix64).
 static std::uint64_t mixBits(std::uint64_t value)
 {
@@ -23,18 +24,19 @@
     return value ^ (value >> 31);
 }
 
-// What each other request at a backend server that a suspect may crash weighs, in ms:
-// more than any wait.
+// Penalty in ms for each other request at a backend server that a suspect request may
+// crash. It exceeds any wait.
 static constexpr double suspectPenaltyMs = 100000;
-// A plain service's share of wait for each request before the new one, in ms.
+// Wait at a plain service for each request ahead, in ms, divided among the slots.
 static constexpr double plainRequestMs = 20;
-// Engines of one service wait so differently by chance: an engine that seems slower by
-// less would lose the prompts whose shared part it has read.
+// Waits at equally fast engines of one service differ by up to this factor by chance.
+// Without the tolerance an engine that merely seems slower would lose the prompts whose
+// shared part it has cached.
 static constexpr double slownessTolerance = 1.7;
-// Backend servers that a version on trial has at least: one or two may have troubles of
-// their own.
+// Minimum number of backend servers used in a version's trial. One or two may have
+// problems that are unrelated to the version.
 static constexpr std::size_t minTrialBackends = 3;
-// Prompt parts remembered for one engine; a part takes about 100 bytes.
+// Maximum number of prompt parts kept for one engine; each takes about 100 bytes.
 static constexpr std::size_t maxRememberedParts = 400;
 
 bool BackendTable::isUsable(const Backend& backend, SteadyTime now) const
@@ -42,8 +44,8 @@
     return !backend.record_.isLeaving_ && backend.ejectedUntil_ <= now;
 }
 
-/// The part that requests share: the last but one, since the last belongs to
-/// the request or its session alone.
+/// Returns the part that requests share, or nullptr if there is none. It is the last but
+/// one, since the last belongs to the request or its session alone.
 static const PromptPart* sharedPart(const RequestShape& shape)
 {
     return shape.parts_.size() < 2 ? nullptr : &shape.parts_[shape.parts_.size() - 2];
@@ -99,8 +101,8 @@
     candidates.erase(others + static_cast<std::ptrdiff_t>(taken), candidates.end());
 }
 
-/// How long a request waits for a slot when all are taken: slots come free at a steady
-/// pace, and those that wait already go first.
+/// Returns the estimated wait for a slot when all are taken. Slots become free at a
+/// constant rate, and requests that wait already go first.
 double BackendTable::slotWaitMs(const Backend& backend) const
 {
     std::uint64_t slots = std::max<std::uint64_t>(1, backend.record_.slots_);
@@ -113,7 +115,7 @@
     return static_cast<double>(running + 1 - slots) * held / static_cast<double>(slots);
 }
 
-/// How many times slower than others an engine is, beyond what single waits differ.
+/// Returns the factor by which an engine is slower than others, beyond random variation.
 double BackendTable::slowdownFactor(const Backend& backend)
 {
     return std::max(1.0, backend.slowness_ / slownessTolerance);
@@ -137,13 +139,14 @@
     return ahead + own * slowdownFactor(backend);
 }
 
-/// Of the target's backend servers a trial uses so few that each bears what one of the
-/// others does: a version may be bad only under load. All nodes use the same few.
+/// A trial uses only as many of the target's backend servers as give each of them the
+/// load that a server of another version has, since a version may fail only under load.
+/// All nodes use the same servers.
 void BackendTable::applyVersionRule(std::vector<Backend*>& candidates, const VersionRule& rule, const ServiceName& service) const
 {
     auto isAllowed = [&](const Backend* backend) { return rule.isTarget(backend->record_) == rule.usesTarget_; };
     bool hasAllowed = std::any_of(candidates.begin(), candidates.end(), isAllowed);
-    // Leaving ones count: they may be the last of the version that is known.
+    // Leaving servers count, since they may be the last known ones of their version.
     bool hasOthers = std::any_of(backends_.begin(), backends_.end(), [&](const auto& entry) { return entry.second.record_.service_ == service && !rule.isTarget(entry.second.record_); });
     if (!hasAllowed && (rule.usesTarget_ || (!hasOthers && rule.mayFallBack_)))
         return;
@@ -153,37 +156,37 @@
     std::size_t others = 0;
     for (const auto& [id, backend] : backends_)
         others += backend.record_.service_ == service && !backend.record_.isLeaving_ && !rule.isTarget(backend.record_);
-    std::size_t most = std::max(minTrialBackends, static_cast<std::size_t>(std::ceil(rule.share_ * static_cast<double>(others))));
-    if (candidates.size() <= most)
+    std::size_t maxTargets = std::max(minTrialBackends, static_cast<std::size_t>(std::ceil(rule.share_ * static_cast<double>(others))));
+    if (candidates.size() <= maxTargets)
         return;
     std::sort(candidates.begin(), candidates.end(), [](const Backend* left, const Backend* right) { return mixBits(left->hash_) < mixBits(right->hash_); });
-    candidates.resize(most);
+    candidates.resize(maxTargets);
 }
 
 std::optional<BackendChoice> BackendTable::choose(const RequestShape& shape, const std::set<BackendId>& excluded, SteadyTime now)
 {
     std::lock_guard lock(mutex_);
     std::vector<Backend*> usable;
-    std::vector<Backend*> cutOff;
-    std::vector<Backend*> doubtful;
+    std::vector<Backend*> unreachable;
+    std::vector<Backend*> degraded;
     for (auto& [id, backend] : backends_) {
         if (backend.record_.service_ != shape.service_ || backend.record_.isLeaving_ || backend.pausedUntil_ > now || excluded.contains(id))
             continue;
         if (backend.record_.isReclaimable_ && shape.reclaimedDataCentre_ == backend.record_.dataCentre_)
             continue;
-        bool isGood = isUsable(backend, now) && backend.failedShare_ < maxFailedShare;
-        if (isGood && isReachableLocked(backend.record_.dataCentre_))
+        bool isHealthy = isUsable(backend, now) && backend.failedShare_ < maxFailedShare;
+        if (isHealthy && isReachableLocked(backend.record_.dataCentre_))
             usable.push_back(&backend);
         else
-            (isGood ? cutOff : doubtful).push_back(&backend);
+            (isHealthy ? unreachable : degraded).push_back(&backend);
     }
     if (shape.version_) {
-        for (std::vector<Backend*>* group : { &usable, &cutOff, &doubtful })
+        for (std::vector<Backend*>* group : { &usable, &unreachable, &degraded })
             applyVersionRule(*group, *shape.version_, shape.service_);
     }
-    // Better to try a doubtful one than to refuse: its trouble may be over.
+    // A degraded server is preferred to a rejection, since it may have recovered.
     if (usable.empty())
-        usable = cutOff.empty() ? std::move(doubtful) : std::move(cutOff);
+        usable = unreachable.empty() ? std::move(degraded) : std::move(unreachable);
     std::vector<Backend*>& candidates = usable;
     if (candidates.empty())
         return std::nullopt;
@@ -194,20 +197,21 @@
     if (candidates.size() > settings_.samplingThreshold_ && !shape.isSuspect_)
         reduceToSample(candidates, shape, affinityBackend, now);
     Backend* chosen = nullptr;
-    double least = 0;
-    double ties = 0;
+    double bestScore = 0;
+    double tieCount = 0;
     for (Backend* backend : candidates) {
         TokenCount uncached = uncachedAt(*backend, shape, affinityBackend, now);
         double estimate = estimateMs(*backend, shape, uncached);
-        double harmed = shape.isSuspect_ ? suspectPenaltyMs * (backend->own_.running_ + backend->peers_.running_) : 0;
-        double weighed = harmed + estimate + (backend->record_.dataCentre_ == ownDataCentre_ ? 0 : settings_.remotePenaltyMs_);
-        // Equals are drawn among, or all nodes would pick the same one.
-        bool isTie = chosen && weighed == least;
-        ties = isTie ? ties + 1 : 1;
-        if (chosen && (weighed > least || (isTie && static_cast<double>(randomBits() >> 11) * 0x1p-53 * ties >= 1)))
+        double suspectPenalty = shape.isSuspect_ ? suspectPenaltyMs * (backend->own_.running_ + backend->peers_.running_) : 0;
+        double score = suspectPenalty + estimate + (backend->record_.dataCentre_ == ownDataCentre_ ? 0 : settings_.remotePenaltyMs_);
+        // A random one of equal candidates is chosen, so that nodes do not all choose the
+        // same one.
+        bool isTie = chosen && score == bestScore;
+        tieCount = isTie ? tieCount + 1 : 1;
+        if (chosen && (score > bestScore || (isTie && static_cast<double>(randomBits() >> 11) * 0x1p-53 * tieCount >= 1)))
             continue;
         chosen = backend;
-        least = weighed;
+        bestScore = score;
         choice.uncached_ = uncached;
         choice.queuedAhead_ = { backend->own_.queuedTokens_ + backend->peers_.queuedTokens_ };
         choice.running_ = backend->own_.running_ + backend->peers_.running_;
--- a/lib/Backends/Registration.cpp
+++ b/lib/Backends/Registration.cpp
@@ -1,8 +1,8 @@
-//===- lib/Backends/Registration.cpp - which backend servers there are -----===//
+//===- lib/Backends/Registration.cpp - registration of backend servers -----===//
 ///
 /// \file
-/// Records of backend servers, and what they say of themselves: that they leave, or
-/// want to be left alone for a while.
+/// Implements the records of backend servers and the states that the servers report: that
+/// they leave, or ask for a pause without requests.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Backends.h"
 
@@ -11,15 +11,15 @@
 
 namespace pistachioloom {
 
-// Names whose newest start is remembered after they are gone: some minutes' worth at
-// 2,100 backend servers, 100 bytes each.
+// Number of names whose newest start time is kept after their removal. They take 100 bytes
+// each and cover some minutes with 2,100 backend servers.
 static constexpr std::size_t maxRemovedNames = 1024;
-// A backend server that leaves is gone within a minute.
+// A leaving backend server has terminated within a minute.
 static constexpr milliseconds leavingRetention { 60000 };
 
 BackendTable::PutResult BackendTable::put(const BackendRecord& record)
 {
-    assert(!record.name_.isEmpty() && "a backend server registers by a name");
+    assert(!record.name_.isEmpty() && "a backend server registers with a name");
     std::lock_guard lock(mutex_);
     BackendStartTime& newest = newestStarts_.try_emplace(record.name_, record.startTime_).first->second;
     if (record.startTime_ < newest)
@@ -30,7 +30,7 @@
     newest = record.startTime_;
     bool isNew = !backends_.contains(record.id_);
     Backend& backend = backends_[record.id_];
-    // A leaving backend server never takes new work again under the same id.
+    // A leaving backend server never takes new requests again under the same id.
     bool isLeaving = backend.record_.isLeaving_ || record.isLeaving_ || removedLeaving_.contains(record.id_);
     backend.record_ = record;
     backend.hash_ = stableHash(record.id_.value_);
@@ -41,7 +41,7 @@
     return isNew ? PutResult::New : PutResult::Updated;
 }
 
-/// What is believed of \p id ends with it.
+/// Discards everything learnt about \p id.
 void BackendTable::forget(const BackendId& id)
 {
     for (auto& [dataCentre, failed] : failedByDataCentre_)
--- a/unittests/Admission/AdmissionTest.cpp
+++ b/unittests/Admission/AdmissionTest.cpp
@@ -1,7 +1,8 @@
-//===- unittests/Admission/AdmissionTest.cpp - who is turned away ----------===//
+//===- unittests/Admission/AdmissionTest.cpp - admission decisions ---------===//
 ///
 /// \file
-/// Single decisions, and an overload of one engine with and without them.
+/// Tests single decisions, and an overload of one engine with and without admission
+/// control.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Admission.h"
 
@@ -9,7 +10,7 @@
 
 using namespace pistachioloom;
 
-TEST_CASE("a stream that would be late is refused with the time to return", "[admission]")
+TEST_CASE("a stream whose wait exceeds the bound is rejected with a retry delay", "[admission]")
 {
     struct Row {
         const char* name_;
@@ -17,38 +18,39 @@
         std::optional<milliseconds> retryAfter_;
     };
     auto row = GENERATE(values<Row>({
-        { "nothing ahead", { true, false, milliseconds(0), milliseconds(800) }, std::nullopt },
-        { "as long as admitted", { true, false, milliseconds(800), milliseconds(800) }, std::nullopt },
-        { "longer", { true, false, milliseconds(900), milliseconds(800) }, milliseconds(500) },
-        { "a little longer", { true, false, milliseconds(101), milliseconds(100) }, milliseconds(150) },
-        { "much longer", { true, false, milliseconds(60000), milliseconds(800) }, milliseconds(800) },
-        { "begun before", { true, true, milliseconds(60000), milliseconds(800) }, std::nullopt },
+        { "no wait", { true, false, milliseconds(0), milliseconds(800) }, std::nullopt },
+        { "wait equal to the bound", { true, false, milliseconds(800), milliseconds(800) }, std::nullopt },
+        { "longer wait", { true, false, milliseconds(900), milliseconds(800) }, milliseconds(500) },
+        { "slightly longer wait", { true, false, milliseconds(101), milliseconds(100) }, milliseconds(150) },
+        { "much longer wait", { true, false, milliseconds(60000), milliseconds(800) }, milliseconds(800) },
+        { "started before", { true, true, milliseconds(60000), milliseconds(800) }, std::nullopt },
         { "a plain service", { false, false, milliseconds(60000), milliseconds(800) }, std::nullopt },
     }));
     CAPTURE(row.name_);
     CHECK(retryAfterIfRejected(row.view_, {}) == row.retryAfter_);
 }
 
-TEST_CASE("in an overload, refusals keep those that are admitted on time", "[admission]")
+TEST_CASE("in an overload, rejections keep admitted requests within their objective", "[admission]")
 {
-    // One engine reads a request in 200 ms and is asked for three times as much.
-    constexpr milliseconds reading { 200 };
-    constexpr milliseconds every { 67 };
+    // One engine takes 200 ms to read a request and gets three times as many requests as
+    // it can read.
+    constexpr milliseconds readTime { 200 };
+    constexpr milliseconds interval { 67 };
     constexpr milliseconds objective { 800 };
-    auto inTime = [&](const AdmissionSettings& settings) {
+    auto countOnTime = [&](const AdmissionSettings& settings) {
         milliseconds freeAt {};
         int count = 0;
-        for (milliseconds now {}; now < milliseconds(20000); now += every) {
+        for (milliseconds now {}; now < milliseconds(20000); now += interval) {
             milliseconds ahead = std::max(milliseconds(0), freeAt - now);
-            if (retryAfterIfRejected({ true, false, ahead, objective - reading }, settings))
+            if (retryAfterIfRejected({ true, false, ahead, objective - readTime }, settings))
                 continue;
-            freeAt = std::max(now, freeAt) + reading;
+            freeAt = std::max(now, freeAt) + readTime;
             count += freeAt - now <= objective;
         }
         return count;
     };
-    AdmissionSettings all;
-    all.admittedShare_ = 1000;
-    CHECK(inTime({}) >= 95);
-    CHECK(inTime(all) <= 10);
+    AdmissionSettings admitAll;
+    admitAll.admittedShare_ = 1000;
+    CHECK(countOnTime({}) >= 95);
+    CHECK(countOnTime(admitAll) <= 10);
 }
