--- a/include/pistachioloom/Routes.h
+++ b/include/pistachioloom/Routes.h
@@ -1,9 +1,9 @@
-//===- pistachioloom/Routes.h - which request goes to which service --------===//
+//===- pistachioloom/Routes.h - route configuration and lookup -------------===//
 ///
 /// \file
-/// One version of the operators' configuration for transparent requests: routes
-/// by host and path prefix, services, organisations with their credentials, and
-/// bounds on callers. Pure: a table is built once, then only read.
+/// Holds one version of the operators' configuration for transparent requests: routes by
+/// host and path prefix, services, organisations with their credentials, and bounds on
+/// callers. A table is immutable once it is built.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -16,75 +16,75 @@
 
 namespace pistachioloom {
 
-/// One of the services that share a route.
+/// One of the services among which a route's requests are split.
 struct SplitShare {
     ServiceName service_;
-    /// Its part of the route's requests, against the sum of all weights.
+    /// The service's share of the route's requests, relative to the sum of all weights.
     double weight_ = 1;
 };
 
-/// What requests of one host and path prefix are, and where they go.
+/// Properties and destinations of the requests for one host and path prefix.
 struct Route {
     std::string name_;
-    /// Lower case, without a port.
+    /// Host name in lower case, without a port.
     std::string host_;
     std::string pathPrefix_;
-    /// Answers are event streams.
+    /// The answers are event streams.
     bool isStream_ = false;
     /// A request may run more than once.
     bool isIdempotent_ = false;
-    /// A stream may go on at another engine after the last delivered event.
+    /// A stream may resume on another engine after the last delivered event.
     bool isResumable_ = false;
-    /// No credential is asked for.
+    /// Requests need no credential.
     bool isPublic_ = false;
-    /// Requests share prompt parts that engines cache.
+    /// Requests share prompt parts that engines have in their prefix caches.
     bool hasAffinity_ = false;
-    /// Backend servers that one request may be sent to, at most.
+    /// Maximum number of attempts for one request, each at another backend server.
     unsigned maxAttempts_ = 1;
-    /// The longest time a request is kept waiting.
+    /// Time limit of a request.
     milliseconds timeout_ { 15000 };
-    /// The latency objective: whole answers, or a stream's first event.
+    /// The latency objective for a complete answer or a stream's first event.
     milliseconds objective_ { 1000 };
-    /// The longest pause between events of an answer on time; 0 for none.
+    /// Longest gap between events of an answer that meets its objective; 0 for no bound.
     milliseconds maxEventGap_ {};
     /// 0 is the most urgent.
     unsigned priority_ = 0;
     std::vector<SplitShare> split_;
-    /// The wait for an engine by which its admission is bounded: the objective, but
-    /// no more than twice that of more urgent routes to the same service, which
-    /// would wait behind it. Set by RouteTable::build().
+    /// Longest estimated wait for an engine with which a request is admitted. It is the
+    /// route's objective, but at most twice the objective of any more urgent route to the
+    /// same service, whose requests would wait behind it. Set by RouteTable::build().
     milliseconds maxQueueWait_ {};
 
     /// Whether a request may be sent again after it may have run.
     bool mayRepeat() const { return isStream_ ? isResumable_ : isIdempotent_; }
 };
 
-/// What is known of all model engines of a service.
+/// Properties that all model engines of a service share.
 struct EngineTraits {
-    /// Requests in one batch.
+    /// Maximum number of requests in one batch.
     std::uint64_t slots_ = 1;
     TokenCount memory_;
-    /// Tokens in one event of a stream.
+    /// Number of tokens in one event of a stream.
     std::uint64_t tokensPerEvent_ = 1;
-    /// A running stream's KV cache can be moved to another engine.
+    /// The KV cache of a running stream can be moved to another engine.
     bool canMoveKvCache_ = false;
 };
 
-/// How many engines of a service may be ordered in each data centre.
+/// Bounds and prices by which engines of a service are ordered in each data centre.
 struct FleetBounds {
     std::uint64_t minEngines_ = 0;
     std::uint64_t maxEngines_ = 0;
     milliseconds bootTime_ {};
-    /// Price of a reclaimable engine against a lasting one.
+    /// Price of a reclaimable engine relative to a lasting one.
     double reclaimablePriceRatio_ = 1;
-    /// Price of an engine's second in each data centre.
+    /// Price of one engine per second in each data centre.
     std::map<DataCentreId, double> prices_;
 };
 
 struct ServicePolicy {
     ServiceName name_;
     std::string healthPath_;
-    /// Connections that one backend server accepts from all nodes together.
+    /// Maximum number of connections that one backend server accepts from all nodes.
     std::uint64_t maxConnections_ = 1;
     /// Set if the service's backend servers are model engines.
     std::optional<EngineTraits> engine_;
@@ -94,11 +94,11 @@
 struct OrganisationPolicy {
     OrganisationId name_;
     std::vector<std::string> credentials_;
-    /// Goes before the route's priority.
+    /// Takes precedence over the route's priority.
     std::optional<unsigned> priority_;
-    /// The quota counts tokens, not requests.
+    /// The quota counts tokens instead of requests.
     bool countsTokens_ = false;
-    /// What a request without a token count counts as.
+    /// Number of tokens that a request without a token count counts as.
     std::uint64_t defaultTokens_ = 1;
     /// 0 for no limit.
     double ratePerSecond_ = 0;
@@ -109,12 +109,12 @@
 struct CallerBounds {
     ByteCount header_ { 16UL * 1024 };
     ByteCount body_ { 4UL * 1024 * 1024 };
-    /// Time for a request's head.
+    /// Time limit for receiving a request's head.
     milliseconds headerTimeout_ { 5000 };
     milliseconds idleTimeout_ { 15000 };
 };
 
-/// One whole version, as decoded.
+/// One complete version of the configuration, as decoded.
 struct RouteConfiguration {
     std::uint64_t version_ = 0;
     std::vector<Route> routes_;
@@ -123,12 +123,12 @@
     /// Whether requests need a credential at all.
     bool needsCredentials_ = false;
     CallerBounds bounds_;
-    /// The text that it was decoded from as compress() makes it, passed on to peers.
+    /// The source text, compressed by compress(), to be forwarded to peers.
     std::string compressedSource_;
 };
 
-/// A configuration with its indices. The pointers handed out live as long as
-/// the table.
+/// A configuration with its indices. Returned pointers are valid as long as the table
+/// exists.
 class RouteTable {
 public:
     /// Indexes \p configuration.
@@ -136,9 +136,9 @@
 
     const RouteConfiguration& configuration() const { return configuration_; }
     std::uint64_t version() const { return configuration_.version_; }
-    /// The route of \p host with the longest prefix of \p path, or nullptr.
+    /// Returns the route of \p host with the longest prefix of \p path, or nullptr.
     const Route* findRoute(std::string_view host, std::string_view path) const;
-    /// The organisation that holds \p credential, or nullptr.
+    /// Returns the organisation that holds \p credential, or nullptr.
     const OrganisationPolicy* findOrganisation(const std::string& credential) const;
     const OrganisationPolicy* findOrganisation(const OrganisationId& name) const;
     const ServicePolicy* findService(const ServiceName& name) const;
@@ -151,7 +151,8 @@
     std::map<ServiceName, const ServicePolicy*> services_;
 };
 
-/// The service that a request with \p draw (uniform over 64 bits) goes to.
+/// Returns the service for a request by weighted random selection. \p draw is a uniformly
+/// distributed 64-bit number.
 ServiceName pickService(const Route& route, std::uint64_t draw);
 
 /// Lower-cases \p host and drops its port.
--- a/include/pistachioloom/Routing.h
+++ b/include/pistachioloom/Routing.h
@@ -1,9 +1,9 @@
-//===- pistachioloom/Routing.h - choice of an engine -----------------------===//
+//===- pistachioloom/Routing.h - choice of a model engine ------------------===//
 ///
 /// \file
-/// Pure choice of the engine for a generation by its estimated time to first
-/// token. A bounded number of candidates is looked at whatever the size of the
-/// fleet: those that the prompt's prefix maps to, and a few at random.
+/// Chooses the engine for a generation by its estimated time to first token. The number
+/// of candidates is bounded regardless of the fleet's size: those that the prompt's prefix
+/// maps to, and a few random ones. All functions are pure.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -13,17 +13,17 @@
 
 namespace pistachioloom {
 
-/// Hash of the first blocks of a prompt: block i's covers blocks 0 to i.
+/// Returns hashes of the first blocks of \p prompt. Hash i covers blocks 0 to i.
 std::vector<std::uint64_t> prefixBlocks(std::string_view prompt);
 
-/// One engine as the entry knows it.
+/// One engine as the entry VM knows it.
 struct EngineCandidate {
     VmId engine_;
     VmId dispatcher_;
     ModelLoad load_;
-    /// Requests we sent there since the load was reported.
+    /// Requests that this node sent to the engine since the load was reported.
     std::uint32_t sentSince_ = 0;
-    /// Rank of the engine for the prompt's prefix: 0 is its favourite.
+    /// Rank of the engine for the prompt's prefix by rendezvous hashing; 0 is the highest.
     std::size_t prefixRank_ = 0;
     bool isLocal_ = true;
     milliseconds network_ {};
@@ -32,24 +32,27 @@
     milliseconds estimate_ {};
 };
 
-/// What an estimate rests on.
+/// Parameters of the estimated time to first token.
 struct RoutingParameters {
-    /// Time to prefill the whole prompt on an engine that has none of it.
+    /// Time to prefill the complete prompt on an engine that has none of it cached.
     milliseconds prefill_ {};
     /// Time until a slot of a full engine becomes free.
     milliseconds serviceTime_ { 500 };
     milliseconds latencyTarget_ { 720 };
-    /// Time until a trial has yielded its slot to paid work.
+    /// Time until a trial request has yielded its slot to a paid one.
     milliseconds yieldTime_ { 20 };
     bool isPaid_ = true;
 };
 
-/// Fills in the estimates and ranks \p candidates: the estimated time to first
-/// token first; inside the target the cheaper one.
-std::vector<EngineCandidate> rankEngines(std::vector<EngineCandidate> candidates, const RoutingParameters& cost);
+/// Sets the estimates of \p candidates and returns them with the best first. Candidates
+/// that meet the latency target precede the others. Among them local ones, the highest
+/// rank for the prefix and lower prices take precedence, in this order; otherwise the
+/// shorter estimate does.
+std::vector<EngineCandidate> rankEngines(std::vector<EngineCandidate> candidates, const RoutingParameters& parameters);
 
-/// Picks the engines worth an estimate: the \p topRanked best of the prefix
-/// by rendezvous hashing, and \p others at random from \p nextRandom.
+/// Returns the candidates among \p engines, without duplicates: the \p topRanked highest
+/// ones for \p prefix by rendezvous hashing, and \p others random ones by numbers from
+/// \p nextRandom.
 std::vector<VmId> sampleEngines(std::uint64_t prefix, const std::vector<VmId>& engines, std::size_t topRanked, std::size_t others, const std::function<std::uint64_t()>& nextRandom);
 
 } // namespace pistachioloom
--- a/lib/Routes/Routes.cpp
+++ b/lib/Routes/Routes.cpp
@@ -1,7 +1,7 @@
-//===- lib/Routes/Routes.cpp - indices over one configuration --------------===//
+//===- lib/Routes/Routes.cpp - indices of one configuration ----------------===//
 ///
 /// \file
-/// See Routes.h.
+/// Implements the indices of a configuration and the selection of a service.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Routes.h"
 
@@ -12,7 +12,8 @@
 
 namespace {
 
-    /// The least objective of a service's routes that are as urgent as the key or more.
+    /// The strictest objective among a service's routes that are at strictest as urgent as the
+    /// key.
     using ObjectivesByPriority = std::map<unsigned, milliseconds>;
     using ObjectivesByService = std::unordered_map<ServiceName, ObjectivesByPriority>;
 
@@ -27,9 +28,9 @@
             }
         }
         for (auto& [service, objectives] : services) {
-            milliseconds least = milliseconds::max();
+            milliseconds strictest = milliseconds::max();
             for (auto& [priority, objective] : objectives)
-                least = objective = std::min(least, objective);
+                strictest = objective = std::min(strictest, objective);
         }
         return services;
     }
@@ -52,8 +53,8 @@
 {
     auto table = std::make_shared<RouteTable>();
     table->configuration_ = std::move(configuration);
-    // Each route against each other one would take the square of their number: for 8,000
-    // routes 663 ms of processor time instead of 1.07 (the least of 9 builds).
+    // Comparing all pairs of routes would take quadratic time: for 8,000 routes 663 ms of
+    // processor time instead of 1.07 ms.
     const ObjectivesByService objectives = collectObjectives(table->configuration_.routes_);
     for (Route& route : table->configuration_.routes_)
         route.maxQueueWait_ = maxQueueWait(route, objectives);
@@ -109,7 +110,7 @@
     double sum = 0;
     for (const SplitShare& share : route.split_)
         sum += share.weight_;
-    // The top 53 bits make a double in [0, 1).
+    // The upper 53 bits give a double in [0, 1).
     double left = static_cast<double>(draw >> 11) * 0x1p-53 * sum;
     for (const SplitShare& share : route.split_) {
         left -= share.weight_;
--- a/lib/Routing/Routing.cpp
+++ b/lib/Routing/Routing.cpp
@@ -1,7 +1,7 @@
-//===- lib/Routing/Routing.cpp - estimates and the prefix index ------------===//
+//===- lib/Routing/Routing.cpp - estimates and ranking of engines ----------===//
 ///
 /// \file
-/// See Routing.h.
+/// Implements the estimates, the ranking and the sampling of candidate engines.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Routing.h"
 
@@ -27,28 +27,28 @@
     return blocks;
 }
 
-static milliseconds estimateFirstToken(const EngineCandidate& candidate, const RoutingParameters& cost)
+static milliseconds estimateFirstToken(const EngineCandidate& candidate, const RoutingParameters& parameters)
 {
-    // Our own sends since the report have taken free slots already.
+    // Requests sent by this node since the report already occupy free slots.
     std::uint32_t free = candidate.load_.freeSlots_ > candidate.sentSince_ ? candidate.load_.freeSlots_ - candidate.sentSince_ : 0;
     milliseconds wait = candidate.load_.wait_;
-    bool canPreempt = cost.isPaid_ && candidate.load_.freeSlots_ + candidate.load_.trials_ > candidate.sentSince_;
+    bool canPreempt = parameters.isPaid_ && candidate.load_.freeSlots_ + candidate.load_.trials_ > candidate.sentSince_;
     if (!free && canPreempt)
-        wait = cost.yieldTime_;
+        wait = parameters.yieldTime_;
     else if (!free)
-        wait = std::max(wait, cost.serviceTime_ * (1 + candidate.load_.queued_));
-    // Only the prefix's favourite is believed to have it cached.
-    milliseconds prefill = candidate.prefixRank_ ? cost.prefill_ : cost.prefill_ / 4;
+        wait = std::max(wait, parameters.serviceTime_ * (1 + candidate.load_.queued_));
+    // Only the highest-ranked engine for the prefix is assumed to have it cached.
+    milliseconds prefill = candidate.prefixRank_ ? parameters.prefill_ : parameters.prefill_ / 4;
     return wait + prefill + candidate.network_;
 }
 
-std::vector<EngineCandidate> rankEngines(std::vector<EngineCandidate> candidates, const RoutingParameters& cost)
+std::vector<EngineCandidate> rankEngines(std::vector<EngineCandidate> candidates, const RoutingParameters& parameters)
 {
     for (EngineCandidate& candidate : candidates)
-        candidate.estimate_ = estimateFirstToken(candidate, cost);
+        candidate.estimate_ = estimateFirstToken(candidate, parameters);
     auto isBetter = [&](const EngineCandidate& left, const EngineCandidate& right) {
-        bool leftMeets = left.estimate_ <= cost.latencyTarget_;
-        bool rightMeets = right.estimate_ <= cost.latencyTarget_;
+        bool leftMeets = left.estimate_ <= parameters.latencyTarget_;
+        bool rightMeets = right.estimate_ <= parameters.latencyTarget_;
         if (leftMeets != rightMeets)
             return leftMeets;
         if (leftMeets && left.isLocal_ != right.isLocal_)
--- a/unittests/Backends/BackendsTest.cpp
+++ b/unittests/Backends/BackendsTest.cpp
@@ -1,7 +1,7 @@
-//===- unittests/Backends/BackendsTest.cpp - the choice among backends -----===//
+//===- unittests/Backends/BackendsTest.cpp - choice of backend servers -----===//
 ///
 /// \file
-/// Loads, caches, failures and departures, each with the choice that it changes.
+/// Tests how loads, caches, failures and departures change the choice of a backend server.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Backends.h"
 
@@ -19,7 +19,7 @@
     return { { id }, service, { "10.0.0.1", 80 }, { dataCentre }, 4, false, false, { id }, {} };
 }
 
-/// The start of \p name at \p startMs.
+/// Returns a record of the incarnation of \p name that started at \p startMs.
 BackendRecord recordWithStart(const std::string& name, std::uint64_t startMs)
 {
     BackendRecord started = record(name);
@@ -53,10 +53,10 @@
 
 } // namespace
 
-TEST_CASE("work goes where fewer prompt tokens are queued", "[backends]")
+TEST_CASE("requests go to the engine with fewer queued prompt tokens", "[backends]")
 {
     BackendTable table({ "a" }, ChoiceSettings {});
-    // Slots enough for all: only tokens decide.
+    // There are enough slots for all requests, so that only tokens matter.
     for (const char* id : { "x", "y" }) {
         BackendRecord backend = record(id);
         backend.slots_ = 24;
@@ -64,16 +64,16 @@
     }
     table.setPeerLoads({ "peer" }, { { keyOf({ "x" }), { 3, 9000 } } }, start);
     CHECK(chosen(table, engineRequest(1000)) == "y");
-    // Own sends count at once: y has 1,000 queued now, x has 9,000.
+    // The node's own requests count immediately: y has 1,000 tokens queued, x has 9,000.
     for (int i = 0; i < 7; ++i)
         CHECK(chosen(table, engineRequest(1000)) == "y");
-    // A peer that fell silent says nothing of the present.
+    // The loads of an unresponsive peer expire.
     SteadyTime later = start + milliseconds(5000);
     table.setPeerLoads({ "other" }, {}, later);
     CHECK(chosen(table, engineRequest(1000), {}, later) == "x");
 }
 
-TEST_CASE("a shared part goes to the engine that has it, until that one is busy", "[backends]")
+TEST_CASE("requests with a shared part go to the engine that has it cached, until it is busy", "[backends]")
 {
     BackendTable table({ "a" }, ChoiceSettings {});
     for (const char* id : { "v", "w", "x", "y" })
@@ -88,7 +88,7 @@
     CHECK(chosen(table, shape) != first->backend_.id_.value_);
 }
 
-TEST_CASE("tokens that are refused count half as demand, and are queued nowhere", "[backends]")
+TEST_CASE("half of the tokens of rejected requests count as demand, and none as queued", "[backends]")
 {
     BackendTable table({ "a" }, ChoiceSettings {});
     table.put(record("x"));
@@ -106,19 +106,20 @@
     CHECK(table.ownLoads().size() == 1);
 }
 
-TEST_CASE("where all slots are taken, a request waits for one", "[backends]")
+TEST_CASE("the wait for a slot counts when all slots are taken", "[backends]")
 {
     BackendTable table({ "a" }, ChoiceSettings {});
     table.put(record("x"));
     table.put(record("y"));
-    // Four slots: x has room, though more prompt tokens are queued there than at y.
+    // Of four slots x has one free, although more prompt tokens are queued there than at y.
     table.setPeerLoads({ "peer" }, { { keyOf({ "x" }), { 3, 5000 } }, { keyOf({ "y" }), { 12, 0 } } }, start);
     auto choice = table.choose(engineRequest(1000), {}, start);
     REQUIRE(choice);
     CHECK(choice->backend_.id_.value_ == "x");
     CHECK(choice->running_ == 3);
     table.remove({ "x" }, start);
-    // Nine are before it, and four slots are held for 500 ms each until it is known better.
+    // Nine requests are ahead of it, and each of four slots is held for 500 ms until the
+    // mean is learnt.
     choice = table.choose(engineRequest(1000), {}, start);
     REQUIRE(choice);
     CHECK(choice->queueWait_ >= milliseconds(9 * 500 / 4));
@@ -130,7 +131,7 @@
     CHECK(choice->queueWait_ < milliseconds(400));
 }
 
-TEST_CASE("leaving, gone and excluded ones take nothing", "[backends]")
+TEST_CASE("leaving, removed and excluded backend servers are not chosen", "[backends]")
 {
     BackendTable table({ "a" }, ChoiceSettings {});
     for (const char* id : { "w", "x", "y" })
@@ -140,12 +141,12 @@
     table.remove({ "x" }, start);
     CHECK(chosen(table, plainRequest()) == "y");
     CHECK(chosen(table, plainRequest(), { { "y" } }).empty());
-    // An old record does not call it back.
+    // An earlier record does not revert the leaving state.
     table.put(record("w"));
     CHECK(chosen(table, plainRequest(), { { "y" } }).empty());
 }
 
-TEST_CASE("what failed is passed over for a while and tried again", "[backends]")
+TEST_CASE("a failed backend server is ejected for a time and then chosen again", "[backends]")
 {
     struct Row {
         BackendOutcome outcome_;
@@ -172,7 +173,7 @@
     CHECK(chosen(table, plainRequest(), {}, start + row.skippedFor_) == "x");
 }
 
-TEST_CASE("a doubtful one is better than none", "[backends]")
+TEST_CASE("a degraded backend server is chosen if there is no other", "[backends]")
 {
     BackendTable table({ "a" }, ChoiceSettings {});
     table.put(record("x"));
@@ -180,7 +181,7 @@
     CHECK(chosen(table, plainRequest()) == "x");
 }
 
-TEST_CASE("a stale record is dropped when another has its address", "[backends]")
+TEST_CASE("an outdated record is removed when another server has its address", "[backends]")
 {
     BackendTable table({ "a" }, ChoiceSettings {});
     table.put(record("x"));
@@ -188,7 +189,7 @@
     CHECK_FALSE(table.find({ "x" }));
 }
 
-TEST_CASE("an engine that fails most of its requests is left out", "[backends]")
+TEST_CASE("an engine that fails most of its requests is not chosen", "[backends]")
 {
     BackendTable table({ "a" }, ChoiceSettings {});
     table.put(record("x"));
@@ -198,7 +199,7 @@
     CHECK(chosen(table, plainRequest()) == "y");
 }
 
-TEST_CASE("the reading rate is learnt beside a fixed part of each wait", "[backends]")
+TEST_CASE("the prefill rate is learnt separately from a constant part of each wait", "[backends]")
 {
     BackendTable table({ "a" }, ChoiceSettings {});
     table.put(record("x"));
@@ -214,9 +215,9 @@
     CHECK(table.services()[service].observations_ == 200);
 }
 
-TEST_CASE("nodes that know the same late loads do not all send to one engine", "[backends]")
+TEST_CASE("nodes with the same delayed loads do not all choose the same engine", "[backends]")
 {
-    // Forty engines are busy alike, but for one.
+    // Of forty engines one is idle and the others are equally busy.
     constexpr int nodes = 20;
     int atIdle = 0;
     for (int node = 0; node < nodes; ++node) {
@@ -230,11 +231,12 @@
         table.setPeerLoads({ "peer" }, loads, start);
         atIdle += chosen(table, engineRequest(1000)) == "e0";
     }
-    // A tenth of samples hold it; more than 12 of 20 come once in ten million runs.
+    // A tenth of the samples contain the idle engine. More than 12 of 20 do so with a
+    // probability of one in ten million.
     CHECK(atIdle <= 12);
 }
 
-TEST_CASE("an estimate tells the wait for those ahead from the own prompt's", "[backends]")
+TEST_CASE("an estimate separates the queueing delay from the time for the own prompt", "[backends]")
 {
     BackendTable table({ "a" }, ChoiceSettings {});
     table.put(record("x"));
@@ -242,17 +244,17 @@
     auto choice = table.choose(engineRequest(5000), {}, start);
     REQUIRE(choice);
     CHECK(choice->queueWait_ == milliseconds(200));
-    // 15,000 tokens at 50 a millisecond, and the first event.
+    // The estimate is for 15,000 tokens at 50 per millisecond and the first event.
     CHECK(choice->estimate_ == milliseconds(330));
 }
 
-TEST_CASE("an engine that has a part keeps its requests though all take a while to begin", "[backends]")
+TEST_CASE("an engine keeps the requests of a cached part although first events take time", "[backends]")
 {
     BackendTable table({ "a" }, ChoiceSettings {});
     for (const char* id : { "v", "w", "x", "y" })
         table.put(record(id));
     RequestShape shape = engineRequest(3000, { { "subject", { 2000 } }, { "own", { 1000 } } });
-    // Some wait behind others that this node has not heard of.
+    // Some requests wait behind others whose load this node has not received.
     auto waits = GENERATE(values<std::vector<int>>({ { 65 }, { 40, 40, 110 }, { 50, 160, 50 } }));
     std::string affinityBackend = chosen(table, shape);
     table.end({ affinityBackend }, { BackendOutcome::Abandoned, { 1000 }, false, {} }, start);
@@ -266,7 +268,7 @@
     }
 }
 
-TEST_CASE("a data centre whose backend servers all fail is left alone until one is reached", "[backends]")
+TEST_CASE("a data centre whose backend servers all fail is avoided until one is reachable", "[backends]")
 {
     auto outcome = GENERATE(BackendOutcome::Unreachable, BackendOutcome::Broken);
     BackendTable table({ "a" }, ChoiceSettings {});
@@ -274,7 +276,7 @@
         table.put(record(id, "b"));
     table.put(record("a1", "a"));
     auto failAt = [&](const std::string& id) { table.end({ id }, { outcome, {}, false, {} }, start); };
-    // One that fails again and again says nothing of the others.
+    // Repeated failures of one server do not count for the others.
     for (int i = 0; i < 5; ++i)
         failAt("b1");
     failAt("b2");
@@ -282,17 +284,17 @@
     failAt("b3");
     REQUIRE(table.unreachableSample().size() == 1);
     CHECK(table.unreachableSample().front().dataCentre_.value_ == "b");
-    // Even where the near one has much to do.
+    // The data centre is avoided even if the local server is busy.
     table.setPeerLoads({ "peer" }, { { keyOf({ "a1" }), { 3, 50000 } } }, start);
     SteadyTime later = start + milliseconds(100);
     for (int i = 0; i < 8; ++i)
         CHECK(chosen(table, engineRequest(1000), {}, later) == "a1");
-    // Where there is no other it is tried, rather than refused.
+    // It is used if there is no other server.
     CHECK_FALSE(chosen(table, engineRequest(1000), { { "a1" } }, later).empty());
     table.noteReachable(BackendId { "b4" });
     CHECK(table.unreachableSample().empty());
     CHECK(chosen(table, engineRequest(1000), {}, later) != "a1");
-    // An answer, also a failure, shows that the way is there.
+    // Any answer shows that the data centre is reachable, even an error.
     failAt("b1");
     failAt("b2");
     table.end({ "b4" }, { BackendOutcome::Failed, {}, false, {} }, later);
@@ -300,7 +302,7 @@
     CHECK(table.unreachableSample().empty());
 }
 
-TEST_CASE("a stream does not move to engines that are taken away with its own", "[backends]")
+TEST_CASE("a stream does not move to engines that are reclaimed together with its own", "[backends]")
 {
     BackendTable table({ "a" }, ChoiceSettings {});
     BackendRecord first = record("first", "a");
@@ -323,14 +325,14 @@
     elsewhere.isReclaimable_ = true;
     table.put(elsewhere);
     CHECK(chosen(table, moved, { { "lasting" } }) == "elsewhere");
-    // An engine that only leaves serves on for as long as its streams last.
+    // A leaving engine that is not reclaimable serves its streams to their end.
     BackendRecord leaving = record("lasting", "a");
     leaving.isLeaving_ = true;
     table.put(leaving);
     CHECK_FALSE(table.isBeingReclaimed(leaving.id_));
 }
 
-TEST_CASE("a backend server that starts anew under its name is believed nothing of before", "[backends]")
+TEST_CASE("what was learnt about a backend server is discarded when it restarts under its name", "[backends]")
 {
     BackendTable table({ "a" }, ChoiceSettings {});
     BackendRecord before = recordWithStart("x", 1000);
@@ -340,7 +342,7 @@
     auto running = table.choose(shape, {}, start);
     REQUIRE(running);
     table.setPeerLoads({ "peer" }, { { keyOf(before.id_), { 9, 90000 } } }, start);
-    // Two failures in a row eject it.
+    // Two consecutive failures eject it.
     for (int i = 0; i < 2; ++i) {
         auto failed = table.choose(plainRequest(), {}, start);
         REQUIRE(failed);
@@ -348,19 +350,19 @@
     }
     CHECK(table.put(after) == BackendTable::PutResult::Restarted);
     CHECK(table.records().size() == 1);
-    // What peers tell is of the start before, too.
+    // The loads that peers report also belong to the earlier incarnation.
     table.setPeerLoads({ "peer" }, { { keyOf(before.id_), { 9, 90000 } } }, start);
     auto choice = table.choose(shape, {}, start);
     REQUIRE(choice);
     CHECK(choice->backend_.startTime_ == after.startTime_);
     CHECK(choice->running_ == 0);
     CHECK(choice->queuedAhead_.value_ == 0);
-    // The request that ran at the start before ends there.
+    // The end of a request at the earlier incarnation does not change the new one's load.
     table.end(running->backend_.id_, { BackendOutcome::Served, running->uncached_, true, {} }, start);
     CHECK(table.ownLoads().at(keyOf(after.id_)).running_ == 1);
 }
 
-TEST_CASE("late word of an earlier start changes nothing", "[backends]")
+TEST_CASE("delayed reports about an earlier incarnation change nothing", "[backends]")
 {
     BackendTable table({ "a" }, ChoiceSettings {});
     BackendRecord before = recordWithStart("x", 1000);
@@ -379,11 +381,11 @@
     CHECK(isNewestAndStaying());
     table.remove(before.id_, start);
     CHECK(isNewestAndStaying());
-    // Also once the newer one is gone.
+    // They are also ignored after the newer incarnation is removed.
     table.remove(after.id_, start);
     CHECK(table.put(before) == BackendTable::PutResult::Outdated);
     CHECK(table.records().empty());
-    // One that left is back with its next start only.
+    // A leaving server is chosen again only after it has restarted.
     table.put(recordWithStart("x", 2000));
     CHECK(table.setLeaving(after.id_, start));
     CHECK(table.put(after) == BackendTable::PutResult::Updated);
@@ -392,7 +394,7 @@
     CHECK_FALSE(table.findNewest({ "x" })->isLeaving_);
 }
 
-TEST_CASE("names that are gone are remembered within a bound", "[backends]")
+TEST_CASE("names of removed servers are kept up to a bound", "[backends]")
 {
     BackendTable table({ "a" }, ChoiceSettings {});
     constexpr int manyNames = 5000;
@@ -405,12 +407,12 @@
     CHECK(table.put(recordWithStart("n4999", 1000)) == BackendTable::PutResult::Outdated);
 }
 
-TEST_CASE("a request that may crash its server goes where the fewest others run", "[backends]")
+TEST_CASE("a request that may crash its server goes to the one with the fewest other requests", "[backends]")
 {
     BackendTable table({ "a" }, ChoiceSettings {});
     for (const char* id : { "x", "y", "z" })
         table.put(record(id));
-    // The least wait is at x, the fewest requests run at y.
+    // The wait is shortest at x, and the fewest requests run at y.
     table.setPeerLoads({ "peer" }, { { keyOf({ "x" }), { 3, 0 } }, { keyOf({ "y" }), { 1, 20000 } }, { keyOf({ "z" }), { 2, 0 } } }, start);
     RequestShape suspect = engineRequest(1000);
     CHECK(chosen(table, suspect) != "y");
@@ -418,14 +420,14 @@
     CHECK(chosen(table, suspect) == "y");
 }
 
-TEST_CASE("a server that said it leaves stays so when its record comes again", "[backends]")
+TEST_CASE("a server that reported that it leaves stays leaving when its record is received again", "[backends]")
 {
     struct Row {
         const char* name_;
         bool isKnownFirst_;
         bool isRemoved_;
     };
-    auto row = GENERATE(values<Row>({ { "told again", true, false }, { "gone and back in a list of before", true, true }, { "heard of before its registration", false, false } }));
+    auto row = GENERATE(values<Row>({ { "the record is repeated", true, false }, { "the server is removed and an earlier list has it", true, true }, { "the report precedes the registration", false, false } }));
     CAPTURE(row.name_);
     BackendTable table({ "a" }, ChoiceSettings {});
     if (row.isKnownFirst_)
@@ -436,20 +438,20 @@
     table.put(record("x"));
     CHECK(chosen(table, plainRequest()).empty());
     CHECK_FALSE(table.mayReceive({ "x" }, start));
-    // Another start of the same name has said nothing.
+    // The report does not apply to another incarnation of the same name.
     table.put(recordWithStart("x", 77));
     CHECK(chosen(table, plainRequest()) == "x@77");
     CHECK(table.mayReceive({ "x@77" }, start));
 }
 
-TEST_CASE("a server that asked for a pause is left alone until its end, also where there is no other", "[backends]")
+TEST_CASE("a server that asked for a pause is not chosen before its end, even if there is no other", "[backends]")
 {
     BackendTable table({ "a" }, ChoiceSettings {});
     table.put(record("x"));
     table.put(record("y"));
     auto at = [](std::int64_t ms) { return start + milliseconds(ms); };
     table.setPause({ "x" }, milliseconds(2000), start);
-    // A shorter one later does not cut it.
+    // A shorter pause later does not shorten the first one.
     table.setPause({ "x" }, milliseconds(100), at(10));
     for (int i = 0; i < 10; ++i)
         CHECK(chosen(table, plainRequest(), {}, at(20)) == "y");
@@ -460,16 +462,16 @@
     CHECK(table.remainingPause(service, at(20)) == milliseconds(500));
     CHECK(chosen(table, plainRequest(), {}, at(520)) == "y");
     CHECK(chosen(table, plainRequest(), { { "y" } }, at(2000)) == "x");
-    // Nonsense is bounded.
+    // Excessive pauses are bounded.
     table.setPause({ "x" }, std::chrono::hours(10000), at(2000));
     CHECK(chosen(table, plainRequest(), { { "y" } }, at(2000) + std::chrono::hours(1)) == "x");
-    // Another start has asked for nothing.
+    // The pause does not apply to another incarnation.
     table.setPause({ "x" }, milliseconds(5000), at(4'000'000));
     table.put(recordWithStart("x", 77));
     CHECK(chosen(table, plainRequest(), { { "y" }, { "x" } }, at(4'000'000)) == "x@77");
 }
 
-TEST_CASE("what is asked of a service without backend servers is demand", "[backends]")
+TEST_CASE("requests for a service without backend servers count as demand", "[backends]")
 {
     BackendTable table({ "a" }, ChoiceSettings {});
     REQUIRE_FALSE(table.choose(engineRequest(1000), {}, start));
@@ -477,7 +479,7 @@
     CHECK(table.services().at(service).tokensRequested_ == 500);
 }
 
-TEST_CASE("a backend server that has ended is passed over while others are there", "[backends]")
+TEST_CASE("a terminated backend server is not chosen while there are others", "[backends]")
 {
     BackendTable table({ "a" }, ChoiceSettings {});
     for (const char* id : { "x", "y" })
@@ -485,31 +487,32 @@
     table.setEnded({ "x" }, start);
     for (int i = 0; i < 20; ++i)
         CHECK(chosen(table, plainRequest()) == "y");
-    // It is the last resort, should the word have been wrong.
+    // It is used as the last resort, in case the report was wrong.
     CHECK(chosen(table, plainRequest(), { { "y" } }) == "x");
     table.setEnded({ "unknown" }, start);
 }
 
-TEST_CASE("a request reaches a version that it may not be sent to", "[backends]")
+TEST_CASE("requests are sent to the versions that the rule allows", "[backends]")
 {
     struct Row {
         const char* what_;
         std::size_t stable_;
         std::size_t target_;
         VersionRule rule_;
-        /// Backend servers that get any of many requests, and whether of the target.
+        /// Number of backend servers that get any of many requests.
         std::size_t used_;
+        /// Whether these servers have the target version.
         bool isTarget_;
     };
     const BackendVersion v2 { "v2" };
     const Row rows[] = {
-        { "the others", 6, 6, { v2, false, 0.1, true }, 6, false },
-        { "the target on trial, three at least", 6, 6, { v2, true, 0.1, true }, 3, true },
-        { "the target on trial, as many as bear the load of others", 20, 20, { v2, true, 0.3, true }, 6, true },
-        { "all to the target", 6, 6, { v2, true, 1, true }, 6, true },
-        { "no target there", 6, 0, { v2, true, 0.1, true }, 6, false },
-        { "no other there", 0, 6, { v2, false, 0, true }, 6, true },
-        { "no other there, reverted", 0, 6, { v2, false, 0, false }, 0, false },
+        { "other versions", 6, 6, { v2, false, 0.1, true }, 6, false },
+        { "the target on trial, with at least three servers", 6, 6, { v2, true, 0.1, true }, 3, true },
+        { "the target on trial, with servers loaded as the others", 20, 20, { v2, true, 0.3, true }, 6, true },
+        { "all requests to the target", 6, 6, { v2, true, 1, true }, 6, true },
+        { "no server of the target", 6, 0, { v2, true, 0.1, true }, 6, false },
+        { "no server of another version", 0, 6, { v2, false, 0, true }, 6, true },
+        { "no server of another version, reverted", 0, 6, { v2, false, 0, false }, 0, false },
     };
     for (const Row& row : rows) {
         CAPTURE(row.what_);
--- a/unittests/Routes/RoutesTest.cpp
+++ b/unittests/Routes/RoutesTest.cpp
@@ -1,7 +1,7 @@
-//===- unittests/Routes/RoutesTest.cpp - which request goes where ----------===//
+//===- unittests/Routes/RoutesTest.cpp - route lookup and indices ----------===//
 ///
 /// \file
-/// Routes by host and prefix, credentials, and splits.
+/// Tests the lookup of routes and credentials, splits, and the bounds on queueing delays.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Routes.h"
 
@@ -30,7 +30,7 @@
     return RouteTable::build(std::move(configuration));
 }
 
-TEST_CASE("a request takes the longest prefix of its host", "[routes]")
+TEST_CASE("a request matches the longest prefix of its host", "[routes]")
 {
     auto table = tableOf({ routeOf("short", "one.example", "/a/"), routeOf("long", "one.example", "/a/b/"), routeOf("other", "two.example", "/a/b/c/") });
     struct Row {
@@ -55,7 +55,7 @@
         CHECK(route->name_ == row.route_);
 }
 
-TEST_CASE("a credential names its organisation, and no other text does", "[routes]")
+TEST_CASE("only a complete credential identifies its organisation", "[routes]")
 {
     auto table = tableOf({});
     REQUIRE(table->findOrganisation(std::string("key-2")));
@@ -78,7 +78,7 @@
     CHECK(pickService(route, ~0ULL).value_ == "b");
 }
 
-TEST_CASE("only idempotent work may be repeated", "[routes]")
+TEST_CASE("only idempotent requests and resumable streams may be repeated", "[routes]")
 {
     Route route;
     CHECK_FALSE(route.mayRepeat());
@@ -90,7 +90,7 @@
     CHECK(route.mayRepeat());
 }
 
-TEST_CASE("what a route admits follows from its objective and more urgent ones", "[routes]")
+TEST_CASE("the maximum queueing delay follows from the objective and more urgent routes", "[routes]")
 {
     Route urgent = routeOf("urgent", "h", "/u/");
     urgent.objective_ = milliseconds(400);
@@ -109,11 +109,11 @@
 
 namespace {
 
-/// What Route::maxQueueWait_ is by its definition: the least of the route's objective
-/// and twice that of each more urgent route which shares a service with it.
+/// Computes Route::maxQueueWait_ by its definition: the minimum of the route's objective
+/// and twice the objective of each more urgent route to one of its services.
 milliseconds maxQueueWaitByDefinition(const Route& route, const std::vector<Route>& routes)
 {
-    milliseconds least = route.objective_;
+    milliseconds minimum = route.objective_;
     for (const Route& other : routes) {
         bool shares = false;
         for (const SplitShare& share : route.split_) {
@@ -121,12 +121,12 @@
                 shares = shares || share.service_ == otherShare.service_;
         }
         if (shares && other.priority_ < route.priority_)
-            least = std::min(least, 2 * other.objective_);
+            minimum = std::min(minimum, 2 * other.objective_);
     }
-    return least;
+    return minimum;
 }
 
-/// How many of what random routes have: few of each make ties and shared services.
+/// Parameters of random routes. Small numbers produce ties and shared services.
 struct RouteMix {
     unsigned routes_;
     unsigned services_;
@@ -151,14 +151,14 @@
     return routes;
 }
 
-/// The least processor time of several builds, in seconds, so that a busy machine does
-/// not count.
+/// Returns the minimum processor time of several builds in seconds, which excludes delays
+/// by other load on the machine.
 double minBuildTime(unsigned routes)
 {
     constexpr int builds = 9;
     RouteConfiguration configuration;
     configuration.routes_ = randomRoutes({ routes, 4, 4, 2 }, 1);
-    double least = 0;
+    double minimum = 0;
     for (int i = 0; i < builds; ++i) {
         RouteConfiguration copy = configuration;
         timespec startedAt {};
@@ -167,14 +167,14 @@
         auto table = RouteTable::build(std::move(copy));
         clock_gettime(CLOCK_THREAD_CPUTIME_ID, &endedAt);
         double elapsed = static_cast<double>(endedAt.tv_sec - startedAt.tv_sec) + static_cast<double>(endedAt.tv_nsec - startedAt.tv_nsec) * 1e-9;
-        least = i ? std::min(least, elapsed) : elapsed;
+        minimum = i ? std::min(minimum, elapsed) : elapsed;
     }
-    return least;
+    return minimum;
 }
 
 } // namespace
 
-TEST_CASE("what routes admit is what the definition says", "[routes]")
+TEST_CASE("maximum queueing delays match their definition", "[routes]")
 {
     auto mix = GENERATE(values<RouteMix>({
         { 1, 1, 1, 1 },
@@ -196,12 +196,13 @@
     }
 }
 
-TEST_CASE("eight times the routes take no square of eight the time to index", "[routes]")
+TEST_CASE("the time to index routes is not quadratic in their number", "[routes]")
 {
-    // Linear is 8 and square is 64; caches that no longer hold the routes cost up to 2.
+    // Linear time gives a ratio of 8 and quadratic time 64. Cache misses, when the routes
+    // no longer fit into the processor's caches, add a factor of up to 2.
     constexpr double maxRatio = 24;
-    double few = minBuildTime(1000);
-    double many = minBuildTime(8000);
-    CAPTURE(few, many, many / few);
-    CHECK(many < few * maxRatio);
+    double smallTime = minBuildTime(1000);
+    double largeTime = minBuildTime(8000);
+    CAPTURE(smallTime, largeTime, largeTime / smallTime);
+    CHECK(largeTime < smallTime * maxRatio);
 }
--- a/unittests/Routing/RoutingTest.cpp
+++ b/unittests/Routing/RoutingTest.cpp
@@ -1,7 +1,7 @@
-//===- unittests/Routing/RoutingTest.cpp - choice of an engine -------------===//
+//===- unittests/Routing/RoutingTest.cpp - choice of a model engine --------===//
 ///
 /// \file
-/// Ranking of candidates, sampling and the prompt's blocks.
+/// Tests the ranking of candidates, the sampling and the prompt's blocks.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Routing.h"
 
@@ -32,26 +32,26 @@
 
 } // namespace
 
-TEST_CASE("the best candidate meets the target, is local, has the prefix, is cheap")
+TEST_CASE("candidates are ranked by latency target, locality, prefix and price")
 {
     EngineCandidate sent = candidate("sent", 2, 0);
     sent.sentSince_ = 2;
     auto rankCase = GENERATE_COPY(values<RankCase>({
-        { "a free engine before a full favourite", { candidate("full", 0, 0), candidate("free", 1, 1) }, "free" },
-        { "the favourite before others", { candidate("other", 9, 1), candidate("favourite", 1, 0) }, "favourite" },
-        { "local before remote", { candidate("remote", 9, 0, false), candidate("local", 1, 1) }, "local" },
-        { "remote when local misses the target", { candidate("local", 0, 0), candidate("remote", 1, 0, false) }, "remote" },
-        { "cheaper among equals", { candidate("dear", 1, 1, true, 300), candidate("cheap", 1, 2, true, 100) }, "cheap" },
-        { "what we sent counts against a free report", { sent, candidate("other", 1, 1) }, "other" },
+        { "a free engine before a full top-ranked one", { candidate("full", 0, 0), candidate("free", 1, 1) }, "free" },
+        { "the top-ranked engine before others", { candidate("other", 9, 1), candidate("top-ranked", 1, 0) }, "top-ranked" },
+        { "a local engine before a remote one", { candidate("remote", 9, 0, false), candidate("local", 1, 1) }, "local" },
+        { "a remote engine when the local one misses the target", { candidate("local", 0, 0), candidate("remote", 1, 0, false) }, "remote" },
+        { "the cheaper of equal engines", { candidate("expensive", 1, 1, true, 300), candidate("cheap", 1, 2, true, 100) }, "cheap" },
+        { "requests sent since the report reduce its free slots", { sent, candidate("other", 1, 1) }, "other" },
     }));
     INFO(rankCase.name_);
-    RoutingParameters cost;
-    cost.prefill_ = milliseconds(100);
-    cost.latencyTarget_ = milliseconds(400);
-    CHECK(rankEngines(rankCase.candidates_, cost).front().engine_.value_ == rankCase.best_);
+    RoutingParameters parameters;
+    parameters.prefill_ = milliseconds(100);
+    parameters.latencyTarget_ = milliseconds(400);
+    CHECK(rankEngines(rankCase.candidates_, parameters).front().engine_.value_ == rankCase.best_);
 }
 
-TEST_CASE("a sample is bounded, without doubles, and keeps the prefix's favourites")
+TEST_CASE("a sample is bounded, has no duplicates and contains the prefix's top-ranked engines")
 {
     std::vector<VmId> engines;
     for (int i = 0; i < 40; ++i)
@@ -69,7 +69,7 @@
     CHECK(sampleEngines(1, {}, 2, 2, [&] { return generator(); }).empty());
 }
 
-TEST_CASE("a prompt's blocks share what its prefix shares")
+TEST_CASE("hashes of blocks are equal as long as the prefixes are equal")
 {
     std::string prompt(1000, 'a');
     std::string other = prompt;
