--- a/include/pistachioloom/Routes.h
+++ b/include/pistachioloom/Routes.h
@@ -75,7 +75,7 @@
     std::uint64_t minEngines_ = 0;
     std::uint64_t maxEngines_ = 0;
     milliseconds bootTime_ {};
-    /// Price of a reclaimable engine relative to a lasting one.
+    /// Price of a reclaimable engine relative to an on-demand one.
     double reclaimablePriceRatio_ = 1;
     /// Price of one engine per second in each data centre.
     std::map<DataCentreId, double> prices_;
--- a/lib/Backends/Registration.cpp
+++ b/lib/Backends/Registration.cpp
@@ -51,7 +51,7 @@
 
 void BackendTable::rememberLeaving(const BackendId& id, SteadyTime now)
 {
-    std::erase_if(removedLeaving_, [&](const auto& gone) { return now - gone.second > leavingRetention; });
+    std::erase_if(removedLeaving_, [&](const auto& removed) { return now - removed.second > leavingRetention; });
     if (removedLeaving_.size() < maxRemovedNames)
         removedLeaving_.try_emplace(id, now);
 }
--- a/lib/Routes/Routes.cpp
+++ b/lib/Routes/Routes.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-    /// The strictest objective among a service's routes that are at strictest as urgent as the
+    /// The strictest objective among a service's routes that are at least as urgent as the
     /// key.
     using ObjectivesByPriority = std::map<unsigned, milliseconds>;
     using ObjectivesByService = std::unordered_map<ServiceName, ObjectivesByPriority>;
--- a/unittests/Backends/BackendsTest.cpp
+++ b/unittests/Backends/BackendsTest.cpp
@@ -92,10 +92,10 @@
 {
     BackendTable table({ "a" }, ChoiceSettings {});
     table.put(record("x"));
-    auto refused = table.choose(engineRequest(1000), {}, start);
-    REQUIRE(refused);
+    auto rejected = table.choose(engineRequest(1000), {}, start);
+    REQUIRE(rejected);
     CHECK(table.services()[service].tokensRequested_ == 0);
-    table.noteRejected(*refused);
+    table.noteRejected(*rejected);
     CHECK(table.services()[service].tokensRequested_ == 500);
     CHECK(table.ownLoads().empty());
     auto sent = table.choose(engineRequest(1000), {}, start);
@@ -319,14 +319,14 @@
     moved.reclaimedDataCentre_ = { "a" };
     CHECK(chosen(table, engineRequest(0)) == "second");
     CHECK(chosen(table, moved).empty());
-    table.put(record("lasting", "a"));
-    CHECK(chosen(table, moved) == "lasting");
+    table.put(record("on-demand", "a"));
+    CHECK(chosen(table, moved) == "on-demand");
     BackendRecord elsewhere = record("elsewhere", "b");
     elsewhere.isReclaimable_ = true;
     table.put(elsewhere);
-    CHECK(chosen(table, moved, { { "lasting" } }) == "elsewhere");
+    CHECK(chosen(table, moved, { { "on-demand" } }) == "elsewhere");
     // A leaving engine that is not reclaimable serves its streams to their end.
-    BackendRecord leaving = record("lasting", "a");
+    BackendRecord leaving = record("on-demand", "a");
     leaving.isLeaving_ = true;
     table.put(leaving);
     CHECK_FALSE(table.isBeingReclaimed(leaving.id_));
@@ -399,9 +399,9 @@
     BackendTable table({ "a" }, ChoiceSettings {});
     constexpr int manyNames = 5000;
     for (int i = 0; i < manyNames; ++i) {
-        BackendRecord gone = recordWithStart("n" + std::to_string(i), 2000);
-        table.put(gone);
-        table.remove(gone.id_, start);
+        BackendRecord removed = recordWithStart("n" + std::to_string(i), 2000);
+        table.put(removed);
+        table.remove(removed.id_, start);
     }
     CHECK(table.put(recordWithStart("n0", 1000)) == BackendTable::PutResult::New);
     CHECK(table.put(recordWithStart("n4999", 1000)) == BackendTable::PutResult::Outdated);
