--- a/include/pistachioloom/Forward.h
+++ b/include/pistachioloom/Forward.h
@@ -55,10 +55,10 @@
     /// Time for a connection to a backend server.
     milliseconds connectTimeout_ { 400 };
     /// Silence in a running stream after which a resumable one goes on elsewhere.
-    milliseconds streamSilence_ { 1400 };
+    milliseconds streamStallTimeout_ { 1400 };
     /// Part of the remaining time after which an idempotent request without
     /// an answer is given to another backend server.
-    double patienceShare_ = 0.4;
+    double waitLimitShare_ = 0.4;
     AdmissionSettings admission_;
     /// A kept connection is not used in the last fifth of its idle time, and not in
     /// the last so much of a short one.
@@ -66,7 +66,7 @@
     /// Idle time of a kept connection whose server states none.
     milliseconds defaultIdle_ { 2000 };
     /// Bytes that are held for one answer of a plain service.
-    ByteCount longestAnswer_ { 8UL * 1024 * 1024 };
+    ByteCount maxAnswerSize_ { 8UL * 1024 * 1024 };
 };
 
 /// A copy of a running stream's KV cache, from one engine to another.
@@ -74,15 +74,15 @@
     Endpoint from_;
     Endpoint to_;
     /// The id of the attempt, as the engine knows the run.
-    std::string run_;
+    std::string attemptId_;
     /// The run stops, and its stream closes without an end; without it, it goes on.
-    bool isLast_ = false;
+    bool stopsRun_ = false;
 };
 
 /// What the forwarding of requests tells the rest of the node.
 struct ForwardHooks {
     /// A request of \p organisation began to run.
-    std::function<void(const OrganisationId& organisation)> onBegan_;
+    std::function<void(const OrganisationId& organisation)> onStarted_;
     /// A backend server said in an answer that it is leaving, and that was news.
     std::function<void(const BackendId& backend)> onLeaving_;
     /// A backend server was found to have ended without a word.
@@ -114,7 +114,7 @@
     /// Connections close after their answer.
     std::atomic<bool> isStopping_ { false };
     /// New requests are refused: there may be no time left for them.
-    std::atomic<bool> refusesNew_ { false };
+    std::atomic<bool> rejectsNew_ { false };
     std::atomic<std::size_t> running_ { 0 };
     std::atomic<std::size_t> connections_ { 0 };
     /// Nodes that share what backend servers accept.
--- a/lib/Forward/Answering.cpp
+++ b/lib/Forward/Answering.cpp
@@ -3,7 +3,7 @@
 /// \file
 /// Writes answers with the caller's own framing.
 //===----------------------------------------------------------------------===//
-#include "Forwarding.h"
+#include "RequestForwarder.h"
 
 #include <algorithm>
 #include <boost/algorithm/string.hpp>
@@ -47,16 +47,16 @@
     return sent == BodySent::Yes ? bytes.append(body) : bytes;
 }
 
-std::optional<milliseconds> Forwarding::announcedIdle()
+std::optional<milliseconds> RequestForwarder::announcedIdle()
 {
     if (!keepsConnection_)
         return std::nullopt;
     milliseconds idle = table_ ? table_->configuration().bounds_.idle_ : CallerBounds {}.idle_;
-    caller_->promiseIdle(idle);
+    caller_->setAnnouncedIdle(idle);
     return idle;
 }
 
-Forwarding::HeldAnswer Forwarding::refusal(int status, std::string reason, milliseconds retryAfter) const
+RequestForwarder::HeldAnswer RequestForwarder::rejection(int status, std::string reason, milliseconds retryAfter) const
 {
     HeldAnswer answer { status, {}, {} };
     if (!id_.empty())
@@ -70,33 +70,33 @@
     return answer;
 }
 
-asio::awaitable<bool> Forwarding::deliver(HeldAnswer answer)
+asio::awaitable<bool> RequestForwarder::deliver(HeldAnswer answer)
 {
     keepsConnection_ = keepsConnection_ && !context_.isStopping_;
     finalStatus_ = answer.status_;
-    hasBegunAnswer_ = true;
+    hasStartedAnswer_ = true;
     BodySent sent = isHead() ? BodySent::No : BodySent::Yes;
     std::string bytes = renderAnswer(answer.status_, answer.fields_, answer.body_, announcedIdle(), sent);
-    bool isTaken = co_await caller_->write(std::move(bytes));
-    context_.metrics_.add(isTaken && answer.status_ < 400 ? Counter::RequestsFinished : Counter::RequestsFailed);
-    co_return isTaken;
+    bool isWritten = co_await caller_->write(std::move(bytes));
+    context_.metrics_.add(isWritten && answer.status_ < 400 ? Counter::RequestsFinished : Counter::RequestsFailed);
+    co_return isWritten;
 }
 
-asio::awaitable<bool> Forwarding::beginEvents(const HeaderFields& fields)
+asio::awaitable<bool> RequestForwarder::startEvents(const HeaderFields& fields)
 {
-    keepsConnection_ = keepsConnection_ && !context_.isStopping_ && !request_.isOldVersion_;
+    keepsConnection_ = keepsConnection_ && !context_.isStopping_ && !request_.isHttp10_;
     std::string head = statusLine(finalStatus_);
     appendFields(head, fields);
-    if (!request_.isOldVersion_)
+    if (!request_.isHttp10_)
         appendField(head, "Transfer-Encoding", "chunked");
     head += connectionFields(announcedIdle()) + "\r\n";
-    hasBegunAnswer_ = true;
+    hasStartedAnswer_ = true;
     co_return co_await caller_->write(std::move(head));
 }
 
-asio::awaitable<bool> Forwarding::passEvents(std::string events)
+asio::awaitable<bool> RequestForwarder::writeEvents(std::string events)
 {
-    if (request_.isOldVersion_)
+    if (request_.isHttp10_)
         co_return co_await caller_->write(std::move(events));
     char size[20];
     int length = std::snprintf(size, sizeof size, "%zx\r\n", events.size());
--- a/lib/Forward/Signal.h
+++ b/lib/Forward/AutoResetEvent.h
@@ -1,4 +1,4 @@
-//===- lib/Forward/Signal.h - one coroutine waits, others wake it ----------===//
+//===- lib/Forward/AutoResetEvent.h - one coroutine waits, others wake it ----------===//
 ///
 /// \file
 /// A wake-up with a time limit for coroutines of one single-threaded io_context.
@@ -16,9 +16,9 @@
 /// Completion token of this library: errors come back as values.
 inline constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
 
-class Signal {
+class AutoResetEvent {
 public:
-    explicit Signal(const asio::any_io_executor& executor)
+    explicit AutoResetEvent(const asio::any_io_executor& executor)
         : timer_(executor)
     {
     }
--- a/lib/Forward/CallerConnection.cpp
+++ b/lib/Forward/CallerConnection.cpp
@@ -11,12 +11,12 @@
 
     constexpr std::size_t readSize = 8UL * 1024;
     // Bytes held unread for one connection: a few pipelined requests.
-    constexpr std::size_t mostHeld = 64UL * 1024;
+    constexpr std::size_t maxBuffered = 64UL * 1024;
     // Bodies arrive within this time of the last byte, or the caller is gone.
-    constexpr milliseconds bodySilence { 10000 };
+    constexpr milliseconds bodyReadTimeout { 10000 };
     // Bytes that the socket already has are read within this time: two turns of a loop
     // that runs half a second late.
-    constexpr milliseconds arrivalTime { 1000 };
+    constexpr milliseconds pendingReadTimeout { 1000 };
 
     Error badRequest(const BadRequest& problem, const std::string& peer)
     {
@@ -29,7 +29,7 @@
 CallerConnection::CallerConnection(asio::ip::tcp::socket socket)
     : socket_(std::move(socket))
     , arrived_(socket_.get_executor())
-    , drained_(socket_.get_executor())
+    , consumed_(socket_.get_executor())
 {
     boost::system::error_code ignored;
     socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
@@ -40,17 +40,17 @@
 void CallerConnection::start()
 {
     asio::co_spawn(
-        socket_.get_executor(), [self = shared_from_this()] { return self->readAlways(); }, asio::detached);
+        socket_.get_executor(), [self = shared_from_this()] { return self->readLoop(); }, asio::detached);
 }
 
-asio::awaitable<void> CallerConnection::readAlways()
+asio::awaitable<void> CallerConnection::readLoop()
 {
     std::vector<char> chunk(readSize);
     for (;;) {
         if (!socket_.is_open())
             break;
-        if (input_.size() >= mostHeld) {
-            (void)co_await drained_.waitUntil(steadyNow() + bodySilence);
+        if (input_.size() >= maxBuffered) {
+            (void)co_await consumed_.waitUntil(steadyNow() + bodyReadTimeout);
             continue;
         }
         auto [code, count] = co_await socket_.async_read_some(asio::buffer(chunk), asTuple);
@@ -59,18 +59,18 @@
         input_.append(chunk.data(), count);
         arrived_.notify();
     }
-    isGone_ = true;
+    isDisconnected_ = true;
     arrived_.notify();
-    if (auto hook = std::exchange(goneHook_, nullptr))
+    if (auto hook = std::exchange(disconnectHook_, nullptr))
         hook();
 }
 
-void CallerConnection::setGoneHook(std::function<void()> hook)
+void CallerConnection::setDisconnectHook(std::function<void()> hook)
 {
-    if (isGone_ && hook)
+    if (isDisconnected_ && hook)
         hook();
     else
-        goneHook_ = std::move(hook);
+        disconnectHook_ = std::move(hook);
 }
 
 bool CallerConnection::hasUnread() const
@@ -84,13 +84,13 @@
 asio::awaitable<bool> CallerConnection::waitForRequest(SteadyTime idleUntil)
 {
     while (input_.empty()) {
-        if (isGone_)
+        if (isDisconnected_)
             co_return false;
         if (co_await arrived_.waitUntil(idleUntil))
             continue;
         if (!hasUnread())
             co_return !input_.empty();
-        bool hasArrived = co_await arrived_.waitUntil(steadyNow() + arrivalTime);
+        bool hasArrived = co_await arrived_.waitUntil(steadyNow() + pendingReadTimeout);
         if (!hasArrived)
             co_return !input_.empty();
     }
@@ -101,7 +101,7 @@
 {
     isIdle_ = true;
     SteadyTime idleSince = steadyNow();
-    bool hasArrived = co_await waitForRequest(idleSince + std::max(bounds.idle_, promisedIdle_));
+    bool hasArrived = co_await waitForRequest(idleSince + std::max(bounds.idle_, announcedIdle_));
     idleTime_ = std::chrono::duration_cast<milliseconds>(steadyNow() - idleSince);
     if (!hasArrived)
         co_return std::nullopt;
@@ -115,20 +115,20 @@
     SteadyTime headUntil = steadyNow() + bounds.headerTime_;
     for (;;) {
         RequestReader::Progress progress = reader.feed(input_);
-        drained_.notify();
+        consumed_.notify();
         if (progress == RequestReader::Progress::Done)
             co_return reader.take();
         if (progress == RequestReader::Progress::Bad) {
             badStatus_ = reader.problem().status_;
             co_return badRequest(reader.problem(), peer_);
         }
-        if (isGone_)
+        if (isDisconnected_)
             co_return std::nullopt;
-        if (reader.hasHead() && reader.takeExpectation()) {
-            std::string leave = "HTTP/1.1 100 Continue\r\n\r\n";
-            (void)co_await write(std::move(leave));
+        if (reader.hasHead() && reader.takeContinueExpectation()) {
+            std::string interimAnswer = "HTTP/1.1 100 Continue\r\n\r\n";
+            (void)co_await write(std::move(interimAnswer));
         }
-        SteadyTime until = reader.hasHead() ? steadyNow() + bodySilence : headUntil;
+        SteadyTime until = reader.hasHead() ? steadyNow() + bodyReadTimeout : headUntil;
         if (co_await arrived_.waitUntil(until))
             continue;
         badStatus_ = 408;
@@ -138,27 +138,27 @@
 
 asio::awaitable<bool> CallerConnection::write(std::string bytes)
 {
-    if (isGone_)
+    if (isDisconnected_)
         co_return false;
     auto [code, count] = co_await asio::async_write(socket_, asio::buffer(bytes), asTuple);
-    isGone_ |= static_cast<bool>(code);
+    isDisconnected_ |= static_cast<bool>(code);
     co_return !code;
 }
 
-bool CallerConnection::staysIdle()
+bool CallerConnection::hasStayedIdle()
 {
-    bool isStill = isIdle();
-    return std::exchange(wasIdle_, isStill) && isStill;
+    bool isIdleNow = isIdle();
+    return std::exchange(wasIdle_, isIdleNow) && isIdleNow;
 }
 
 void CallerConnection::abort()
 {
-    isGone_ = true;
+    isDisconnected_ = true;
     boost::system::error_code ignored;
     socket_.close(ignored);
 }
 
-void CallerConnection::finish()
+void CallerConnection::shutdownSend()
 {
     boost::system::error_code ignored;
     socket_.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
--- a/lib/Forward/CallerConnection.h
+++ b/lib/Forward/CallerConnection.h
@@ -7,7 +7,7 @@
 #pragma once
 
 #include "RequestReader.h"
-#include "Signal.h"
+#include "AutoResetEvent.h"
 
 namespace pistachioloom {
 
@@ -23,31 +23,31 @@
     /// Writes \p bytes. \returns whether they were taken.
     asio::awaitable<bool> write(std::string bytes);
     /// Called once when the caller closes or breaks.
-    void setGoneHook(std::function<void()> hook);
-    bool isGone() const { return isGone_; }
+    void setDisconnectHook(std::function<void()> hook);
+    bool isDisconnected() const { return isDisconnected_; }
     /// No request has arrived, or is being read or answered.
     bool isIdle() const { return isIdle_ && input_.empty() && !hasUnread(); }
     /// isIdle() now and when it was called before. Bytes that were just read are nowhere
     /// to be seen until the loop comes to them.
-    bool staysIdle();
+    bool hasStayedIdle();
     /// The caller was told that it may use the connection for a part of \p idle; it stays
     /// open for so long, whatever limit a newer configuration holds.
-    void promiseIdle(milliseconds idle) { promisedIdle_ = idle; }
+    void setAnnouncedIdle(milliseconds idle) { announcedIdle_ = idle; }
     /// Bytes that were read and belong to no request that was served.
-    ByteCount unanswered() const { return { input_.size() }; }
+    ByteCount unansweredBytes() const { return { input_.size() }; }
     /// How long the last wait for a request took.
     milliseconds idleTime() const { return idleTime_; }
     /// Ends the connection at once.
     void abort();
     /// Ends it after what was written.
-    void finish();
+    void shutdownSend();
     std::string peer() const { return peer_; }
 
     /// The status of the last bad request.
     int badStatus() const { return badStatus_; }
 
 private:
-    asio::awaitable<void> readAlways();
+    asio::awaitable<void> readLoop();
     /// Waits for a request's first bytes. \returns false if the connection is to be closed.
     asio::awaitable<bool> waitForRequest(SteadyTime idleUntil);
     bool hasUnread() const;
@@ -55,14 +55,14 @@
 
     asio::ip::tcp::socket socket_;
     std::string input_;
-    Signal arrived_;
-    Signal drained_;
-    std::function<void()> goneHook_;
-    bool isGone_ = false;
+    AutoResetEvent arrived_;
+    AutoResetEvent consumed_;
+    std::function<void()> disconnectHook_;
+    bool isDisconnected_ = false;
     bool isIdle_ = true;
     bool wasIdle_ = false;
     milliseconds idleTime_ {};
-    milliseconds promisedIdle_ {};
+    milliseconds announcedIdle_ {};
     int badStatus_ = 0;
     std::string peer_;
 };
--- a/lib/Forward/BackendPool.cpp
+++ b/lib/Forward/ConnectionPool.cpp
@@ -1,9 +1,9 @@
-//===- lib/Forward/BackendPool.cpp - kept connections to backend servers ---===//
+//===- lib/Forward/ConnectionPool.cpp - kept connections to backend servers ---===//
 ///
 /// \file
-/// See BackendPool.h.
+/// See ConnectionPool.h.
 //===----------------------------------------------------------------------===//
-#include "BackendPool.h"
+#include "ConnectionPool.h"
 
 #include "Headers.h"
 
@@ -14,14 +14,14 @@
 
 // The last part of an idle time, which is not used: a connection that is made anew costs
 // a round trip, and a request lost in the server's close may be one that cannot be repeated.
-static constexpr int idlePartsUnused = 5;
+static constexpr int idleMarginDivisor = 5;
 // A longer idle time is no reason to keep a connection for longer; it also bounds
 // what the arithmetic gets from outside.
-static constexpr std::chrono::hours longestIdle { 1 };
+static constexpr std::chrono::hours maxIdle { 1 };
 
 /// The idle time that \p keepAlive states (RFC 2068, 19.7.1), which may be in quotes;
 /// nullopt if it states none.
-static std::optional<milliseconds> statedIdle(std::string_view keepAlive)
+static std::optional<milliseconds> parseIdleTimeout(std::string_view keepAlive)
 {
     std::vector<std::string> parameters;
     boost::split(parameters, keepAlive, [](char c) { return c == ',' || c == ';'; });
@@ -32,27 +32,27 @@
         std::string value = boost::trim_copy_if(parameter.substr(equals + 1), boost::is_any_of(" \t\""));
         std::string_view digits = std::string_view(value).substr(0, value.find_first_not_of("0123456789"));
         if (auto seconds = parseNumber(digits))
-            return std::chrono::seconds(std::min<std::uint64_t>(*seconds, std::chrono::seconds(longestIdle).count()));
+            return std::chrono::seconds(std::min<std::uint64_t>(*seconds, std::chrono::seconds(maxIdle).count()));
     }
     return std::nullopt;
 }
 
 milliseconds usableIdle(std::string_view keepAlive, const ForwardSettings& settings)
 {
-    milliseconds idle = statedIdle(keepAlive).value_or(settings.defaultIdle_);
-    return std::max(milliseconds(0), idle - std::max(idle / idlePartsUnused, settings.idleMargin_));
+    milliseconds idle = parseIdleTimeout(keepAlive).value_or(settings.defaultIdle_);
+    return std::max(milliseconds(0), idle - std::max(idle / idleMarginDivisor, settings.idleMargin_));
 }
 
 BackendConnection::BackendConnection(const asio::any_io_executor& executor, std::shared_ptr<std::size_t> open)
     : socket_(executor)
-    , open_(std::move(open))
+    , openCount_(std::move(open))
 {
-    ++*open_;
+    ++*openCount_;
 }
 
 BackendConnection::~BackendConnection()
 {
-    --*open_;
+    --*openCount_;
 }
 
 void BackendConnection::close()
@@ -68,7 +68,7 @@
     socket_.close(ignored);
 }
 
-bool BackendConnection::isDrained() const
+bool BackendConnection::isReceiveBufferEmpty() const
 {
     boost::system::error_code ignored;
     return !socket_.available(ignored);
@@ -76,14 +76,14 @@
 
 /// Whether the socket is open and nothing has arrived on it: bytes that nobody
 /// asked for belong to no request.
-static bool isQuiet(asio::ip::tcp::socket& socket)
+static bool isOpenWithoutData(asio::ip::tcp::socket& socket)
 {
     char byte = 0;
     ssize_t count = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     return count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-BackendConnectionPtr BackendPool::take(const BackendId& backend, SteadyTime now)
+BackendConnectionPtr ConnectionPool::take(const BackendId& backend, SteadyTime now)
 {
     auto found = idle_.find(backend);
     if (found == idle_.end())
@@ -92,7 +92,7 @@
     while (!kept.empty()) {
         BackendConnectionPtr connection = std::move(kept.back());
         kept.pop_back();
-        if (connection->usableUntil_ > now && isQuiet(connection->socket_)) {
+        if (connection->usableUntil_ > now && isOpenWithoutData(connection->socket_)) {
             connection->isReused_ = true;
             return connection;
         }
@@ -102,15 +102,15 @@
     return nullptr;
 }
 
-std::size_t BackendPool::openTo(const BackendId& backend) const
+std::size_t ConnectionPool::openCount(const BackendId& backend) const
 {
-    auto found = open_.find(backend);
-    return found == open_.end() ? 0 : *found->second;
+    auto found = openCounts_.find(backend);
+    return found == openCounts_.end() ? 0 : *found->second;
 }
 
-BackendConnectionPtr BackendPool::make(const BackendId& backend)
+BackendConnectionPtr ConnectionPool::make(const BackendId& backend)
 {
-    auto [found, isNew] = open_.try_emplace(backend);
+    auto [found, isNew] = openCounts_.try_emplace(backend);
     if (isNew)
         found->second = std::make_shared<std::size_t>(0);
     auto connection = std::make_shared<BackendConnection>(executor_, found->second);
@@ -118,24 +118,24 @@
     return connection;
 }
 
-void BackendPool::put(BackendConnectionPtr connection)
+void ConnectionPool::put(BackendConnectionPtr connection)
 {
     std::vector<BackendConnectionPtr>& kept = idle_[connection->backend_];
     kept.push_back(std::move(connection));
 }
 
-void BackendPool::expire(SteadyTime now)
+void ConnectionPool::expire(SteadyTime now)
 {
     for (auto& [backend, kept] : idle_) {
         std::erase_if(kept, [&](const BackendConnectionPtr& connection) {
-            if (connection->usableUntil_ > now && isQuiet(connection->socket_))
+            if (connection->usableUntil_ > now && isOpenWithoutData(connection->socket_))
                 return false;
             connection->close();
             return true;
         });
     }
     std::erase_if(idle_, [](const auto& entry) { return entry.second.empty(); });
-    std::erase_if(open_, [](const auto& entry) { return *entry.second == 0; });
+    std::erase_if(openCounts_, [](const auto& entry) { return *entry.second == 0; });
 }
 
 } // namespace pistachioloom
--- a/lib/Forward/BackendPool.h
+++ b/lib/Forward/ConnectionPool.h
@@ -1,4 +1,4 @@
-//===- lib/Forward/BackendPool.h - kept connections to backend servers -----===//
+//===- lib/Forward/ConnectionPool.h - kept connections to backend servers -----===//
 ///
 /// \file
 /// Connections of one worker to backend servers. A connection serves one
@@ -6,7 +6,7 @@
 //===----------------------------------------------------------------------===//
 #pragma once
 
-#include "Signal.h"
+#include "AutoResetEvent.h"
 #include "pistachioloom/Forward.h"
 
 #include <boost/beast/core/flat_buffer.hpp>
@@ -33,7 +33,7 @@
     void abort();
 
     /// Whether a read begun now has to wait: what it returns then arrives at its end.
-    bool isDrained() const;
+    bool isReceiveBufferEmpty() const;
 
     asio::ip::tcp::socket socket_;
     boost::beast::flat_buffer buffer_;
@@ -47,14 +47,14 @@
     /// An operation that writes the request is still under way.
     bool isWriting_ = false;
     /// Connections to the same backend server; this one counts until it ends.
-    std::shared_ptr<std::size_t> open_;
+    std::shared_ptr<std::size_t> openCount_;
 };
 
 using BackendConnectionPtr = std::shared_ptr<BackendConnection>;
 
-class BackendPool {
+class ConnectionPool {
 public:
-    explicit BackendPool(asio::any_io_executor executor)
+    explicit ConnectionPool(asio::any_io_executor executor)
         : executor_(std::move(executor))
     {
     }
@@ -64,7 +64,7 @@
     /// A closed connection for this server, to be connected by the caller.
     BackendConnectionPtr make(const BackendId& backend);
     /// Connections to \p backend, kept or in use.
-    std::size_t openTo(const BackendId& backend) const;
+    std::size_t openCount(const BackendId& backend) const;
     void put(BackendConnectionPtr connection);
     const asio::any_io_executor& executor() const { return executor_; }
     /// Closes what is past its time.
@@ -73,7 +73,7 @@
 private:
     asio::any_io_executor executor_;
     std::map<BackendId, std::vector<BackendConnectionPtr>> idle_;
-    std::map<BackendId, std::shared_ptr<std::size_t>> open_;
+    std::map<BackendId, std::shared_ptr<std::size_t>> openCounts_;
 };
 
 } // namespace pistachioloom
--- a/lib/Forward/EventSplitter.cpp
+++ b/lib/Forward/EventSplitter.cpp
@@ -31,21 +31,21 @@
 /// Where the first event of \p text ends, or npos.
 static std::size_t eventEnd(std::string_view text)
 {
-    std::size_t plain = text.find("\n\n");
-    std::size_t withReturn = text.find("\r\n\r\n");
-    if (plain == std::string_view::npos && withReturn == std::string_view::npos)
+    std::size_t lfEnd = text.find("\n\n");
+    std::size_t crlfEnd = text.find("\r\n\r\n");
+    if (lfEnd == std::string_view::npos && crlfEnd == std::string_view::npos)
         return std::string_view::npos;
-    if (withReturn < plain)
-        return withReturn + 4;
-    return plain + 2;
+    if (crlfEnd < lfEnd)
+        return crlfEnd + 4;
+    return lfEnd + 2;
 }
 
 std::string EventSplitter::take(std::string_view bytes)
 {
     partial_.append(bytes);
-    std::string whole;
+    std::string complete;
     std::size_t at = 0;
-    while (!isBroken_) {
+    while (!hasGap_) {
         std::string_view rest = std::string_view(partial_).substr(at);
         std::size_t length = eventEnd(rest);
         if (length == std::string_view::npos)
@@ -56,15 +56,15 @@
         if (id && last_ && *id <= *last_)
             continue;
         if (id && last_ && *id != *last_ + 1) {
-            isBroken_ = true;
+            hasGap_ = true;
             break;
         }
         if (id)
             last_ = id;
-        whole.append(event);
+        complete.append(event);
     }
     partial_.erase(0, at);
-    return whole;
+    return complete;
 }
 
 } // namespace pistachioloom
--- a/lib/Forward/EventSplitter.h
+++ b/lib/Forward/EventSplitter.h
@@ -31,12 +31,12 @@
     /// Whether a part of an event is held.
     bool hasPartial() const { return !partial_.empty(); }
     /// Whether an event was missing; nothing is handed out after it.
-    bool isBroken() const { return isBroken_; }
+    bool hasGap() const { return hasGap_; }
 
 private:
     std::string partial_;
     std::optional<std::uint64_t> last_;
-    bool isBroken_ = false;
+    bool hasGap_ = false;
 };
 
 } // namespace pistachioloom
--- a/lib/Forward/Headers.cpp
+++ b/lib/Forward/Headers.cpp
@@ -61,13 +61,13 @@
 
 std::optional<milliseconds> parseRetryAfter(std::string_view text)
 {
-    constexpr double mostSeconds = 365.0 * 24 * 3600;
+    constexpr double maxSeconds = 365.0 * 24 * 3600;
     double seconds = 0;
     auto [rest, error] = std::from_chars(text.data(), text.data() + text.size(), seconds, std::chars_format::fixed);
     bool isNumber = !text.empty() && rest == text.data() + text.size() && !std::isnan(seconds) && seconds >= 0;
     if (error == std::errc::result_out_of_range || !isNumber)
         return std::nullopt;
-    return milliseconds(static_cast<std::int64_t>(std::ceil(std::min(seconds, mostSeconds) * 1000)));
+    return milliseconds(static_cast<std::int64_t>(std::ceil(std::min(seconds, maxSeconds) * 1000)));
 }
 
 std::optional<std::pair<TokenCount, TokenCount>> parseTokenCounts(std::string_view text)
--- a/lib/Forward/EndProbe.cpp
+++ b/lib/Forward/LivenessProbe.cpp
@@ -1,9 +1,9 @@
-//===- lib/Forward/EndProbe.cpp - whether a backend server has ended -------===//
+//===- lib/Forward/LivenessProbe.cpp - whether a backend server has ended -------===//
 ///
 /// \file
-/// See EndProbe.h.
+/// See LivenessProbe.h.
 //===----------------------------------------------------------------------===//
-#include "EndProbe.h"
+#include "LivenessProbe.h"
 
 #include "pistachioloom/Telemetry.h"
 
@@ -11,7 +11,7 @@
 
 // A process that ends closes its connections one after the other, the one on which it
 // listens perhaps last, so that a connection may still be accepted after the first break.
-static constexpr milliseconds secondProbe { 150 };
+static constexpr milliseconds reprobeDelay { 150 };
 
 static const Logger& logger()
 {
@@ -33,13 +33,13 @@
         logCrash(context, backend, counted);
 }
 
-asio::awaitable<void> probeEnd(ForwardContext& context, BackendRecord backend)
+asio::awaitable<void> probeLiveness(ForwardContext& context, BackendRecord backend)
 {
-    const milliseconds patience = context.settings_.connectTimeout_;
-    auto code = co_await tryConnection(backend.endpoint_, patience);
+    const milliseconds waitLimit = context.settings_.connectTimeout_;
+    auto code = co_await tryConnection(backend.endpoint_, waitLimit);
     if (!code) {
-        co_await sleepFor(secondProbe);
-        code = co_await tryConnection(backend.endpoint_, patience);
+        co_await sleepFor(reprobeDelay);
+        code = co_await tryConnection(backend.endpoint_, waitLimit);
     }
     // What cuts a data centre off may refuse connections too.
     bool hasEnded = code == asio::error::connection_refused && context.backends_.isReached(backend.dataCentre_);
--- a/lib/Forward/EndProbe.h
+++ b/lib/Forward/LivenessProbe.h
@@ -1,4 +1,4 @@
-//===- lib/Forward/EndProbe.h - whether a backend server has ended ---------===//
+//===- lib/Forward/LivenessProbe.h - whether a backend server has ended ---------===//
 ///
 /// \file
 /// A backend server that cuts an answer off may have crashed, or may have lost just
@@ -6,13 +6,13 @@
 //===----------------------------------------------------------------------===//
 #pragma once
 
-#include "Signal.h"
+#include "AutoResetEvent.h"
 #include "pistachioloom/Forward.h"
 
 namespace pistachioloom {
 
 /// Connects to \p backend. If that is refused, the backend server has ended.
-asio::awaitable<void> probeEnd(ForwardContext& context, BackendRecord backend);
+asio::awaitable<void> probeLiveness(ForwardContext& context, BackendRecord backend);
 
 /// A crash of \p backend was counted against a request.
 void logCrash(ForwardContext& context, const BackendId& backend, const CrashWatch::Counted& counted);
--- a/lib/Forward/Forwarding.cpp
+++ b/lib/Forward/RequestForwarder.cpp
@@ -1,29 +1,29 @@
-//===- lib/Forward/Forwarding.cpp - the course of one request --------------===//
+//===- lib/Forward/RequestForwarder.cpp - the course of one request --------------===//
 ///
 /// \file
 /// Admission, the loop over attempts, and time. Sending is in Sending.cpp,
 /// answers to the caller in Answering.cpp.
 //===----------------------------------------------------------------------===//
-#include "Forwarding.h"
-#include "EndProbe.h"
+#include "RequestForwarder.h"
+#include "LivenessProbe.h"
 
 namespace pistachioloom {
 
 namespace {
 
     // A node without a configuration expects one within a poll of its source.
-    constexpr milliseconds retryUnconfigured { 300 };
+    constexpr milliseconds unconfiguredRetryAfter { 300 };
     // Another node takes a request at once that a stopping one refuses.
-    constexpr milliseconds retryStopping { 10 };
+    constexpr milliseconds stoppingRetryAfter { 10 };
     // Backend servers that are full have room again after a few answers.
-    constexpr milliseconds retryFull { 150 };
+    constexpr milliseconds fullRetryAfter { 150 };
     // Connections that may fail for one request before it is given up.
-    constexpr unsigned mostUnreachable = 4;
+    constexpr unsigned maxConnectFailures = 4;
     // A request with so many crashes is kept apart from others: one more of them is
     // hardly chance.
     constexpr std::size_t crashesToIsolate = 2;
     // Weight versions and the like begin at this urgency if nothing is said.
-    constexpr unsigned mostUrgency = 9;
+    constexpr unsigned maxUrgency = 9;
 
     const Logger& logger()
     {
@@ -33,7 +33,7 @@
 
 } // namespace
 
-Forwarding::Forwarding(ForwardContext& context, BackendPool& pool, std::shared_ptr<CallerConnection> caller, CallerRequest request)
+RequestForwarder::RequestForwarder(ForwardContext& context, ConnectionPool& pool, std::shared_ptr<CallerConnection> caller, CallerRequest request)
     : context_(context)
     , pool_(pool)
     , caller_(std::move(caller))
@@ -44,7 +44,7 @@
     keepsConnection_ = request_.isKeepAlive_;
 }
 
-std::optional<Forwarding::HeldAnswer> Forwarding::authorise()
+std::optional<RequestForwarder::HeldAnswer> RequestForwarder::authorise()
 {
     const RouteConfiguration& configuration = table_->configuration();
     if (!configuration.needsCredentials_ || route_->isPublic_)
@@ -54,11 +54,11 @@
     if (credential.size() > scheme.size() && equalWithoutCase(credential.substr(0, scheme.size()), scheme))
         organisation_ = table_->findOrganisation(std::string(credential.substr(scheme.size())));
     if (!organisation_)
-        return refusal(401, "unknown credential", {});
+        return rejection(401, "unknown credential", {});
     return std::nullopt;
 }
 
-RequestShape Forwarding::shapeOf() const
+RequestShape RequestForwarder::shapeOf() const
 {
     RequestShape shape;
     shape.service_ = pickService(*route_, randomBits());
@@ -73,7 +73,7 @@
     return shape;
 }
 
-std::optional<Forwarding::HeldAnswer> Forwarding::takeQuota()
+std::optional<RequestForwarder::HeldAnswer> RequestForwarder::takeQuota()
 {
     if (!organisation_)
         return std::nullopt;
@@ -84,98 +84,98 @@
     auto wait = context_.quotas_.take(organisation_->name_, { organisation_->ratePerSecond_, organisation_->burst_ }, cost_, steadyNow());
     if (wait) {
         context_.metrics_.add(Counter::RequestsRefused);
-        return refusal(429, "quota of " + organisation_->name_.value_ + " used up", *wait);
+        return rejection(429, "quota of " + organisation_->name_.value_ + " used up", *wait);
     }
     hasQuota_ = true;
     return std::nullopt;
 }
 
-std::optional<Forwarding::HeldAnswer> Forwarding::admit()
+std::optional<RequestForwarder::HeldAnswer> RequestForwarder::admit()
 {
     table_ = context_.hooks_.table_();
     if (!table_)
-        return refusal(503, "no configuration known yet", retryUnconfigured);
-    if (context_.refusesNew_)
-        return refusal(503, "this node is stopping", retryStopping);
+        return rejection(503, "no configuration known yet", unconfiguredRetryAfter);
+    if (context_.rejectsNew_)
+        return rejection(503, "this node is stopping", stoppingRetryAfter);
     route_ = table_->findRoute(request_.field("Host"), request_.path());
     if (!route_)
-        return refusal(404, "no route", {});
-    if (auto refused = authorise())
-        return refused;
-    urgency_ = std::min(mostUrgency, organisation_ && organisation_->priority_ ? *organisation_->priority_ : route_->priority_);
+        return rejection(404, "no route", {});
+    if (auto rejected = authorise())
+        return rejected;
+    urgency_ = std::min(maxUrgency, organisation_ && organisation_->priority_ ? *organisation_->priority_ : route_->priority_);
     shape_ = shapeOf();
     events_ = EventSplitter(parseNumber(request_.field(context_.names_.lastEvent_)));
     deadline_ = request_.receivedAt_ + route_->timeout_;
-    if (auto told = parseNumber(request_.field(context_.names_.deadline_)))
-        deadline_ = std::min(deadline_, request_.receivedAt_ + milliseconds(static_cast<std::int64_t>(std::min<std::uint64_t>(*told, 3600000))));
+    if (auto callerDeadline = parseNumber(request_.field(context_.names_.deadline_)))
+        deadline_ = std::min(deadline_, request_.receivedAt_ + milliseconds(static_cast<std::int64_t>(std::min<std::uint64_t>(*callerDeadline, 3600000))));
     return takeQuota();
 }
 
-milliseconds Forwarding::timeLeft() const
+milliseconds RequestForwarder::timeLeft() const
 {
     return std::max(milliseconds(0), std::chrono::duration_cast<milliseconds>(deadline_ - steadyNow()));
 }
 
-void Forwarding::armTimer()
+void RequestForwarder::armTimer()
 {
-    timer_.expires_at(std::min(deadline_, patienceUntil_));
+    timer_.expires_at(std::min(deadline_, waitDeadline_));
     timer_.async_wait([self = shared_from_this()](const boost::system::error_code& code) {
         if (!code)
             self->onTimer();
     });
 }
 
-void Forwarding::onTimer()
+void RequestForwarder::onTimer()
 {
     if (isFinished_)
         return;
     SteadyTime now = steadyNow();
     if (now >= deadline_)
-        return stop(StopReason::TimeOver);
-    if (now >= patienceUntil_) {
-        patienceUntil_ = SteadyTime::max();
-        stop(StopReason::Silence);
+        return stop(StopReason::DeadlineExceeded);
+    if (now >= waitDeadline_) {
+        waitDeadline_ = SteadyTime::max();
+        stop(StopReason::WaitLimitExceeded);
     }
     armTimer();
 }
 
-void Forwarding::stop(StopReason reason)
+void RequestForwarder::stop(StopReason reason)
 {
-    stopped_ = reason;
-    if (current_)
-        current_->abort();
+    stopReason_ = reason;
+    if (currentConnection_)
+        currentConnection_->abort();
     // A slow reader must not keep a request beyond its time.
-    if (reason == StopReason::TimeOver && hasBegunAnswer_)
+    if (reason == StopReason::DeadlineExceeded && hasStartedAnswer_)
         caller_->abort();
 }
 
-bool Forwarding::mayTryAgain(SendEnd end)
+bool RequestForwarder::mayRetry(SendOutcome end)
 {
-    if (stopped_ == StopReason::CallerGone || stopped_ == StopReason::TimeOver || timeLeft() <= milliseconds(0))
+    if (stopReason_ == StopReason::CallerDisconnected || stopReason_ == StopReason::DeadlineExceeded || timeLeft() <= milliseconds(0))
         return false;
-    if (end == SendEnd::Unreachable || end == SendEnd::NoConnection || end == SendEnd::Withdrawn)
-        return ++unreachable_ < mostUnreachable;
-    if (sends_ >= route_->mostAttempts_)
+    if (end == SendOutcome::Unreachable || end == SendOutcome::NoConnection || end == SendOutcome::NotAccepting)
+        return ++connectFailures_ < maxConnectFailures;
+    if (sendCount_ >= route_->mostAttempts_)
         return false;
-    if (end != SendEnd::NotRun && !route_->mayRepeat())
+    if (end != SendOutcome::NotRun && !route_->mayRepeat())
         return false;
     // It may just have crashed one more, which is not known yet.
-    if (end == SendEnd::Lost && shape_.isSuspect_)
+    if (end == SendOutcome::Lost && shape_.isSuspect_)
         return false;
     return context_.retries_.take(shape_.service_, steadyNow());
 }
 
-std::optional<Forwarding::HeldAnswer> Forwarding::refuseWait(const BackendChoice& choice) const
+std::optional<RequestForwarder::HeldAnswer> RequestForwarder::rejectLongWait(const BackendChoice& choice) const
 {
-    AdmissionView view { shape_.isForEngine_ && route_->isStream_, sends_ || events_.last(), choice.ahead_, route_->admittedWait_ };
+    AdmissionView view { shape_.isForEngine_ && route_->isStream_, sendCount_ || events_.last(), choice.ahead_, route_->admittedWait_ };
     auto returnIn = refuseForWait(view, context_.settings_.admission_);
     if (!returnIn)
         return std::nullopt;
-    return refusal(503, "engines are busy for " + std::to_string(choice.ahead_.count()) + " ms", *returnIn);
+    return rejection(503, "engines are busy for " + std::to_string(choice.ahead_.count()) + " ms", *returnIn);
 }
 
 /// Every send passes here: first ones, repeats, and streams that move.
-std::optional<Forwarding::HeldAnswer> Forwarding::refuseQuarantined()
+std::optional<RequestForwarder::HeldAnswer> RequestForwarder::rejectQuarantined()
 {
     if (context_.quarantine_.isEmpty())
         return std::nullopt;
@@ -188,10 +188,10 @@
     logQuarantined(*quarantine);
     // Neither 503, whose promise that a request never runs invites its caller back, nor
     // 4xx: that the request itself is at fault is likely, not certain.
-    return refusal(502, "quarantined: " + std::to_string(quarantine->crashes_) + " backend servers crashed under this request", {});
+    return rejection(502, "quarantined: " + std::to_string(quarantine->crashes_) + " backend servers crashed under this request", {});
 }
 
-void Forwarding::logQuarantined(const Quarantine& quarantine)
+void RequestForwarder::logQuarantined(const Quarantine& quarantine)
 {
     LogLine line("Request is in quarantine.");
     line.add("id", id_).add("request", toString(fingerprint())).add("crashes", static_cast<std::int64_t>(quarantine.crashes_));
@@ -201,7 +201,7 @@
 }
 
 /// A whole answer, a failure too, shows that the request does not crash its server.
-void Forwarding::noteServed()
+void RequestForwarder::clearSuspicion()
 {
     if (context_.crashes_.isIdle())
         return;
@@ -209,27 +209,27 @@
         logger().info(LogLine("Request is no longer suspected.").add("id", id_).add("request", toString(fingerprint())));
 }
 
-asio::awaitable<void> Forwarding::serve()
+asio::awaitable<void> RequestForwarder::serve()
 {
     for (;;) {
-        if (auto refused = refuseQuarantined()) {
-            if (!held_)
-                held_ = std::move(refused);
+        if (auto rejected = rejectQuarantined()) {
+            if (!heldAnswer_)
+                heldAnswer_ = std::move(rejected);
             break;
         }
         auto choice = takeMoveTarget();
-        shape_.version_ = context_.rollouts_.assign(shape_.service_, routeKeyOf(route_->name_), sends_ ? RolloutBook::Send::Again : RolloutBook::Send::First, steadyNow());
+        shape_.version_ = context_.rollouts_.assign(shape_.service_, routeKeyOf(route_->name_), sendCount_ ? RolloutBook::Send::Again : RolloutBook::Send::First, steadyNow());
         if (!choice)
             choice = context_.backends_.choose(shape_, excluded_, steadyNow());
         if (!choice) {
             context_.backends_.refuseWithout(shape_);
             break;
         }
-        if (auto refused = refuseWait(*choice)) {
+        if (auto rejected = rejectLongWait(*choice)) {
             context_.backends_.refuse(*choice);
             context_.metrics_.add(Counter::RequestsRefused);
-            held_ = std::move(refused);
-            logRefusal(*held_);
+            heldAnswer_ = std::move(rejected);
+            logRejection(*heldAnswer_);
             break;
         }
         context_.backends_.accept(*choice);
@@ -237,122 +237,122 @@
         attempt.choice_ = std::move(*choice);
         attempt.startedAt_ = steadyNow();
         excluded_.insert(attempt.choice_.backend_.id_);
-        stopped_ = StopReason::None;
-        SendEnd end = co_await send(attempt);
+        stopReason_ = StopReason::None;
+        SendOutcome end = co_await send(attempt);
         finishAttempt(attempt, end);
-        if (end == SendEnd::Delivered || caller_->isGone())
+        if (end == SendOutcome::Delivered || caller_->isDisconnected())
             co_return;
-        if (end == SendEnd::Moved)
+        if (end == SendOutcome::Moved)
             continue;
-        if (end == SendEnd::Lost || end == SendEnd::Held)
+        if (end == SendOutcome::Lost || end == SendOutcome::Held)
             mayHaveRun_ = true;
-        if (!mayTryAgain(end))
+        if (!mayRetry(end))
             break;
         context_.metrics_.add(Counter::Retries);
-        logger().info(LogLine("Try again.").add("id", id_).add("after", attempt.choice_.backend_.id_.value_).add("sends", sends_).add("why", attempt.detail_).add("left_ms", timeLeft().count()));
+        logger().info(LogLine("Try again.").add("id", id_).add("after", attempt.choice_.backend_.id_.value_).add("sends", sendCount_).add("why", attempt.detail_).add("left_ms", timeLeft().count()));
         // A stopped engine has noticed its closed connection long before another
         // has begun: the close is sent first, on a path no longer than the send's.
     }
-    if (caller_->isGone())
+    if (caller_->isDisconnected())
         co_return;
-    if (hasBegunAnswer_) {
+    if (hasStartedAnswer_) {
         caller_->abort();
         co_return;
     }
-    if (!held_) {
-        held_ = finalFailure();
-        logRefusal(*held_);
+    if (!heldAnswer_) {
+        heldAnswer_ = finalFailure();
+        logRejection(*heldAnswer_);
     }
-    (void)co_await deliver(std::move(*held_));
+    (void)co_await deliver(std::move(*heldAnswer_));
 }
 
-asio::awaitable<bool> Forwarding::run()
+asio::awaitable<bool> RequestForwarder::run()
 {
     auto self = shared_from_this();
     context_.metrics_.add(Counter::RequestsAccepted);
-    if (auto refused = admit()) {
-        logRefusal(*refused);
-        bool isTaken = co_await deliver(std::move(*refused));
-        co_return isTaken&& keepsConnection_;
+    if (auto rejected = admit()) {
+        logRejection(*rejected);
+        bool isWritten = co_await deliver(std::move(*rejected));
+        co_return isWritten&& keepsConnection_;
     }
     context_.retries_.countRequest(shape_.service_, steadyNow());
-    patienceUntil_ = SteadyTime::max();
+    waitDeadline_ = SteadyTime::max();
     armTimer();
-    caller_->setGoneHook([this] { stop(StopReason::CallerGone); });
+    caller_->setDisconnectHook([this] { stop(StopReason::CallerDisconnected); });
     co_await serve();
-    caller_->setGoneHook(nullptr);
+    caller_->setDisconnectHook(nullptr);
     isFinished_ = true;
-    dropMove();
+    cancelMove();
     timer_.cancel();
-    if (!hasCountedBegin_ && hasQuota_ && !mayHaveRun_)
+    if (!hasCountedStart_ && hasQuota_ && !mayHaveRun_)
         context_.quotas_.giveBack(organisation_->name_, cost_);
-    co_return keepsConnection_ && !caller_->isGone();
+    co_return keepsConnection_ && !caller_->isDisconnected();
 }
 
-void Forwarding::finishAttempt(Attempt& attempt, SendEnd end)
+void RequestForwarder::finishAttempt(Attempt& attempt, SendOutcome end)
 {
     BackendOutcome outcome = BackendOutcome::Served;
     switch (end) {
-    case SendEnd::Delivered:
+    case SendOutcome::Delivered:
         outcome = BackendOutcome::Served;
         break;
-    case SendEnd::Held:
+    case SendOutcome::Held:
         outcome = BackendOutcome::Failed;
         break;
-    case SendEnd::NotRun:
+    case SendOutcome::NotRun:
         outcome = attempt.detail_ == "wrong_instance" ? BackendOutcome::WrongInstance : BackendOutcome::Full;
         break;
-    case SendEnd::Unreachable:
+    case SendOutcome::Unreachable:
         outcome = BackendOutcome::Unreachable;
         break;
-    case SendEnd::Lost:
+    case SendOutcome::Lost:
         outcome = BackendOutcome::Broken;
         break;
-    case SendEnd::Stopped:
-    case SendEnd::Withdrawn:
-    case SendEnd::Moved:
+    case SendOutcome::Stopped:
+    case SendOutcome::NotAccepting:
+    case SendOutcome::Moved:
         outcome = BackendOutcome::Abandoned;
         break;
-    case SendEnd::NoConnection:
+    case SendOutcome::NoConnection:
         outcome = BackendOutcome::Full;
         break;
     }
-    current_ = nullptr;
+    currentConnection_ = nullptr;
     SteadyTime now = steadyNow();
-    auto streamed = attempt.hasBegun_ ? std::chrono::duration_cast<milliseconds>(now - attempt.begunAt_) : milliseconds(0);
-    context_.backends_.end(attempt.choice_.backend_.id_, { outcome, attempt.choice_.uncached_, attempt.hasBegun_, streamed }, now);
+    auto streamed = attempt.hasFirstByte_ ? std::chrono::duration_cast<milliseconds>(now - attempt.firstByteAt_) : milliseconds(0);
+    context_.backends_.end(attempt.choice_.backend_.id_, { outcome, attempt.choice_.uncached_, attempt.hasFirstByte_, streamed }, now);
     auto took = std::chrono::duration_cast<milliseconds>(now - request_.receivedAt_);
     context_.metrics_.observe(Histogram::WholeAnswer, now - request_.receivedAt_);
-    noteVersion(attempt, outcome);
+    noteVersionOutcome(attempt, outcome);
     logAttempt(attempt, outcome, took);
     if (outcome == BackendOutcome::Broken && attempt.isCutOff_)
         noteCutOff(attempt);
-    if (end == SendEnd::Delivered || end == SendEnd::Held)
-        noteServed();
+    if (end == SendOutcome::Delivered || end == SendOutcome::Held)
+        clearSuspicion();
     lastDetail_ = attempt.detail_;
 }
 
-void Forwarding::noteVersion(const Attempt& attempt, BackendOutcome outcome)
+void RequestForwarder::noteVersionOutcome(const Attempt& attempt, BackendOutcome outcome)
 {
     if (context_.rollouts_.isEmpty() || !attempt.startedAt_.time_since_epoch().count())
         return;
     SteadyTime now = steadyNow();
-    AttemptOutcome shown;
-    shown.outcome_ = outcome;
-    shown.isFailure_ = finalStatus_ >= 500;
-    shown.isCutOff_ = attempt.isCutOff_;
-    shown.hasBegun_ = attempt.hasBegun_;
-    shown.waitRatio_ = attempt.waitRatio_;
-    shown.waited_ = std::chrono::duration_cast<milliseconds>((attempt.hasBegun_ ? attempt.begunAt_ : now) - attempt.startedAt_);
-    shown.estimate_ = attempt.choice_.estimate_;
+    AttemptOutcome observed;
+    observed.outcome_ = outcome;
+    observed.isFailure_ = finalStatus_ >= 500;
+    observed.isCutOff_ = attempt.isCutOff_;
+    observed.hasBegun_ = attempt.hasFirstByte_;
+    observed.waitRatio_ = attempt.waitRatio_;
+    observed.waited_ = std::chrono::duration_cast<milliseconds>((attempt.hasFirstByte_ ? attempt.firstByteAt_ : now) - attempt.startedAt_);
+    observed.estimate_ = attempt.choice_.estimate_;
     std::uint64_t events = events_.last().value_or(0) - std::min(events_.last().value_or(0), attempt.eventBefore_);
-    if (attempt.hasBegun_ && events > 1)
-        shown.eventGapMs_ = std::chrono::duration<double, std::milli>(now - attempt.begunAt_).count() / static_cast<double>(events - 1);
+    if (attempt.hasFirstByte_ && events > 1)
+        observed.eventGapMs_ = std::chrono::duration<double, std::milli>(now - attempt.firstByteAt_).count() / static_cast<double>(events - 1);
     const BackendRecord& backend = attempt.choice_.backend_;
-    context_.rollouts_.noteAnswer(shape_.service_, { backend.version_, keyOf(backend.id_), routeKeyOf(route_->name_), shown });
+    context_.rollouts_.noteAnswer(shape_.service_, { backend.version_, keyOf(backend.id_), routeKeyOf(route_->name_), observed });
 }
 
-RequestFingerprint Forwarding::fingerprint()
+RequestFingerprint RequestForwarder::fingerprint()
 {
     if (!fingerprint_) {
         std::string_view organisation = organisation_ ? std::string_view(organisation_->name_.value_) : std::string_view();
@@ -361,7 +361,7 @@
     return *fingerprint_;
 }
 
-void Forwarding::noteCutOff(const Attempt& attempt)
+void RequestForwarder::noteCutOff(const Attempt& attempt)
 {
     const BackendRecord& backend = attempt.choice_.backend_;
     auto known = context_.backends_.find(backend.id_);
@@ -373,31 +373,31 @@
     if (verdict.counted_)
         logCrash(context_, backend.id_, *verdict.counted_);
     if (verdict.needsProbe_)
-        asio::co_spawn(pool_.executor(), probeEnd(context_, backend), asio::detached);
+        asio::co_spawn(pool_.executor(), probeLiveness(context_, backend), asio::detached);
 }
 
-void Forwarding::logAttempt(const Attempt& attempt, BackendOutcome outcome, milliseconds took)
+void RequestForwarder::logAttempt(const Attempt& attempt, BackendOutcome outcome, milliseconds took)
 {
     const BackendChoice& choice = attempt.choice_;
     LogLine line("Attempt ended.");
-    line.add("id", id_).add("outcome", toString(outcome)).add("why", attempt.detail_).add("status", finalStatus_).add("attempt", sends_);
+    line.add("id", id_).add("outcome", toString(outcome)).add("why", attempt.detail_).add("status", finalStatus_).add("attempt", sendCount_);
     line.add("route", route_->name_).add("organisation", organisation_ ? organisation_->name_.value_ : "").add("configuration", static_cast<std::int64_t>(table_->version()));
     line.add("backend", choice.backend_.id_.value_).add("service", shape_.service_.value_).add("data_centre", choice.backend_.dataCentre_.value_).add("candidates", static_cast<std::int64_t>(choice.candidates_));
     line.add("estimate_ms", choice.estimate_.count()).add("running", static_cast<std::int64_t>(choice.running_)).add("queued_tokens", static_cast<std::int64_t>(choice.queuedAhead_.value_)).add("uncached_tokens", static_cast<std::int64_t>(choice.uncached_.value_));
     line.add("charged", static_cast<std::int64_t>(cost_)).add("shared_part", shape_.parts_.size() < 2 ? "" : shape_.parts_[shape_.parts_.size() - 2].id_);
     if (route_->isStream_)
         line.add("last_event", events_.last() ? static_cast<std::int64_t>(*events_.last()) : 0);
-    if (attempt.saysLeaving_)
+    if (attempt.reportsLeaving_)
         line.add("leaving", true);
     if (attempt.pause_.count())
         line.add("pause_ms", attempt.pause_.count());
     if (outcome == BackendOutcome::Broken)
         line.add("request", toString(fingerprint()));
-    line.add("first_byte_ms", firstByte_.count()).add("took_ms", took.count()).add("left_ms", timeLeft().count());
+    line.add("first_byte_ms", firstByteLatency_.count()).add("took_ms", took.count()).add("left_ms", timeLeft().count());
     logger().info(line);
 }
 
-void Forwarding::logRefusal(const HeldAnswer& answer) const
+void RequestForwarder::logRejection(const HeldAnswer& answer) const
 {
     LogLine line("Refused.");
     line.add("id", id_).add("status", answer.status_).add("why", std::string_view(answer.body_).substr(0, answer.body_.find('\n')));
@@ -406,16 +406,16 @@
     logger().info(line);
 }
 
-Forwarding::HeldAnswer Forwarding::finalFailure() const
+RequestForwarder::HeldAnswer RequestForwarder::finalFailure() const
 {
     // 503 promises that the request has not run and never will.
-    if (!mayHaveRun_ && stopped_ != StopReason::TimeOver) {
+    if (!mayHaveRun_ && stopReason_ != StopReason::DeadlineExceeded) {
         auto pause = context_.backends_.pauseOf(shape_.service_, steadyNow());
         std::string reason = pause ? "all backend servers asked for a pause" : "no backend server";
-        return refusal(503, lastDetail_.empty() ? reason : lastDetail_, std::max(retryFull, pause.value_or(retryFull)));
+        return rejection(503, lastDetail_.empty() ? reason : lastDetail_, std::max(fullRetryAfter, pause.value_or(fullRetryAfter)));
     }
-    int status = stopped_ == StopReason::TimeOver ? 504 : 502;
-    return refusal(status, lastDetail_.empty() ? "the backend server broke off" : lastDetail_, {});
+    int status = stopReason_ == StopReason::DeadlineExceeded ? 504 : 502;
+    return rejection(status, lastDetail_.empty() ? "the backend server broke off" : lastDetail_, {});
 }
 
 } // namespace pistachioloom
--- a/lib/Forward/Forwarding.h
+++ b/lib/Forward/RequestForwarder.h
@@ -1,4 +1,4 @@
-//===- lib/Forward/Forwarding.h - the course of one request ----------------===//
+//===- lib/Forward/RequestForwarder.h - the course of one request ----------------===//
 ///
 /// \file
 /// From a whole request to its one final answer: admission, choice, sends to
@@ -6,17 +6,17 @@
 //===----------------------------------------------------------------------===//
 #pragma once
 
-#include "BackendPool.h"
+#include "ConnectionPool.h"
 #include "CallerConnection.h"
 #include "EventSplitter.h"
-#include "Signal.h"
+#include "AutoResetEvent.h"
 
 #include <boost/beast/http.hpp>
 
 namespace pistachioloom {
 
 /// How one send to a backend server ended, as far as the request goes.
-enum class SendEnd {
+enum class SendOutcome {
     /// The caller has the whole answer.
     Delivered,
     /// The answer is whole and held; it may be delivered or repeated.
@@ -32,7 +32,7 @@
     /// All connections that this node may open there are in use.
     NoConnection,
     /// Nothing was sent: the backend server takes no new work any more.
-    Withdrawn,
+    NotAccepting,
     /// It was stopped to go on at another engine, which has its KV cache.
     Moved,
 };
@@ -40,16 +40,16 @@
 /// Why work on a request was stopped from outside.
 enum class StopReason {
     None,
-    CallerGone,
+    CallerDisconnected,
     /// The caller's deadline or the route's timeout.
-    TimeOver,
+    DeadlineExceeded,
     /// The backend server was silent for too long.
-    Silence,
+    WaitLimitExceeded,
 };
 
-class Forwarding : public std::enable_shared_from_this<Forwarding> {
+class RequestForwarder : public std::enable_shared_from_this<RequestForwarder> {
 public:
-    Forwarding(ForwardContext& context, BackendPool& pool, std::shared_ptr<CallerConnection> caller, CallerRequest request);
+    RequestForwarder(ForwardContext& context, ConnectionPool& pool, std::shared_ptr<CallerConnection> caller, CallerRequest request);
 
     /// Serves the request. \returns whether the connection may be kept.
     asio::awaitable<bool> run();
@@ -62,12 +62,12 @@
         BackendChoice choice_;
         BackendConnectionPtr connection_;
         SteadyTime startedAt_ {};
-        bool hasBegun_ = false;
-        SteadyTime begunAt_ {};
+        bool hasFirstByte_ = false;
+        SteadyTime firstByteAt_ {};
         /// The backend server closed the connection before its answer was whole.
         bool isCutOff_ = false;
         /// Its answer said that the backend server is leaving.
-        bool saysLeaving_ = false;
+        bool reportsLeaving_ = false;
         /// Its answer asked for a pause.
         milliseconds pause_ {};
         /// The wait for the first byte, as a multiple of the estimate.
@@ -91,51 +91,51 @@
 
     // Attempts.
     asio::awaitable<void> serve();
-    asio::awaitable<SendEnd> send(Attempt& attempt);
-    asio::awaitable<SendEnd> connect(Attempt& attempt);
+    asio::awaitable<SendOutcome> send(Attempt& attempt);
+    asio::awaitable<SendOutcome> connect(Attempt& attempt);
     bool mayConnect(const BackendId& backend) const;
-    asio::awaitable<SendEnd> receive(Attempt& attempt);
-    asio::awaitable<SendEnd> receiveWhole(Attempt& attempt, Parser& parser);
-    asio::awaitable<SendEnd> relayEvents(Attempt& attempt, Parser& parser);
+    asio::awaitable<SendOutcome> receive(Attempt& attempt);
+    asio::awaitable<SendOutcome> receiveFullAnswer(Attempt& attempt, Parser& parser);
+    asio::awaitable<SendOutcome> forwardEvents(Attempt& attempt, Parser& parser);
     asio::awaitable<boost::beast::error_code> readSome(Attempt& attempt, Parser& parser);
-    bool mayTryAgain(SendEnd end);
+    bool mayRetry(SendOutcome end);
     /// The answer to a request that would wait for too long; see Admission.h.
-    std::optional<HeldAnswer> refuseWait(const BackendChoice& choice) const;
-    bool mayGoElsewhere(const Attempt& attempt) const;
-    asio::awaitable<SendEnd> afterBreak(Attempt& attempt, const boost::system::error_code& code);
+    std::optional<HeldAnswer> rejectLongWait(const BackendChoice& choice) const;
+    bool mayRetryElsewhere(const Attempt& attempt) const;
+    asio::awaitable<SendOutcome> handleStreamBreak(Attempt& attempt, const boost::system::error_code& code);
 
     // Moves of a running stream.
     bool shouldMove(const Attempt& attempt) const;
     void startMove(const Attempt& attempt);
     asio::awaitable<void> move(BackendRecord from, BackendChoice to);
     std::optional<BackendChoice> takeMoveTarget();
-    void giveUpTarget(const BackendChoice& to);
-    void dropMove();
-    void finishAttempt(Attempt& attempt, SendEnd end);
+    void releaseTarget(const BackendChoice& to);
+    void cancelMove();
+    void finishAttempt(Attempt& attempt, SendOutcome end);
     /// Finds out, beside the request, whether the backend server that cut it off ended.
     void noteCutOff(const Attempt& attempt);
     /// Counts for or against the version of the attempt's backend server.
-    void noteVersion(const Attempt& attempt, BackendOutcome outcome);
+    void noteVersionOutcome(const Attempt& attempt, BackendOutcome outcome);
     RequestFingerprint fingerprint();
     /// The answer to a request that is in quarantine.
-    std::optional<HeldAnswer> refuseQuarantined();
-    void noteServed();
+    std::optional<HeldAnswer> rejectQuarantined();
+    void clearSuspicion();
     void logAttempt(const Attempt& attempt, BackendOutcome outcome, milliseconds took);
     void logQuarantined(const Quarantine& quarantine);
-    void logRefusal(const HeldAnswer& answer) const;
-    std::optional<SendEnd> checkHead(Attempt& attempt, const Parser& parser);
+    void logRejection(const HeldAnswer& answer) const;
+    std::optional<SendOutcome> checkAnswerHead(Attempt& attempt, const Parser& parser);
     /// What the backend server says of itself, in whatever answer.
-    void noteSignals(Attempt& attempt, const Parser& parser);
+    void noteBackendState(Attempt& attempt, const Parser& parser);
     void startWriting(Attempt& attempt);
-    std::string headFor(const BackendRecord& backend) const;
-    void noteBegun(Attempt& attempt);
+    std::string renderRequestHead(const BackendRecord& backend) const;
+    void noteFirstByte(Attempt& attempt);
     void releaseConnection(Attempt& attempt, const Parser& parser);
 
     // Answers.
     asio::awaitable<bool> deliver(HeldAnswer answer);
-    asio::awaitable<bool> beginEvents(const HeaderFields& fields);
-    asio::awaitable<bool> passEvents(std::string events);
-    HeldAnswer refusal(int status, std::string reason, milliseconds retryAfter) const;
+    asio::awaitable<bool> startEvents(const HeaderFields& fields);
+    asio::awaitable<bool> writeEvents(std::string events);
+    HeldAnswer rejection(int status, std::string reason, milliseconds retryAfter) const;
     HeldAnswer finalFailure() const;
     /// The idle limit that an answer announces; nullopt if the connection closes after it.
     std::optional<milliseconds> announcedIdle();
@@ -148,7 +148,7 @@
     bool isHead() const { return equalWithoutCase(request_.method_, "HEAD"); }
 
     ForwardContext& context_;
-    BackendPool& pool_;
+    ConnectionPool& pool_;
     std::shared_ptr<CallerConnection> caller_;
     CallerRequest request_;
     std::string id_;
@@ -162,17 +162,17 @@
     bool hasQuota_ = false;
 
     SteadyTime deadline_ {};
-    SteadyTime patienceUntil_ {};
+    SteadyTime waitDeadline_ {};
     SteadyTimer timer_;
-    StopReason stopped_ = StopReason::None;
-    BackendConnectionPtr current_;
+    StopReason stopReason_ = StopReason::None;
+    BackendConnectionPtr currentConnection_;
 
     std::set<BackendId> excluded_;
-    unsigned sends_ = 0;
-    unsigned unreachable_ = 0;
+    unsigned sendCount_ = 0;
+    unsigned connectFailures_ = 0;
     bool mayHaveRun_ = false;
-    bool hasCountedBegin_ = false;
-    bool hasBegunAnswer_ = false;
+    bool hasCountedStart_ = false;
+    bool hasStartedAnswer_ = false;
     bool isFinished_ = false;
     bool keepsConnection_ = false;
     EventSplitter events_ { std::nullopt };
@@ -183,10 +183,10 @@
         {
         }
 
-        Signal done_;
-        bool isOver_ = false;
+        AutoResetEvent done_;
+        bool isDone_ = false;
         /// The stream goes on without it.
-        bool isDropped_ = false;
+        bool isCancelled_ = false;
         /// Set once the stream is stopped and its KV cache is there.
         std::optional<BackendChoice> to_;
         std::string resumeFrom_;
@@ -194,12 +194,12 @@
     std::shared_ptr<Move> move_;
     /// Sent with the next attempt, once.
     std::string resumeFrom_;
-    std::optional<HeldAnswer> held_;
+    std::optional<HeldAnswer> heldAnswer_;
     /// Worked out when it is first needed: most requests never need theirs.
     std::optional<RequestFingerprint> fingerprint_;
     std::string lastDetail_;
     /// From the request's arrival to the first byte of an answer.
-    milliseconds firstByte_ {};
+    milliseconds firstByteLatency_ {};
     int finalStatus_ = 0;
 };
 
--- a/lib/Forward/RequestReader.cpp
+++ b/lib/Forward/RequestReader.cpp
@@ -36,7 +36,7 @@
     return std::nullopt;
 }
 
-std::optional<BadRequest> checkHead(std::string_view head)
+std::optional<BadRequest> checkRequestHead(std::string_view head)
 {
     if (auto bad = checkLineEnds(head))
         return bad;
@@ -44,7 +44,7 @@
     int encodings = 0;
     int hosts = 0;
     std::size_t at = head.find("\r\n");
-    bool isOldVersion = head.substr(0, at).ends_with("HTTP/1.0");
+    bool isHttp10 = head.substr(0, at).ends_with("HTTP/1.0");
     for (at += 2; at + 2 < head.size();) {
         std::size_t end = head.find("\r\n", at);
         std::string_view line = head.substr(at, end - at);
@@ -70,16 +70,16 @@
                 return BadRequest { 400, "a transfer encoding other than chunked" };
         }
     }
-    if (lengths + encodings > 1 || (encodings && isOldVersion))
+    if (lengths + encodings > 1 || (encodings && isHttp10))
         return BadRequest { 400, "more than one way to tell the body's length" };
-    if (hosts > 1 || (!hosts && !isOldVersion))
+    if (hosts > 1 || (!hosts && !isHttp10))
         return BadRequest { 400, "not exactly one host" };
     return std::nullopt;
 }
 
 RequestReader::RequestReader(const CallerBounds& bounds, SteadyTime now)
     : bounds_(bounds)
-    , began_(now)
+    , startedAt_(now)
 {
     parser_.eager(true);
     // The bound on the head is checked here, with its own answer.
@@ -108,7 +108,7 @@
             return fail(bad->status_, bad->reason_);
         return Progress::NeedsMore;
     }
-    if (auto bad = checkHead(std::string_view(input).substr(0, length)))
+    if (auto bad = checkRequestHead(std::string_view(input).substr(0, length)))
         return fail(bad->status_, bad->reason_);
     return Progress::Done;
 }
@@ -126,7 +126,7 @@
         input.erase(0, taken);
         if (parser_.is_header_done() && !hasHead_) {
             hasHead_ = true;
-            expects_ = equalWithoutCase(std::string_view(parser_.get()[http::field::expect].data(), parser_.get()[http::field::expect].size()), "100-continue");
+            expectsContinue_ = equalWithoutCase(std::string_view(parser_.get()[http::field::expect].data(), parser_.get()[http::field::expect].size()), "100-continue");
         }
         if (code == http::error::need_more)
             break;
@@ -140,9 +140,9 @@
     return parser_.is_done() ? Progress::Done : Progress::NeedsMore;
 }
 
-bool RequestReader::takeExpectation()
+bool RequestReader::takeContinueExpectation()
 {
-    return std::exchange(expects_, false);
+    return std::exchange(expectsContinue_, false);
 }
 
 CallerRequest RequestReader::take()
@@ -152,8 +152,8 @@
     request.method_ = std::string(message.method_string());
     request.target_ = std::string(message.target());
     request.isKeepAlive_ = message.keep_alive();
-    request.isOldVersion_ = message.version() < 11;
-    request.receivedAt_ = began_;
+    request.isHttp10_ = message.version() < 11;
+    request.receivedAt_ = startedAt_;
     for (const auto& field : message)
         request.fields_.push_back({ std::string(field.name_string()), std::string(field.value()) });
     request.body_ = std::move(message.body());
--- a/lib/Forward/RequestReader.h
+++ b/lib/Forward/RequestReader.h
@@ -20,7 +20,7 @@
     std::string body_;
     bool isKeepAlive_ = true;
     /// Version 1.0: answers are ended by closing.
-    bool isOldVersion_ = false;
+    bool isHttp10_ = false;
     SteadyTime receivedAt_ {};
 
     std::string_view path() const { return std::string_view(target_).substr(0, target_.find('?')); }
@@ -35,7 +35,7 @@
 
 /// Checks what the library's parser lets pass: line ends, folded lines, and
 /// more than one way to tell the body's length. \p head ends with the blank line.
-std::optional<BadRequest> checkHead(std::string_view head);
+std::optional<BadRequest> checkRequestHead(std::string_view head);
 
 /// Reads one request from bytes that arrive in pieces.
 class RequestReader {
@@ -53,7 +53,7 @@
     /// Whether the head is whole and the body is awaited.
     bool hasHead() const { return hasHead_; }
     /// Whether the caller waits for leave to send the body; true once.
-    bool takeExpectation();
+    bool takeContinueExpectation();
     const BadRequest& problem() const { return problem_; }
     CallerRequest take();
 
@@ -62,10 +62,10 @@
     Progress feedHead(std::string& input);
 
     CallerBounds bounds_;
-    SteadyTime began_;
+    SteadyTime startedAt_;
     boost::beast::http::request_parser<boost::beast::http::string_body> parser_;
     bool hasHead_ = false;
-    bool expects_ = false;
+    bool expectsContinue_ = false;
     BadRequest problem_;
 };
 
--- a/lib/Forward/Sending.cpp
+++ b/lib/Forward/Sending.cpp
@@ -5,7 +5,7 @@
 /// believed only from the instance that was meant, for the request that was
 /// sent, and whole.
 //===----------------------------------------------------------------------===//
-#include "Forwarding.h"
+#include "RequestForwarder.h"
 
 #include <boost/algorithm/string.hpp>
 
@@ -17,10 +17,10 @@
 
 // Silence before a first event that means more than a long queue, as a multiple of
 // the latency objective: queues on high-load days stay below two objectives.
-static constexpr int objectivesOfPatience = 3;
+static constexpr int waitLimitObjectives = 3;
 // A pause that a backend server asks for in a form that is not understood, such as a
 // date: clocks may differ by more than it is long.
-static constexpr milliseconds unreadablePause { 1000 };
+static constexpr milliseconds defaultPause { 1000 };
 // Bytes asked of a backend server's connection at once.
 static constexpr std::size_t readSize = 4UL * 1024;
 
@@ -46,7 +46,7 @@
     return fields;
 }
 
-std::string Forwarding::headFor(const BackendRecord& backend) const
+std::string RequestForwarder::renderRequestHead(const BackendRecord& backend) const
 {
     const ForwardHeaderNames& names = context_.names_;
     std::vector<std::string> options = connectionOptions(request_.fields_);
@@ -78,56 +78,56 @@
 
 /// A backend server resets connections beyond those that it accepts from all nodes
 /// together, so each worker of each node keeps to its share.
-bool Forwarding::mayConnect(const BackendId& backend) const
+bool RequestForwarder::mayConnect(const BackendId& backend) const
 {
     const ServicePolicy* service = table_->findService(shape_.service_);
     std::uint64_t sharers = std::max<std::uint64_t>(1, context_.nodes_ * context_.workers_);
     std::uint64_t share = std::max<std::uint64_t>(1, service ? service->mostConnections_ / sharers : 1);
-    return pool_.openTo(backend) < share;
+    return pool_.openCount(backend) < share;
 }
 
-asio::awaitable<SendEnd> Forwarding::connect(Attempt& attempt)
+asio::awaitable<SendOutcome> RequestForwarder::connect(Attempt& attempt)
 {
     const BackendRecord& backend = attempt.choice_.backend_;
     attempt.connection_ = pool_.take(backend.id_, steadyNow());
     if (attempt.connection_) {
-        current_ = attempt.connection_;
-        co_return SendEnd::Held;
+        currentConnection_ = attempt.connection_;
+        co_return SendOutcome::Held;
     }
     if (!mayConnect(backend.id_)) {
         attempt.detail_ = "no_connection_left";
-        co_return SendEnd::NoConnection;
+        co_return SendOutcome::NoConnection;
     }
     attempt.connection_ = pool_.make(backend.id_);
-    current_ = attempt.connection_;
+    currentConnection_ = attempt.connection_;
     beast::error_code invalid;
     tcp::endpoint address(asio::ip::make_address(backend.endpoint_.host_, invalid), backend.endpoint_.port_);
     if (invalid) {
         attempt.detail_ = "bad_address";
-        co_return SendEnd::Unreachable;
+        co_return SendOutcome::Unreachable;
     }
-    patienceUntil_ = steadyNow() + context_.settings_.connectTimeout_;
+    waitDeadline_ = steadyNow() + context_.settings_.connectTimeout_;
     armTimer();
     auto [code] = co_await attempt.connection_->socket_.async_connect(address, asTuple);
-    patienceUntil_ = SteadyTime::max();
+    waitDeadline_ = SteadyTime::max();
     if (!code) {
         context_.backends_.noteReached(backend.id_);
         beast::error_code ignored;
         attempt.connection_->socket_.set_option(tcp::no_delay(true), ignored);
-        co_return SendEnd::Held;
+        co_return SendOutcome::Held;
     }
-    attempt.detail_ = stopped_ == StopReason::Silence ? "connect_timeout" : "connect:" + code.message();
-    bool isOver = stopped_ == StopReason::CallerGone || stopped_ == StopReason::TimeOver;
-    co_return isOver ? SendEnd::Stopped : SendEnd::Unreachable;
+    attempt.detail_ = stopReason_ == StopReason::WaitLimitExceeded ? "connect_timeout" : "connect:" + code.message();
+    bool isOver = stopReason_ == StopReason::CallerDisconnected || stopReason_ == StopReason::DeadlineExceeded;
+    co_return isOver ? SendOutcome::Stopped : SendOutcome::Unreachable;
 }
 
-void Forwarding::startWriting(Attempt& attempt)
+void RequestForwarder::startWriting(Attempt& attempt)
 {
     struct Outgoing {
         std::string head_;
-        std::shared_ptr<Forwarding> owner_;
+        std::shared_ptr<RequestForwarder> owner_;
     };
-    auto outgoing = std::make_shared<Outgoing>(Outgoing { headFor(attempt.choice_.backend_), shared_from_this() });
+    auto outgoing = std::make_shared<Outgoing>(Outgoing { renderRequestHead(attempt.choice_.backend_), shared_from_this() });
     resumeFrom_.clear();
     std::array<asio::const_buffer, 2> buffers { asio::buffer(outgoing->head_), asio::buffer(request_.body_) };
     attempt.connection_->isWriting_ = true;
@@ -138,15 +138,15 @@
 
 /// Whether silence is worth ending: with nowhere else to go, the backend server
 /// has all the time that is left.
-bool Forwarding::mayGoElsewhere(const Attempt& attempt) const
+bool RequestForwarder::mayRetryElsewhere(const Attempt& attempt) const
 {
-    return route_->mayRepeat() && sends_ < route_->mostAttempts_ && attempt.choice_.candidates_ > 1;
+    return route_->mayRepeat() && sendCount_ < route_->mostAttempts_ && attempt.choice_.candidates_ > 1;
 }
 
-asio::awaitable<SendEnd> Forwarding::send(Attempt& attempt)
+asio::awaitable<SendOutcome> RequestForwarder::send(Attempt& attempt)
 {
-    SendEnd connected = co_await connect(attempt);
-    if (connected != SendEnd::Held) {
+    SendOutcome connected = co_await connect(attempt);
+    if (connected != SendOutcome::Held) {
         if (attempt.connection_)
             attempt.connection_->abort();
         co_return connected;
@@ -156,37 +156,37 @@
         attempt.connection_->abort();
         attempt.detail_ = "no_longer_accepts";
         resumeFrom_.clear();
-        co_return SendEnd::Withdrawn;
+        co_return SendOutcome::NotAccepting;
     }
     // Its time may have run out while the VM was suspended, before any timer fires.
     if (timeLeft() <= milliseconds(0)) {
         attempt.connection_->abort();
         attempt.detail_ = "time_over";
-        stopped_ = StopReason::TimeOver;
-        co_return SendEnd::Stopped;
+        stopReason_ = StopReason::DeadlineExceeded;
+        co_return SendOutcome::Stopped;
     }
-    ++sends_;
+    ++sendCount_;
     context_.metrics_.add(Counter::Attempts);
     context_.rollouts_.noteSent(shape_.service_, attempt.choice_.backend_.version_);
     attempt.eventBefore_ = events_.last().value_or(0);
-    if (mayGoElsewhere(attempt)) {
-        auto patience = std::chrono::duration_cast<milliseconds>(timeLeft() * context_.settings_.patienceShare_);
+    if (mayRetryElsewhere(attempt)) {
+        auto waitLimit = std::chrono::duration_cast<milliseconds>(timeLeft() * context_.settings_.waitLimitShare_);
         if (route_->isStream_)
-            patience = std::min(patience, std::max(objectivesOfPatience * route_->objective_, attempt.choice_.estimate_ * 2));
-        patienceUntil_ = steadyNow() + patience;
+            waitLimit = std::min(waitLimit, std::max(waitLimitObjectives * route_->objective_, attempt.choice_.estimate_ * 2));
+        waitDeadline_ = steadyNow() + waitLimit;
         armTimer();
     }
     startWriting(attempt);
-    SendEnd end = co_await receive(attempt);
-    patienceUntil_ = SteadyTime::max();
-    if (end != SendEnd::Delivered && attempt.connection_)
+    SendOutcome end = co_await receive(attempt);
+    waitDeadline_ = SteadyTime::max();
+    if (end != SendOutcome::Delivered && attempt.connection_)
         attempt.connection_->abort();
-    if ((end == SendEnd::Lost) && (stopped_ == StopReason::CallerGone || stopped_ == StopReason::TimeOver)) {
+    if ((end == SendOutcome::Lost) && (stopReason_ == StopReason::CallerDisconnected || stopReason_ == StopReason::DeadlineExceeded)) {
         mayHaveRun_ = true;
-        attempt.detail_ = stopped_ == StopReason::CallerGone ? "caller_gone" : "time_over";
-        co_return SendEnd::Stopped;
+        attempt.detail_ = stopReason_ == StopReason::CallerDisconnected ? "caller_gone" : "time_over";
+        co_return SendOutcome::Stopped;
     }
-    if (end == SendEnd::Lost && stopped_ == StopReason::Silence)
+    if (end == SendOutcome::Lost && stopReason_ == StopReason::WaitLimitExceeded)
         attempt.detail_ = "silent";
     co_return end;
 }
@@ -194,7 +194,7 @@
 /// Reads until the body has grown or the message is whole. The library's own
 /// read_some goes on until a message is whole, which holds back events by up to
 /// the length of their stream.
-asio::awaitable<beast::error_code> Forwarding::readSome(Attempt& attempt, Parser& parser)
+asio::awaitable<beast::error_code> RequestForwarder::readSome(Attempt& attempt, Parser& parser)
 {
     beast::flat_buffer& buffer = attempt.connection_->buffer_;
     for (;;) {
@@ -205,9 +205,9 @@
             co_return code;
         if (parser.is_done() || !parser.get().body().empty())
             co_return beast::error_code {};
-        bool isDrained = attempt.connection_->isDrained();
+        bool isReceiveBufferEmpty = attempt.connection_->isReceiveBufferEmpty();
         auto [readCode, count] = co_await attempt.connection_->socket_.async_read_some(buffer.prepare(readSize), asTuple);
-        if (isDrained)
+        if (isReceiveBufferEmpty)
             attempt.connection_->arrivedAt_ = steadyNow();
         if (readCode == asio::error::eof) {
             // An answer without a length ends here; any other is cut off.
@@ -220,52 +220,52 @@
     }
 }
 
-void Forwarding::noteSignals(Attempt& attempt, const Parser& parser)
+void RequestForwarder::noteBackendState(Attempt& attempt, const Parser& parser)
 {
     const auto& message = parser.get();
     // Another server has the address of the one that was meant.
     if (message.result_int() == 421)
         return;
     std::string_view leaving = view(message[context_.names_.leaving_]);
-    attempt.saysLeaving_ = !leaving.empty() && leaving != "0";
+    attempt.reportsLeaving_ = !leaving.empty() && leaving != "0";
     const BackendId& backend = attempt.choice_.backend_.id_;
-    if (attempt.saysLeaving_ && context_.backends_.setLeaving(backend, steadyNow()))
+    if (attempt.reportsLeaving_ && context_.backends_.setLeaving(backend, steadyNow()))
         context_.hooks_.onLeaving_(backend);
     if (message.result_int() != 503 || message.find(http::field::retry_after) == message.end())
         return;
-    attempt.pause_ = parseRetryAfter(view(message[http::field::retry_after])).value_or(unreadablePause);
+    attempt.pause_ = parseRetryAfter(view(message[http::field::retry_after])).value_or(defaultPause);
     context_.backends_.setPause(backend, attempt.pause_, steadyNow());
 }
 
 /// What the head alone decides; nullopt to read on.
-std::optional<SendEnd> Forwarding::checkHead(Attempt& attempt, const Parser& parser)
+std::optional<SendOutcome> RequestForwarder::checkAnswerHead(Attempt& attempt, const Parser& parser)
 {
     const auto& message = parser.get();
     int status = static_cast<int>(message.result_int());
     if (status == 421) {
         attempt.detail_ = "wrong_instance";
-        return SendEnd::NotRun;
+        return SendOutcome::NotRun;
     }
     std::string_view echoed = view(message[context_.names_.attempt_]);
     bool isOurs = id_.empty() || echoed == id_;
     if (!isOurs && !(echoed.empty() && status >= 400)) {
         attempt.detail_ = "other_answer";
-        return SendEnd::Lost;
+        return SendOutcome::Lost;
     }
     if (message.find(context_.names_.notRun_) != message.end()) {
         attempt.detail_ = "not_run:" + std::to_string(status);
-        return SendEnd::NotRun;
+        return SendOutcome::NotRun;
     }
     bool isSuccess = status >= 200 && status < 300;
     bool hasSeal = !view(message[context_.names_.seal_]).empty();
     if (isSuccess && (!hasSeal || !view(message["Content-Encoding"]).empty())) {
         attempt.detail_ = "unproven_answer";
-        return SendEnd::Lost;
+        return SendOutcome::Lost;
     }
     return std::nullopt;
 }
 
-asio::awaitable<SendEnd> Forwarding::receive(Attempt& attempt)
+asio::awaitable<SendOutcome> RequestForwarder::receive(Attempt& attempt)
 {
     for (;;) {
         Parser parser;
@@ -278,56 +278,56 @@
         if (code) {
             attempt.detail_ = "head:" + code.message();
             attempt.isCutOff_ = isDisconnect(code);
-            co_return SendEnd::Lost;
+            co_return SendOutcome::Lost;
         }
         attempt.connection_->arrivedAt_ = steadyNow();
         context_.backends_.noteReached(attempt.choice_.backend_.id_);
         if (parser.get().result_int() / 100 == 1)
             continue;
-        noteSignals(attempt, parser);
-        if (auto decided = checkHead(attempt, parser))
+        noteBackendState(attempt, parser);
+        if (auto decided = checkAnswerHead(attempt, parser))
             co_return *decided;
         parser.eager(true);
         bool isSuccess = parser.get().result_int() / 100 == 2;
         if (route_->isStream_ && isSuccess && !isHead())
-            co_return co_await relayEvents(attempt, parser);
-        co_return co_await receiveWhole(attempt, parser);
+            co_return co_await forwardEvents(attempt, parser);
+        co_return co_await receiveFullAnswer(attempt, parser);
     }
 }
 
-void Forwarding::noteBegun(Attempt& attempt)
+void RequestForwarder::noteFirstByte(Attempt& attempt)
 {
-    if (attempt.hasBegun_)
+    if (attempt.hasFirstByte_)
         return;
-    attempt.hasBegun_ = true;
-    attempt.begunAt_ = steadyNow();
-    auto wait = std::chrono::duration_cast<milliseconds>(attempt.begunAt_ - attempt.startedAt_);
+    attempt.hasFirstByte_ = true;
+    attempt.firstByteAt_ = steadyNow();
+    auto wait = std::chrono::duration_cast<milliseconds>(attempt.firstByteAt_ - attempt.startedAt_);
     attempt.waitRatio_ = context_.backends_.began(attempt.choice_, shape_, wait);
-    if (hasCountedBegin_)
+    if (hasCountedStart_)
         return;
-    hasCountedBegin_ = true;
-    firstByte_ = std::chrono::duration_cast<milliseconds>(steadyNow() - request_.receivedAt_);
+    hasCountedStart_ = true;
+    firstByteLatency_ = std::chrono::duration_cast<milliseconds>(steadyNow() - request_.receivedAt_);
     context_.metrics_.observe(Histogram::FirstToken, steadyNow() - request_.receivedAt_);
     if (organisation_)
-        context_.hooks_.onBegan_(organisation_->name_);
+        context_.hooks_.onStarted_(organisation_->name_);
 }
 
-asio::awaitable<SendEnd> Forwarding::receiveWhole(Attempt& attempt, Parser& parser)
+asio::awaitable<SendOutcome> RequestForwarder::receiveFullAnswer(Attempt& attempt, Parser& parser)
 {
     std::string body;
     while (!parser.is_done()) {
         if (auto code = co_await readSome(attempt, parser)) {
             attempt.detail_ = "body:" + code.message();
             attempt.isCutOff_ = isDisconnect(code);
-            co_return SendEnd::Lost;
+            co_return SendOutcome::Lost;
         }
         body.append(std::exchange(parser.get().body(), {}));
-        if (body.size() > context_.settings_.longestAnswer_.value_) {
+        if (body.size() > context_.settings_.maxAnswerSize_.value_) {
             attempt.detail_ = "answer_too_large";
-            co_return SendEnd::Lost;
+            co_return SendOutcome::Lost;
         }
     }
-    noteBegun(attempt);
+    noteFirstByte(attempt);
     HeldAnswer answer { static_cast<int>(parser.get().result_int()), fieldsOf(parser, context_.names_), std::move(body) };
     finalStatus_ = answer.status_;
     releaseConnection(attempt, parser);
@@ -335,14 +335,14 @@
     if (isServerFailure && route_->mayRepeat()) {
         // Another may do better; if none may be asked, this answer stands.
         attempt.detail_ = "failed:" + std::to_string(answer.status_);
-        held_ = std::move(answer);
-        co_return SendEnd::Held;
+        heldAnswer_ = std::move(answer);
+        co_return SendOutcome::Held;
     }
-    bool isTaken = co_await deliver(std::move(answer));
-    co_return isTaken ? SendEnd::Delivered : SendEnd::Stopped;
+    bool isWritten = co_await deliver(std::move(answer));
+    co_return isWritten ? SendOutcome::Delivered : SendOutcome::Stopped;
 }
 
-asio::awaitable<SendEnd> Forwarding::relayEvents(Attempt& attempt, Parser& parser)
+asio::awaitable<SendOutcome> RequestForwarder::forwardEvents(Attempt& attempt, Parser& parser)
 {
     HeaderFields fields = fieldsOf(parser, context_.names_);
     // An engine may have stopped in the middle of an event before this one.
@@ -351,50 +351,50 @@
     while (!parser.is_done()) {
         if (auto code = co_await readSome(attempt, parser)) {
             attempt.isCutOff_ = isDisconnect(code);
-            co_return co_await afterBreak(attempt, code);
+            co_return co_await handleStreamBreak(attempt, code);
         }
         std::string events = events_.take(parser.get().body());
         parser.get().body().clear();
-        if (events_.isBroken()) {
+        if (events_.hasGap()) {
             attempt.detail_ = "event_missing";
-            co_return SendEnd::Lost;
+            co_return SendOutcome::Lost;
         }
         if (events.empty())
             continue;
-        noteBegun(attempt);
-        if (mayGoElsewhere(attempt)) {
-            patienceUntil_ = steadyNow() + context_.settings_.streamSilence_;
+        noteFirstByte(attempt);
+        if (mayRetryElsewhere(attempt)) {
+            waitDeadline_ = steadyNow() + context_.settings_.streamStallTimeout_;
             // The timer looks again when it fires; it is set only if it would
             // fire too late.
-            if (timer_.expiry() > patienceUntil_)
+            if (timer_.expiry() > waitDeadline_)
                 armTimer();
         }
-        if (!hasBegunAnswer_ && !co_await beginEvents(fields))
-            co_return SendEnd::Stopped;
-        if (!co_await passEvents(std::move(events)))
-            co_return SendEnd::Stopped;
+        if (!hasStartedAnswer_ && !co_await startEvents(fields))
+            co_return SendOutcome::Stopped;
+        if (!co_await writeEvents(std::move(events)))
+            co_return SendOutcome::Stopped;
         if (shouldMove(attempt))
             startMove(attempt);
     }
     if (events_.hasPartial()) {
         attempt.detail_ = "event_cut";
-        co_return SendEnd::Lost;
+        co_return SendOutcome::Lost;
     }
     releaseConnection(attempt, parser);
-    if (!hasBegunAnswer_ && !co_await beginEvents(fields))
-        co_return SendEnd::Stopped;
-    if (request_.isOldVersion_)
-        co_return SendEnd::Delivered;
+    if (!hasStartedAnswer_ && !co_await startEvents(fields))
+        co_return SendOutcome::Stopped;
+    if (request_.isHttp10_)
+        co_return SendOutcome::Delivered;
     std::string lastChunk = "0\r\n\r\n";
-    bool isTaken = co_await caller_->write(std::move(lastChunk));
-    co_return isTaken ? SendEnd::Delivered : SendEnd::Stopped;
+    bool isWritten = co_await caller_->write(std::move(lastChunk));
+    co_return isWritten ? SendOutcome::Delivered : SendOutcome::Stopped;
 }
 
 /// Keeps the connection if nothing speaks against it.
-void Forwarding::releaseConnection(Attempt& attempt, const Parser& parser)
+void RequestForwarder::releaseConnection(Attempt& attempt, const Parser& parser)
 {
     BackendConnectionPtr connection = std::move(attempt.connection_);
-    current_ = nullptr;
+    currentConnection_ = nullptr;
     if (!parser.get().keep_alive() || parser.need_eof() || connection->isWriting_ || connection->buffer_.size()) {
         connection->close();
         return;
--- a/lib/Forward/Moving.cpp
+++ b/lib/Forward/StreamMove.cpp
@@ -1,18 +1,18 @@
-//===- lib/Forward/Moving.cpp - streams leave engines that are taken away --===//
+//===- lib/Forward/StreamMove.cpp - streams leave engines that are taken away --===//
 ///
 /// \file
 /// A running stream whose engine will be gone within seconds goes on at another one
 /// with its KV cache. The cache is copied while the stream runs; then the stream is
 /// stopped, what came since is copied, and the same request goes on there.
 //===----------------------------------------------------------------------===//
-#include "Forwarding.h"
+#include "RequestForwarder.h"
 
 namespace pistachioloom {
 
 namespace {
 
     // How long a broken stream waits for the end of its move: two copies.
-    constexpr milliseconds movePatience { 1000 };
+    constexpr milliseconds moveWaitLimit { 1000 };
 
     const Logger& logger()
     {
@@ -23,7 +23,7 @@
 } // namespace
 
 /// A stream whose engine is taken away would break off, and its prompt be read again.
-bool Forwarding::shouldMove(const Attempt& attempt) const
+bool RequestForwarder::shouldMove(const Attempt& attempt) const
 {
     if (move_ || !route_->mayRepeat() || !events_.last() || !context_.hooks_.copyStream_)
         return false;
@@ -33,10 +33,10 @@
     return context_.backends_.isDeparting(attempt.choice_.backend_.id_);
 }
 
-void Forwarding::startMove(const Attempt& attempt)
+void RequestForwarder::startMove(const Attempt& attempt)
 {
     move_ = std::make_shared<Move>(pool_.executor());
-    move_->isOver_ = true;
+    move_->isDone_ = true;
     const BackendRecord& from = attempt.choice_.backend_;
     // Nothing is left to read there but what the copy lacks.
     RequestShape shape = shape_;
@@ -49,79 +49,79 @@
         return;
     // It arrives as a repeat does.
     if (!context_.retries_.take(shape_.service_, steadyNow())) {
-        giveUpTarget(*to);
+        releaseTarget(*to);
         return;
     }
-    move_->isOver_ = false;
+    move_->isDone_ = false;
     asio::co_spawn(pool_.executor(), move(from, std::move(*to)), asio::detached);
 }
 
-asio::awaitable<void> Forwarding::move(BackendRecord from, BackendChoice to)
+asio::awaitable<void> RequestForwarder::move(BackendRecord from, BackendChoice to)
 {
     auto self = shared_from_this();
     std::shared_ptr<Move> move = move_;
     SteadyTime startedAt = steadyNow();
     StreamCopy copy { from.endpoint_, to.backend_.endpoint_, id_, false };
     auto copied = co_await context_.hooks_.copyStream_(copy);
-    std::string unused = copied ? copied.value() : "";
-    if (copied && !move->isDropped_) {
-        copy.isLast_ = true;
+    std::string copyHandle = copied ? copied.value() : "";
+    if (copied && !move->isCancelled_) {
+        copy.stopsRun_ = true;
         copied = co_await context_.hooks_.copyStream_(copy);
     }
-    bool isMoved = copied && copy.isLast_;
+    bool isMoved = copied && copy.stopsRun_;
     LogLine line(isMoved ? "Stream is moved." : "Stream is not moved.");
     line.add("id", id_).add("from", from.id_.value_).add("to", to.backend_.id_.value_).add("last_event", static_cast<std::int64_t>(events_.last().value_or(0)));
     line.add("took_ms", std::chrono::duration_cast<milliseconds>(steadyNow() - startedAt).count()).add("error", copied ? "" : describe(copied.error()));
     logger().info(line);
-    move->isOver_ = true;
-    if (isMoved && !move->isDropped_) {
+    move->isDone_ = true;
+    if (isMoved && !move->isCancelled_) {
         move->resumeFrom_ = std::move(copied.value());
         move->to_ = std::move(to);
         move->done_.notify();
         co_return;
     }
-    giveUpTarget(to);
+    releaseTarget(to);
     move->done_.notify();
-    if (unused.empty())
+    if (copyHandle.empty())
         co_return;
-    auto dropped = co_await context_.hooks_.dropCopy_(std::move(copy), std::move(unused));
+    auto dropped = co_await context_.hooks_.dropCopy_(std::move(copy), std::move(copyHandle));
     if (!dropped)
         logger().info(LogLine("Copy is not freed.").add("id", id_).add("error", describe(dropped.error())));
 }
 
 /// The stream does not go on at \p to, where it is counted as under way.
-void Forwarding::giveUpTarget(const BackendChoice& to)
+void RequestForwarder::releaseTarget(const BackendChoice& to)
 {
     context_.backends_.end(to.backend_.id_, { BackendOutcome::Abandoned, to.uncached_, false, {} }, steadyNow());
 }
 
 /// A move that comes too late changes nothing any more.
-void Forwarding::dropMove()
+void RequestForwarder::cancelMove()
 {
     if (!move_)
         return;
-    move_->isDropped_ = true;
+    move_->isCancelled_ = true;
     if (auto to = std::exchange(move_->to_, std::nullopt))
-        giveUpTarget(*to);
+        releaseTarget(*to);
 }
 
 /// A stream broke off: either it was stopped to be moved, or its engine is lost.
-asio::awaitable<SendEnd> Forwarding::afterBreak(Attempt& attempt, const boost::system::error_code& code)
+asio::awaitable<SendOutcome> RequestForwarder::handleStreamBreak(Attempt& attempt, const boost::system::error_code& code)
 {
     attempt.detail_ = "events:" + code.message();
-    bool isWorthwhile = move_ && stopped_ != StopReason::CallerGone && stopped_ != StopReason::TimeOver;
-    if (isWorthwhile && !move_->isOver_)
-        (void)co_await move_->done_.waitUntil(steadyNow() + movePatience);
-    if (!isWorthwhile || !move_->to_) {
-        dropMove();
-        co_return SendEnd::Lost;
+    bool canWaitForMove = move_ && stopReason_ != StopReason::CallerDisconnected && stopReason_ != StopReason::DeadlineExceeded;
+    if (canWaitForMove && !move_->isDone_)
+        (void)co_await move_->done_.waitUntil(steadyNow() + moveWaitLimit);
+    if (!canWaitForMove || !move_->to_) {
+        cancelMove();
+        co_return SendOutcome::Lost;
     }
     attempt.detail_ = "moved";
-    co_return SendEnd::Moved;
+    co_return SendOutcome::Moved;
 }
 
 /// The engine that has this stream's KV cache, once.
-std::optional<BackendChoice> Forwarding::takeMoveTarget()
+std::optional<BackendChoice> RequestForwarder::takeMoveTarget()
 {
     if (!move_ || !move_->to_)
         return std::nullopt;
@@ -129,7 +129,7 @@
     resumeFrom_ = std::move(move_->resumeFrom_);
     // It may have to move again. The engine before ends, so it counts no more.
     move_.reset();
-    sends_ -= std::min(sends_, 1U);
+    sendCount_ -= std::min(sendCount_, 1U);
     return to;
 }
 
--- a/lib/Forward/Worker.cpp
+++ b/lib/Forward/Worker.cpp
@@ -3,7 +3,7 @@
 /// \file
 /// One worker serves its connections on one thread.
 //===----------------------------------------------------------------------===//
-#include "Forwarding.h"
+#include "RequestForwarder.h"
 
 #include <unordered_set>
 
@@ -32,17 +32,17 @@
     {
     }
 
-    asio::awaitable<void> acceptAll();
+    asio::awaitable<void> acceptLoop();
     asio::awaitable<void> serveConnection(std::shared_ptr<CallerConnection> caller);
     asio::awaitable<bool> serveRequests(std::shared_ptr<CallerConnection> caller);
-    asio::awaitable<void> answerBad(CallerConnection& caller, const Error& error);
+    asio::awaitable<void> answerBadRequest(CallerConnection& caller, const Error& error);
     void logUnanswered(const CallerConnection& caller) const;
-    asio::awaitable<void> sweep();
+    asio::awaitable<void> sweepLoop();
     CallerBounds bounds() const;
 
     asio::io_context& io_;
     ForwardContext& context_;
-    BackendPool pool_;
+    ConnectionPool pool_;
     tcp::acceptor acceptor_;
     std::unordered_set<std::shared_ptr<CallerConnection>> callers_;
     Logger logger_ { "forward" };
@@ -54,7 +54,7 @@
     return table ? table->configuration().bounds_ : CallerBounds {};
 }
 
-asio::awaitable<void> ForwardWorker::State::answerBad(CallerConnection& caller, const Error& error)
+asio::awaitable<void> ForwardWorker::State::answerBadRequest(CallerConnection& caller, const Error& error)
 {
     logger_.info("Bad request: " + describe(error) + " status=" + std::to_string(caller.badStatus()));
     context_.metrics_.add(Counter::RequestsRefused);
@@ -68,11 +68,11 @@
 /// leaves no trace on the node, since its course never began.
 void ForwardWorker::State::logUnanswered(const CallerConnection& caller) const
 {
-    if (!caller.unanswered().value_)
+    if (!caller.unansweredBytes().value_)
         return;
     LogLine line("Connection ends with unanswered bytes.");
-    line.add("bytes", static_cast<std::int64_t>(caller.unanswered().value_)).add("idle_ms", caller.idleTime().count());
-    line.add("caller_left", caller.isGone()).add("peer", caller.peer());
+    line.add("bytes", static_cast<std::int64_t>(caller.unansweredBytes().value_)).add("idle_ms", caller.idleTime().count());
+    line.add("caller_left", caller.isDisconnected()).add("peer", caller.peer());
     logger_.warn(line);
 }
 
@@ -84,11 +84,11 @@
         if (!request)
             co_return false;
         if (!*request) {
-            co_await answerBad(*caller, request->error());
+            co_await answerBadRequest(*caller, request->error());
             co_return true;
         }
         CountGuard running(context_.running_);
-        auto forwarding = std::make_shared<Forwarding>(context_, pool_, caller, std::move(request->value()));
+        auto forwarding = std::make_shared<RequestForwarder>(context_, pool_, caller, std::move(request->value()));
         if (!co_await forwarding->run())
             co_return true;
     }
@@ -102,10 +102,10 @@
     CountGuard counted(context_.connections_);
     callers_.insert(caller);
     caller->start();
-    bool mayBeOnItsWay = co_await serveRequests(caller);
-    if (mayBeOnItsWay)
-        caller->finish();
-    if (mayBeOnItsWay && !caller->isGone()) {
+    bool mayHaveAnswerInFlight = co_await serveRequests(caller);
+    if (mayHaveAnswerInFlight)
+        caller->shutdownSend();
+    if (mayHaveAnswerInFlight && !caller->isDisconnected()) {
         SteadyTimer linger(io_, lingerTime);
         (void)co_await linger.async_wait(asTuple);
     }
@@ -114,7 +114,7 @@
     callers_.erase(caller);
 }
 
-asio::awaitable<void> ForwardWorker::State::acceptAll()
+asio::awaitable<void> ForwardWorker::State::acceptLoop()
 {
     for (;;) {
         auto [code, socket] = co_await acceptor_.async_accept(asTuple);
@@ -130,7 +130,7 @@
     }
 }
 
-asio::awaitable<void> ForwardWorker::State::sweep()
+asio::awaitable<void> ForwardWorker::State::sweepLoop()
 {
     for (;;) {
         SteadyTimer timer(io_, sweepPeriod);
@@ -165,9 +165,9 @@
     if (code)
         return Error { Errc::Unavailable, "listen for callers", endpoint.toString(), code.message(), Ran::No, {} };
     asio::co_spawn(
-        state_->io_, [state = state_] { return state->acceptAll(); }, asio::detached);
+        state_->io_, [state = state_] { return state->acceptLoop(); }, asio::detached);
     asio::co_spawn(
-        state_->io_, [state = state_] { return state->sweep(); }, asio::detached);
+        state_->io_, [state = state_] { return state->sweepLoop(); }, asio::detached);
     return acceptor.local_endpoint().port();
 }
 
@@ -175,7 +175,7 @@
 {
     asio::post(state_->io_, [state = state_] {
         for (const auto& caller : state->callers_) {
-            if (caller->staysIdle())
+            if (caller->hasStayedIdle())
                 caller->abort();
         }
     });
--- a/lib/Gateway/Gateway.cpp
+++ b/lib/Gateway/Gateway.cpp
@@ -206,7 +206,7 @@
     logger_.info(LogLine("Stopping.").add("running", static_cast<std::int64_t>(context_.forward_.running_)).add("connections", static_cast<std::int64_t>(context_.forward_.connections_)));
     co_await sleepFor(std::min(settings.balancerGrace_, settings.grace_ - drainMargin));
     // A stream taken later than this might not end within the grace time.
-    context_.forward_.refusesNew_ = true;
+    context_.forward_.rejectsNew_ = true;
     while (steadyNow() < stopAt && context_.forward_.connections_) {
         for (const auto& worker : workers_)
             worker->closeIdle();
--- a/lib/Gateway/GatewayContext.cpp
+++ b/lib/Gateway/GatewayContext.cpp
@@ -54,7 +54,7 @@
     forward_.hooks_.table_ = [this] { return table(); };
     forward_.hooks_.copyStream_ = platform_.copyStream_;
     forward_.hooks_.dropCopy_ = platform_.dropCopy_;
-    forward_.hooks_.onBegan_ = [this](const OrganisationId& organisation) { usage_.count(organisation, agreedWallMs()); };
+    forward_.hooks_.onStarted_ = [this](const OrganisationId& organisation) { usage_.count(organisation, agreedWallMs()); };
 }
 
 std::shared_ptr<const RouteTable> GatewayContext::table() const
--- a/unittests/Forward/AnswerTest.cpp
+++ b/unittests/Forward/AnswerTest.cpp
@@ -4,7 +4,7 @@
 /// Framing of answers: what is one connection's alone stays there, and an answer to
 /// HEAD has no body, which its caller would take for the next answer.
 //===----------------------------------------------------------------------===//
-#include "Forwarding.h"
+#include "RequestForwarder.h"
 
 #include <catch2/catch.hpp>
 
--- a/unittests/Forward/ForwardTest.cpp
+++ b/unittests/Forward/ForwardTest.cpp
@@ -82,9 +82,9 @@
         const char* name_;
         std::optional<std::uint64_t> last_;
         std::vector<std::string> pieces_;
-        std::string whole_;
+        std::string expected_;
         bool hasPartial_;
-        bool isBroken_;
+        bool hasGap_;
     };
     auto row = GENERATE(values<Row>({
         { "one piece", {}, { "id: 1\ndata: a\n\n" }, "id: 1\ndata: a\n\n", false, false },
@@ -97,12 +97,12 @@
     }));
     CAPTURE(row.name_);
     EventSplitter splitter(row.last_);
-    std::string whole;
+    std::string output;
     for (const std::string& piece : row.pieces_)
-        whole += splitter.take(piece);
-    CHECK(whole == row.whole_);
-    CHECK(splitter.isBroken() == row.isBroken_);
-    if (!row.isBroken_)
+        output += splitter.take(piece);
+    CHECK(output == row.expected_);
+    CHECK(splitter.hasGap() == row.hasGap_);
+    if (!row.hasGap_)
         CHECK(splitter.hasPartial() == row.hasPartial_);
 }
 
--- a/unittests/Forward/ResumptionTest.cpp
+++ b/unittests/Forward/ResumptionTest.cpp
@@ -19,9 +19,9 @@
     /// Goes on after the last event that the caller has.
     Resumes,
     /// Sends everything again.
-    BeginsAnew,
+    StartsOver,
     /// Leaves out the event after the last one.
-    LeavesOut,
+    SkipsEvent,
 };
 
 std::string eventsFrom(std::uint64_t first)
@@ -37,9 +37,9 @@
     switch (engine) {
     case Engine::Resumes:
         return eventsFrom(last + 1);
-    case Engine::BeginsAnew:
+    case Engine::StartsOver:
         return eventsFrom(1);
-    case Engine::LeavesOut:
+    case Engine::SkipsEvent:
         // A stream's first event may have any id, so a gap before it shows nothing.
         return eventsFrom(last ? last + 2 : 1);
     }
@@ -50,27 +50,27 @@
 
 TEST_CASE("a stream cut at any byte and resumed is whole or broken, never wrong", "[forward]")
 {
-    constexpr Engine engines[] = { Engine::Resumes, Engine::BeginsAnew, Engine::LeavesOut };
-    const std::string whole = eventsFrom(1);
+    constexpr Engine engines[] = { Engine::Resumes, Engine::StartsOver, Engine::SkipsEvent };
+    const std::string fullStream = eventsFrom(1);
     std::size_t finished = 0;
     std::size_t broken = 0;
-    for (std::size_t firstCut = 0; firstCut <= whole.size(); ++firstCut) {
+    for (std::size_t firstCut = 0; firstCut <= fullStream.size(); ++firstCut) {
         for (Engine second : engines) {
-            for (std::size_t secondCut = 0; secondCut <= whole.size(); ++secondCut) {
+            for (std::size_t secondCut = 0; secondCut <= fullStream.size(); ++secondCut) {
                 EventSplitter splitter(std::nullopt);
-                std::string got = splitter.take(whole.substr(0, firstCut));
+                std::string received = splitter.take(fullStream.substr(0, firstCut));
                 splitter.dropPartial();
                 std::string rest = streamOf(second, splitter.last().value_or(0));
-                got += splitter.take(rest.substr(0, std::min(secondCut, rest.size())));
+                received += splitter.take(rest.substr(0, std::min(secondCut, rest.size())));
                 splitter.dropPartial();
-                if (!splitter.isBroken())
-                    got += splitter.take(streamOf(Engine::Resumes, splitter.last().value_or(0)));
-                bool isRight = splitter.isBroken() ? whole.starts_with(got) : got == whole;
-                if (!isRight) {
-                    CAPTURE(firstCut, secondCut, static_cast<int>(second), got);
+                if (!splitter.hasGap())
+                    received += splitter.take(streamOf(Engine::Resumes, splitter.last().value_or(0)));
+                bool isCorrect = splitter.hasGap() ? fullStream.starts_with(received) : received == fullStream;
+                if (!isCorrect) {
+                    CAPTURE(firstCut, secondCut, static_cast<int>(second), received);
                     FAIL("events are wrong");
                 }
-                ++(splitter.isBroken() ? broken : finished);
+                ++(splitter.hasGap() ? broken : finished);
             }
         }
     }
--- a/unittests/Fuzz/FuzzTest.cpp
+++ b/unittests/Fuzz/FuzzTest.cpp
@@ -118,7 +118,7 @@
         std::string events = splitEvents({ bytes }, last, splitter);
         CAPTURE(run, bytes);
         REQUIRE(events == splitEvents(mutator.pieces(bytes), last, other));
-        REQUIRE(splitter.isBroken() == other.isBroken());
+        REQUIRE(splitter.hasGap() == other.hasGap());
         REQUIRE(events.size() <= bytes.size());
         if (last && splitter.last())
             REQUIRE(*splitter.last() >= *last);
