--- a/include/pistachioloom/Forward.h
+++ b/include/pistachioloom/Forward.h
@@ -1,9 +1,9 @@
-//===- pistachioloom/Forward.h - transparent requests, caller to backend ---===//
+//===- pistachioloom/Forward.h - request forwarding -----------------------===//
 ///
 /// \file
-/// The straight path: a caller's HTTP/1.1 request goes to one backend server and
-/// its answer comes back unchanged. The header names that carry ids, deadlines
-/// and seals are told from outside; decisions come from the books it is given.
+/// Forwards a caller's HTTP/1.1 request to one backend server and returns its
+/// answer unchanged. The names of the headers that carry ids, deadlines and seals
+/// are configurable; the tables in ForwardContext make the decisions.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -19,85 +19,89 @@
 
 namespace pistachioloom {
 
-/// The headers that callers and backend servers use. All in the spelling that
-/// is sent; they are compared without case.
+/// Names of the headers that callers and backend servers use, in the spelling that
+/// is sent. Comparisons ignore case.
 struct ForwardHeaderNames {
-    /// The id of one attempt of a caller; echoed by backend servers.
+    /// The id of one attempt of a caller. Backend servers echo it.
     std::string attempt_;
-    /// Milliseconds that the caller, or this node, will wait.
+    /// The number of milliseconds that the caller, or this node, waits for an answer.
     std::string deadline_;
-    /// Names the organisation to backend servers.
+    /// Tells backend servers which organisation a request belongs to.
     std::string organisation_;
-    /// The backend server that is meant; any other answers 421.
+    /// The backend server that a request is for. Any other backend server answers 421.
     std::string expectedBackend_;
-    /// Proves that an answer is the backend server's.
+    /// Proves that an answer comes from the backend server.
     std::string seal_;
-    /// An answer with it says that the request did not run.
+    /// Its presence in an answer means that the request did not run.
     std::string notRun_;
-    /// An answer with it says that its backend server is leaving.
+    /// Its presence in an answer means that the backend server is leaving.
     std::string leaving_;
-    /// Prompt tokens and most output tokens.
+    /// The number of prompt tokens and the maximum number of output tokens.
     std::string tokenCount_;
-    /// Shared parts of the prompt.
+    /// The parts of the prompt that other requests may share.
     std::string promptParts_;
-    /// 0 to 9 for engines, 0 first.
+    /// The urgency of a request for an engine, from 0 to 9. Engines serve 0 first.
     std::string urgency_;
-    /// The last event that the caller has.
+    /// The id of the last event that the caller has received.
     std::string lastEvent_;
-    /// Where the KV cache lies that a moved stream goes on from.
+    /// The location of the KV cache from which a moved stream resumes.
     std::string resumeFrom_;
-    /// Headers that only this system sets; dropped from what callers send.
+    /// Headers that only this system sets. They are removed from callers' requests.
     std::vector<std::string> reserved_;
 };
 
-/// Figures of the path; all are settings.
+/// Settings of request forwarding.
 struct ForwardSettings {
-    /// Time for a connection to a backend server.
+    /// The time limit for connecting to a backend server.
     milliseconds connectTimeout_ { 400 };
-    /// Silence in a running stream after which a resumable one goes on elsewhere.
+    /// The time without events after which a resumable stream resumes on another engine.
     milliseconds streamStallTimeout_ { 1400 };
-    /// Part of the remaining time after which an idempotent request without
-    /// an answer is given to another backend server.
+    /// The share of the remaining time after which an idempotent request without
+    /// an answer is sent to another backend server.
     double waitLimitShare_ = 0.4;
     AdmissionSettings admission_;
-    /// A kept connection is not used in the last fifth of its idle time, and not in
-    /// the last so much of a short one.
+    /// The minimum part of its idle time during which a kept connection is no longer
+    /// used. For long idle times this part is a fifth.
     milliseconds idleMargin_ { 300 };
-    /// Idle time of a kept connection whose server states none.
+    /// The idle time of a kept connection whose server does not state one.
     milliseconds defaultIdle_ { 2000 };
-    /// Bytes that are held for one answer of a plain service.
+    /// The maximum size of an answer that is buffered, which is any answer that is not
+    /// an event stream.
     ByteCount maxAnswerSize_ { 8UL * 1024 * 1024 };
 };
 
-/// A copy of a running stream's KV cache, from one engine to another.
+/// Describes a copy of a running stream's KV cache from one engine to another.
 struct StreamCopy {
     Endpoint from_;
     Endpoint to_;
-    /// The id of the attempt, as the engine knows the run.
+    /// The id of the attempt, by which the engine knows the run.
     std::string attemptId_;
-    /// The run stops, and its stream closes without an end; without it, it goes on.
+    /// Whether the copy stops the run. Its stream then closes without an end marker.
     bool stopsRun_ = false;
 };
 
-/// What the forwarding of requests tells the rest of the node.
+/// Callbacks from request forwarding into the rest of the node.
 struct ForwardHooks {
-    /// A request of \p organisation began to run.
+    /// Called once per request of \p organisation, when the first byte of an answer shows
+    /// that it has started to run.
     std::function<void(const OrganisationId& organisation)> onStarted_;
-    /// A backend server said in an answer that it is leaving, and that was news.
+    /// Called when an answer is the first to report that its backend server is leaving.
     std::function<void(const BackendId& backend)> onLeaving_;
-    /// A backend server was found to have ended without a word.
+    /// Called when a probe shows that a backend server has ended without notice.
     std::function<void(const BackendId& backend)> onEnded_;
-    /// The current configuration, or nullptr before the first.
+    /// \returns the current configuration, or nullptr before the first.
     std::function<std::shared_ptr<const RouteTable>()> table_;
-    /// Copies a stream's KV cache; a second copy of the same holds only what is new.
-    /// \returns the value of ForwardHeaderNames::resumeFrom_ for going on from it.
+    /// Copies a stream's KV cache. A second copy of the same cache transfers only the
+    /// part that was added since.
+    /// \returns the value of ForwardHeaderNames::resumeFrom_ for resuming from it.
     std::function<asio::awaitable<Result<std::string>>(StreamCopy copy)> copyStream_;
-    /// Frees a copy that nobody goes on from, by what copyStream_ returned. Else it
-    /// takes a slot and memory of its engine until the platform forgets it.
+    /// Frees a copy that is not resumed from, identified by the value that copyStream_
+    /// returned. A copy that is not freed occupies a slot and memory of its engine until
+    /// the platform discards it.
     std::function<asio::awaitable<Result<void>>(StreamCopy copy, std::string resumeFrom)> dropCopy_;
 };
 
-/// What all workers of a node share.
+/// The state that all workers of a node share.
 struct ForwardContext {
     ForwardHeaderNames names_;
     ForwardSettings settings_;
@@ -111,24 +115,24 @@
     CrashWatch& crashes_;
     RolloutBook& rollouts_;
     Metrics& metrics_;
-    /// Connections close after their answer.
+    /// Whether connections close after their answer.
     std::atomic<bool> isStopping_ { false };
-    /// New requests are refused: there may be no time left for them.
+    /// Whether new requests are rejected, because there may be no time left to serve them.
     std::atomic<bool> rejectsNew_ { false };
     std::atomic<std::size_t> running_ { 0 };
     std::atomic<std::size_t> connections_ { 0 };
-    /// Nodes that share what backend servers accept.
+    /// The number of nodes that share the connections that a backend server accepts.
     std::atomic<std::uint64_t> nodes_ { 1 };
-    /// Workers of this node, which share its part.
+    /// The number of workers of this node, which divide the node's share among them.
     std::uint64_t workers_ = 1;
 };
 
-/// Counts the end of a backend server, known by its record, against the requests that it
-/// cut off.
+/// Counts the end of a backend server, which was learned from its record, as a crash of
+/// the requests that it cut off.
 void noteBackendEnded(ForwardContext& context, const BackendId& backend);
 
-/// Serves callers on one io_context of one thread. Workers share an address;
-/// the kernel spreads new connections over them.
+/// Serves callers on a single-threaded io_context. Workers share an address, and the
+/// kernel distributes new connections among them.
 class ForwardWorker {
 public:
     struct State;
@@ -139,10 +143,10 @@
     ForwardWorker& operator=(const ForwardWorker&) = delete;
 
     Result<std::uint16_t> listen(const Endpoint& endpoint);
-    /// Closes connections on which no request is under way, now and at the call before;
-    /// the others close after their answer.
+    /// Closes the connections that have no request in progress now and had none at the
+    /// previous call. The others close after their answer.
     void closeIdle();
-    /// Breaks off what still runs.
+    /// Closes all connections immediately, which aborts the requests in progress.
     void abortAll();
 
 private:
--- a/lib/Forward/Answering.cpp
+++ b/lib/Forward/Answering.cpp
@@ -1,7 +1,7 @@
-//===- lib/Forward/Answering.cpp - answers to the caller -------------------===//
+//===- lib/Forward/Answering.cpp - answers to the caller ------------------===//
 ///
 /// \file
-/// Writes answers with the caller's own framing.
+/// Writes answers to the caller with the framing of the caller's connection.
 //===----------------------------------------------------------------------===//
 #include "RequestForwarder.h"
 
--- a/lib/Forward/AutoResetEvent.h
+++ b/lib/Forward/AutoResetEvent.h
@@ -1,7 +1,8 @@
-//===- lib/Forward/AutoResetEvent.h - one coroutine waits, others wake it ----------===//
+//===- lib/Forward/AutoResetEvent.h - wake-up for one waiting coroutine ---===//
 ///
 /// \file
-/// A wake-up with a time limit for coroutines of one single-threaded io_context.
+/// An event on which one coroutine of a single-threaded io_context waits with a time
+/// limit, and which others set.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -13,9 +14,10 @@
 
 namespace asio = boost::asio;
 
-/// Completion token of this library: errors come back as values.
+/// The completion token for asynchronous operations. It returns errors as values.
 inline constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
 
+/// An event that a completed wait resets.
 class AutoResetEvent {
 public:
     explicit AutoResetEvent(const asio::any_io_executor& executor)
@@ -23,8 +25,8 @@
     {
     }
 
-    /// Waits for notify(); one that came before the call counts.
-    /// \returns false if \p until passed first.
+    /// Waits for notify(). A notification from before the call counts.
+    /// \returns false if \p until passes first.
     asio::awaitable<bool> waitUntil(SteadyTime until)
     {
         if (!isSet_) {
@@ -34,6 +36,7 @@
         co_return std::exchange(isSet_, false);
     }
 
+    /// Sets the event and wakes the waiting coroutine.
     void notify()
     {
         isSet_ = true;
--- a/lib/Forward/CallerConnection.cpp
+++ b/lib/Forward/CallerConnection.cpp
@@ -1,4 +1,4 @@
-//===- lib/Forward/CallerConnection.cpp - one caller's connection ----------===//
+//===- lib/Forward/CallerConnection.cpp - connection of one caller --------===//
 ///
 /// \file
 /// See CallerConnection.h.
@@ -10,12 +10,12 @@
 namespace {
 
     constexpr std::size_t readSize = 8UL * 1024;
-    // Bytes held unread for one connection: a few pipelined requests.
+    // The number of bytes that one connection buffers: a few pipelined requests.
     constexpr std::size_t maxBuffered = 64UL * 1024;
-    // Bodies arrive within this time of the last byte, or the caller is gone.
+    // The time limit for the next bytes of a body, after which the caller counts as gone.
     constexpr milliseconds bodyReadTimeout { 10000 };
-    // Bytes that the socket already has are read within this time: two turns of a loop
-    // that runs half a second late.
+    // The time limit for reading bytes that the socket already has: two iterations of an
+    // event loop that is delayed by half a second.
     constexpr milliseconds pendingReadTimeout { 1000 };
 
     Error badRequest(const BadRequest& problem, const std::string& peer)
@@ -79,8 +79,8 @@
     return socket_.available(code) > 0 && !code;
 }
 
-/// A loop that runs late may see the end of the idle time before bytes that came in time:
-/// closing then would end a request without an answer.
+/// A delayed event loop may handle the end of the idle time before bytes that arrived in
+/// time. Closing the connection then would leave a request without an answer.
 asio::awaitable<bool> CallerConnection::waitForRequest(SteadyTime idleUntil)
 {
     while (input_.empty()) {
--- a/lib/Forward/CallerConnection.h
+++ b/lib/Forward/CallerConnection.h
@@ -1,54 +1,59 @@
-//===- lib/Forward/CallerConnection.h - one caller's connection ------------===//
+//===- lib/Forward/CallerConnection.h - connection of one caller ----------===//
 ///
 /// \file
-/// Reads all the time, so that a caller who closes is noticed while a backend
-/// server works; what arrives early waits for its turn.
+/// Reads from a caller continuously, so that a disconnect is detected while a
+/// backend server is working. Pipelined requests are buffered.
 //===----------------------------------------------------------------------===//
 #pragma once
 
-#include "RequestReader.h"
 #include "AutoResetEvent.h"
+#include "RequestReader.h"
 
 namespace pistachioloom {
 
+/// The connection of one caller.
 class CallerConnection : public std::enable_shared_from_this<CallerConnection> {
 public:
     explicit CallerConnection(asio::ip::tcp::socket socket);
 
     /// Starts reading.
     void start();
-    /// The next request; a status to answer with if it is bad; nullopt when the
-    /// connection is to be closed without an answer.
+    /// Waits for the next request.
+    /// \returns the request, or an error if the request is invalid (see badStatus()), or
+    /// nullopt if the connection is to be closed without an answer.
     asio::awaitable<std::optional<Result<CallerRequest>>> next(CallerBounds bounds);
-    /// Writes \p bytes. \returns whether they were taken.
+    /// Writes \p bytes. \returns whether the write succeeded.
     asio::awaitable<bool> write(std::string bytes);
-    /// Called once when the caller closes or breaks.
+    /// Sets \p hook to be called once when the caller closes the connection or the
+    /// connection fails.
     void setDisconnectHook(std::function<void()> hook);
     bool isDisconnected() const { return isDisconnected_; }
-    /// No request has arrived, or is being read or answered.
+    /// Whether no request has arrived, and none is being read or answered.
     bool isIdle() const { return isIdle_ && input_.empty() && !hasUnread(); }
-    /// isIdle() now and when it was called before. Bytes that were just read are nowhere
-    /// to be seen until the loop comes to them.
+    /// Whether isIdle() holds now and held at the previous call. A single check is not
+    /// enough: bytes that were just read are neither in the socket nor in the buffer until
+    /// the event loop has run.
     bool hasStayedIdle();
-    /// The caller was told that it may use the connection for a part of \p idle; it stays
-    /// open for so long, whatever limit a newer configuration holds.
+    /// Records that an answer has announced a part of \p idle to the caller. The connection
+    /// then stays open for at least \p idle, even if a newer configuration has a lower limit.
     void setAnnouncedIdle(milliseconds idle) { announcedIdle_ = idle; }
-    /// Bytes that were read and belong to no request that was served.
+    /// The number of bytes that were read and belong to no served request.
     ByteCount unansweredBytes() const { return { input_.size() }; }
-    /// How long the last wait for a request took.
+    /// The duration of the last wait for a request.
     milliseconds idleTime() const { return idleTime_; }
-    /// Ends the connection at once.
+    /// Closes the connection immediately.
     void abort();
-    /// Ends it after what was written.
+    /// Closes the sending direction after the data that was written.
     void shutdownSend();
     std::string peer() const { return peer_; }
 
-    /// The status of the last bad request.
+    /// The HTTP status for the last invalid request.
     int badStatus() const { return badStatus_; }
 
 private:
     asio::awaitable<void> readLoop();
-    /// Waits for a request's first bytes. \returns false if the connection is to be closed.
+    /// Waits for the first bytes of a request.
+    /// \returns false if the connection is to be closed.
     asio::awaitable<bool> waitForRequest(SteadyTime idleUntil);
     bool hasUnread() const;
     asio::awaitable<std::optional<Result<CallerRequest>>> readRequest(const CallerBounds& bounds);
--- a/lib/Forward/ConnectionPool.cpp
+++ b/lib/Forward/ConnectionPool.cpp
@@ -1,4 +1,4 @@
-//===- lib/Forward/ConnectionPool.cpp - kept connections to backend servers ---===//
+//===- lib/Forward/ConnectionPool.cpp - kept backend connections ----------===//
 ///
 /// \file
 /// See ConnectionPool.h.
@@ -12,15 +12,15 @@
 
 namespace pistachioloom {
 
-// The last part of an idle time, which is not used: a connection that is made anew costs
-// a round trip, and a request lost in the server's close may be one that cannot be repeated.
+// The last fifth of an idle time is not used. A new connection costs only a round trip,
+// whereas a request that is lost in the server's close may not be retryable.
 static constexpr int idleMarginDivisor = 5;
-// A longer idle time is no reason to keep a connection for longer; it also bounds
-// what the arithmetic gets from outside.
+// Longer idle times are cut to this limit. It also bounds the external values that enter
+// the arithmetic.
 static constexpr std::chrono::hours maxIdle { 1 };
 
-/// The idle time that \p keepAlive states (RFC 2068, 19.7.1), which may be in quotes;
-/// nullopt if it states none.
+/// Parses the idle time of a Keep-Alive header (RFC 2068, 19.7.1), which may be in quotes.
+/// \returns nullopt if the header states none.
 static std::optional<milliseconds> parseIdleTimeout(std::string_view keepAlive)
 {
     std::vector<std::string> parameters;
@@ -74,8 +74,8 @@
     return !socket_.available(ignored);
 }
 
-/// Whether the socket is open and nothing has arrived on it: bytes that nobody
-/// asked for belong to no request.
+/// Whether the socket is open and has no unread bytes. Unsolicited bytes belong to no
+/// request, so their connection cannot be reused.
 static bool isOpenWithoutData(asio::ip::tcp::socket& socket)
 {
     char byte = 0;
--- a/lib/Forward/ConnectionPool.h
+++ b/lib/Forward/ConnectionPool.h
@@ -1,8 +1,8 @@
-//===- lib/Forward/ConnectionPool.h - kept connections to backend servers -----===//
+//===- lib/Forward/ConnectionPool.h - kept backend connections ------------===//
 ///
 /// \file
-/// Connections of one worker to backend servers. A connection serves one
-/// request at a time and is kept only after a whole, well-framed answer.
+/// Pools the connections of one worker to backend servers. A connection serves one
+/// request at a time and is kept only after a complete, well-framed answer.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -13,45 +13,49 @@
 
 namespace pistachioloom {
 
-/// How long a kept connection may be used, from the arrival of its last answer.
-/// \p keepAlive is the server's header, or empty. The rest of the idle time, a fifth and
-/// no less than ForwardSettings::idleMargin_, is for links and queues that hold up a
-/// request: what arrives after the server's close is lost.
+/// Computes for how long after the arrival of its last answer a kept connection may be
+/// used. \p keepAlive is the server's Keep-Alive header, or empty. The rest of the idle
+/// time, a fifth and at least ForwardSettings::idleMargin_, allows for network and queueing
+/// delays: a request that arrives after the server has closed the connection is lost.
 milliseconds usableIdle(std::string_view keepAlive, const ForwardSettings& settings);
 
+/// A connection to a backend server.
 struct BackendConnection {
     BackendConnection(const asio::any_io_executor& executor, std::shared_ptr<std::size_t> open);
     ~BackendConnection();
     BackendConnection(const BackendConnection&) = delete;
     BackendConnection& operator=(const BackendConnection&) = delete;
 
-    /// Ends every operation on it; safe to call twice.
+    /// Closes the socket, which ends all operations on it. Repeated calls are safe.
     void close();
-    /// Resets it, for a request that is given up: after an orderly close the kernel
-    /// goes on sending what a cut link held up, and a backend server got requests
-    /// 3.3 s after their callers had left.
+    /// Resets the connection of an aborted request. After an orderly close the kernel
+    /// keeps sending data that a broken link had delayed: backend servers received
+    /// requests up to 3.3 s after their callers had disconnected.
     void abort();
 
-    /// Whether a read begun now has to wait: what it returns then arrives at its end.
+    /// Whether no received bytes are unread. A read that starts now then has to wait, and
+    /// its bytes arrive at the moment it completes.
     bool isReceiveBufferEmpty() const;
 
     asio::ip::tcp::socket socket_;
     boost::beast::flat_buffer buffer_;
     BackendId backend_;
-    /// The end of the last read that had to wait. The last bytes of an answer arrived
-    /// then or later, also if they were read much later because the caller was slow.
+    /// The completion of the last read that had to wait. The last bytes of an answer
+    /// arrived no earlier, even if a slow caller delayed reading them.
     SteadyTime arrivedAt_ {};
-    /// Not used after this moment: the server may be closing it.
+    /// The time after which the connection is not used, as the server may be closing it.
     SteadyTime usableUntil_ {};
     bool isReused_ = false;
-    /// An operation that writes the request is still under way.
+    /// Whether a write of the request is still in progress.
     bool isWriting_ = false;
-    /// Connections to the same backend server; this one counts until it ends.
+    /// The number of connections to the same backend server. This connection is counted
+    /// until its destruction.
     std::shared_ptr<std::size_t> openCount_;
 };
 
 using BackendConnectionPtr = std::shared_ptr<BackendConnection>;
 
+/// Keeps idle connections to backend servers for reuse, and counts the open ones.
 class ConnectionPool {
 public:
     explicit ConnectionPool(asio::any_io_executor executor)
@@ -59,15 +63,17 @@
     {
     }
 
-    /// A kept connection that is still open, or nullptr.
+    /// Removes a kept connection that is still open from the pool.
+    /// \returns nullptr if there is none.
     BackendConnectionPtr take(const BackendId& backend, SteadyTime now);
-    /// A closed connection for this server, to be connected by the caller.
+    /// Creates a connection for \p backend that is not connected yet.
     BackendConnectionPtr make(const BackendId& backend);
-    /// Connections to \p backend, kept or in use.
+    /// The number of connections to \p backend, kept or in use.
     std::size_t openCount(const BackendId& backend) const;
+    /// Keeps \p connection for reuse.
     void put(BackendConnectionPtr connection);
     const asio::any_io_executor& executor() const { return executor_; }
-    /// Closes what is past its time.
+    /// Closes the kept connections that are no longer usable at \p now.
     void expire(SteadyTime now);
 
 private:
--- a/lib/Forward/EventSplitter.cpp
+++ b/lib/Forward/EventSplitter.cpp
@@ -1,8 +1,8 @@
-//===- lib/Forward/EventSplitter.cpp - whole events of an event stream -----===//
+//===- lib/Forward/EventSplitter.cpp - splits event streams into events ---===//
 ///
 /// \file
-/// See EventSplitter.h. Events end with a blank line; the id is a line of its
-/// own (WHATWG HTML, 9.2.6).
+/// See EventSplitter.h. An event ends with a blank line, and its id is on a line of
+/// its own (WHATWG HTML, 9.2.6).
 //===----------------------------------------------------------------------===//
 #include "EventSplitter.h"
 
@@ -10,6 +10,7 @@
 
 namespace pistachioloom {
 
+/// The numeric id of \p event, or nullopt.
 static std::optional<std::uint64_t> eventId(std::string_view event)
 {
     constexpr std::string_view prefix = "id:";
@@ -28,7 +29,7 @@
     return std::nullopt;
 }
 
-/// Where the first event of \p text ends, or npos.
+/// The position after the end of the first event of \p text, or npos.
 static std::size_t eventEnd(std::string_view text)
 {
     std::size_t lfEnd = text.find("\n\n");
--- a/lib/Forward/EventSplitter.h
+++ b/lib/Forward/EventSplitter.h
@@ -1,8 +1,8 @@
-//===- lib/Forward/EventSplitter.h - whole events of an event stream -------===//
+//===- lib/Forward/EventSplitter.h - splits event streams into events -----===//
 ///
 /// \file
-/// Cuts an event stream at event ends and reads the events' ids, so that only
-/// whole events are passed on and a stream can go on after the last of them.
+/// Splits an event stream into events and reads their ids, so that only complete
+/// events are forwarded and a stream can resume after the last of them.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -12,25 +12,26 @@
 
 namespace pistachioloom {
 
+/// Splits an event stream, across several connections, into events without duplicates.
 class EventSplitter {
 public:
-    /// \p last is the newest event that the caller has, if known.
+    /// \p last is the id of the newest event that the caller has, if known.
     explicit EventSplitter(std::optional<std::uint64_t> last)
         : last_(last)
     {
     }
 
-    /// Adds bytes of the stream and \returns the whole events that are new to
-    /// the caller. An event older than the last one is left out; an event whose
-    /// predecessor is missing makes the stream broken.
+    /// Adds \p bytes of the stream and \returns the complete events that are new to the
+    /// caller. Events up to the last one are left out. An event whose predecessor is
+    /// missing sets hasGap().
     std::string take(std::string_view bytes);
-    /// Forgets a part of an event: its stream broke off, and another follows.
+    /// Discards an incomplete event, because its stream broke off and another follows.
     void dropPartial() { partial_.clear(); }
-    /// The newest event handed out.
+    /// The id of the newest event that the caller has.
     std::optional<std::uint64_t> last() const { return last_; }
-    /// Whether a part of an event is held.
+    /// Whether an incomplete event is buffered.
     bool hasPartial() const { return !partial_.empty(); }
-    /// Whether an event was missing; nothing is handed out after it.
+    /// Whether an event is missing. No events are returned after the gap.
     bool hasGap() const { return hasGap_; }
 
 private:
--- a/lib/Forward/Headers.cpp
+++ b/lib/Forward/Headers.cpp
@@ -1,4 +1,4 @@
-//===- lib/Forward/Headers.cpp - header fields as they were sent -----------===//
+//===- lib/Forward/Headers.cpp - lists of HTTP header fields --------------===//
 ///
 /// \file
 /// See Headers.h.
@@ -102,9 +102,9 @@
     head.append(name).append(": ").append(value).append("\r\n");
 }
 
-/// What callers are told leaves a fifth of the limit for queues in links and loops that run
-/// late, so that none begins a request while the close is on its way: a request that
-/// crosses it is lost.
+/// The announced idle time leaves out a fifth of the limit to allow for network queues and
+/// delayed event loops. A caller that sent a request while the close is in flight would lose
+/// the request.
 std::string connectionFields(std::optional<milliseconds> idle)
 {
     std::string fields;
--- a/lib/Forward/Headers.h
+++ b/lib/Forward/Headers.h
@@ -1,8 +1,8 @@
-//===- lib/Forward/Headers.h - header fields as they were sent -------------===//
+//===- lib/Forward/Headers.h - lists of HTTP header fields ----------------===//
 ///
 /// \file
-/// A list of header fields that keeps order, case and repetition, and the rules
-/// on what may be passed on between two connections.
+/// A list of header fields that keeps order, case and duplicates, and the rules for
+/// which fields may be forwarded from one connection to another.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -17,36 +17,36 @@
 
 using HeaderFields = std::vector<HeaderField>;
 
-/// Compares ASCII without case.
+/// Compares two ASCII strings, ignoring case.
 bool equalWithoutCase(std::string_view left, std::string_view right);
 
 /// The first value of \p name, or nullptr.
 const std::string* findField(const HeaderFields& fields, std::string_view name);
 
-/// Whether \p name concerns one connection only (RFC 9110, 7.6.1).
+/// Whether the field \p name applies to a single connection only (RFC 9110, 7.6.1).
 bool isHopByHop(std::string_view name);
 
-/// Names listed in the Connection fields.
+/// The lower-case names that the Connection fields list.
 std::vector<std::string> connectionOptions(const HeaderFields& fields);
 
-/// An unsigned decimal number and nothing else.
+/// Parses an unsigned decimal number. \returns nullopt for any other text.
 std::optional<std::uint64_t> parseNumber(std::string_view text);
 
-/// Seconds, with a fraction or without, rounded up to milliseconds; nullopt for anything
-/// else. Too many to count are a year.
+/// Parses a number of seconds, with or without a fraction, and rounds it up to
+/// milliseconds. The maximum is one year. \returns nullopt for any other text.
 std::optional<milliseconds> parseRetryAfter(std::string_view text);
 
-/// "PROMPT,OUTPUT" of a token-count header.
+/// Parses the value "PROMPT,OUTPUT" of a token-count header.
 std::optional<std::pair<TokenCount, TokenCount>> parseTokenCounts(std::string_view text);
 
-/// "ID:TOKENS,ID:TOKENS"; nothing for a malformed list.
+/// Parses a list "ID:TOKENS,ID:TOKENS". \returns an empty list if it is malformed.
 std::vector<PromptPart> parsePromptParts(std::string_view text);
 
 /// Appends "Name: value\r\n".
 void appendField(std::string& head, std::string_view name, std::string_view value);
 
-/// The header fields that tell the caller how long it may use the connection: a part of
-/// \p idle, in whole seconds, or not again without it.
+/// Renders the header fields that tell the caller for how long it may use the connection:
+/// for a part of \p idle, in full seconds, or without \p idle not again.
 std::string connectionFields(std::optional<milliseconds> idle);
 
 } // namespace pistachioloom
--- a/lib/Forward/LivenessProbe.cpp
+++ b/lib/Forward/LivenessProbe.cpp
@@ -1,4 +1,4 @@
-//===- lib/Forward/LivenessProbe.cpp - whether a backend server has ended -------===//
+//===- lib/Forward/LivenessProbe.cpp - detects ended backend servers ------===//
 ///
 /// \file
 /// See LivenessProbe.h.
@@ -9,8 +9,9 @@
 
 namespace pistachioloom {
 
-// A process that ends closes its connections one after the other, the one on which it
-// listens perhaps last, so that a connection may still be accepted after the first break.
+// A process that ends closes its sockets one after the other, its listening socket possibly
+// last. A connection may therefore still be accepted after the first one breaks, so a second
+// probe follows after this delay.
 static constexpr milliseconds reprobeDelay { 150 };
 
 static const Logger& logger()
@@ -22,7 +23,7 @@
 void logCrash(ForwardContext& context, const BackendId& backend, const CrashWatch::Counted& counted)
 {
     context.metrics_.add(Counter::BackendCrashes);
-    LogLine line("Backend server crashed under a request.");
+    LogLine line("Backend server crashed while serving a request.");
     line.add("backend", backend.value_).add("request", toString(counted.request_)).add("crashes", static_cast<std::int64_t>(counted.crashes_));
     logger().info(line);
 }
@@ -41,9 +42,9 @@
         co_await sleepFor(reprobeDelay);
         code = co_await tryConnection(backend.endpoint_, waitLimit);
     }
-    // What cuts a data centre off may refuse connections too.
+    // A fault that isolates a data centre may refuse connections as well.
     bool hasEnded = code == asio::error::connection_refused && context.backends_.isReached(backend.dataCentre_);
-    LogLine line(hasEnded ? "Backend server has ended." : "Backend server cut a request off.");
+    LogLine line(hasEnded ? "Backend server has ended." : "Backend server closed a connection during a request.");
     line.add("backend", backend.id_.value_).add("connection", code ? code.message() : "accepted");
     logger().info(line);
     context.crashes_.noteProbed({ keyOf(backend.id_) });
--- a/lib/Forward/LivenessProbe.h
+++ b/lib/Forward/LivenessProbe.h
@@ -1,8 +1,8 @@
-//===- lib/Forward/LivenessProbe.h - whether a backend server has ended ---------===//
+//===- lib/Forward/LivenessProbe.h - detects ended backend servers --------===//
 ///
 /// \file
-/// A backend server that cuts an answer off may have crashed, or may have lost just
-/// that connection. A new connection tells which.
+/// A backend server that cuts an answer off has either crashed or lost only that
+/// connection. A new connection shows which of the two has happened.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -11,10 +11,11 @@
 
 namespace pistachioloom {
 
-/// Connects to \p backend. If that is refused, the backend server has ended.
+/// Connects to \p backend. If the connection is refused, records that the backend server
+/// has ended.
 asio::awaitable<void> probeLiveness(ForwardContext& context, BackendRecord backend);
 
-/// A crash of \p backend was counted against a request.
+/// Logs that a crash of \p backend was counted against a request.
 void logCrash(ForwardContext& context, const BackendId& backend, const CrashWatch::Counted& counted);
 
 } // namespace pistachioloom
--- a/lib/Forward/RequestForwarder.cpp
+++ b/lib/Forward/RequestForwarder.cpp
@@ -1,8 +1,8 @@
-//===- lib/Forward/RequestForwarder.cpp - the course of one request --------------===//
+//===- lib/Forward/RequestForwarder.cpp - processing of one request -------===//
 ///
 /// \file
-/// Admission, the loop over attempts, and time. Sending is in Sending.cpp,
-/// answers to the caller in Answering.cpp.
+/// Admission, the loop over attempts, and time limits. Sending.cpp contains sends to
+/// backend servers, Answering.cpp answers to the caller.
 //===----------------------------------------------------------------------===//
 #include "RequestForwarder.h"
 #include "LivenessProbe.h"
@@ -11,18 +11,19 @@
 
 namespace {
 
-    // A node without a configuration expects one within a poll of its source.
+    // A node without a configuration receives one within a polling period of its source.
     constexpr milliseconds unconfiguredRetryAfter { 300 };
-    // Another node takes a request at once that a stopping one refuses.
+    // Another node immediately accepts a request that a stopping node rejects.
     constexpr milliseconds stoppingRetryAfter { 10 };
-    // Backend servers that are full have room again after a few answers.
+    // Full backend servers have capacity again after a few answers.
     constexpr milliseconds fullRetryAfter { 150 };
-    // Connections that may fail for one request before it is given up.
+    // The number of sends without effect, such as failed connections, after which a request
+    // fails.
     constexpr unsigned maxConnectFailures = 4;
-    // A request with so many crashes is kept apart from others: one more of them is
-    // hardly chance.
+    // A request with this many crashes is isolated from others, because so many are unlikely
+    // to be a coincidence.
     constexpr std::size_t crashesToIsolate = 2;
-    // Weight versions and the like begin at this urgency if nothing is said.
+    // The largest urgency value, which is the least urgent.
     constexpr unsigned maxUrgency = 9;
 
     const Logger& logger()
@@ -144,7 +145,7 @@
     stopReason_ = reason;
     if (currentConnection_)
         currentConnection_->abort();
-    // A slow reader must not keep a request beyond its time.
+    // A caller that reads slowly must not prolong a request beyond its deadline.
     if (reason == StopReason::DeadlineExceeded && hasStartedAnswer_)
         caller_->abort();
 }
@@ -159,7 +160,7 @@
         return false;
     if (end != SendOutcome::NotRun && !route_->mayRepeat())
         return false;
-    // It may just have crashed one more, which is not known yet.
+    // The request may have crashed this backend server as well, which is not known yet.
     if (end == SendOutcome::Lost && shape_.isSuspect_)
         return false;
     return context_.retries_.take(shape_.service_, steadyNow());
@@ -174,7 +175,7 @@
     return rejection(503, "engines are busy for " + std::to_string(choice.ahead_.count()) + " ms", *returnIn);
 }
 
-/// Every send passes here: first ones, repeats, and streams that move.
+/// Checks every send: first sends, retries and moved streams.
 std::optional<RequestForwarder::HeldAnswer> RequestForwarder::rejectQuarantined()
 {
     if (context_.quarantine_.isEmpty())
@@ -186,21 +187,22 @@
     }
     context_.metrics_.add(Counter::RequestsQuarantined);
     logQuarantined(*quarantine);
-    // Neither 503, whose promise that a request never runs invites its caller back, nor
-    // 4xx: that the request itself is at fault is likely, not certain.
+    // 503 promises that the request never runs, which invites the caller to retry. 4xx would
+    // blame the request, whose fault is likely but not certain.
     return rejection(502, "quarantined: " + std::to_string(quarantine->crashes_) + " backend servers crashed under this request", {});
 }
 
 void RequestForwarder::logQuarantined(const Quarantine& quarantine)
 {
-    LogLine line("Request is in quarantine.");
+    LogLine line("Request is quarantined.");
     line.add("id", id_).add("request", toString(fingerprint())).add("crashes", static_cast<std::int64_t>(quarantine.crashes_));
     line.add("last_crash_ms", quarantine.sinceLastCrash_.count()).add("left_ms", quarantine.left_.count());
     line.add("target", request_.target_).add("organisation", organisation_ ? organisation_->name_.value_ : "");
     logger().info(line);
 }
 
-/// A whole answer, a failure too, shows that the request does not crash its server.
+/// A complete answer, even a failure, shows that the request does not crash its backend
+/// server.
 void RequestForwarder::clearSuspicion()
 {
     if (context_.crashes_.isIdle())
@@ -249,9 +251,9 @@
         if (!mayRetry(end))
             break;
         context_.metrics_.add(Counter::Retries);
-        logger().info(LogLine("Try again.").add("id", id_).add("after", attempt.choice_.backend_.id_.value_).add("sends", sendCount_).add("why", attempt.detail_).add("left_ms", timeLeft().count()));
-        // A stopped engine has noticed its closed connection long before another
-        // has begun: the close is sent first, on a path no longer than the send's.
+        logger().info(LogLine("Retrying.").add("id", id_).add("after", attempt.choice_.backend_.id_.value_).add("sends", sendCount_).add("why", attempt.detail_).add("left_ms", timeLeft().count()));
+        // The previous engine detects its closed connection before the next one starts,
+        // because the close is sent first, over a path that is no longer than the send's.
     }
     if (caller_->isDisconnected())
         co_return;
@@ -365,7 +367,7 @@
 {
     const BackendRecord& backend = attempt.choice_.backend_;
     auto known = context_.backends_.find(backend.id_);
-    // Its end was announced, and is no crash.
+    // The end of a leaving backend server was announced and is not a crash.
     if (known && known->isLeaving_)
         return;
     CutOff cutOff { fingerprint(), organisation_ ? organisation_->name_ : OrganisationId {}, { keyOf(backend.id_) } };
@@ -408,7 +410,7 @@
 
 RequestForwarder::HeldAnswer RequestForwarder::finalFailure() const
 {
-    // 503 promises that the request has not run and never will.
+    // 503 promises that the request has not run and never will run.
     if (!mayHaveRun_ && stopReason_ != StopReason::DeadlineExceeded) {
         auto pause = context_.backends_.pauseOf(shape_.service_, steadyNow());
         std::string reason = pause ? "all backend servers asked for a pause" : "no backend server";
--- a/lib/Forward/RequestForwarder.h
+++ b/lib/Forward/RequestForwarder.h
@@ -1,52 +1,54 @@
-//===- lib/Forward/RequestForwarder.h - the course of one request ----------------===//
+//===- lib/Forward/RequestForwarder.h - processing of one request ---------===//
 ///
 /// \file
-/// From a whole request to its one final answer: admission, choice, sends to
-/// backend servers, and going on elsewhere where that is allowed.
+/// Processes a complete request up to its one final answer: admission, choice of a
+/// backend server, sends, and retry or resumption on another backend server where
+/// that is allowed.
 //===----------------------------------------------------------------------===//
 #pragma once
 
-#include "ConnectionPool.h"
+#include "AutoResetEvent.h"
 #include "CallerConnection.h"
+#include "ConnectionPool.h"
 #include "EventSplitter.h"
-#include "AutoResetEvent.h"
 
 #include <boost/beast/http.hpp>
 
 namespace pistachioloom {
 
-/// How one send to a backend server ended, as far as the request goes.
+/// The outcome of one send to a backend server, as it matters to the request.
 enum class SendOutcome {
-    /// The caller has the whole answer.
+    /// The caller has received the complete answer.
     Delivered,
-    /// The answer is whole and held; it may be delivered or repeated.
+    /// The answer is complete and held. It may be delivered, or the request retried.
     Held,
-    /// It surely did not run there.
+    /// The request certainly did not run on the backend server.
     NotRun,
-    /// Nothing reached the backend server.
+    /// The connection failed, so nothing reached the backend server.
     Unreachable,
-    /// It may have run, and there is no whole answer.
+    /// The request may have run, and there is no complete answer.
     Lost,
-    /// The caller left, or the time is over.
+    /// The caller has disconnected, or the deadline has passed.
     Stopped,
-    /// All connections that this node may open there are in use.
+    /// All connections that this worker may open to the backend server are in use.
     NoConnection,
-    /// Nothing was sent: the backend server takes no new work any more.
+    /// Nothing was sent, because the backend server no longer accepts requests.
     NotAccepting,
-    /// It was stopped to go on at another engine, which has its KV cache.
+    /// The stream was stopped to resume on another engine, which has its KV cache.
     Moved,
 };
 
-/// Why work on a request was stopped from outside.
+/// Why a send was stopped before its end.
 enum class StopReason {
     None,
     CallerDisconnected,
     /// The caller's deadline or the route's timeout.
     DeadlineExceeded,
-    /// The backend server was silent for too long.
+    /// The backend server did not respond within the wait limit.
     WaitLimitExceeded,
 };
 
+/// Forwards one request and delivers its answer.
 class RequestForwarder : public std::enable_shared_from_this<RequestForwarder> {
 public:
     RequestForwarder(ForwardContext& context, ConnectionPool& pool, std::shared_ptr<CallerConnection> caller, CallerRequest request);
@@ -57,26 +59,26 @@
 private:
     using Parser = boost::beast::http::response_parser<boost::beast::http::string_body>;
 
-    /// One send and what came of it.
+    /// One send to a backend server and its results.
     struct Attempt {
         BackendChoice choice_;
         BackendConnectionPtr connection_;
         SteadyTime startedAt_ {};
         bool hasFirstByte_ = false;
         SteadyTime firstByteAt_ {};
-        /// The backend server closed the connection before its answer was whole.
+        /// Whether the backend server closed the connection before the end of its answer.
         bool isCutOff_ = false;
-        /// Its answer said that the backend server is leaving.
+        /// Whether the answer reported that the backend server is leaving.
         bool reportsLeaving_ = false;
-        /// Its answer asked for a pause.
+        /// The pause that the answer asked for.
         milliseconds pause_ {};
-        /// The wait for the first byte, as a multiple of the estimate.
+        /// The wait for the first byte as a multiple of its estimate.
         double waitRatio_ = 1;
-        /// The last event that the caller had before it.
+        /// The id of the last event that the caller had before the attempt.
         std::uint64_t eventBefore_ = 0;
         std::string detail_;
     };
-    /// A whole answer of a backend server, not yet passed on.
+    /// A complete answer that is not yet delivered.
     struct HeldAnswer {
         int status_ = 0;
         HeaderFields fields_;
@@ -99,7 +101,7 @@
     asio::awaitable<SendOutcome> forwardEvents(Attempt& attempt, Parser& parser);
     asio::awaitable<boost::beast::error_code> readSome(Attempt& attempt, Parser& parser);
     bool mayRetry(SendOutcome end);
-    /// The answer to a request that would wait for too long; see Admission.h.
+    /// The answer to a request that would have to wait for too long; see Admission.h.
     std::optional<HeldAnswer> rejectLongWait(const BackendChoice& choice) const;
     bool mayRetryElsewhere(const Attempt& attempt) const;
     asio::awaitable<SendOutcome> handleStreamBreak(Attempt& attempt, const boost::system::error_code& code);
@@ -112,19 +114,21 @@
     void releaseTarget(const BackendChoice& to);
     void cancelMove();
     void finishAttempt(Attempt& attempt, SendOutcome end);
-    /// Finds out, beside the request, whether the backend server that cut it off ended.
+    /// Reports that the backend server cut the request off, and probes in the background
+    /// whether it has ended.
     void noteCutOff(const Attempt& attempt);
-    /// Counts for or against the version of the attempt's backend server.
+    /// Reports the outcome of an attempt to the roll-out of its backend server's version.
     void noteVersionOutcome(const Attempt& attempt, BackendOutcome outcome);
     RequestFingerprint fingerprint();
-    /// The answer to a request that is in quarantine.
+    /// The answer to a quarantined request; nullopt if the request is not quarantined.
     std::optional<HeldAnswer> rejectQuarantined();
     void clearSuspicion();
     void logAttempt(const Attempt& attempt, BackendOutcome outcome, milliseconds took);
     void logQuarantined(const Quarantine& quarantine);
     void logRejection(const HeldAnswer& answer) const;
     std::optional<SendOutcome> checkAnswerHead(Attempt& attempt, const Parser& parser);
-    /// What the backend server says of itself, in whatever answer.
+    /// Records what an answer reports about its backend server: that it is leaving, or
+    /// needs a pause.
     void noteBackendState(Attempt& attempt, const Parser& parser);
     void startWriting(Attempt& attempt);
     std::string renderRequestHead(const BackendRecord& backend) const;
@@ -137,7 +141,8 @@
     asio::awaitable<bool> writeEvents(std::string events);
     HeldAnswer rejection(int status, std::string reason, milliseconds retryAfter) const;
     HeldAnswer finalFailure() const;
-    /// The idle limit that an answer announces; nullopt if the connection closes after it.
+    /// The idle limit that an answer announces; nullopt if the connection closes after the
+    /// answer.
     std::optional<milliseconds> announcedIdle();
 
     // Time.
@@ -176,7 +181,7 @@
     bool isFinished_ = false;
     bool keepsConnection_ = false;
     EventSplitter events_ { std::nullopt };
-    /// A move of the running stream; the last one.
+    /// A move of the running stream to another engine.
     struct Move {
         explicit Move(const asio::any_io_executor& executor)
             : done_(executor)
@@ -185,32 +190,32 @@
 
         AutoResetEvent done_;
         bool isDone_ = false;
-        /// The stream goes on without it.
+        /// Whether the stream no longer uses the move.
         bool isCancelled_ = false;
-        /// Set once the stream is stopped and its KV cache is there.
+        /// The target, once the stream is stopped and its KV cache is copied.
         std::optional<BackendChoice> to_;
         std::string resumeFrom_;
     };
     std::shared_ptr<Move> move_;
-    /// Sent with the next attempt, once.
+    /// The location of a KV cache, which only the next attempt sends.
     std::string resumeFrom_;
     std::optional<HeldAnswer> heldAnswer_;
-    /// Worked out when it is first needed: most requests never need theirs.
+    /// Computed on first use, because most requests never need it.
     std::optional<RequestFingerprint> fingerprint_;
     std::string lastDetail_;
-    /// From the request's arrival to the first byte of an answer.
+    /// The time from the request's arrival to the first byte of an answer.
     milliseconds firstByteLatency_ {};
     int finalStatus_ = 0;
 };
 
-/// Whether an answer's body follows its head; that of an answer to HEAD does not.
+/// Whether an answer's body follows its head. It does not for HEAD requests.
 enum class BodySent {
     Yes,
     No,
 };
 
-/// A whole answer; see connectionFields() for \p idle. Without its body it tells the
-/// length that \p fields state, or that of \p body if there is one.
+/// Renders a complete answer. See connectionFields() for \p idle. An answer without its
+/// body states the length from \p fields, or else the length of \p body if it is not empty.
 std::string renderAnswer(int status, const HeaderFields& fields, std::string_view body, std::optional<milliseconds> idle, BodySent sent = BodySent::Yes);
 
 } // namespace pistachioloom
--- a/lib/Forward/RequestReader.cpp
+++ b/lib/Forward/RequestReader.cpp
@@ -1,4 +1,4 @@
-//===- lib/Forward/RequestReader.cpp - callers' bytes into requests --------===//
+//===- lib/Forward/RequestReader.cpp - parses callers' requests -----------===//
 ///
 /// \file
 /// See RequestReader.h.
@@ -82,7 +82,7 @@
     , startedAt_(now)
 {
     parser_.eager(true);
-    // The bound on the head is checked here, with its own answer.
+    // This class checks the limit on the head itself, as it has a status of its own.
     parser_.header_limit(std::numeric_limits<std::uint32_t>::max());
     parser_.body_limit(bounds.body_.value_);
 }
@@ -95,7 +95,7 @@
 
 RequestReader::Progress RequestReader::feedHead(std::string& input)
 {
-    // Blank lines before a request are left over from a body (RFC 9112, 2.2).
+    // Blank lines before a request may be left over from a body (RFC 9112, 2.2).
     while (input.starts_with("\r\n"))
         input.erase(0, 2);
     std::size_t end = input.find(headEnd);
@@ -103,7 +103,7 @@
     if (length > bounds_.header_.value_)
         return fail(431, "head larger than " + std::to_string(bounds_.header_.value_) + " bytes");
     if (end == std::string::npos) {
-        // A head with bare line feeds would never end here.
+        // A head with bare line feeds never has the end that is searched for above.
         if (auto bad = checkLineEnds(std::string_view(input).substr(0, input.find_last_of('\r'))))
             return fail(bad->status_, bad->reason_);
         return Progress::NeedsMore;
--- a/lib/Forward/RequestReader.h
+++ b/lib/Forward/RequestReader.h
@@ -1,8 +1,8 @@
-//===- lib/Forward/RequestReader.h - callers' bytes into requests ----------===//
+//===- lib/Forward/RequestReader.h - parses callers' requests -------------===//
 ///
 /// \file
-/// Turns bytes into whole requests. What two readers could understand
-/// differently is refused: it may hide a second request.
+/// Parses bytes into complete requests. Input that two parsers could interpret
+/// differently is rejected, because it may smuggle a second request.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -12,32 +12,34 @@
 
 namespace pistachioloom {
 
-/// A whole request of a caller.
+/// A complete request of a caller.
 struct CallerRequest {
     std::string method_;
     std::string target_;
     HeaderFields fields_;
     std::string body_;
     bool isKeepAlive_ = true;
-    /// Version 1.0: answers are ended by closing.
+    /// Whether the version is 1.0. Event streams then end with the connection.
     bool isHttp10_ = false;
     SteadyTime receivedAt_ {};
 
+    /// The target without its query.
     std::string_view path() const { return std::string_view(target_).substr(0, target_.find('?')); }
+    /// The first value of \p name, or an empty string.
     std::string_view field(std::string_view name) const;
 };
 
-/// Why bytes are no request: the status to answer with, and the reason.
+/// Why bytes are not a valid request: the status to answer with, and the reason.
 struct BadRequest {
     int status_ = 400;
     std::string reason_;
 };
 
-/// Checks what the library's parser lets pass: line ends, folded lines, and
-/// more than one way to tell the body's length. \p head ends with the blank line.
+/// Checks for errors that the library's parser accepts: bad line endings, folded lines,
+/// and more than one statement of the body's length. \p head ends with the blank line.
 std::optional<BadRequest> checkRequestHead(std::string_view head);
 
-/// Reads one request from bytes that arrive in pieces.
+/// Incremental parser for one request.
 class RequestReader {
 public:
     RequestReader(const CallerBounds& bounds, SteadyTime now);
@@ -48,13 +50,15 @@
         Bad,
     };
 
-    /// Takes what it can from the front of \p input.
+    /// Consumes as much as possible from the front of \p input.
     Progress feed(std::string& input);
-    /// Whether the head is whole and the body is awaited.
+    /// Whether the head is complete.
     bool hasHead() const { return hasHead_; }
-    /// Whether the caller waits for leave to send the body; true once.
+    /// \returns true once if the caller waits for "100 Continue" before it sends the body.
     bool takeContinueExpectation();
+    /// The reason for Progress::Bad.
     const BadRequest& problem() const { return problem_; }
+    /// Moves the request out of the reader after Progress::Done.
     CallerRequest take();
 
 private:
--- a/lib/Forward/Sending.cpp
+++ b/lib/Forward/Sending.cpp
@@ -1,9 +1,9 @@
-//===- lib/Forward/Sending.cpp - one send to a backend server --------------===//
+//===- lib/Forward/Sending.cpp - one send to a backend server -------------===//
 ///
 /// \file
-/// Connects, writes the request and reads the answer. What an answer says is
-/// believed only from the instance that was meant, for the request that was
-/// sent, and whole.
+/// Connects, writes the request and reads the answer. An answer is trusted only if
+/// it comes from the intended instance, belongs to the request that was sent, and is
+/// complete.
 //===----------------------------------------------------------------------===//
 #include "RequestForwarder.h"
 
@@ -15,13 +15,13 @@
 namespace http = boost::beast::http;
 using tcp = asio::ip::tcp;
 
-// Silence before a first event that means more than a long queue, as a multiple of
-// the latency objective: queues on high-load days stay below two objectives.
+// The wait limit for the first event, as a multiple of the latency objective. Queues stay
+// below two objectives even under high load, so a longer wait indicates a fault.
 static constexpr int waitLimitObjectives = 3;
-// A pause that a backend server asks for in a form that is not understood, such as a
-// date: clocks may differ by more than it is long.
+// Replaces a Retry-After value that is not a number, such as a date. Dates are not
+// evaluated, as clocks may differ by more than the length of the pause.
 static constexpr milliseconds defaultPause { 1000 };
-// Bytes asked of a backend server's connection at once.
+// The maximum number of bytes per read from a backend server's connection.
 static constexpr std::size_t readSize = 4UL * 1024;
 
 static std::string_view view(beast::string_view text)
@@ -35,7 +35,7 @@
     return code == asio::error::eof || code == asio::error::connection_reset || code == asio::error::broken_pipe || code == http::error::end_of_stream || code == http::error::partial_message;
 }
 
-/// The fields that are meant for the caller.
+/// The fields that are for the caller.
 static HeaderFields fieldsOf(const http::response_parser<http::string_body>& parser, const ForwardHeaderNames& names)
 {
     HeaderFields fields;
@@ -54,10 +54,10 @@
     bool hadLength = false;
     for (const HeaderField& field : request_.fields_) {
         hadLength |= equalWithoutCase(field.name_, "content-length") || equalWithoutCase(field.name_, "transfer-encoding");
-        bool isOurs = equalWithoutCase(field.name_, "authorization") || equalWithoutCase(field.name_, names.deadline_) || equalWithoutCase(field.name_, names.lastEvent_);
+        bool isReplaced = equalWithoutCase(field.name_, "authorization") || equalWithoutCase(field.name_, names.deadline_) || equalWithoutCase(field.name_, names.lastEvent_);
         for (const std::string& reserved : names.reserved_)
-            isOurs |= equalWithoutCase(field.name_, reserved);
-        if (isOurs || isHopByHop(field.name_) || std::find(options.begin(), options.end(), boost::to_lower_copy(field.name_)) != options.end())
+            isReplaced |= equalWithoutCase(field.name_, reserved);
+        if (isReplaced || isHopByHop(field.name_) || std::find(options.begin(), options.end(), boost::to_lower_copy(field.name_)) != options.end())
             continue;
         appendField(head, field.name_, field.value_);
     }
@@ -76,8 +76,8 @@
     return head + "\r\n";
 }
 
-/// A backend server resets connections beyond those that it accepts from all nodes
-/// together, so each worker of each node keeps to its share.
+/// A backend server resets connections beyond its limit for all nodes together, so each
+/// worker of each node keeps within its share.
 bool RequestForwarder::mayConnect(const BackendId& backend) const
 {
     const ServicePolicy* service = table_->findService(shape_.service_);
@@ -136,8 +136,8 @@
     });
 }
 
-/// Whether silence is worth ending: with nowhere else to go, the backend server
-/// has all the time that is left.
+/// Whether a wait limit applies. If no retry on another backend server is possible, the
+/// current one may use all of the remaining time.
 bool RequestForwarder::mayRetryElsewhere(const Attempt& attempt) const
 {
     return route_->mayRepeat() && sendCount_ < route_->mostAttempts_ && attempt.choice_.candidates_ > 1;
@@ -151,14 +151,15 @@
             attempt.connection_->abort();
         co_return connected;
     }
-    // It may have said that it leaves, or asked for a pause, while the connection was made.
+    // The backend server may have reported that it is leaving, or asked for a pause, while the
+    // connection was established.
     if (!context_.backends_.mayReceive(attempt.choice_.backend_.id_, steadyNow())) {
         attempt.connection_->abort();
         attempt.detail_ = "no_longer_accepts";
         resumeFrom_.clear();
         co_return SendOutcome::NotAccepting;
     }
-    // Its time may have run out while the VM was suspended, before any timer fires.
+    // The deadline may have passed while the VM was suspended, before any timer fires.
     if (timeLeft() <= milliseconds(0)) {
         attempt.connection_->abort();
         attempt.detail_ = "time_over";
@@ -210,7 +211,7 @@
         if (isReceiveBufferEmpty)
             attempt.connection_->arrivedAt_ = steadyNow();
         if (readCode == asio::error::eof) {
-            // An answer without a length ends here; any other is cut off.
+            // An answer without a length ends here. Any other answer is cut off.
             parser.put_eof(code);
             co_return code;
         }
@@ -223,7 +224,7 @@
 void RequestForwarder::noteBackendState(Attempt& attempt, const Parser& parser)
 {
     const auto& message = parser.get();
-    // Another server has the address of the one that was meant.
+    // Another backend server now has the address of the intended one.
     if (message.result_int() == 421)
         return;
     std::string_view leaving = view(message[context_.names_.leaving_]);
@@ -237,7 +238,7 @@
     context_.backends_.setPause(backend, attempt.pause_, steadyNow());
 }
 
-/// What the head alone decides; nullopt to read on.
+/// \returns the outcome if the head alone determines it, or nullopt to continue reading.
 std::optional<SendOutcome> RequestForwarder::checkAnswerHead(Attempt& attempt, const Parser& parser)
 {
     const auto& message = parser.get();
@@ -247,8 +248,8 @@
         return SendOutcome::NotRun;
     }
     std::string_view echoed = view(message[context_.names_.attempt_]);
-    bool isOurs = id_.empty() || echoed == id_;
-    if (!isOurs && !(echoed.empty() && status >= 400)) {
+    bool matchesAttempt = id_.empty() || echoed == id_;
+    if (!matchesAttempt && !(echoed.empty() && status >= 400)) {
         attempt.detail_ = "other_answer";
         return SendOutcome::Lost;
     }
@@ -272,7 +273,7 @@
         parser.body_limit(boost::none);
         if (isHead())
             parser.skip(true);
-        // An event stream is read as it comes; everything else is read whole.
+        // An event stream is forwarded as it arrives. All other answers are read completely.
         parser.eager(false);
         auto [code, count] = co_await http::async_read_header(attempt.connection_->socket_, attempt.connection_->buffer_, parser, asTuple);
         if (code) {
@@ -333,7 +334,7 @@
     releaseConnection(attempt, parser);
     bool isServerFailure = answer.status_ >= 500;
     if (isServerFailure && route_->mayRepeat()) {
-        // Another may do better; if none may be asked, this answer stands.
+        // Another backend server may succeed. If no retry is possible, this answer is delivered.
         attempt.detail_ = "failed:" + std::to_string(answer.status_);
         heldAnswer_ = std::move(answer);
         co_return SendOutcome::Held;
@@ -345,7 +346,7 @@
 asio::awaitable<SendOutcome> RequestForwarder::forwardEvents(Attempt& attempt, Parser& parser)
 {
     HeaderFields fields = fieldsOf(parser, context_.names_);
-    // An engine may have stopped in the middle of an event before this one.
+    // The previous engine's stream may have ended within an event.
     events_.dropPartial();
     finalStatus_ = static_cast<int>(parser.get().result_int());
     while (!parser.is_done()) {
@@ -364,8 +365,8 @@
         noteFirstByte(attempt);
         if (mayRetryElsewhere(attempt)) {
             waitDeadline_ = steadyNow() + context_.settings_.streamStallTimeout_;
-            // The timer looks again when it fires; it is set only if it would
-            // fire too late.
+            // The timer checks the deadlines again when it fires, so it is set only if it
+            // would fire too late.
             if (timer_.expiry() > waitDeadline_)
                 armTimer();
         }
@@ -390,7 +391,7 @@
     co_return isWritten ? SendOutcome::Delivered : SendOutcome::Stopped;
 }
 
-/// Keeps the connection if nothing speaks against it.
+/// Returns the connection to the pool if it is reusable, and closes it otherwise.
 void RequestForwarder::releaseConnection(Attempt& attempt, const Parser& parser)
 {
     BackendConnectionPtr connection = std::move(attempt.connection_);
--- a/lib/Forward/StreamMove.cpp
+++ b/lib/Forward/StreamMove.cpp
@@ -1,9 +1,10 @@
-//===- lib/Forward/StreamMove.cpp - streams leave engines that are taken away --===//
+//===- lib/Forward/StreamMove.cpp - moves streams off departing engines ---===//
 ///
 /// \file
-/// A running stream whose engine will be gone within seconds goes on at another one
-/// with its KV cache. The cache is copied while the stream runs; then the stream is
-/// stopped, what came since is copied, and the same request goes on there.
+/// A running stream whose engine will terminate within seconds resumes on another
+/// engine with its KV cache. The cache is copied while the stream runs. Then the
+/// stream is stopped, the rest of the cache is copied, and the same request resumes
+/// on the other engine.
 //===----------------------------------------------------------------------===//
 #include "RequestForwarder.h"
 
@@ -11,7 +12,7 @@
 
 namespace {
 
-    // How long a broken stream waits for the end of its move: two copies.
+    // The time for which a broken stream waits for the end of its move: two copies.
     constexpr milliseconds moveWaitLimit { 1000 };
 
     const Logger& logger()
@@ -22,7 +23,8 @@
 
 } // namespace
 
-/// A stream whose engine is taken away would break off, and its prompt be read again.
+/// A stream whose engine is reclaimed would break off, and another engine would have to
+/// process its prompt again.
 bool RequestForwarder::shouldMove(const Attempt& attempt) const
 {
     if (move_ || !route_->mayRepeat() || !events_.last() || !context_.hooks_.copyStream_)
@@ -38,7 +40,7 @@
     move_ = std::make_shared<Move>(pool_.executor());
     move_->isDone_ = true;
     const BackendRecord& from = attempt.choice_.backend_;
-    // Nothing is left to read there but what the copy lacks.
+    // The target has the copied KV cache, so it processes only the part that the copy lacks.
     RequestShape shape = shape_;
     shape.promptTokens_ = {};
     shape.parts_.clear();
@@ -47,7 +49,7 @@
     auto to = context_.backends_.choose(shape, excluded_, steadyNow());
     if (!to)
         return;
-    // It arrives as a repeat does.
+    // A moved stream reaches its target as a retry does, so the retry budget applies.
     if (!context_.retries_.take(shape_.service_, steadyNow())) {
         releaseTarget(*to);
         return;
@@ -69,7 +71,7 @@
         copied = co_await context_.hooks_.copyStream_(copy);
     }
     bool isMoved = copied && copy.stopsRun_;
-    LogLine line(isMoved ? "Stream is moved." : "Stream is not moved.");
+    LogLine line(isMoved ? "Stream moved to another engine." : "Stream move failed.");
     line.add("id", id_).add("from", from.id_.value_).add("to", to.backend_.id_.value_).add("last_event", static_cast<std::int64_t>(events_.last().value_or(0)));
     line.add("took_ms", std::chrono::duration_cast<milliseconds>(steadyNow() - startedAt).count()).add("error", copied ? "" : describe(copied.error()));
     logger().info(line);
@@ -86,16 +88,16 @@
         co_return;
     auto dropped = co_await context_.hooks_.dropCopy_(std::move(copy), std::move(copyHandle));
     if (!dropped)
-        logger().info(LogLine("Copy is not freed.").add("id", id_).add("error", describe(dropped.error())));
+        logger().info(LogLine("Failed to free a KV cache copy.").add("id", id_).add("error", describe(dropped.error())));
 }
 
-/// The stream does not go on at \p to, where it is counted as under way.
+/// The stream does not resume on \p to, where it is counted as a request in progress.
 void RequestForwarder::releaseTarget(const BackendChoice& to)
 {
     context_.backends_.end(to.backend_.id_, { BackendOutcome::Abandoned, to.uncached_, false, {} }, steadyNow());
 }
 
-/// A move that comes too late changes nothing any more.
+/// A move that completes after its cancellation has no effect.
 void RequestForwarder::cancelMove()
 {
     if (!move_)
@@ -105,7 +107,8 @@
         releaseTarget(*to);
 }
 
-/// A stream broke off: either it was stopped to be moved, or its engine is lost.
+/// Handles a stream that broke off, either because it was stopped for a move or because
+/// its engine was lost.
 asio::awaitable<SendOutcome> RequestForwarder::handleStreamBreak(Attempt& attempt, const boost::system::error_code& code)
 {
     attempt.detail_ = "events:" + code.message();
@@ -120,14 +123,15 @@
     co_return SendOutcome::Moved;
 }
 
-/// The engine that has this stream's KV cache, once.
+/// \returns once the engine that has received this stream's KV cache.
 std::optional<BackendChoice> RequestForwarder::takeMoveTarget()
 {
     if (!move_ || !move_->to_)
         return std::nullopt;
     std::optional<BackendChoice> to = std::exchange(move_->to_, std::nullopt);
     resumeFrom_ = std::move(move_->resumeFrom_);
-    // It may have to move again. The engine before ends, so it counts no more.
+    // The stream may have to move again. The send to the previous engine does not count
+    // against the maximum number of attempts, as that engine is terminating.
     move_.reset();
     sendCount_ -= std::min(sendCount_, 1U);
     return to;
--- a/lib/Forward/Worker.cpp
+++ b/lib/Forward/Worker.cpp
@@ -1,7 +1,7 @@
-//===- lib/Forward/Worker.cpp - accepts callers ----------------------------===//
+//===- lib/Forward/Worker.cpp - accepts callers ---------------------------===//
 ///
 /// \file
-/// One worker serves its connections on one thread.
+/// Accepts callers and serves their connections on one thread.
 //===----------------------------------------------------------------------===//
 #include "RequestForwarder.h"
 
@@ -13,12 +13,12 @@
 
 namespace {
 
-    // Kept connections past their time are closed this often.
+    // The period at which kept connections that are no longer usable are closed.
     constexpr milliseconds sweepPeriod { 1000 };
-    // After a failed accept (no descriptors left) there is a pause.
+    // The pause after a failed accept, for example for lack of file descriptors.
     constexpr milliseconds acceptPause { 20 };
-    // A closing connection waits so long for the caller's close, so that an
-    // answer on its way is not reset.
+    // The time for which a closing connection waits for the caller's close, so that no reset
+    // discards an answer in flight.
     constexpr milliseconds lingerTime { 500 };
 
 } // namespace
@@ -64,8 +64,8 @@
     (void)co_await caller.write(std::move(bytes));
 }
 
-/// What a caller sent is lost with its connection: without this line such a request
-/// leaves no trace on the node, since its course never began.
+/// Logs that received bytes are lost with their connection. A request that was not read
+/// completely leaves no other trace on the node.
 void ForwardWorker::State::logUnanswered(const CallerConnection& caller) const
 {
     if (!caller.unansweredBytes().value_)
@@ -76,7 +76,7 @@
     logger_.warn(line);
 }
 
-/// \returns whether an answer may still be on its way to the caller.
+/// \returns whether an answer to the caller may still be in flight.
 asio::awaitable<bool> ForwardWorker::State::serveRequests(std::shared_ptr<CallerConnection> caller)
 {
     for (;;) {
@@ -94,9 +94,9 @@
     }
 }
 
-/// After an answer the caller's bytes are read until it has closed, or a reset could
-/// overtake the answer. After idle time they are not: a request that crosses the close
-/// must stay unread, which tells its caller that it has not run.
+/// After an answer the caller's bytes are read until the caller closes, because a reset could
+/// overtake the answer. After idle time they are not read: a request that crosses the close in
+/// flight must stay unread, which tells its caller that it has not run.
 asio::awaitable<void> ForwardWorker::State::serveConnection(std::shared_ptr<CallerConnection> caller)
 {
     CountGuard counted(context_.connections_);
--- a/unittests/Forward/AnswerTest.cpp
+++ b/unittests/Forward/AnswerTest.cpp
@@ -1,8 +1,9 @@
-//===- unittests/Forward/AnswerTest.cpp - answers as callers read them -----===//
+//===- unittests/Forward/AnswerTest.cpp - framing of answers --------------===//
 ///
 /// \file
-/// Framing of answers: what is one connection's alone stays there, and an answer to
-/// HEAD has no body, which its caller would take for the next answer.
+/// Tests the framing of answers. Fields that apply to one connection must not be
+/// forwarded. An answer to HEAD must have no body, because the caller would take it
+/// for the next answer.
 //===----------------------------------------------------------------------===//
 #include "RequestForwarder.h"
 
@@ -10,7 +11,7 @@
 
 using namespace pistachioloom;
 
-TEST_CASE("answers hold what is meant for the caller", "[forward]")
+TEST_CASE("answers contain only the fields for the caller", "[forward]")
 {
     struct Row {
         const char* name_;
@@ -22,11 +23,11 @@
         std::string end_;
     };
     auto row = GENERATE(values<Row>({
-        { "an answer", { { "X-Seal", "s" } }, "text", BodySent::Yes, { "X-Seal: s\r\n", "Content-Length: 4\r\n" }, {}, "\r\n\r\ntext" },
-        { "fields of one connection", { { "Connection", "close, X-Hop" }, { "x-hop", "1" }, { "X-Seal", "s" } }, "text", BodySent::Yes, { "X-Seal: s\r\n" }, { "x-hop" }, "\r\n\r\ntext" },
-        { "a refusal of HEAD", {}, "no route\n", BodySent::No, { "Content-Length: 9\r\n" }, { "no route" }, "\r\n\r\n" },
-        { "a backend server's answer to HEAD", { { "content-length", "812" } }, "", BodySent::No, { "Content-Length: 812\r\n" }, { "Content-Length: 0" }, "\r\n\r\n" },
-        { "one without a length", { { "Transfer-Encoding", "chunked" } }, "", BodySent::No, {}, { "Content-Length", "chunked" }, "\r\n\r\n" },
+        { "plain answer", { { "X-Seal", "s" } }, "text", BodySent::Yes, { "X-Seal: s\r\n", "Content-Length: 4\r\n" }, {}, "\r\n\r\ntext" },
+        { "fields of a single connection", { { "Connection", "close, X-Hop" }, { "x-hop", "1" }, { "X-Seal", "s" } }, "text", BodySent::Yes, { "X-Seal: s\r\n" }, { "x-hop" }, "\r\n\r\ntext" },
+        { "rejection of a HEAD request", {}, "no route\n", BodySent::No, { "Content-Length: 9\r\n" }, { "no route" }, "\r\n\r\n" },
+        { "answer of a backend server to HEAD", { { "content-length", "812" } }, "", BodySent::No, { "Content-Length: 812\r\n" }, { "Content-Length: 0" }, "\r\n\r\n" },
+        { "answer without a length", { { "Transfer-Encoding", "chunked" } }, "", BodySent::No, {}, { "Content-Length", "chunked" }, "\r\n\r\n" },
     }));
     CAPTURE(row.name_);
     std::string answer = renderAnswer(200, row.fields_, row.body_, std::nullopt, row.sent_);
--- a/unittests/Forward/ConnectionPoolTest.cpp
+++ b/unittests/Forward/ConnectionPoolTest.cpp
@@ -1,7 +1,7 @@
-//===- unittests/Forward/ConnectionPoolTest.cpp - connections that are counted ===//
+//===- unittests/Forward/ConnectionPoolTest.cpp - pooled connections ------===//
 ///
 /// \file
-/// Connections count from their making to their end, also while they are kept.
+/// Tests the connection count, the usable idle time and the abort of connections.
 //===----------------------------------------------------------------------===//
 #include "ConnectionPool.h"
 
@@ -9,7 +9,7 @@
 
 using namespace pistachioloom;
 
-TEST_CASE("connections to a backend server count until they end", "[forward]")
+TEST_CASE("a connection counts from its creation to its destruction, also while it is kept", "[forward]")
 {
     asio::io_context io;
     ConnectionPool pool(io.get_executor());
@@ -21,7 +21,7 @@
     CHECK(pool.openCount({ "other" }) == 0);
     pool.put(std::move(first));
     CHECK(pool.openCount(backend) == 2);
-    // A kept one that is past its time is closed and counts no more.
+    // A kept connection that is no longer usable is closed and no longer counts.
     pool.expire(steadyNow());
     CHECK(pool.openCount(backend) == 1);
     second.reset();
@@ -31,13 +31,13 @@
     CHECK(pool.openCount(backend) == 1);
 }
 
-TEST_CASE("a kept connection is used until a part of its idle time is left", "[forward]")
+TEST_CASE("a kept connection is not used in the last part of its idle time", "[forward]")
 {
     struct Row {
         const char* keepAlive_;
         std::int64_t usable_;
     };
-    // With 2,000 ms for a server that states nothing, and no less than 300 ms left.
+    // The default idle time is 2,000 ms, and the unused part is at least 300 ms.
     auto row = GENERATE(values<Row>({
         { "", 1600 },
         { "timeout=5", 4000 },
@@ -62,7 +62,7 @@
     CHECK(usableIdle(row.keepAlive_, {}) == milliseconds(row.usable_));
 }
 
-TEST_CASE("the least part that is left holds for short idle times", "[forward]")
+TEST_CASE("the idle margin is the minimum of the unused part of an idle time", "[forward]")
 {
     struct Row {
         std::int64_t margin_;
@@ -75,7 +75,7 @@
     CHECK(usableIdle("timeout=5", settings) == milliseconds(row.usable_));
 }
 
-TEST_CASE("a read has to wait unless something is there", "[forward]")
+TEST_CASE("the receive buffer is empty until bytes arrive and after they are read", "[forward]")
 {
     using tcp = asio::ip::tcp;
     asio::io_context io;
@@ -93,7 +93,7 @@
     CHECK(connection->isReceiveBufferEmpty());
 }
 
-TEST_CASE("a request that is given up is reset, so that nothing of it comes later", "[forward]")
+TEST_CASE("an aborted connection is reset, a closed one ends in order", "[forward]")
 {
     using tcp = asio::ip::tcp;
     asio::io_context io;
--- a/unittests/Forward/ForwardTest.cpp
+++ b/unittests/Forward/ForwardTest.cpp
@@ -1,7 +1,8 @@
-//===- unittests/Forward/ForwardTest.cpp - bytes of callers and engines ----===//
+//===- unittests/Forward/ForwardTest.cpp - requests, events, headers ------===//
 ///
 /// \file
-/// What is refused of callers' bytes, and how event streams are cut.
+/// Tests which requests of callers are rejected, how event streams are split and how
+/// header values are parsed.
 //===----------------------------------------------------------------------===//
 #include "EventSplitter.h"
 #include "RequestReader.h"
@@ -19,7 +20,7 @@
     return bounds;
 }
 
-TEST_CASE("ambiguous or broken requests are refused", "[forward]")
+TEST_CASE("ambiguous and malformed requests are rejected", "[forward]")
 {
     struct Row {
         const char* name_;
@@ -51,7 +52,7 @@
     CHECK(reader.problem().status_ == row.status_);
 }
 
-TEST_CASE("a request is the same however its bytes arrive", "[forward]")
+TEST_CASE("a request does not depend on how its bytes are divided into reads", "[forward]")
 {
     const std::string bytes = "POST /a/b?c HTTP/1.1\r\nHost: h\r\nX-Twice: 1\r\nX-Twice: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n3;e=1\r\ncde\r\n0\r\n\r\nGET ";
     auto step = GENERATE(1, 2, 3, 7, 1000);
@@ -72,11 +73,11 @@
     CHECK(request.body_ == "abcde");
     CHECK(request.isKeepAlive_);
     CHECK(std::count_if(request.fields_.begin(), request.fields_.end(), [](const HeaderField& field) { return field.name_ == "X-Twice"; }) == 2);
-    // What follows is the next request's.
+    // The remaining bytes belong to the next request.
     CHECK(rest == "GET ");
 }
 
-TEST_CASE("events are handed out whole, in order and once", "[forward]")
+TEST_CASE("events are returned complete, in order and once", "[forward]")
 {
     struct Row {
         const char* name_;
@@ -88,11 +89,11 @@
     };
     auto row = GENERATE(values<Row>({
         { "one piece", {}, { "id: 1\ndata: a\n\n" }, "id: 1\ndata: a\n\n", false, false },
-        { "torn", {}, { "id: 1\nda", "ta: a\n", "\nid: 2" }, "id: 1\ndata: a\n\n", true, false },
+        { "divided", {}, { "id: 1\nda", "ta: a\n", "\nid: 2" }, "id: 1\ndata: a\n\n", true, false },
         { "carriage returns", {}, { "id: 1\r\ndata: a\r\n\r\nid: 2\r\ndata: b\r\n\r\n" }, "id: 1\r\ndata: a\r\n\r\nid: 2\r\ndata: b\r\n\r\n", false, false },
-        { "already there", 2, { "id: 2\ndata: a\n\nid: 3\ndata: b\n\n" }, "id: 3\ndata: b\n\n", false, false },
-        { "missing", 2, { "id: 4\ndata: a\n\n" }, "", false, true },
-        { "missing later", {}, { "id: 1\n\n", "id: 3\n\n", "id: 4\n\n" }, "id: 1\n\n", true, true },
+        { "duplicate", 2, { "id: 2\ndata: a\n\nid: 3\ndata: b\n\n" }, "id: 3\ndata: b\n\n", false, false },
+        { "gap at the start", 2, { "id: 4\ndata: a\n\n" }, "", false, true },
+        { "gap later", {}, { "id: 1\n\n", "id: 3\n\n", "id: 4\n\n" }, "id: 1\n\n", true, true },
         { "without ids", {}, { "data: a\n\n: note\n\n" }, "data: a\n\n: note\n\n", false, false },
     }));
     CAPTURE(row.name_);
@@ -106,7 +107,7 @@
         CHECK(splitter.hasPartial() == row.hasPartial_);
 }
 
-TEST_CASE("an event that a first engine cut is not joined to a second engine's", "[forward]")
+TEST_CASE("an incomplete event is not joined to the events of another engine", "[forward]")
 {
     EventSplitter splitter(std::nullopt);
     CHECK(splitter.take("id: 1\ndata: a\n\nid: 2\ndata: ha") == "id: 1\ndata: a\n\n");
@@ -115,7 +116,7 @@
     CHECK(splitter.last() == 2U);
 }
 
-TEST_CASE("token counts and prompt parts are read or refused whole", "[forward]")
+TEST_CASE("token counts and prompt parts are parsed completely or not at all", "[forward]")
 {
     CHECK(parseTokenCounts("1460,80")->first.value_ == 1460);
     CHECK(parseTokenCounts("1460,80")->second.value_ == 80);
@@ -128,7 +129,7 @@
     CHECK(parsePromptParts("5c1e:800,91bd").empty());
 }
 
-TEST_CASE("pauses are read in seconds with fractions, anything else is not understood", "[forward]")
+TEST_CASE("Retry-After is parsed as seconds with a fraction, and nothing else", "[forward]")
 {
     struct Row {
         const char* text_;
@@ -152,7 +153,7 @@
     CHECK(parseRetryAfter(row.text_) == row.pause_);
 }
 
-TEST_CASE("callers are told to leave a connection before its idle limit", "[forward]")
+TEST_CASE("the announced idle time ends before the idle limit", "[forward]")
 {
     struct Row {
         std::optional<milliseconds> idle_;
@@ -163,7 +164,7 @@
         { milliseconds(15000), "Connection: keep-alive\r\nKeep-Alive: timeout=12\r\n" },
         { milliseconds(5000), "Connection: keep-alive\r\nKeep-Alive: timeout=4\r\n" },
         { milliseconds(2000), "Connection: keep-alive\r\nKeep-Alive: timeout=1\r\n" },
-        // Whole seconds cannot say less than one.
+        // The header holds full seconds, so it cannot state less than one.
         { milliseconds(1249), "" },
     }));
     CHECK(connectionFields(row.idle_) == row.fields_);
--- a/unittests/Forward/ResumptionTest.cpp
+++ b/unittests/Forward/ResumptionTest.cpp
@@ -1,9 +1,9 @@
-//===- unittests/Forward/ResumptionTest.cpp - every cut of a stream --------===//
+//===- unittests/Forward/ResumptionTest.cpp - streams cut at every byte ---===//
 ///
 /// \file
-/// A stream is cut at each of its bytes, goes on at an engine that resumes,
-/// begins anew or leaves an event out, is cut again, and goes on. The caller gets
-/// every event once and in order, or the answer is broken off.
+/// Cuts a stream at each of its bytes. It continues on an engine that resumes, starts
+/// over or skips an event, is cut again, and resumes. The caller must receive every
+/// event once and in order, or the gap must be detected.
 //===----------------------------------------------------------------------===//
 #include "EventSplitter.h"
 
@@ -16,11 +16,11 @@
 constexpr std::uint64_t events = 4;
 
 enum class Engine {
-    /// Goes on after the last event that the caller has.
+    /// Resumes after the last event that the caller has.
     Resumes,
-    /// Sends everything again.
+    /// Sends all events again.
     StartsOver,
-    /// Leaves out the event after the last one.
+    /// Skips the event after the last one.
     SkipsEvent,
 };
 
@@ -40,7 +40,7 @@
     case Engine::StartsOver:
         return eventsFrom(1);
     case Engine::SkipsEvent:
-        // A stream's first event may have any id, so a gap before it shows nothing.
+        // A stream's first event may have any id, so a gap before it is not detectable.
         return eventsFrom(last ? last + 2 : 1);
     }
     return {};
@@ -48,7 +48,7 @@
 
 } // namespace
 
-TEST_CASE("a stream cut at any byte and resumed is whole or broken, never wrong", "[forward]")
+TEST_CASE("a stream that is cut at any byte and resumed is complete or ends before a gap", "[forward]")
 {
     constexpr Engine engines[] = { Engine::Resumes, Engine::StartsOver, Engine::SkipsEvent };
     const std::string fullStream = eventsFrom(1);
@@ -68,7 +68,7 @@
                 bool isCorrect = splitter.hasGap() ? fullStream.starts_with(received) : received == fullStream;
                 if (!isCorrect) {
                     CAPTURE(firstCut, secondCut, static_cast<int>(second), received);
-                    FAIL("events are wrong");
+                    FAIL("unexpected events");
                 }
                 ++(splitter.hasGap() ? broken : finished);
             }
