--- a/lib/Forward/CallerConnection.cpp
+++ b/lib/Forward/CallerConnection.cpp
@@ -12,7 +12,8 @@
     constexpr std::size_t readSize = 8UL * 1024;
     // The number of bytes that one connection buffers: a few pipelined requests.
     constexpr std::size_t maxBuffered = 64UL * 1024;
-    // The time limit for the next bytes of a body, after which the caller counts as gone.
+    // The time limit for the next bytes of a body, after which the caller is assumed to be
+    // gone.
     constexpr milliseconds bodyReadTimeout { 10000 };
     // The time limit for reading bytes that the socket already has: two iterations of an
     // event loop that is delayed by half a second.
--- a/lib/Forward/RequestForwarder.cpp
+++ b/lib/Forward/RequestForwarder.cpp
@@ -17,9 +17,9 @@
     constexpr milliseconds stoppingRetryAfter { 10 };
     // Full backend servers have capacity again after a few answers.
     constexpr milliseconds fullRetryAfter { 150 };
-    // The number of sends without effect, such as failed connections, after which a request
+    // The number of attempts that sent nothing, such as failed connections, after which a request
     // fails.
-    constexpr unsigned maxConnectFailures = 4;
+    constexpr unsigned maxUnsentAttempts = 4;
     // A request with this many crashes is isolated from others, because so many are unlikely
     // to be a coincidence.
     constexpr std::size_t crashesToIsolate = 2;
@@ -155,7 +155,7 @@
     if (stopReason_ == StopReason::CallerDisconnected || stopReason_ == StopReason::DeadlineExceeded || timeLeft() <= milliseconds(0))
         return false;
     if (end == SendOutcome::Unreachable || end == SendOutcome::NoConnection || end == SendOutcome::NotAccepting)
-        return ++connectFailures_ < maxConnectFailures;
+        return ++unsentAttempts_ < maxUnsentAttempts;
     if (sendCount_ >= route_->mostAttempts_)
         return false;
     if (end != SendOutcome::NotRun && !route_->mayRepeat())
--- a/lib/Forward/RequestForwarder.h
+++ b/lib/Forward/RequestForwarder.h
@@ -174,7 +174,7 @@
 
     std::set<BackendId> excluded_;
     unsigned sendCount_ = 0;
-    unsigned connectFailures_ = 0;
+    unsigned unsentAttempts_ = 0;
     bool mayHaveRun_ = false;
     bool hasCountedStart_ = false;
     bool hasStartedAnswer_ = false;
--- a/lib/Forward/Sending.cpp
+++ b/lib/Forward/Sending.cpp
@@ -35,7 +35,7 @@
     return code == asio::error::eof || code == asio::error::connection_reset || code == asio::error::broken_pipe || code == http::error::end_of_stream || code == http::error::partial_message;
 }
 
-/// The fields that are for the caller.
+/// The fields of an answer that are forwarded to the caller.
 static HeaderFields fieldsOf(const http::response_parser<http::string_body>& parser, const ForwardHeaderNames& names)
 {
     HeaderFields fields;
@@ -192,9 +192,9 @@
     co_return end;
 }
 
-/// Reads until the body has grown or the message is whole. The library's own
-/// read_some goes on until a message is whole, which holds back events by up to
-/// the length of their stream.
+/// Reads until the body has grown or the message is complete. The library's read_some
+/// reads until the message is complete, which delays events by up to the length of
+/// their stream.
 asio::awaitable<beast::error_code> RequestForwarder::readSome(Attempt& attempt, Parser& parser)
 {
     beast::flat_buffer& buffer = attempt.connection_->buffer_;
--- a/lib/Forward/StreamMove.cpp
+++ b/lib/Forward/StreamMove.cpp
@@ -23,8 +23,8 @@
 
 } // namespace
 
-/// A stream whose engine is reclaimed would break off, and another engine would have to
-/// process its prompt again.
+/// Whether to move the stream. Without a move it would break off when its engine is
+/// reclaimed, and another engine would have to process its prompt again.
 bool RequestForwarder::shouldMove(const Attempt& attempt) const
 {
     if (move_ || !route_->mayRepeat() || !events_.last() || !context_.hooks_.copyStream_)
@@ -91,13 +91,14 @@
         logger().info(LogLine("Failed to free a KV cache copy.").add("id", id_).add("error", describe(dropped.error())));
 }
 
-/// The stream does not resume on \p to, where it is counted as a request in progress.
+/// Ends the request that is counted as in progress at \p to, because the stream does not
+/// resume there.
 void RequestForwarder::releaseTarget(const BackendChoice& to)
 {
     context_.backends_.end(to.backend_.id_, { BackendOutcome::Abandoned, to.uncached_, false, {} }, steadyNow());
 }
 
-/// A move that completes after its cancellation has no effect.
+/// Cancels the move. If it completes later, it has no effect.
 void RequestForwarder::cancelMove()
 {
     if (!move_)
@@ -123,7 +124,7 @@
     co_return SendOutcome::Moved;
 }
 
-/// \returns once the engine that has received this stream's KV cache.
+/// \returns the engine that has received this stream's KV cache, but only once.
 std::optional<BackendChoice> RequestForwarder::takeMoveTarget()
 {
     if (!move_ || !move_->to_)
