--- a/lib/Forward/EventSplitter.cpp
+++ b/lib/Forward/EventSplitter.cpp
@@ -1,8 +1,8 @@
-//===- lib/Forward/EventSplitter.cpp - whole events of an event stream -----===//
+//===- lib/Forward/EventSplitter.cpp - splits event streams into events ---===//
 ///
 /// \file
-/// See EventSplitter.h. Events end with a blank line; the id is a line of its
-/// own (WHATWG HTML, 9.2.6).
+/// See EventSplitter.h. An event ends with a blank line, and its id is on a line of
+/// its own (WHATWG HTML, 9.2.6).
 //===----------------------------------------------------------------------===//
 #include "EventSplitter.h"
 
@@ -10,6 +10,7 @@
 
 namespace pistachioloom {
 
+/// The numeric id of \p event, or nullopt.
 static std::optional<std::uint64_t> eventId(std::string_view event)
 {
     constexpr std::string_view prefix = "id:";
@@ -28,24 +29,24 @@
     return std::nullopt;
 }
 
-/// Where the first event of \p text ends, or npos.
+/// The position after the end of the first event of \p text, or npos.
 static std::size_t eventEnd(std::string_view text)
 {
-    std::size_t plain = text.find("\n\n");
-    std::size_t withReturn = text.find("\r\n\r\n");
-    if (plain == std::string_view::npos && withReturn == std::string_view::npos)
+    std::size_t lfEnd = text.find("\n\n");
+    std::size_t crlfEnd = text.find("\r\n\r\n");
+    if (lfEnd == std::string_view::npos && crlfEnd == std::string_view::npos)
         return std::string_view::npos;
-    if (withReturn < plain)
-        return withReturn + 4;
-    return plain + 2;
+    if (crlfEnd < lfEnd)
+        return crlfEnd + 4;
+    return lfEnd + 2;
 }
 
 std::string EventSplitter::take(std::string_view bytes)
 {
     partial_.append(bytes);
-    std::string whole;
+    std::string complete;
     std::size_t at = 0;
-    while (!isBroken_) {
+    while (!hasGap_) {
         std::string_view rest = std::string_view(partial_).substr(at);
         std::size_t length = eventEnd(rest);
         if (length == std::string_view::npos)
@@ -56,15 +57,15 @@
         if (id && last_ && *id <= *last_)
             continue;
         if (id && last_ && *id != *last_ + 1) {
-            isBroken_ = true;
+            hasGap_ = true;
             break;
         }
         if (id)
             last_ = id;
-        whole.append(event);
+        complete.append(event);
     }
     partial_.erase(0, at);
-    return whole;
+    return complete;
 }
 
 } // namespace pistachioloom
--- /dev/null
+++ b/lib/Forward/RequestForwarder.h
@@ -0,0 +1,221 @@
+//===- lib/Forward/RequestForwarder.h - processing of one request ---------===//
+///
+/// \file
+/// Processes a complete request up to its one final answer: admission, choice of a
+/// backend server, sends, and retry or resumption on another backend server where
+/// that is allowed.
+//===----------------------------------------------------------------------===//
+#pragma once
+
+#include "AutoResetEvent.h"
+#include "CallerConnection.h"
+#include "ConnectionPool.h"
+#include "EventSplitter.h"
+
+#include <boost/beast/http.hpp>
+
+namespace pistachioloom {
+
+/// The outcome of one send to a backend server, as it matters to the request.
+enum class SendOutcome {
+    /// The caller has received the complete answer.
+    Delivered,
+    /// The answer is complete and held. It may be delivered, or the request retried.
+    Held,
+    /// The request certainly did not run on the backend server.
+    NotRun,
+    /// The connection failed, so nothing reached the backend server.
+    Unreachable,
+    /// The request may have run, and there is no complete answer.
+    Lost,
+    /// The caller has disconnected, or the deadline has passed.
+    Stopped,
+    /// All connections that this worker may open to the backend server are in use.
+    NoConnection,
+    /// Nothing was sent, because the backend server no longer accepts requests.
+    NotAccepting,
+    /// The stream was stopped to resume on another engine, which has its KV cache.
+    Moved,
+};
+
+/// Why a send was stopped before its end.
+enum class StopReason {
+    None,
+    CallerDisconnected,
+    /// The caller's deadline or the route's timeout.
+    DeadlineExceeded,
+    /// The backend server did not respond within the wait limit.
+    WaitLimitExceeded,
+};
+
+/// Forwards one request and delivers its answer.
+class RequestForwarder : public std::enable_shared_from_this<RequestForwarder> {
+public:
+    RequestForwarder(ForwardContext& context, ConnectionPool& pool, std::shared_ptr<CallerConnection> caller, CallerRequest request);
+
+    /// Serves the request. \returns whether the connection may be kept.
+    asio::awaitable<bool> run();
+
+private:
+    using Parser = boost::beast::http::response_parser<boost::beast::http::string_body>;
+
+    /// One send to a backend server and its results.
+    struct Attempt {
+        BackendChoice choice_;
+        BackendConnectionPtr connection_;
+        SteadyTime startedAt_ {};
+        bool hasFirstByte_ = false;
+        SteadyTime firstByteAt_ {};
+        /// Whether the backend server closed the connection before the end of its answer.
+        bool isCutOff_ = false;
+        /// Whether the answer reported that the backend server is leaving.
+        bool reportsLeaving_ = false;
+        /// The pause that the answer asked for.
+        milliseconds pause_ {};
+        /// The wait for the first byte as a multiple of its estimate.
+        double waitRatio_ = 1;
+        /// The id of the last event that the caller had before the attempt.
+        std::uint64_t eventBefore_ = 0;
+        std::string detail_;
+    };
+    /// A complete answer that is not yet delivered.
+    struct HeldAnswer {
+        int status_ = 0;
+        HeaderFields fields_;
+        std::string body_;
+    };
+
+    // Admission.
+    std::optional<HeldAnswer> admit();
+    std::optional<HeldAnswer> authorise();
+    std::optional<HeldAnswer> takeQuota();
+    RequestShape shapeOf() const;
+
+    // Attempts.
+    asio::awaitable<void> serve();
+    asio::awaitable<SendOutcome> send(Attempt& attempt);
+    asio::awaitable<SendOutcome> connect(Attempt& attempt);
+    bool mayConnect(const BackendId& backend) const;
+    asio::awaitable<SendOutcome> receive(Attempt& attempt);
+    asio::awaitable<SendOutcome> receiveFullAnswer(Attempt& attempt, Parser& parser);
+    asio::awaitable<SendOutcome> forwardEvents(Attempt& attempt, Parser& parser);
+    asio::awaitable<boost::beast::error_code> readSome(Attempt& attempt, Parser& parser);
+    bool mayRetry(SendOutcome end);
+    /// The answer to a request that would have to wait for too long; see Admission.h.
+    std::optional<HeldAnswer> rejectLongWait(const BackendChoice& choice) const;
+    bool mayRetryElsewhere(const Attempt& attempt) const;
+    asio::awaitable<SendOutcome> handleStreamBreak(Attempt& attempt, const boost::system::error_code& code);
+
+    // Moves of a running stream.
+    bool shouldMove(const Attempt& attempt) const;
+    void startMove(const Attempt& attempt);
+    asio::awaitable<void> move(BackendRecord from, BackendChoice to);
+    std::optional<BackendChoice> takeMoveTarget();
+    void releaseTarget(const BackendChoice& to);
+    void cancelMove();
+    void finishAttempt(Attempt& attempt, SendOutcome end);
+    /// Reports that the backend server cut the request off, and probes in the background
+    /// whether it has ended.
+    void noteCutOff(const Attempt& attempt);
+    /// Reports the outcome of an attempt to the roll-out of its backend server's version.
+    void noteVersionOutcome(const Attempt& attempt, BackendOutcome outcome);
+    RequestFingerprint fingerprint();
+    /// The answer to a quarantined request; nullopt if the request is not quarantined.
+    std::optional<HeldAnswer> rejectQuarantined();
+    void clearSuspicion();
+    void logAttempt(const Attempt& attempt, BackendOutcome outcome, milliseconds took);
+    void logQuarantined(const Quarantine& quarantine);
+    void logRejection(const HeldAnswer& answer) const;
+    std::optional<SendOutcome> checkAnswerHead(Attempt& attempt, const Parser& parser);
+    /// Records what an answer reports about its backend server: that it is leaving, or
+    /// needs a pause.
+    void noteBackendState(Attempt& attempt, const Parser& parser);
+    void startWriting(Attempt& attempt);
+    std::string renderRequestHead(const BackendRecord& backend) const;
+    void noteFirstByte(Attempt& attempt);
+    void releaseConnection(Attempt& attempt, const Parser& parser);
+
+    // Answers.
+    asio::awaitable<bool> deliver(HeldAnswer answer);
+    asio::awaitable<bool> startEvents(const HeaderFields& fields);
+    asio::awaitable<bool> writeEvents(std::string events);
+    HeldAnswer rejection(int status, std::string reason, milliseconds retryAfter) const;
+    HeldAnswer finalFailure() const;
+    /// The idle limit that an answer announces; nullopt if the connection closes after the
+    /// answer.
+    std::optional<milliseconds> announcedIdle();
+
+    // Time.
+    void armTimer();
+    void onTimer();
+    void stop(StopReason reason);
+    milliseconds timeLeft() const;
+    bool isHead() const { return equalWithoutCase(request_.method_, "HEAD"); }
+
+    ForwardContext& context_;
+    ConnectionPool& pool_;
+    std::shared_ptr<CallerConnection> caller_;
+    CallerRequest request_;
+    std::string id_;
+
+    std::shared_ptr<const RouteTable> table_;
+    const Route* route_ = nullptr;
+    const OrganisationPolicy* organisation_ = nullptr;
+    RequestShape shape_;
+    unsigned urgency_ = 0;
+    double cost_ = 0;
+    bool hasQuota_ = false;
+
+    SteadyTime deadline_ {};
+    SteadyTime waitDeadline_ {};
+    SteadyTimer timer_;
+    StopReason stopReason_ = StopReason::None;
+    BackendConnectionPtr currentConnection_;
+
+    std::set<BackendId> excluded_;
+    unsigned sendCount_ = 0;
+    unsigned unsentAttempts_ = 0;
+    bool mayHaveRun_ = false;
+    bool hasCountedStart_ = false;
+    bool hasStartedAnswer_ = false;
+    bool isFinished_ = false;
+    bool keepsConnection_ = false;
+    EventSplitter events_ { std::nullopt };
+    /// A move of the running stream to another engine.
+    struct Move {
+        explicit Move(const asio::any_io_executor& executor)
+            : done_(executor)
+        {
+        }
+
+        AutoResetEvent done_;
+        bool isDone_ = false;
+        /// Whether the stream no longer uses the move.
+        bool isCancelled_ = false;
+        /// The target, once the stream is stopped and its KV cache is copied.
+        std::optional<BackendChoice> to_;
+        std::string resumeFrom_;
+    };
+    std::shared_ptr<Move> move_;
+    /// The location of a KV cache, which only the next attempt sends.
+    std::string resumeFrom_;
+    std::optional<HeldAnswer> heldAnswer_;
+    /// Computed on first use, because most requests never need it.
+    std::optional<RequestFingerprint> fingerprint_;
+    std::string lastDetail_;
+    /// The time from the request's arrival to the first byte of an answer.
+    milliseconds firstByteLatency_ {};
+    int finalStatus_ = 0;
+};
+
+/// Whether an answer's body follows its head. It does not for HEAD requests.
+enum class BodySent {
+    Yes,
+    No,
+};
+
+/// Renders a complete answer. See connectionFields() for \p idle. An answer without its
+/// body states the length from \p fields, or else the length of \p body if it is not empty.
+std::string renderAnswer(int status, const HeaderFields& fields, std::string_view body, std::optional<milliseconds> idle, BodySent sent = BodySent::Yes);
+
+} // namespace pistachioloom
--- a/unittests/Forward/BackendPoolTest.cpp
+++ b/unittests/Forward/ConnectionPoolTest.cpp
@@ -1,43 +1,43 @@
-//===- unittests/Forward/BackendPoolTest.cpp - connections that are counted ===//
+//===- unittests/Forward/ConnectionPoolTest.cpp - pooled connections ------===//
 ///
 /// \file
-/// Connections count from their making to their end, also while they are kept.
+/// Tests the connection count, the usable idle time and the abort of connections.
 //===----------------------------------------------------------------------===//
-#include "BackendPool.h"
+#include "ConnectionPool.h"
 
 #include <catch2/catch.hpp>
 
 using namespace pistachioloom;
 
-TEST_CASE("connections to a backend server count until they end", "[forward]")
+TEST_CASE("a connection counts from its creation to its destruction, also while it is kept", "[forward]")
 {
     asio::io_context io;
-    BackendPool pool(io.get_executor());
+    ConnectionPool pool(io.get_executor());
     const BackendId backend { "b" };
-    CHECK(pool.openTo(backend) == 0);
+    CHECK(pool.openCount(backend) == 0);
     BackendConnectionPtr first = pool.make(backend);
     BackendConnectionPtr second = pool.make(backend);
-    CHECK(pool.openTo(backend) == 2);
-    CHECK(pool.openTo({ "other" }) == 0);
+    CHECK(pool.openCount(backend) == 2);
+    CHECK(pool.openCount({ "other" }) == 0);
     pool.put(std::move(first));
-    CHECK(pool.openTo(backend) == 2);
-    // A kept one that is past its time is closed and counts no more.
+    CHECK(pool.openCount(backend) == 2);
+    // A kept connection that is no longer usable is closed and no longer counts.
     pool.expire(steadyNow());
-    CHECK(pool.openTo(backend) == 1);
+    CHECK(pool.openCount(backend) == 1);
     second.reset();
-    CHECK(pool.openTo(backend) == 0);
+    CHECK(pool.openCount(backend) == 0);
     pool.expire(steadyNow());
     BackendConnectionPtr third = pool.make(backend);
-    CHECK(pool.openTo(backend) == 1);
+    CHECK(pool.openCount(backend) == 1);
 }
 
-TEST_CASE("a kept connection is used until a part of its idle time is left", "[forward]")
+TEST_CASE("a kept connection is not used in the last part of its idle time", "[forward]")
 {
     struct Row {
         const char* keepAlive_;
         std::int64_t usable_;
     };
-    // With 2,000 ms for a server that states nothing, and no less than 300 ms left.
+    // The default idle time is 2,000 ms, and the unused part is at least 300 ms.
     auto row = GENERATE(values<Row>({
         { "", 1600 },
         { "timeout=5", 4000 },
@@ -62,7 +62,7 @@
     CHECK(usableIdle(row.keepAlive_, {}) == milliseconds(row.usable_));
 }
 
-TEST_CASE("the least part that is left holds for short idle times", "[forward]")
+TEST_CASE("the idle margin is the minimum of the unused part of an idle time", "[forward]")
 {
     struct Row {
         std::int64_t margin_;
@@ -75,37 +75,37 @@
     CHECK(usableIdle("timeout=5", settings) == milliseconds(row.usable_));
 }
 
-TEST_CASE("a read has to wait unless something is there", "[forward]")
+TEST_CASE("the receive buffer is empty until bytes arrive and after they are read", "[forward]")
 {
     using tcp = asio::ip::tcp;
     asio::io_context io;
     tcp::acceptor acceptor(io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
-    BackendPool pool(io.get_executor());
+    ConnectionPool pool(io.get_executor());
     BackendConnectionPtr connection = pool.make({ "b" });
     connection->socket_.connect(acceptor.local_endpoint());
     tcp::socket server = acceptor.accept();
-    CHECK(connection->isDrained());
+    CHECK(connection->isReceiveBufferEmpty());
     asio::write(server, asio::buffer("ab", 2));
     connection->socket_.wait(tcp::socket::wait_read);
-    CHECK_FALSE(connection->isDrained());
+    CHECK_FALSE(connection->isReceiveBufferEmpty());
     char bytes[2];
     REQUIRE(connection->socket_.read_some(asio::buffer(bytes)) == 2);
-    CHECK(connection->isDrained());
+    CHECK(connection->isReceiveBufferEmpty());
 }
 
-TEST_CASE("a request that is given up is reset, so that nothing of it comes later", "[forward]")
+TEST_CASE("an aborted connection is reset, a closed one ends in order", "[forward]")
 {
     using tcp = asio::ip::tcp;
     asio::io_context io;
     tcp::acceptor acceptor(io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
-    BackendPool pool(io.get_executor());
-    bool isGivenUp = GENERATE(true, false);
+    ConnectionPool pool(io.get_executor());
+    bool isAborted = GENERATE(true, false);
     BackendConnectionPtr connection = pool.make({ "b" });
     connection->socket_.connect(acceptor.local_endpoint());
     tcp::socket server = acceptor.accept();
-    isGivenUp ? connection->abort() : connection->close();
+    isAborted ? connection->abort() : connection->close();
     char byte = 0;
     boost::system::error_code code;
     (void)server.read_some(asio::buffer(&byte, 1), code);
-    CHECK(code == (isGivenUp ? boost::system::error_code(asio::error::connection_reset) : boost::system::error_code(asio::error::eof)));
+    CHECK(code == (isAborted ? boost::system::error_code(asio::error::connection_reset) : boost::system::error_code(asio::error::eof)));
 }
