--- a/include/pistachioloom/Catalogue.h
+++ b/include/pistachioloom/Catalogue.h
@@ -80,7 +80,7 @@
     /// What the engines are brought to; nullopt leaves them as they are.
     std::optional<EngineConfiguration> configuration_;
     /// Engines of one data centre that may be away for a load at once.
-    std::uint64_t mostLoading_ = 1;
+    std::uint64_t maxLoading_ = 1;
 };
 
 /// One entry: either a workload or a backend.
--- a/include/pistachioloom/Forward.h
+++ b/include/pistachioloom/Forward.h
@@ -105,10 +105,10 @@
     /// See fingerprintOf().
     std::string fingerprintSecret_;
     BackendBook& backends_;
-    QuotaBook& quotas_;
-    RetryBudget& retries_;
-    QuarantineBook& quarantine_;
-    CrashWatch& crashes_;
+    QuotaLimiter& quotas_;
+    ServiceRetryBudget& retries_;
+    QuarantineTable& quarantine_;
+    CrashDetector& crashes_;
     RolloutBook& rollouts_;
     Metrics& metrics_;
     /// Connections close after their answer.
--- a/include/pistachioloom/Limits.h
+++ b/include/pistachioloom/Limits.h
@@ -50,7 +50,7 @@
 /// of what all data centres admit stays within the limit.
 class LoanTable {
 public:
-    struct Ask {
+    struct Request {
         /// Lent slots that requests run on; they stay lent.
         std::uint64_t inUse_ = 0;
         std::uint64_t wanted_ = 0;
@@ -60,14 +60,14 @@
     /// among them. A smaller loan than before is free again only once grants
     /// made on the larger one have ended, and the borrower, who may not get this
     /// answer, believes in it no more.
-    std::uint64_t lend(const DataCentreId& borrower, std::uint64_t free, const Ask& ask, milliseconds loanValidity, milliseconds grantValidity, SteadyTime now);
+    std::uint64_t lend(const DataCentreId& borrower, std::uint64_t free, const Request& request, milliseconds loanValidity, milliseconds grantValidity, SteadyTime now);
     /// Slots lent to others.
     std::uint64_t lent(SteadyTime now) const;
     std::uint64_t lentTo(const DataCentreId& borrower, SteadyTime now) const;
 
-    /// To be called before asking \p lender: no more than \p most of its slots
+    /// To be called before asking \p lender: no more than \p maxSlots of its slots
     /// are used until it answers.
-    void promise(const DataCentreId& lender, std::uint64_t most);
+    void capBorrowed(const DataCentreId& lender, std::uint64_t maxSlots);
     void setBorrowed(const DataCentreId& lender, std::uint64_t slots, SteadyTime expires);
     /// Borrowed slots whose loans last until \p until.
     std::uint64_t borrowed(SteadyTime until) const;
@@ -75,25 +75,25 @@
     std::map<DataCentreId, std::uint64_t> borrowedFrom(SteadyTime now) const;
 
 private:
-    struct Lent {
+    struct OutgoingLoan {
         std::uint64_t slots_ = 0;
         SteadyTime expires_;
         /// What the borrower may still take for lent, and until when.
-        std::uint64_t believed_ = 0;
-        SteadyTime believedUntil_;
+        std::uint64_t assumedSlots_ = 0;
+        SteadyTime assumedUntil_;
         /// What grants may have been made on, and until when they stand.
-        std::uint64_t granted_ = 0;
-        SteadyTime grantedUntil_;
+        std::uint64_t outstandingSlots_ = 0;
+        SteadyTime outstandingUntil_;
     };
-    struct Borrowed {
+    struct IncomingLoan {
         std::uint64_t slots_ = 0;
         SteadyTime expires_;
     };
 
-    static std::uint64_t countedOf(const Lent& lent, SteadyTime now);
+    static std::uint64_t reservedSlots(const OutgoingLoan& lent, SteadyTime now);
 
-    std::map<DataCentreId, Lent> lent_;
-    std::map<DataCentreId, Borrowed> borrowed_;
+    std::map<DataCentreId, OutgoingLoan> lent_;
+    std::map<DataCentreId, IncomingLoan> borrowed_;
 };
 
 /// Tokens an entry may still generate, refilled at its rate up to its burst.
@@ -103,8 +103,8 @@
     /// Takes \p tokens if the bucket is not in debt; a long answer may drive it
     /// into debt, which later answers wait out.
     bool tryTake(std::uint64_t tokens, SteadyTime now);
-    /// Takes up to \p tokens, but leaves \p kept in the bucket.
-    std::uint64_t takeUpTo(std::uint64_t tokens, std::uint64_t kept, SteadyTime now);
+    /// Takes up to \p tokens, but leaves \p minLevel in the bucket.
+    std::uint64_t takeUpTo(std::uint64_t tokens, std::uint64_t minLevel, SteadyTime now);
     /// Takes for a row of requests: as many of \p wanted tokens as there are,
     /// but at least \p first of them if there is any, into debt.
     std::uint64_t takeForRequests(std::uint64_t first, std::uint64_t wanted, SteadyTime now);
@@ -120,13 +120,13 @@
     double perSecond_;
     double burst_;
     double level_;
-    SteadyTime at_;
+    SteadyTime filledAt_;
 };
 
 /// Admission of one node: what it holds of every entry's limits.
 class Admission {
 public:
-    enum class Verdict {
+    enum class Decision {
         Admitted,
         /// A slot must be asked of the keeper first.
         NeedsSlot,
@@ -150,7 +150,7 @@
         milliseconds tokenWait_ {};
     };
 
-    Verdict tryStart(const CatalogueEntry& entry, std::uint64_t tokens, SteadyTime now);
+    Decision tryStart(const CatalogueEntry& entry, std::uint64_t tokens, SteadyTime now);
     /// Ends a request that was admitted; \p unusedTokens go back.
     void finish(const EntryName& entry, std::uint64_t unusedTokens);
     /// A request that waits for slots or tokens, until it starts or gives up.
@@ -159,7 +159,7 @@
     /// Holds no more slots than asked for from now on, so that the keeper may
     /// give the rest to others; what is returned is taken out.
     Demand makeDemand(const CatalogueEntry& entry, std::uint64_t slotsAhead);
-    void take(const EntryName& entry, const Grant& grant);
+    void applyGrant(const EntryName& entry, const Grant& grant);
     std::uint64_t inProgress(const EntryName& entry) const;
     std::uint64_t held(const EntryName& entry, SteadyTime now) const;
     milliseconds tokenWait(const EntryName& entry) const;
--- a/include/pistachioloom/Orders.h
+++ b/include/pistachioloom/Orders.h
@@ -60,8 +60,8 @@
     /// Open claims of the same queue that come before the one on \p engine, of
     /// engines that \p isPresent knows.
     std::size_t ahead(const VmId& engine, const std::function<bool(const VmId&)>& isPresent) const;
-    /// Forgets claims read longer than \p mostAge ago: their nodes are gone.
-    void forgetOld(milliseconds mostAge, SteadyTime now);
+    /// Forgets claims read longer than \p maxAge ago: their nodes are gone.
+    void removeOlderThan(milliseconds maxAge, SteadyTime now);
     LogOffset nextOffset() const { return nextOffset_; }
 
 private:
@@ -77,20 +77,20 @@
     milliseconds claimValidity_ { 5000 };
     /// Longest time a node may be frozen between its last look at the clock and
     /// its order, for engines that ignore fencing tokens.
-    milliseconds pauseBound_ { 10000 };
+    milliseconds maxPause_ { 10000 };
     /// A load that takes longer is ordered anew.
-    milliseconds loadPatience_ { 600000 };
+    milliseconds loadWaitLimit_ { 600000 };
 };
 
 /// What a home knows when it decides on one engine.
-struct OrderSituation {
+struct OrderContext {
     VmId self_;
     EngineConfiguration wanted_;
     EngineState state_;
     /// Of the claim table, read up to the log's end; nullptr for none.
     const ClaimTable::Holder* holder_ = nullptr;
     std::size_t ahead_ = 0;
-    std::size_t mostLoading_ = 1;
+    std::size_t maxLoading_ = 1;
     /// When the append of our claim began.
     SteadyTime claimedAt_;
     /// When our last order was given, if it asked for `wanted_`.
@@ -117,6 +117,6 @@
 
 std::string_view toString(OrderStep step);
 
-OrderStep nextOrderStep(const OrderSituation& situation, const OrderTiming& timing, SteadyTime now);
+OrderStep nextOrderStep(const OrderContext& context, const OrderTiming& timing, SteadyTime now);
 
 } // namespace pistachioloom
--- a/include/pistachioloom/Quarantine.h
+++ b/include/pistachioloom/Quarantine.h
@@ -43,11 +43,11 @@
 std::optional<RequestFingerprint> parseFingerprint(std::string_view text);
 
 /// One start of a backend server, hashed as in messages; see keyOf().
-using CrashSite = Quantity<struct CrashSiteTag, std::uint32_t>;
+using BackendInstanceKey = Quantity<struct CrashSiteTag, std::uint32_t>;
 
 /// A backend server crashed while it ran the request.
 struct Crash {
-    CrashSite backend_;
+    BackendInstanceKey backend_;
     SteadyTime at_ {};
     /// The request was served since, or an operator cleared it.
     bool isCleared_ = false;
@@ -61,17 +61,17 @@
     std::vector<Crash> crashes_;
 
     /// Crashes that are not cleared.
-    std::size_t crashesHeld() const;
+    std::size_t activeCrashes() const;
 };
 
 struct QuarantineSettings {
     /// Crashes under a request after which it is sent to no further backend server.
     std::uint64_t crashes_ = 3;
     /// For how long; each crash after it doubles the time.
-    milliseconds first_ { 600'000 };
+    milliseconds firstDuration_ { 600'000 };
     milliseconds longest_ { 24LL * 3600 * 1000 };
     /// How long crashes are remembered beyond a quarantine, or without one.
-    milliseconds memory_ { 600'000 };
+    milliseconds retention_ { 600'000 };
     /// Requests remembered, and those of one organisation among them: one that sends
     /// many different ones must not push out those of others.
     std::uint64_t capacity_ = 1024;
@@ -88,21 +88,21 @@
 /// Crashes by request. Any two nodes that tell each other what they hold come to hold
 /// the same, in whatever order they are told: crashes are only added, and only
 /// cleared. Thread-safe.
-class QuarantineBook {
+class QuarantineTable {
 public:
-    explicit QuarantineBook(QuarantineSettings settings);
+    explicit QuarantineTable(QuarantineSettings settings);
 
     /// Whether no request is suspected, so that none needs a fingerprint.
     bool isEmpty() const { return !count_; }
     /// \returns the crashes held against \p request now.
-    std::size_t noteCrash(RequestFingerprint request, const OrganisationId& organisation, CrashSite backend, SteadyTime now);
+    std::size_t noteCrash(RequestFingerprint request, const OrganisationId& organisation, BackendInstanceKey backend, SteadyTime now);
     /// The crashes under \p request so far were not its doing. \returns whether any were
     /// held against it.
     bool clear(RequestFingerprint request, SteadyTime now);
     /// nullopt if \p request may be sent.
     std::optional<Quarantine> check(RequestFingerprint request, SteadyTime now) const;
     /// Crashes held against \p request.
-    std::size_t crashesOf(RequestFingerprint request) const;
+    std::size_t activeCrashesOf(RequestFingerprint request) const;
 
     /// What to tell peers: what has changed lately, and a part of what is held against
     /// requests for those that missed it. \p draw, uniform over 64 bits, picks the part.
@@ -124,11 +124,11 @@
 
     Entry& findOrAdd(RequestFingerprint request, std::uint32_t organisation, SteadyTime now);
     static bool merge(Entry& entry, const Crash& crash);
-    void makeRoom(std::uint32_t organisation);
-    void forgetOld(SteadyTime now);
+    void evictWeakest(std::uint32_t organisation);
+    void removeExpired(SteadyTime now);
     /// nullopt if the crashes held are too few.
     std::optional<SteadyTime> quarantinedUntil(const std::vector<Crash>& crashes) const;
-    SteadyTime keptUntil(const std::vector<Crash>& crashes) const;
+    SteadyTime expiryOf(const std::vector<Crash>& crashes) const;
 
     const QuarantineSettings settings_;
     mutable std::mutex mutex_;
@@ -138,9 +138,9 @@
 
 /// Decides which suspects are to be written where they outlive all nodes: those that are
 /// held. Not thread-safe.
-class QuarantineRecord {
+class QuarantineRecordTracker {
 public:
-    explicit QuarantineRecord(std::uint64_t crashesToHold)
+    explicit QuarantineRecordTracker(std::uint64_t crashesToHold)
         : crashesToHold_(crashesToHold)
     {
     }
@@ -166,40 +166,40 @@
 struct CutOff {
     RequestFingerprint request_;
     OrganisationId organisation_;
-    CrashSite backend_;
+    BackendInstanceKey backend_;
 };
 
 /// Tells crashes from connections that were lost for other reasons: attempts that were
 /// cut off count against their requests once their backend server is known to have
 /// ended, however much later that word comes. Thread-safe.
-class CrashWatch {
+class CrashDetector {
 public:
-    explicit CrashWatch(QuarantineBook& book)
-        : book_(book)
+    explicit CrashDetector(QuarantineTable& table)
+        : table_(table)
     {
     }
 
     /// A request against which a crash was counted.
-    struct Counted {
+    struct CountedRequest {
         RequestFingerprint request_;
         std::size_t crashes_ = 0;
     };
 
     /// What follows from an attempt that was cut off.
-    struct Verdict {
+    struct CutOffResult {
         /// Set if its backend server was known to have ended.
-        std::optional<Counted> counted_;
+        std::optional<CountedRequest> counted_;
         /// Nobody looks yet whether the backend server has ended.
         bool needsProbe_ = false;
     };
 
-    Verdict noteCutOff(const CutOff& cutOff, SteadyTime now);
+    CutOffResult noteCutOff(const CutOff& cutOff, SteadyTime now);
     /// The probe that noteCutOff() asked for is over.
-    void noteProbed(CrashSite backend);
+    void noteProbed(BackendInstanceKey backend);
     /// \p backend ended without having said that it leaves.
-    std::vector<Counted> noteEnded(CrashSite backend, SteadyTime now);
+    std::vector<CountedRequest> noteEnded(BackendInstanceKey backend, SteadyTime now);
     /// Whether nothing is held against any request, so that clear() does nothing.
-    bool isIdle() const { return !pendingCount_ && book_.isEmpty(); }
+    bool isIdle() const { return !pendingCount_ && table_.isEmpty(); }
     /// A backend server answered \p request whole, or an operator lifts it: what it is
     /// held for so far was not its doing. \returns whether it was suspected.
     bool clear(RequestFingerprint request, SteadyTime now);
@@ -210,14 +210,14 @@
         SteadyTime at_ {};
     };
 
-    void forgetOld(SteadyTime now);
+    void removeExpired(SteadyTime now);
 
-    QuarantineBook& book_;
+    QuarantineTable& table_;
     std::mutex mutex_;
     std::vector<Pending> pending_;
     std::atomic<std::size_t> pendingCount_ { 0 };
-    std::set<CrashSite> probed_;
-    std::map<CrashSite, SteadyTime> ended_;
+    std::set<BackendInstanceKey> probed_;
+    std::map<BackendInstanceKey, SteadyTime> ended_;
 };
 
 } // namespace pistachioloom
--- a/include/pistachioloom/Quota.h
+++ b/include/pistachioloom/Quota.h
@@ -25,9 +25,9 @@
 
 struct QuotaSettings {
     /// A node silent for so long is assumed to admit an equal share.
-    milliseconds silence_ { 1000 };
+    milliseconds unresponsiveAfter_ { 1000 };
     /// A silent node is forgotten after this time; it has stopped.
-    milliseconds forget_ { 10000 };
+    milliseconds forgetAfter_ { 10000 };
     /// Age of what is known of other nodes: one report of 200 ms and its way, or
     /// three through relays.
     milliseconds lag_ { 300 };
@@ -37,16 +37,16 @@
     /// admitted within 1 to 2 s, and all of them would hand out the same rest.
     milliseconds startup_ { 3000 };
     /// It ends after this time, two ways through relays, if all but a few are heard.
-    milliseconds leastStartup_ { 1200 };
+    milliseconds minStartup_ { 1200 };
     /// Buckets begin with what comes in in this time: a node is down for longer before
     /// it starts again.
     milliseconds startCredit_ { 400 };
     /// Requests that cost less than this part of their organisation's mean one are
     /// admitted out of a debt, which those that cost more wait for: refusing one of
     /// 12,000 tokens makes room for 60 of 200.
-    double smallCost_ = 0.125;
+    double smallCostRatio_ = 0.125;
     /// The debt up to which they are admitted, in time of the rate.
-    milliseconds smallDebt_ { 100 };
+    milliseconds maxSmallDebt_ { 100 };
     /// 0 to 1, different on each node, so that nodes which divide the rest of a
     /// quota do not all take their first request at once.
     double phase_ = 0;
@@ -61,11 +61,11 @@
 /// each admits its share of the rate, so that nodes which hear each other
 /// late do not all use the same rest. What goes below zero is paid back before more
 /// is admitted.
-class QuotaBook {
+class QuotaLimiter {
 public:
     /// \p startedAt is when this node started: buckets begin empty then, so that
     /// nodes that are killed and restarted do not hand out full bursts again.
-    explicit QuotaBook(SteadyTime startedAt, QuotaSettings settings = {});
+    explicit QuotaLimiter(SteadyTime startedAt, QuotaSettings settings = {});
 
     /// Takes \p cost out of the organisation's bucket.
     /// \returns nullopt if admitted, else when to come back.
@@ -84,7 +84,7 @@
     /// \p nodes others are cut off, as relays tell, and \p live are heard: each of the
     /// former is assumed to admit an equal share for as long as this is said again. For
     /// those that are heard again, what they did counts instead.
-    void setSilentNodes(std::uint64_t nodes, std::uint64_t live, SteadyTime now);
+    void setUnresponsiveNodes(std::uint64_t nodes, std::uint64_t live, SteadyTime now);
     /// \p nodes share the quotas as far as known, heard or not.
     void setNodes(std::uint64_t nodes);
     /// Forgets \p peer, whose counts come through another one from now on.
@@ -97,7 +97,7 @@
         /// When the level that it began with was known. Silent peers are charged from
         /// then on only, as the rate is added from then on: else a node that was frozen
         /// before its first request of an organisation would refuse it.
-        SteadyTime begunAt_ {};
+        SteadyTime initialisedAt_ {};
         SteadyTime filledAt_ {};
         /// What was admitted lately, fading: by this node, and by the others.
         double ownRecent_ = 0;
@@ -112,29 +112,29 @@
         /// What silent peers were charged since they were last heard.
         std::map<VmId, double> charged_;
     };
-    struct HeardLevel {
+    struct ReceivedLevel {
         double level_ = 0;
         SteadyTime at_ {};
     };
     struct Peer {
         std::uint64_t incarnation_ = 0;
-        SteadyTime heardAt_ {};
+        SteadyTime receivedAt_ {};
         AdmittedCounts counts_;
         /// All of its counts are taken out of buckets.
-        bool isWhole_ = false;
+        bool isCountedFromStart_ = false;
         std::uint64_t nodes_ = 1;
         /// Until when its share is already charged, while it is silent.
         SteadyTime chargedUntil_ {};
     };
 
     void fill(Bucket& bucket, SteadyTime now) const;
-    void chargeSilent(SteadyTime now);
-    void returnCharged(const VmId& peer, double part);
+    void chargeUnresponsive(SteadyTime now);
+    void refundCharges(const VmId& peer, double part);
     double nodes() const;
     /// Whether this node has just started, and all others may have too.
     bool isStarting(const Bucket& bucket, SteadyTime now) const;
     /// Whether all but a few nodes are heard, so that their counts tell what is left.
-    bool hasHeardMost(SteadyTime now) const;
+    bool hasReportsFromMost(SteadyTime now) const;
     void begin(Bucket& bucket, const OrganisationId& organisation) const;
     /// This node's part of an organisation's requests: half of it equal, half as
     /// they came, since callers keep to the nodes that they are connected to.
@@ -144,7 +144,7 @@
     /// Time since the start of this node, and the credit that it began with.
     double secondsCredited(SteadyTime now) const;
     /// What may have been admitted that this node has not heard of.
-    double unseen(const Bucket& bucket) const;
+    double maxUnreported(const Bucket& bucket) const;
     std::optional<milliseconds> takeShare(Bucket& bucket, double cost, SteadyTime now);
 
     const SteadyTime startedAt_;
@@ -159,7 +159,7 @@
     /// Where the next division of a rest begins; see QuotaSettings::phase_.
     double phase_;
     /// Levels heard from a peer before the first own request.
-    std::map<OrganisationId, HeardLevel> heardLevels_;
+    std::map<OrganisationId, ReceivedLevel> receivedLevels_;
 };
 
 struct RetrySettings {
@@ -172,14 +172,14 @@
     std::uint64_t nodes_ = 1;
     /// Part of the allowance that is used: a window may hold one node's old and
     /// another's new requests.
-    double used_ = 0.7;
+    double usableShare_ = 0.7;
 };
 
 /// Bounds repeats by what this node was asked itself, so that the bound holds
 /// over all nodes without an exchange. Thread-safe.
-class RetryBudget {
+class ServiceRetryBudget {
 public:
-    explicit RetryBudget(RetrySettings settings);
+    explicit ServiceRetryBudget(RetrySettings settings);
 
     /// Counts a request of \p service.
     void countRequest(const ServiceName& service, SteadyTime now);
--- a/lib/Catalogue/Entry.cpp
+++ b/lib/Catalogue/Entry.cpp
@@ -67,7 +67,7 @@
         backend.paidReserve_ = map.integer("paid_reserve", 0, mostConcurrency, 0);
         if (backend.paidReserve_ && backend.paidReserve_ >= backend.concurrency_)
             map.fail("paid_reserve", "expected less than 'concurrency'");
-        backend.mostLoading_ = map.integer("most_loading", 1, mostLoading, 1);
+        backend.maxLoading_ = map.integer("most_loading", 1, mostLoading, 1);
         EngineConfiguration configuration { map.text("version", ""), map.list("adapters"), map.text("role", "") };
         if (!configuration.version_.empty())
             backend.configuration_ = std::move(configuration);
--- a/lib/Forward/EndProbe.cpp
+++ b/lib/Forward/EndProbe.cpp
@@ -19,7 +19,7 @@
     return logger;
 }
 
-void logCrash(ForwardContext& context, const BackendId& backend, const CrashWatch::Counted& counted)
+void logCrash(ForwardContext& context, const BackendId& backend, const CrashDetector::CountedRequest& counted)
 {
     context.metrics_.add(Counter::BackendCrashes);
     LogLine line("Backend server crashed under a request.");
@@ -29,7 +29,7 @@
 
 void noteBackendEnded(ForwardContext& context, const BackendId& backend)
 {
-    for (const CrashWatch::Counted& counted : context.crashes_.noteEnded({ keyOf(backend) }, steadyNow()))
+    for (const CrashDetector::CountedRequest& counted : context.crashes_.noteEnded({ keyOf(backend) }, steadyNow()))
         logCrash(context, backend, counted);
 }
 
--- a/lib/Forward/EndProbe.h
+++ b/lib/Forward/EndProbe.h
@@ -15,6 +15,6 @@
 asio::awaitable<void> probeEnd(ForwardContext& context, BackendRecord backend);
 
 /// A crash of \p backend was counted against a request.
-void logCrash(ForwardContext& context, const BackendId& backend, const CrashWatch::Counted& counted);
+void logCrash(ForwardContext& context, const BackendId& backend, const CrashDetector::CountedRequest& counted);
 
 } // namespace pistachioloom
--- a/lib/Forward/Forwarding.cpp
+++ b/lib/Forward/Forwarding.cpp
@@ -181,7 +181,7 @@
         return std::nullopt;
     auto quarantine = context_.quarantine_.check(fingerprint(), steadyNow());
     if (!quarantine) {
-        shape_.isSuspect_ = context_.quarantine_.crashesOf(fingerprint()) >= crashesToIsolate;
+        shape_.isSuspect_ = context_.quarantine_.activeCrashesOf(fingerprint()) >= crashesToIsolate;
         return std::nullopt;
     }
     context_.metrics_.add(Counter::RequestsQuarantined);
@@ -369,7 +369,7 @@
     if (known && known->isLeaving_)
         return;
     CutOff cutOff { fingerprint(), organisation_ ? organisation_->name_ : OrganisationId {}, { keyOf(backend.id_) } };
-    CrashWatch::Verdict verdict = context_.crashes_.noteCutOff(cutOff, steadyNow());
+    CrashDetector::CutOffResult verdict = context_.crashes_.noteCutOff(cutOff, steadyNow());
     if (verdict.counted_)
         logCrash(context_, backend.id_, *verdict.counted_);
     if (verdict.needsProbe_)
--- a/lib/Gateway/GatewayContext.h
+++ b/lib/Gateway/GatewayContext.h
@@ -38,10 +38,10 @@
     const std::uint64_t incarnation_;
     Metrics metrics_;
     BackendBook backends_;
-    QuotaBook quotas_;
-    RetryBudget retries_;
-    QuarantineBook quarantine_;
-    CrashWatch crashes_;
+    QuotaLimiter quotas_;
+    ServiceRetryBudget retries_;
+    QuarantineTable quarantine_;
+    CrashDetector crashes_;
     RolloutBook rollouts_;
     UsageBook usage_;
     ClockAgreement clocks_;
--- a/lib/Gateway/GatewaySettings.cpp
+++ b/lib/Gateway/GatewaySettings.cpp
@@ -95,9 +95,9 @@
     void parseQuarantine(YamlMap map, QuarantineSettings& settings)
     {
         settings.crashes_ = map.integer("crashes", 1, 12, settings.crashes_);
-        settings.first_ = map.duration("first", milliseconds(1000), oneDay, settings.first_);
+        settings.firstDuration_ = map.duration("first", milliseconds(1000), oneDay, settings.firstDuration_);
         settings.longest_ = map.duration("longest", milliseconds(1000), 30 * oneDay, settings.longest_);
-        settings.memory_ = map.duration("memory", milliseconds(1000), oneDay, settings.memory_);
+        settings.retention_ = map.duration("memory", milliseconds(1000), oneDay, settings.retention_);
         settings.capacity_ = map.integer("capacity", 1, 1'000'000, settings.capacity_);
         settings.organisationCapacity_ = map.integer("organisation_capacity", 1, 1'000'000, settings.organisationCapacity_);
         map.finish();
--- a/lib/Gateway/PeerReports.cpp
+++ b/lib/Gateway/PeerReports.cpp
@@ -160,7 +160,7 @@
             logger_.info(LogLine(isLarge ? "Fleet is large: relays sum the reports." : "Fleet is small: every node hears every other.").add("nodes", static_cast<std::int64_t>(known)));
         if (!isLarge && wasLarge_) {
             forgetCounts(allOthers());
-            context_.quotas_.setSilentNodes(0, 0, now);
+            context_.quotas_.setUnresponsiveNodes(0, 0, now);
         }
         if (isLarge && !wasLarge_) {
             // What single nodes told is in the relays' sums from now on.
@@ -478,7 +478,7 @@
     for (const wire::QuotaReport& told : sums.quotas())
         levels[{ told.organisation() }] = told.level();
     context_.quotas_.setPeer(allOthers(), context_.incarnation_, admitted, levels, now, sums.nodes(), isFresh(sums.counted_ms()));
-    context_.quotas_.setSilentNodes(sums.silent_nodes(), sums.nodes(), now);
+    context_.quotas_.setUnresponsiveNodes(sums.silent_nodes(), sums.nodes(), now);
     for (const wire::DemandReport& told : sums.demand())
         context_.demand_.setSource(allOthers(), { told.service() }, { told.tokens_per_second(), told.prefill_per_ms(), told.observations() }, now);
 }
--- a/lib/Gateway/QuarantineKeeper.cpp
+++ b/lib/Gateway/QuarantineKeeper.cpp
@@ -74,22 +74,22 @@
     context_.quarantine_.take(suspects, now);
     for (const Suspect& suspect : suspects) {
         record_.noteRecorded({ suspect, false });
-        logger_.info(LogLine("Quarantine is read.").add("request", toString(suspect.request_)).add("crashes", static_cast<std::int64_t>(suspect.crashesHeld())).add("note_age_ms", age));
+        logger_.info(LogLine("Quarantine is read.").add("request", toString(suspect.request_)).add("crashes", static_cast<std::int64_t>(suspect.activeCrashes())).add("note_age_ms", age));
     }
 }
 
 asio::awaitable<void> QuarantineKeeper::writeNotes()
 {
-    std::vector<QuarantineRecord::Change> changes = record_.due(context_.quarantine_.suspects(steadyNow()));
+    std::vector<QuarantineRecordTracker::Change> changes = record_.due(context_.quarantine_.suspects(steadyNow()));
     changes.resize(std::min(changes.size(), mostWrites));
-    for (QuarantineRecord::Change& change : changes) {
+    for (QuarantineRecordTracker::Change& change : changes) {
         if (!co_await write(std::move(change)))
             co_return;
     }
 }
 
 /// \returns whether the platform took it.
-asio::awaitable<bool> QuarantineKeeper::write(QuarantineRecord::Change change)
+asio::awaitable<bool> QuarantineKeeper::write(QuarantineRecordTracker::Change change)
 {
     KeptNote note { keyOf(change.suspect_.request_), {} };
     if (!change.isDropped_) {
@@ -102,7 +102,7 @@
     }
     auto written = co_await context_.platform_.writeNote_(std::move(note));
     LogLine line(change.isDropped_ ? "Quarantine is dropped." : "Quarantine is written.");
-    line.add("request", toString(change.suspect_.request_)).add("crashes", static_cast<std::int64_t>(change.suspect_.crashesHeld())).add("error", written ? "" : describe(written.error()));
+    line.add("request", toString(change.suspect_.request_)).add("crashes", static_cast<std::int64_t>(change.suspect_.activeCrashes())).add("error", written ? "" : describe(written.error()));
     logger_.info(line);
     if (written)
         record_.noteRecorded(change);
--- a/lib/Gateway/QuarantineKeeper.h
+++ b/lib/Gateway/QuarantineKeeper.h
@@ -30,12 +30,12 @@
 private:
     asio::awaitable<void> readNotes();
     asio::awaitable<void> writeNotes();
-    asio::awaitable<bool> write(QuarantineRecord::Change change);
+    asio::awaitable<bool> write(QuarantineRecordTracker::Change change);
     void takeNote(const KeptNote& note);
 
     GatewayContext& context_;
     Hooks hooks_;
-    QuarantineRecord record_;
+    QuarantineRecordTracker record_;
     bool hasRead_ = false;
     Logger logger_ { "quarantine" };
 };
--- a/lib/Gateway/QuarantinePage.cpp
+++ b/lib/Gateway/QuarantinePage.cpp
@@ -25,7 +25,7 @@
     SteadyTime last {};
     for (const Crash& crash : suspect.crashes_)
         last = std::max(last, crash.at_);
-    json::object row { { "request", toString(suspect.request_) }, { "crashes", suspect.crashesHeld() } };
+    json::object row { { "request", toString(suspect.request_) }, { "crashes", suspect.activeCrashes() } };
     row["last_crash_ms"] = std::chrono::duration_cast<milliseconds>(now - last).count();
     row["left_ms"] = quarantine ? quarantine->left_.count() : 0;
     return row;
--- a/lib/Limits/Admission.cpp
+++ b/lib/Limits/Admission.cpp
@@ -10,21 +10,21 @@
 
 namespace pistachioloom {
 
-Admission::Verdict Admission::tryStart(const CatalogueEntry& entry, std::uint64_t tokens, SteadyTime now)
+Admission::Decision Admission::tryStart(const CatalogueEntry& entry, std::uint64_t tokens, SteadyTime now)
 {
     EntryState& state = entries_[entry.name_];
     std::uint64_t slots = state.expires_ > now ? state.slots_ : 0;
     if (state.inProgress_ >= slots)
-        return Verdict::NeedsSlot;
+        return Decision::NeedsSlot;
     bool isCounted = entry.workload_->limits_.hasTokenLimit();
     if (isCounted && state.tokens_ < tokens)
-        return Verdict::NeedsTokens;
+        return Decision::NeedsTokens;
     if (isCounted) {
         state.tokens_ -= tokens;
         state.tokensSpent_ += tokens;
     }
     ++state.inProgress_;
-    return Verdict::Admitted;
+    return Decision::Admitted;
 }
 
 void Admission::finish(const EntryName& entry, std::uint64_t unusedTokens)
@@ -74,7 +74,7 @@
     return demand;
 }
 
-void Admission::take(const EntryName& entry, const Grant& grant)
+void Admission::applyGrant(const EntryName& entry, const Grant& grant)
 {
     EntryState& state = entries_[entry];
     state.slots_ = grant.slots_;
--- a/lib/Limits/Grants.cpp
+++ b/lib/Limits/Grants.cpp
@@ -62,29 +62,29 @@
     return sum;
 }
 
-std::uint64_t LoanTable::countedOf(const Lent& lent, SteadyTime now)
+std::uint64_t LoanTable::reservedSlots(const OutgoingLoan& lent, SteadyTime now)
 {
     std::uint64_t slots = lent.expires_ > now ? lent.slots_ : 0;
-    if (lent.believedUntil_ > now)
-        slots = std::max(slots, lent.believed_);
-    if (lent.granted_ > slots && lent.grantedUntil_ > now)
-        slots = lent.granted_;
+    if (lent.assumedUntil_ > now)
+        slots = std::max(slots, lent.assumedSlots_);
+    if (lent.outstandingSlots_ > slots && lent.outstandingUntil_ > now)
+        slots = lent.outstandingSlots_;
     return slots;
 }
 
-std::uint64_t LoanTable::lend(const DataCentreId& borrower, std::uint64_t free, const Ask& ask, milliseconds loanValidity, milliseconds grantValidity, SteadyTime now)
+std::uint64_t LoanTable::lend(const DataCentreId& borrower, std::uint64_t free, const Request& request, milliseconds loanValidity, milliseconds grantValidity, SteadyTime now)
 {
-    Lent& lent = lent_[borrower];
-    std::uint64_t before = countedOf(lent, now);
-    std::uint64_t slots = std::max(ask.inUse_, std::min(ask.wanted_, free + before));
+    OutgoingLoan& lent = lent_[borrower];
+    std::uint64_t before = reservedSlots(lent, now);
+    std::uint64_t slots = std::max(request.inUse_, std::min(request.wanted_, free + before));
     // Grants made before the question may stand for their validity.
-    lent.granted_ = before;
-    lent.grantedUntil_ = now + grantValidity;
+    lent.outstandingSlots_ = before;
+    lent.outstandingUntil_ = now + grantValidity;
     // Our answer may be lost: then the borrower goes on believing in what it
     // had, as far as its question promised.
-    std::uint64_t known = std::max(lent.expires_ > now ? lent.slots_ : 0, lent.believedUntil_ > now ? lent.believed_ : 0);
-    lent.believed_ = std::min(known, std::max(ask.wanted_, ask.inUse_));
-    lent.believedUntil_ = std::max(lent.expires_, lent.believedUntil_);
+    std::uint64_t known = std::max(lent.expires_ > now ? lent.slots_ : 0, lent.assumedUntil_ > now ? lent.assumedSlots_ : 0);
+    lent.assumedSlots_ = std::min(known, std::max(request.wanted_, request.inUse_));
+    lent.assumedUntil_ = std::max(lent.expires_, lent.assumedUntil_);
     lent.slots_ = slots;
     lent.expires_ = now + loanValidity;
     return slots;
@@ -94,21 +94,21 @@
 {
     std::uint64_t sum = 0;
     for (const auto& [borrower, lent] : lent_)
-        sum += countedOf(lent, now);
+        sum += reservedSlots(lent, now);
     return sum;
 }
 
 std::uint64_t LoanTable::lentTo(const DataCentreId& borrower, SteadyTime now) const
 {
     auto found = lent_.find(borrower);
-    return found == lent_.end() ? 0 : countedOf(found->second, now);
+    return found == lent_.end() ? 0 : reservedSlots(found->second, now);
 }
 
-void LoanTable::promise(const DataCentreId& lender, std::uint64_t most)
+void LoanTable::capBorrowed(const DataCentreId& lender, std::uint64_t maxSlots)
 {
     auto found = borrowed_.find(lender);
     if (found != borrowed_.end())
-        found->second.slots_ = std::min(found->second.slots_, most);
+        found->second.slots_ = std::min(found->second.slots_, maxSlots);
 }
 
 void LoanTable::setBorrowed(const DataCentreId& lender, std::uint64_t slots, SteadyTime expires)
@@ -141,31 +141,31 @@
     : perSecond_(static_cast<double>(perSecond))
     , burst_(static_cast<double>(burst))
     , level_(burst_)
-    , at_(now)
+    , filledAt_(now)
 {
 }
 
 double TokenBucket::levelAt(SteadyTime now) const
 {
-    double elapsed = std::chrono::duration<double>(now - at_).count();
+    double elapsed = std::chrono::duration<double>(now - filledAt_).count();
     return std::min(burst_, level_ + std::max(0.0, elapsed) * perSecond_);
 }
 
 bool TokenBucket::tryTake(std::uint64_t tokens, SteadyTime now)
 {
     level_ = levelAt(now);
-    at_ = std::max(at_, now);
+    filledAt_ = std::max(filledAt_, now);
     if (level_ <= 0)
         return false;
     level_ -= static_cast<double>(tokens);
     return true;
 }
 
-std::uint64_t TokenBucket::takeUpTo(std::uint64_t tokens, std::uint64_t kept, SteadyTime now)
+std::uint64_t TokenBucket::takeUpTo(std::uint64_t tokens, std::uint64_t minLevel, SteadyTime now)
 {
     level_ = levelAt(now);
-    at_ = std::max(at_, now);
-    double spare = std::max(0.0, level_ - static_cast<double>(kept));
+    filledAt_ = std::max(filledAt_, now);
+    double spare = std::max(0.0, level_ - static_cast<double>(minLevel));
     std::uint64_t taken = std::min(tokens, static_cast<std::uint64_t>(spare));
     level_ -= static_cast<double>(taken);
     return taken;
--- a/lib/Node/EngineOrders.cpp
+++ b/lib/Node/EngineOrders.cpp
@@ -136,14 +136,14 @@
     const OrderTiming& timing = context_.settings_.orders_.timing_;
     std::lock_guard lock(mutex_);
     Managed& managed = managed_[engine];
-    claims_.forgetOld(timing.loadPatience_, steadyNow());
-    OrderSituation situation;
+    claims_.removeOlderThan(timing.loadWaitLimit_, steadyNow());
+    OrderContext situation;
     situation.self_ = context_.self();
     situation.wanted_ = *entry.backend_->configuration_;
     situation.state_ = state;
     situation.holder_ = claims_.find(engine);
     situation.ahead_ = claims_.ahead(engine, [&](const VmId& other) { return view->find(other) && !view->isLeaving(other); });
-    situation.mostLoading_ = entry.backend_->mostLoading_;
+    situation.maxLoading_ = entry.backend_->maxLoading_;
     situation.claimedAt_ = managed.claimedAt_;
     situation.orderedAt_ = managed.orderedAt_;
     situation.active_ = home_.active(engine);
--- a/lib/Node/Lending.cpp
+++ b/lib/Node/Lending.cpp
@@ -117,7 +117,7 @@
     {
         std::lock_guard lock(mutex_);
         request.set_sequence(++loanSequence_);
-        book->loans_.promise(lender, std::max(inUse, wanted.slots_));
+        book->loans_.capBorrowed(lender, std::max(inUse, wanted.slots_));
     }
     VmId keeper = pickByRendezvous("limits/" + entry->name_.value_, context_.membership()->nodesOf(lender));
     SteadyTime askedAt = steadyNow();
@@ -168,7 +168,7 @@
     // nodes are short lets loans shrink as their requests end.
     bool mayLend = !isNewKeeper(*book, now);
     bool isShort = book->shortAt_ && now - *book->shortAt_ < 2 * grantValidity();
-    LoanTable::Ask ask { request.in_use(), mayLend && !isShort ? request.wanted() : request.in_use() };
+    LoanTable::Request ask { request.in_use(), mayLend && !isShort ? request.wanted() : request.in_use() };
     reply.set_slots(static_cast<std::uint32_t>(book->loans_.lend(borrower, free, ask, loanValidity(), grantValidity(), now)));
     if (!book->tokens_ || !request.tokens_wanted())
         return frame;
--- a/lib/Node/LimitDesk.cpp
+++ b/lib/Node/LimitDesk.cpp
@@ -33,31 +33,31 @@
 
 asio::awaitable<Result<void>> LimitDesk::admit(std::shared_ptr<const CatalogueEntry> entry, std::uint64_t tokens)
 {
-    auto verdict = Admission::Verdict::Admitted;
+    auto verdict = Admission::Decision::Admitted;
     {
         std::lock_guard lock(mutex_);
         verdict = admission_.tryStart(*entry, tokens, steadyNow());
-        if (verdict == Admission::Verdict::Admitted)
+        if (verdict == Admission::Decision::Admitted)
             co_return boost::outcome_v2::success();
         admission_.beginWait(entry->name_, tokens);
     }
     // Others that arrive at the same time may take what the keeper granted on
     // our word, so it is asked again before the request is refused.
-    for (int asked = 0; asked < mostAsked && verdict != Admission::Verdict::Admitted; ++asked) {
+    for (int asked = 0; asked < mostAsked && verdict != Admission::Decision::Admitted; ++asked) {
         co_await askOrJoin(entry);
         std::lock_guard lock(mutex_);
         verdict = admission_.tryStart(*entry, tokens, steadyNow());
     }
     std::lock_guard lock(mutex_);
     admission_.endWait(entry->name_, tokens);
-    if (verdict == Admission::Verdict::Admitted)
+    if (verdict == Admission::Decision::Admitted)
         co_return boost::outcome_v2::success();
     co_return refusal(*entry, verdict);
 }
 
-Error LimitDesk::refusal(const CatalogueEntry& entry, Admission::Verdict verdict) const
+Error LimitDesk::refusal(const CatalogueEntry& entry, Admission::Decision verdict) const
 {
-    bool isForTokens = verdict == Admission::Verdict::NeedsTokens;
+    bool isForTokens = verdict == Admission::Decision::NeedsTokens;
     milliseconds wait = isForTokens ? std::max(admission_.tokenWait(entry.name_), limitRetry) : limitRetry;
     std::string reason = isForTokens ? "tokens a second are used up" : "requests in progress are at the limit";
     return { Errc::LimitReached, "admit", entry.name_.value_, std::move(reason), Ran::No, jitter(wait, randomBits()) };
@@ -121,7 +121,7 @@
         // Counted from before the question, so that we end before the keeper does.
         SteadyTime expires = askedAt + milliseconds(reply.value().grant_reply().valid_ms());
         for (const wire::EntryGrant& grant : reply.value().grant_reply().grants())
-            admission_.take({ grant.entry() }, { grant.slots(), grant.tokens(), expires, milliseconds(grant.token_wait_ms()) });
+            admission_.applyGrant({ grant.entry() }, { grant.slots(), grant.tokens(), expires, milliseconds(grant.token_wait_ms()) });
     }
     for (const EntryPtr& entry : entries)
         asking_.erase(entry->name_);
--- a/lib/Node/LimitDesk.h
+++ b/lib/Node/LimitDesk.h
@@ -34,7 +34,7 @@
 private:
     using EntryPtr = std::shared_ptr<const CatalogueEntry>;
 
-    Error refusal(const CatalogueEntry& entry, Admission::Verdict verdict) const;
+    Error refusal(const CatalogueEntry& entry, Admission::Decision verdict) const;
     /// Asks the keeper of \p entry, or waits for the answer to who did already.
     asio::awaitable<void> askOrJoin(EntryPtr entry);
     asio::awaitable<void> askKeeper(VmId keeper, std::vector<EntryPtr> entries);
--- a/lib/Orders/Claims.cpp
+++ b/lib/Orders/Claims.cpp
@@ -94,9 +94,9 @@
     }));
 }
 
-void ClaimTable::forgetOld(milliseconds mostAge, SteadyTime now)
+void ClaimTable::removeOlderThan(milliseconds maxAge, SteadyTime now)
 {
-    std::erase_if(open_, [&](const auto& item) { return now - item.second.readAt_ > mostAge; });
+    std::erase_if(open_, [&](const auto& item) { return now - item.second.readAt_ > maxAge; });
 }
 
 } // namespace pistachioloom
--- a/lib/Orders/Steps.cpp
+++ b/lib/Orders/Steps.cpp
@@ -26,56 +26,56 @@
     return "unknown";
 }
 
-static bool isOwn(const OrderSituation& situation)
+static bool isOwn(const OrderContext& context)
 {
-    return situation.holder_ && situation.holder_->claim_.node_ == situation.self_;
+    return context.holder_ && context.holder_->claim_.node_ == context.self_;
 }
 
-static bool hasLapsed(const OrderSituation& situation, const OrderTiming& timing, SteadyTime now)
+static bool hasClaimExpired(const OrderContext& context, const OrderTiming& timing, SteadyTime now)
 {
-    return now - situation.claimedAt_ >= timing.claimValidity_;
+    return now - context.claimedAt_ >= timing.claimValidity_;
 }
 
 // An order of the home before us may arrive until its claim has lapsed and the
 // longest freeze has passed. Reading its claim came after its append, so
 // counting from the reading waits long enough.
-static bool mayOtherStillOrder(const OrderSituation& situation, const OrderTiming& timing, SteadyTime now)
+static bool mayOtherStillOrder(const OrderContext& context, const OrderTiming& timing, SteadyTime now)
 {
-    auto otherReadAt = situation.holder_->otherReadAt_;
-    if (situation.honoursFencing_ || !otherReadAt)
+    auto otherReadAt = context.holder_->otherReadAt_;
+    if (context.honoursFencing_ || !otherReadAt)
         return false;
-    return now - *otherReadAt < timing.claimValidity_ + timing.pauseBound_;
+    return now - *otherReadAt < timing.claimValidity_ + timing.maxPause_;
 }
 
 // An engine that does not load soon after its order has not got it.
-static bool isOrderTakingEffect(const OrderSituation& situation, const OrderTiming& timing, SteadyTime now)
+static bool isOrderTakingEffect(const OrderContext& context, const OrderTiming& timing, SteadyTime now)
 {
-    if (!situation.orderedAt_)
+    if (!context.orderedAt_)
         return false;
-    return now - *situation.orderedAt_ < (situation.state_.isLoading_ ? timing.loadPatience_ : timing.claimValidity_);
+    return now - *context.orderedAt_ < (context.state_.isLoading_ ? timing.loadWaitLimit_ : timing.claimValidity_);
 }
 
-OrderStep nextOrderStep(const OrderSituation& situation, const OrderTiming& timing, SteadyTime now)
+OrderStep nextOrderStep(const OrderContext& context, const OrderTiming& timing, SteadyTime now)
 {
-    bool isReached = situation.state_.configuration_ == situation.wanted_ && !situation.state_.isLoading_;
-    if (isReached && !situation.holder_)
+    bool isReached = context.state_.configuration_ == context.wanted_ && !context.state_.isLoading_;
+    if (isReached && !context.holder_)
         return OrderStep::Settled;
-    if (!isOwn(situation)) {
+    if (!isOwn(context)) {
         // Two nodes that both believe to be the home would otherwise claim in turns.
-        bool isOthersFresh = situation.holder_ && now - situation.holder_->readAt_ < timing.claimValidity_;
-        return isOthersFresh ? OrderStep::Wait : OrderStep::Claim;
+        bool isOtherClaimRecent = context.holder_ && now - context.holder_->readAt_ < timing.claimValidity_;
+        return isOtherClaimRecent ? OrderStep::Wait : OrderStep::Claim;
     }
     if (isReached)
         return OrderStep::End;
-    if (isOrderTakingEffect(situation, timing, now))
+    if (isOrderTakingEffect(context, timing, now))
         return OrderStep::Wait;
-    if (situation.ahead_ >= situation.mostLoading_)
+    if (context.ahead_ >= context.maxLoading_)
         return OrderStep::Wait;
-    if (situation.active_)
+    if (context.active_)
         return OrderStep::Drain;
-    if (mayOtherStillOrder(situation, timing, now))
+    if (mayOtherStillOrder(context, timing, now))
         return OrderStep::Drain;
-    return hasLapsed(situation, timing, now) ? OrderStep::Claim : OrderStep::Order;
+    return hasClaimExpired(context, timing, now) ? OrderStep::Claim : OrderStep::Order;
 }
 
 } // namespace pistachioloom
--- a/lib/Quarantine/CrashWatch.cpp
+++ b/lib/Quarantine/CrashDetector.cpp
@@ -1,4 +1,4 @@
-//===- lib/Quarantine/CrashWatch.cpp - crashes and lost connections --------===//
+//===- lib/Quarantine/CrashDetector.cpp - crashes and lost connections --------===//
 ///
 /// \file
 /// See pistachioloom/Quarantine.h.
@@ -9,55 +9,55 @@
 
 // The registry drops a backend server that crashed after three heartbeats, and nodes
 // hear of that a second later.
-static constexpr milliseconds endAwaited { 10000 };
+static constexpr milliseconds maxEndDelay { 10000 };
 
-void CrashWatch::forgetOld(SteadyTime now)
+void CrashDetector::removeExpired(SteadyTime now)
 {
-    std::erase_if(pending_, [&](const Pending& pending) { return now - pending.at_ > endAwaited; });
-    std::erase_if(ended_, [&](const auto& ended) { return now - ended.second > endAwaited; });
+    std::erase_if(pending_, [&](const Pending& pending) { return now - pending.at_ > maxEndDelay; });
+    std::erase_if(ended_, [&](const auto& ended) { return now - ended.second > maxEndDelay; });
     pendingCount_ = pending_.size();
 }
 
-CrashWatch::Verdict CrashWatch::noteCutOff(const CutOff& cutOff, SteadyTime now)
+CrashDetector::CutOffResult CrashDetector::noteCutOff(const CutOff& cutOff, SteadyTime now)
 {
     std::lock_guard lock(mutex_);
-    forgetOld(now);
+    removeExpired(now);
     if (ended_.contains(cutOff.backend_))
-        return { Counted { cutOff.request_, book_.noteCrash(cutOff.request_, cutOff.organisation_, cutOff.backend_, now) }, false };
+        return { CountedRequest { cutOff.request_, table_.noteCrash(cutOff.request_, cutOff.organisation_, cutOff.backend_, now) }, false };
     pending_.push_back({ cutOff, now });
     pendingCount_ = pending_.size();
     return { std::nullopt, probed_.insert(cutOff.backend_).second };
 }
 
-void CrashWatch::noteProbed(CrashSite backend)
+void CrashDetector::noteProbed(BackendInstanceKey backend)
 {
     std::lock_guard lock(mutex_);
     probed_.erase(backend);
 }
 
-std::vector<CrashWatch::Counted> CrashWatch::noteEnded(CrashSite backend, SteadyTime now)
+std::vector<CrashDetector::CountedRequest> CrashDetector::noteEnded(BackendInstanceKey backend, SteadyTime now)
 {
     std::lock_guard lock(mutex_);
-    forgetOld(now);
+    removeExpired(now);
     ended_.try_emplace(backend, now);
-    std::vector<Counted> counted;
+    std::vector<CountedRequest> counted;
     for (const Pending& pending : pending_) {
         if (pending.cutOff_.backend_ == backend)
-            counted.push_back({ pending.cutOff_.request_, book_.noteCrash(pending.cutOff_.request_, pending.cutOff_.organisation_, backend, now) });
+            counted.push_back({ pending.cutOff_.request_, table_.noteCrash(pending.cutOff_.request_, pending.cutOff_.organisation_, backend, now) });
     }
     std::erase_if(pending_, [&](const Pending& pending) { return pending.cutOff_.backend_ == backend; });
     pendingCount_ = pending_.size();
     return counted;
 }
 
-bool CrashWatch::clear(RequestFingerprint request, SteadyTime now)
+bool CrashDetector::clear(RequestFingerprint request, SteadyTime now)
 {
     {
         std::lock_guard lock(mutex_);
         std::erase_if(pending_, [&](const Pending& pending) { return pending.cutOff_.request_ == request; });
         pendingCount_ = pending_.size();
     }
-    return book_.clear(request, now);
+    return table_.clear(request, now);
 }
 
 } // namespace pistachioloom
--- a/lib/Quarantine/Fingerprint.cpp
+++ b/lib/Quarantine/Fingerprint.cpp
@@ -30,8 +30,8 @@
 {
     std::uint64_t value = 0;
     auto read = std::from_chars(text.data(), text.data() + text.size(), value, hexBase);
-    bool isWhole = text.size() == fingerprintDigits && read.ec == std::errc {} && read.ptr == text.data() + text.size();
-    return isWhole ? std::optional(RequestFingerprint { value }) : std::nullopt;
+    bool isValid = text.size() == fingerprintDigits && read.ec == std::errc {} && read.ptr == text.data() + text.size();
+    return isValid ? std::optional(RequestFingerprint { value }) : std::nullopt;
 }
 
 } // namespace pistachioloom
--- a/lib/Quarantine/Quarantine.cpp
+++ b/lib/Quarantine/Quarantine.cpp
@@ -10,27 +10,27 @@
 namespace pistachioloom {
 
 // Crashes kept of one request: those that double its quarantine up to a day and more.
-static constexpr std::size_t mostCrashesKept = 12;
+static constexpr std::size_t maxCrashesKept = 12;
 // Each report tells a change for so long: some reports may be lost.
-static constexpr milliseconds changeTold { 2000 };
+static constexpr milliseconds changeReportPeriod { 2000 };
 // Requests in one report: at 40 bytes each it stays within one packet.
-static constexpr std::size_t mostChangesTold = 16;
-static constexpr std::size_t mostHeldTold = 8;
+static constexpr std::size_t maxChangesPerReport = 16;
+static constexpr std::size_t maxUnchangedPerReport = 8;
 // A single crash is told only when it is new: most are cleared soon, and it keeps
 // nothing from being sent.
-static constexpr std::size_t leastHeldTold = 2;
+static constexpr std::size_t minCrashesToRepeat = 2;
 
-static std::size_t heldOf(const std::vector<Crash>& crashes)
+static std::size_t countActive(const std::vector<Crash>& crashes)
 {
     return static_cast<std::size_t>(std::count_if(crashes.begin(), crashes.end(), [](const Crash& crash) { return !crash.isCleared_; }));
 }
 
-std::size_t Suspect::crashesHeld() const
+std::size_t Suspect::activeCrashes() const
 {
-    return heldOf(crashes_);
+    return countActive(crashes_);
 }
 
-static SteadyTime lastHeld(const std::vector<Crash>& crashes)
+static SteadyTime lastActiveCrash(const std::vector<Crash>& crashes)
 {
     SteadyTime last {};
     for (const Crash& crash : crashes) {
@@ -40,65 +40,65 @@
     return last;
 }
 
-QuarantineBook::QuarantineBook(QuarantineSettings settings)
+QuarantineTable::QuarantineTable(QuarantineSettings settings)
     : settings_(settings)
 {
 }
 
-std::optional<SteadyTime> QuarantineBook::quarantinedUntil(const std::vector<Crash>& crashes) const
+std::optional<SteadyTime> QuarantineTable::quarantinedUntil(const std::vector<Crash>& crashes) const
 {
-    std::size_t held = heldOf(crashes);
+    std::size_t held = countActive(crashes);
     if (held < settings_.crashes_)
         return std::nullopt;
-    milliseconds length = settings_.first_;
+    milliseconds length = settings_.firstDuration_;
     for (std::size_t i = settings_.crashes_; i < held && length < settings_.longest_; ++i)
         length *= 2;
-    return lastHeld(crashes) + std::min(length, settings_.longest_);
+    return lastActiveCrash(crashes) + std::min(length, settings_.longest_);
 }
 
 /// It follows from the crashes alone: nodes that tell each other an entry must not keep
 /// it alive by that.
-SteadyTime QuarantineBook::keptUntil(const std::vector<Crash>& crashes) const
+SteadyTime QuarantineTable::expiryOf(const std::vector<Crash>& crashes) const
 {
     SteadyTime last {};
     for (const Crash& crash : crashes)
         last = std::max(last, crash.at_);
-    return std::max(last, quarantinedUntil(crashes).value_or(last)) + settings_.memory_;
+    return std::max(last, quarantinedUntil(crashes).value_or(last)) + settings_.retention_;
 }
 
-void QuarantineBook::forgetOld(SteadyTime now)
+void QuarantineTable::removeExpired(SteadyTime now)
 {
-    std::erase_if(entries_, [&](const auto& item) { return now > keptUntil(item.second.crashes_); });
+    std::erase_if(entries_, [&](const auto& item) { return now > expiryOf(item.second.crashes_); });
     count_ = entries_.size();
 }
 
 /// Gives up the weakest suspicion, of \p organisation if that one has its share.
-void QuarantineBook::makeRoom(std::uint32_t organisation)
+void QuarantineTable::evictWeakest(std::uint32_t organisation)
 {
     auto isOwn = [&](const auto& item) { return item.second.organisation_ == organisation; };
-    bool hasShare = static_cast<std::uint64_t>(std::count_if(entries_.begin(), entries_.end(), isOwn)) >= settings_.organisationCapacity_;
-    if (!hasShare && entries_.size() < settings_.capacity_)
+    bool hasReachedShare = static_cast<std::uint64_t>(std::count_if(entries_.begin(), entries_.end(), isOwn)) >= settings_.organisationCapacity_;
+    if (!hasReachedShare && entries_.size() < settings_.capacity_)
         return;
     auto weakest = entries_.end();
     auto isWeaker = [](const Entry& left, const Entry& right) {
-        return std::pair(heldOf(left.crashes_), left.changedAt_) < std::pair(heldOf(right.crashes_), right.changedAt_);
+        return std::pair(countActive(left.crashes_), left.changedAt_) < std::pair(countActive(right.crashes_), right.changedAt_);
     };
     for (auto item = entries_.begin(); item != entries_.end(); ++item) {
-        bool mayGo = !hasShare || isOwn(*item);
-        if (mayGo && (weakest == entries_.end() || isWeaker(item->second, weakest->second)))
+        bool isEvictable = !hasReachedShare || isOwn(*item);
+        if (isEvictable && (weakest == entries_.end() || isWeaker(item->second, weakest->second)))
             weakest = item;
     }
     if (weakest != entries_.end())
         entries_.erase(weakest);
 }
 
-QuarantineBook::Entry& QuarantineBook::findOrAdd(RequestFingerprint request, std::uint32_t organisation, SteadyTime now)
+QuarantineTable::Entry& QuarantineTable::findOrAdd(RequestFingerprint request, std::uint32_t organisation, SteadyTime now)
 {
     auto found = entries_.find(request);
     if (found != entries_.end())
         return found->second;
-    forgetOld(now);
-    makeRoom(organisation);
+    removeExpired(now);
+    evictWeakest(organisation);
     Entry& entry = entries_[request];
     entry.organisation_ = organisation;
     entry.changedAt_ = now;
@@ -107,16 +107,16 @@
 }
 
 /// \returns whether \p crash was news.
-bool QuarantineBook::merge(Entry& entry, const Crash& crash)
+bool QuarantineTable::merge(Entry& entry, const Crash& crash)
 {
     auto known = std::find_if(entry.crashes_.begin(), entry.crashes_.end(), [&](const Crash& held) { return held.backend_ == crash.backend_; });
     if (known != entry.crashes_.end()) {
-        bool isNews = crash.isCleared_ && !known->isCleared_;
+        bool isUpdate = crash.isCleared_ && !known->isCleared_;
         known->isCleared_ |= crash.isCleared_;
         known->at_ = std::min(known->at_, crash.at_);
-        return isNews;
+        return isUpdate;
     }
-    if (entry.crashes_.size() < mostCrashesKept) {
+    if (entry.crashes_.size() < maxCrashesKept) {
         entry.crashes_.push_back(crash);
         return true;
     }
@@ -128,20 +128,20 @@
     return true;
 }
 
-std::size_t QuarantineBook::noteCrash(RequestFingerprint request, const OrganisationId& organisation, CrashSite backend, SteadyTime now)
+std::size_t QuarantineTable::noteCrash(RequestFingerprint request, const OrganisationId& organisation, BackendInstanceKey backend, SteadyTime now)
 {
     std::lock_guard lock(mutex_);
     Entry& entry = findOrAdd(request, static_cast<std::uint32_t>(stableHash(organisation.value_)), now);
     if (merge(entry, { backend, now, false }))
         entry.changedAt_ = now;
-    return heldOf(entry.crashes_);
+    return countActive(entry.crashes_);
 }
 
-bool QuarantineBook::clear(RequestFingerprint request, SteadyTime now)
+bool QuarantineTable::clear(RequestFingerprint request, SteadyTime now)
 {
     std::lock_guard lock(mutex_);
     auto found = entries_.find(request);
-    if (found == entries_.end() || !heldOf(found->second.crashes_))
+    if (found == entries_.end() || !countActive(found->second.crashes_))
         return false;
     for (Crash& crash : found->second.crashes_)
         crash.isCleared_ = true;
@@ -149,7 +149,7 @@
     return true;
 }
 
-std::optional<Quarantine> QuarantineBook::check(RequestFingerprint request, SteadyTime now) const
+std::optional<Quarantine> QuarantineTable::check(RequestFingerprint request, SteadyTime now) const
 {
     std::lock_guard lock(mutex_);
     auto found = entries_.find(request);
@@ -158,18 +158,18 @@
     auto until = quarantinedUntil(found->second.crashes_);
     if (!until || now >= *until)
         return std::nullopt;
-    auto since = std::chrono::duration_cast<milliseconds>(now - lastHeld(found->second.crashes_));
-    return Quarantine { heldOf(found->second.crashes_), since, std::chrono::duration_cast<milliseconds>(*until - now) };
+    auto since = std::chrono::duration_cast<milliseconds>(now - lastActiveCrash(found->second.crashes_));
+    return Quarantine { countActive(found->second.crashes_), since, std::chrono::duration_cast<milliseconds>(*until - now) };
 }
 
-std::size_t QuarantineBook::crashesOf(RequestFingerprint request) const
+std::size_t QuarantineTable::activeCrashesOf(RequestFingerprint request) const
 {
     std::lock_guard lock(mutex_);
     auto found = entries_.find(request);
-    return found == entries_.end() ? 0 : heldOf(found->second.crashes_);
+    return found == entries_.end() ? 0 : countActive(found->second.crashes_);
 }
 
-std::vector<Suspect> QuarantineBook::told(SteadyTime now, std::uint64_t draw) const
+std::vector<Suspect> QuarantineTable::told(SteadyTime now, std::uint64_t draw) const
 {
     if (isEmpty())
         return {};
@@ -177,19 +177,19 @@
     std::vector<const Entries::value_type*> changed;
     std::vector<const Entries::value_type*> held;
     for (const auto& item : entries_) {
-        if (now - item.second.changedAt_ <= changeTold)
+        if (now - item.second.changedAt_ <= changeReportPeriod)
             changed.push_back(&item);
-        else if (heldOf(item.second.crashes_) >= leastHeldTold)
+        else if (countActive(item.second.crashes_) >= minCrashesToRepeat)
             held.push_back(&item);
     }
-    auto isGraver = [](const auto* left, const auto* right) {
-        return std::pair(heldOf(left->second.crashes_), left->second.changedAt_) > std::pair(heldOf(right->second.crashes_), right->second.changedAt_);
+    auto hasMoreCrashes = [](const auto* left, const auto* right) {
+        return std::pair(countActive(left->second.crashes_), left->second.changedAt_) > std::pair(countActive(right->second.crashes_), right->second.changedAt_);
     };
-    std::sort(changed.begin(), changed.end(), isGraver);
-    changed.resize(std::min(changed.size(), mostChangesTold));
+    std::sort(changed.begin(), changed.end(), hasMoreCrashes);
+    changed.resize(std::min(changed.size(), maxChangesPerReport));
     if (!held.empty())
         std::rotate(held.begin(), held.begin() + static_cast<std::ptrdiff_t>(draw % held.size()), held.end());
-    held.resize(std::min(held.size(), mostHeldTold));
+    held.resize(std::min(held.size(), maxUnchangedPerReport));
     changed.insert(changed.end(), held.begin(), held.end());
     std::vector<Suspect> suspects;
     for (const auto* item : changed)
@@ -197,12 +197,12 @@
     return suspects;
 }
 
-void QuarantineBook::take(const std::vector<Suspect>& told, SteadyTime now)
+void QuarantineTable::take(const std::vector<Suspect>& told, SteadyTime now)
 {
     std::lock_guard lock(mutex_);
     for (const Suspect& suspect : told) {
         // What has been forgotten here stays so.
-        if (now > keptUntil(suspect.crashes_))
+        if (now > expiryOf(suspect.crashes_))
             continue;
         Entry& entry = findOrAdd(suspect.request_, suspect.organisation_, now);
         for (const Crash& crash : suspect.crashes_) {
@@ -212,21 +212,21 @@
     }
 }
 
-std::vector<Suspect> QuarantineBook::suspects(SteadyTime now) const
+std::vector<Suspect> QuarantineTable::suspects(SteadyTime now) const
 {
     std::vector<Suspect> all;
     {
         std::lock_guard lock(mutex_);
         for (const auto& [request, entry] : entries_) {
-            if (now <= keptUntil(entry.crashes_))
+            if (now <= expiryOf(entry.crashes_))
                 all.push_back({ request, entry.organisation_, entry.crashes_ });
         }
     }
-    std::stable_sort(all.begin(), all.end(), [](const Suspect& left, const Suspect& right) { return left.crashesHeld() > right.crashesHeld(); });
+    std::stable_sort(all.begin(), all.end(), [](const Suspect& left, const Suspect& right) { return left.activeCrashes() > right.activeCrashes(); });
     return all;
 }
 
-std::size_t QuarantineBook::quarantined(SteadyTime now) const
+std::size_t QuarantineTable::quarantined(SteadyTime now) const
 {
     std::lock_guard lock(mutex_);
     return static_cast<std::size_t>(std::count_if(entries_.begin(), entries_.end(), [&](const auto& item) {
--- a/lib/Quarantine/QuarantineRecord.cpp
+++ b/lib/Quarantine/QuarantineRecordTracker.cpp
@@ -1,22 +1,22 @@
-//===- lib/Quarantine/QuarantineRecord.cpp - suspects that outlive all nodes ===//
+//===- lib/Quarantine/QuarantineRecordTracker.cpp - suspects that outlive all nodes ===//
 ///
 /// \file
-/// See QuarantineRecord.
+/// See QuarantineRecordTracker.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Quarantine.h"
 
 namespace pistachioloom {
 
-std::vector<QuarantineRecord::Change> QuarantineRecord::due(const std::vector<Suspect>& suspects) const
+std::vector<QuarantineRecordTracker::Change> QuarantineRecordTracker::due(const std::vector<Suspect>& suspects) const
 {
     std::vector<Change> changes;
     std::set<RequestFingerprint> held;
     for (const Suspect& suspect : suspects) {
-        if (suspect.crashesHeld() < crashesToHold_)
+        if (suspect.activeCrashes() < crashesToHold_)
             continue;
         held.insert(suspect.request_);
         auto recorded = recorded_.find(suspect.request_);
-        if (recorded == recorded_.end() || recorded->second != suspect.crashesHeld())
+        if (recorded == recorded_.end() || recorded->second != suspect.activeCrashes())
             changes.push_back({ suspect, false });
     }
     for (const auto& [request, crashes] : recorded_) {
@@ -26,12 +26,12 @@
     return changes;
 }
 
-void QuarantineRecord::noteRecorded(const Change& change)
+void QuarantineRecordTracker::noteRecorded(const Change& change)
 {
     if (change.isDropped_)
         recorded_.erase(change.suspect_.request_);
     else
-        recorded_[change.suspect_.request_] = change.suspect_.crashesHeld();
+        recorded_[change.suspect_.request_] = change.suspect_.activeCrashes();
 }
 
 } // namespace pistachioloom
--- a/lib/Quota/Quota.cpp
+++ b/lib/Quota/Quota.cpp
@@ -16,14 +16,14 @@
 // How an organisation's requests are spread over nodes is seen over this time.
 static constexpr double longSeconds = 10;
 // How much one request moves the mean cost: some dozens are seen in a second.
-static constexpr double costLearning = 0.02;
+static constexpr double meanCostWeight = 0.02;
 // The share of a rate that a node may save up, in seconds.
-static constexpr double shareSaved = 0.5;
+static constexpr double maxSavedShareSeconds = 0.5;
 // A bucket filled in steps since the start is not taken for a fuller one.
 static constexpr double startTolerance = 1.01;
 // Part of the nodes that a starting one has to hear to know what is left; the rest is
 // within the tenth of a quota that may be passed.
-static constexpr double mostNodes = 0.9;
+static constexpr double minReportingShare = 0.9;
 // Steps of the golden ratio spread phases evenly however many are taken.
 static constexpr double phaseStep = 0.6180339887;
 
@@ -32,14 +32,14 @@
     return std::chrono::duration<double>(duration).count();
 }
 
-QuotaBook::QuotaBook(SteadyTime startedAt, QuotaSettings settings)
+QuotaLimiter::QuotaLimiter(SteadyTime startedAt, QuotaSettings settings)
     : startedAt_(startedAt)
     , settings_(settings)
     , phase_(settings.phase_)
 {
 }
 
-double QuotaBook::nodes() const
+double QuotaLimiter::nodes() const
 {
     std::uint64_t nodes = 1;
     for (const auto& [id, peer] : peers_)
@@ -47,31 +47,31 @@
     return static_cast<double>(std::max(nodes, nodesKnown_));
 }
 
-bool QuotaBook::hasHeardMost(SteadyTime now) const
+bool QuotaLimiter::hasReportsFromMost(SteadyTime now) const
 {
     std::uint64_t heard = 1;
     for (const auto& [id, peer] : peers_)
-        heard += now - peer.heardAt_ < settings_.silence_ ? peer.nodes_ : 0;
-    return static_cast<double>(heard) >= mostNodes * static_cast<double>(nodesKnown_);
+        heard += now - peer.receivedAt_ < settings_.unresponsiveAfter_ ? peer.nodes_ : 0;
+    return static_cast<double>(heard) >= minReportingShare * static_cast<double>(nodesKnown_);
 }
 
-bool QuotaBook::isStarting(const Bucket& bucket, SteadyTime now) const
+bool QuotaLimiter::isStarting(const Bucket& bucket, SteadyTime now) const
 {
     if (nodesKnown_ < 2 || now - startedAt_ >= settings_.startup_)
         return false;
-    if (now - startedAt_ >= settings_.leastStartup_ && hasHeardMost(now))
+    if (now - startedAt_ >= settings_.minStartup_ && hasReportsFromMost(now))
         return false;
     // A bucket that holds more than has come since this node's start was told by one
     // that has run for longer.
     return bucket.level_ <= startTolerance * secondsCredited(now) * bucket.limit_.ratePerSecond_;
 }
 
-double QuotaBook::secondsCredited(SteadyTime now) const
+double QuotaLimiter::secondsCredited(SteadyTime now) const
 {
     return secondsOf(now - startedAt_ + settings_.startCredit_);
 }
 
-void QuotaBook::fill(Bucket& bucket, SteadyTime now) const
+void QuotaLimiter::fill(Bucket& bucket, SteadyTime now) const
 {
     // A thread that was frozen after it looked at the clock comes with an old time.
     if (now <= bucket.filledAt_)
@@ -79,50 +79,50 @@
     double seconds = secondsOf(now - bucket.filledAt_);
     bucket.level_ = std::min(bucket.limit_.burst_, bucket.level_ + seconds * bucket.limit_.ratePerSecond_);
     bucket.filledAt_ = now;
-    double fading = std::exp(-seconds / recentSeconds);
-    bucket.ownRecent_ *= fading;
-    bucket.othersRecent_ *= fading;
-    double longFading = std::exp(-seconds / longSeconds);
-    bucket.ownLong_ *= longFading;
-    bucket.othersLong_ *= longFading;
+    double decay = std::exp(-seconds / recentSeconds);
+    bucket.ownRecent_ *= decay;
+    bucket.othersRecent_ *= decay;
+    double longDecay = std::exp(-seconds / longSeconds);
+    bucket.ownLong_ *= longDecay;
+    bucket.othersLong_ *= longDecay;
     double shareRate = bucket.limit_.ratePerSecond_ * shareOf(bucket);
     if (bucket.share_)
-        bucket.share_ = std::min(shareRate * shareSaved, *bucket.share_ + seconds * shareRate);
+        bucket.share_ = std::min(shareRate * maxSavedShareSeconds, *bucket.share_ + seconds * shareRate);
 }
 
 /// Charges what silent peers may have admitted since they were last heard, beside
 /// what the rate has added in that time.
-void QuotaBook::chargeSilent(SteadyTime now)
+void QuotaLimiter::chargeUnresponsive(SteadyTime now)
 {
     double all = nodes();
     for (auto& [id, peer] : peers_) {
-        if (now - peer.heardAt_ < settings_.silence_ || now - peer.heardAt_ > settings_.forget_)
+        if (now - peer.receivedAt_ < settings_.unresponsiveAfter_ || now - peer.receivedAt_ > settings_.forgetAfter_)
             continue;
         if (now <= peer.chargedUntil_)
             continue;
-        SteadyTime from = std::max(peer.chargedUntil_, peer.heardAt_);
+        SteadyTime from = std::max(peer.chargedUntil_, peer.receivedAt_);
         peer.chargedUntil_ = now;
         for (auto& [organisation, bucket] : buckets_) {
-            double silent = std::max(0.0, secondsOf(now - std::max(from, bucket.begunAt_)));
-            double charge = silent * bucket.limit_.ratePerSecond_ * static_cast<double>(peer.nodes_) / all;
+            double unresponsive = std::max(0.0, secondsOf(now - std::max(from, bucket.initialisedAt_)));
+            double charge = unresponsive * bucket.limit_.ratePerSecond_ * static_cast<double>(peer.nodes_) / all;
             bucket.level_ -= charge;
             bucket.charged_[id] += charge;
         }
     }
 }
 
-double QuotaBook::shareOf(const Bucket& bucket) const
+double QuotaLimiter::shareOf(const Bucket& bucket) const
 {
     // Right after the start what others were asked was not heard yet, and all that
     // came seems to come here.
     if (bucket.filledAt_ - startedAt_ < settings_.startup_)
         return 1 / nodes();
     double all = bucket.ownLong_ + bucket.othersLong_;
-    double asCame = all > 0 ? bucket.ownLong_ / all : 1 / nodes();
-    return 0.5 / nodes() + 0.5 * asCame;
+    double observedShare = all > 0 ? bucket.ownLong_ / all : 1 / nodes();
+    return 0.5 / nodes() + 0.5 * observedShare;
 }
 
-double QuotaBook::unseen(const Bucket& bucket) const
+double QuotaLimiter::maxUnreported(const Bucket& bucket) const
 {
     bool isRelayed = std::any_of(peers_.begin(), peers_.end(), [](const auto& entry) { return entry.second.nodes_ > 1; });
     double lag = secondsOf(isRelayed ? settings_.relayedLag_ : settings_.lag_);
@@ -131,18 +131,18 @@
     double others = nodes() - 1;
     double unknown = bucket.limit_.ratePerSecond_ / nodes();
     double ratio = (bucket.othersLong_ + unknown * others) / (bucket.ownLong_ + unknown);
-    double likeOwn = bucket.ownRecent_ * ratio;
-    return std::max(bucket.othersRecent_, likeOwn) / recentSeconds * lag;
+    double estimated = bucket.ownRecent_ * ratio;
+    return std::max(bucket.othersRecent_, estimated) / recentSeconds * lag;
 }
 
-double QuotaBook::floorFor(const Bucket& bucket, double cost) const
+double QuotaLimiter::floorFor(const Bucket& bucket, double cost) const
 {
-    bool isSmall = cost < settings_.smallCost_ * bucket.meanCost_;
-    return isSmall ? -secondsOf(settings_.smallDebt_) * bucket.limit_.ratePerSecond_ : 0;
+    bool isSmall = cost < settings_.smallCostRatio_ * bucket.meanCost_;
+    return isSmall ? -secondsOf(settings_.maxSmallDebt_) * bucket.limit_.ratePerSecond_ : 0;
 }
 
 /// Admits this node's share of the rate while the rest of a quota is divided.
-std::optional<milliseconds> QuotaBook::takeShare(Bucket& bucket, double cost, SteadyTime now)
+std::optional<milliseconds> QuotaLimiter::takeShare(Bucket& bucket, double cost, SteadyTime now)
 {
     if (!bucket.share_) {
         // A node that has just started has its share of the time since then.
@@ -160,23 +160,23 @@
 }
 
 /// A bucket begins as others told it, or empty at this node's start.
-void QuotaBook::begin(Bucket& bucket, const OrganisationId& organisation) const
+void QuotaLimiter::begin(Bucket& bucket, const OrganisationId& organisation) const
 {
-    auto heard = heardLevels_.find(organisation);
-    bucket.begunAt_ = heard != heardLevels_.end() ? heard->second.at_ : startedAt_ - settings_.startCredit_;
-    bucket.filledAt_ = bucket.begunAt_;
-    if (heard != heardLevels_.end()) {
+    auto heard = receivedLevels_.find(organisation);
+    bucket.initialisedAt_ = heard != receivedLevels_.end() ? heard->second.at_ : startedAt_ - settings_.startCredit_;
+    bucket.filledAt_ = bucket.initialisedAt_;
+    if (heard != receivedLevels_.end()) {
         bucket.level_ = heard->second.level_;
         return;
     }
     for (const auto& [id, peer] : peers_) {
         auto count = peer.counts_.find(organisation);
-        if (peer.isWhole_ && count != peer.counts_.end())
+        if (peer.isCountedFromStart_ && count != peer.counts_.end())
             bucket.level_ -= count->second;
     }
 }
 
-std::optional<milliseconds> QuotaBook::take(const OrganisationId& organisation, const QuotaLimit& limit, double cost, SteadyTime now)
+std::optional<milliseconds> QuotaLimiter::take(const OrganisationId& organisation, const QuotaLimit& limit, double cost, SteadyTime now)
 {
     std::lock_guard lock(mutex_);
     if (limit.ratePerSecond_ <= 0) {
@@ -189,14 +189,14 @@
         begin(bucket, organisation);
     bucket.limit_ = limit;
     // Charged before the rate is added: a full bucket does not overflow first.
-    chargeSilent(now);
+    chargeUnresponsive(now);
     fill(bucket, now);
-    bucket.meanCost_ += costLearning * (cost - bucket.meanCost_);
+    bucket.meanCost_ += meanCostWeight * (cost - bucket.meanCost_);
     if (bucket.level_ <= floorFor(bucket, cost)) {
         double wait = (1 - bucket.level_) / limit.ratePerSecond_;
         return milliseconds(static_cast<std::int64_t>(wait * 1000) + 1);
     }
-    if (bucket.level_ > unseen(bucket) && !isStarting(bucket, now))
+    if (bucket.level_ > maxUnreported(bucket) && !isStarting(bucket, now))
         bucket.share_.reset();
     else if (auto wait = takeShare(bucket, cost, now))
         return wait;
@@ -207,7 +207,7 @@
     return std::nullopt;
 }
 
-void QuotaBook::giveBack(const OrganisationId& organisation, double cost)
+void QuotaLimiter::giveBack(const OrganisationId& organisation, double cost)
 {
     std::lock_guard lock(mutex_);
     admitted_[organisation] -= cost;
@@ -216,13 +216,13 @@
         found->second.level_ = std::min(found->second.limit_.burst_, found->second.level_ + cost);
 }
 
-AdmittedCounts QuotaBook::admitted() const
+AdmittedCounts QuotaLimiter::admitted() const
 {
     std::lock_guard lock(mutex_);
     return admitted_;
 }
 
-std::map<OrganisationId, double> QuotaBook::levels() const
+std::map<OrganisationId, double> QuotaLimiter::levels() const
 {
     std::lock_guard lock(mutex_);
     std::map<OrganisationId, double> levels;
@@ -232,7 +232,7 @@
 }
 
 /// Gives back a part of what \p peer was charged while it was silent.
-void QuotaBook::returnCharged(const VmId& peer, double part)
+void QuotaLimiter::refundCharges(const VmId& peer, double part)
 {
     for (auto& [organisation, bucket] : buckets_) {
         auto charged = bucket.charged_.find(peer);
@@ -244,16 +244,16 @@
     }
 }
 
-void QuotaBook::setPeer(const VmId& id, std::uint64_t incarnation, const AdmittedCounts& counts, const std::map<OrganisationId, double>& levels, SteadyTime now, std::uint64_t nodes, bool isFresh)
+void QuotaLimiter::setPeer(const VmId& id, std::uint64_t incarnation, const AdmittedCounts& counts, const std::map<OrganisationId, double>& levels, SteadyTime now, std::uint64_t nodes, bool isFresh)
 {
     std::lock_guard lock(mutex_);
     Peer& peer = peers_[id];
     peer.nodes_ = nodes;
-    bool isFirst = peer.heardAt_ == SteadyTime {};
+    bool isFirst = peer.receivedAt_ == SteadyTime {};
     bool hasRestarted = peer.incarnation_ != incarnation;
     if (hasRestarted) {
         peer.counts_.clear();
-        peer.isWhole_ = isFresh;
+        peer.isCountedFromStart_ = isFresh;
     }
     for (const auto& [organisation, count] : counts) {
         double before = peer.counts_[organisation];
@@ -267,58 +267,58 @@
         bucket->second.othersLong_ += std::max(0.0, count - before);
     }
     // What it was charged while it was silent is replaced by what it did.
-    returnCharged(id, 1);
+    refundCharges(id, 1);
     for (const auto& [organisation, level] : levels) {
-        if (!buckets_.contains(organisation) && !peer.isWhole_)
-            heardLevels_[organisation] = { level, now };
+        if (!buckets_.contains(organisation) && !peer.isCountedFromStart_)
+            receivedLevels_[organisation] = { level, now };
     }
     peer.incarnation_ = incarnation;
-    peer.heardAt_ = now;
-    std::erase_if(peers_, [&](const auto& entry) { return now - entry.second.heardAt_ > 2 * settings_.forget_; });
+    peer.receivedAt_ = now;
+    std::erase_if(peers_, [&](const auto& entry) { return now - entry.second.receivedAt_ > 2 * settings_.forgetAfter_; });
 }
 
-void QuotaBook::setSilentNodes(std::uint64_t nodes, std::uint64_t live, SteadyTime now)
+void QuotaLimiter::setUnresponsiveNodes(std::uint64_t nodes, std::uint64_t live, SteadyTime now)
 {
-    static const VmId silentNodes { "(silent nodes)" };
+    static const VmId unresponsiveNodes { "(silent nodes)" };
     std::lock_guard lock(mutex_);
-    auto [found, isNew] = peers_.try_emplace(silentNodes);
+    auto [found, isNew] = peers_.try_emplace(unresponsiveNodes);
     Peer& peer = found->second;
     std::uint64_t before = isNew ? 0 : peer.nodes_;
     // Those that are silent no more are back, or forgotten.
-    std::uint64_t back = std::min(before - std::min(before, nodes), live - std::min(live, liveNodes_));
+    std::uint64_t recovered = std::min(before - std::min(before, nodes), live - std::min(live, liveNodes_));
     liveNodes_ = live;
-    if (back)
-        returnCharged(silentNodes, static_cast<double>(back) / static_cast<double>(before));
+    if (recovered)
+        refundCharges(unresponsiveNodes, static_cast<double>(recovered) / static_cast<double>(before));
     if (!nodes) {
         peers_.erase(found);
         for (auto& [organisation, bucket] : buckets_)
-            bucket.charged_.erase(silentNodes);
+            bucket.charged_.erase(unresponsiveNodes);
         return;
     }
     peer.nodes_ = nodes;
     if (isNew)
         peer.chargedUntil_ = now;
-    peer.heardAt_ = now - settings_.silence_;
+    peer.receivedAt_ = now - settings_.unresponsiveAfter_;
 }
 
-void QuotaBook::setNodes(std::uint64_t nodes)
+void QuotaLimiter::setNodes(std::uint64_t nodes)
 {
     std::lock_guard lock(mutex_);
     nodesKnown_ = std::max<std::uint64_t>(1, nodes);
 }
 
-void QuotaBook::forgetPeer(const VmId& peer)
+void QuotaLimiter::forgetPeer(const VmId& peer)
 {
     std::lock_guard lock(mutex_);
     peers_.erase(peer);
 }
 
-RetryBudget::RetryBudget(RetrySettings settings)
+ServiceRetryBudget::ServiceRetryBudget(RetrySettings settings)
     : settings_(settings)
 {
 }
 
-void RetryBudget::setNodes(std::uint64_t nodes)
+void ServiceRetryBudget::setNodes(std::uint64_t nodes)
 {
     std::lock_guard lock(mutex_);
     settings_.nodes_ = std::max<std::uint64_t>(1, nodes);
@@ -330,7 +330,7 @@
         times.pop_front();
 }
 
-void RetryBudget::countRequest(const ServiceName& service, SteadyTime now)
+void ServiceRetryBudget::countRequest(const ServiceName& service, SteadyTime now)
 {
     std::lock_guard lock(mutex_);
     Window& window = windows_[service];
@@ -338,14 +338,14 @@
     window.requests_.push_back(now);
 }
 
-bool RetryBudget::take(const ServiceName& service, SteadyTime now)
+bool ServiceRetryBudget::take(const ServiceName& service, SteadyTime now)
 {
     std::lock_guard lock(mutex_);
     Window& window = windows_[service];
     dropOld(window.requests_, now - settings_.window_);
     dropOld(window.repeats_, now - settings_.window_);
     double allowed = settings_.ratio_ * static_cast<double>(window.requests_.size()) + settings_.extra_ / static_cast<double>(settings_.nodes_);
-    if (static_cast<double>(window.repeats_.size()) + 1 > allowed * settings_.used_)
+    if (static_cast<double>(window.repeats_.size()) + 1 > allowed * settings_.usableShare_)
         return false;
     window.repeats_.push_back(now);
     return true;
--- a/lib/Settings/Settings.cpp
+++ b/lib/Settings/Settings.cpp
@@ -136,8 +136,8 @@
         OrderTiming& timing = settings.timing_;
         settings.period_ = map.duration("period", milliseconds(20), milliseconds(60000), settings.period_);
         timing.claimValidity_ = map.duration("claim_validity", milliseconds(100), milliseconds(600000), timing.claimValidity_);
-        timing.pauseBound_ = map.duration("pause_bound", milliseconds(100), milliseconds(3600000), timing.pauseBound_);
-        timing.loadPatience_ = map.duration("load_patience", milliseconds(100), oneDay, timing.loadPatience_);
+        timing.maxPause_ = map.duration("pause_bound", milliseconds(100), milliseconds(3600000), timing.maxPause_);
+        timing.loadWaitLimit_ = map.duration("load_patience", milliseconds(100), oneDay, timing.loadWaitLimit_);
         map.finish();
     }
 
--- a/unittests/Catalogue/CatalogueTest.cpp
+++ b/unittests/Catalogue/CatalogueTest.cpp
@@ -73,7 +73,7 @@
     auto entry = parseEntry(good, "file", errors);
     REQUIRE(entry);
     CHECK(entry->backend_->configuration_ == EngineConfiguration { "v3", { "serra" }, "mixed" });
-    CHECK(entry->backend_->mostLoading_ == 2);
+    CHECK(entry->backend_->maxLoading_ == 2);
     CHECK(entry->backend_->paidReserve_ == 2);
     auto bad = GENERATE(values<BadEntry>({
         { "version", "version: v3\n", "", "file:1: version: expected the version that goes with 'adapters' and 'role'" },
--- a/unittests/Fuzz/FuzzTest.cpp
+++ b/unittests/Fuzz/FuzzTest.cpp
@@ -191,7 +191,7 @@
     *relayed.mutable_relayed()->mutable_sums() = sumsOf(report.report());
     Mutator mutator(seed(), { report.SerializeAsString(), relayed.SerializeAsString() });
     RelayBook book(milliseconds(5000));
-    QuarantineBook quarantine({});
+    QuarantineTable quarantine({});
     SteadyTime now { std::chrono::hours(1) };
     for (std::uint64_t run = 0; run < runs(); ++run) {
         std::string bytes = mutator.next();
--- a/unittests/Gateway/SuspectMessagesTest.cpp
+++ b/unittests/Gateway/SuspectMessagesTest.cpp
@@ -26,7 +26,7 @@
     CHECK(read[0].crashes_[0].backend_.value_ == 1);
     CHECK(read[0].crashes_[0].at_ == elsewhere - milliseconds(300));
     CHECK(read[0].crashes_[1].isCleared_);
-    CHECK(read[0].crashesHeld() == 2);
+    CHECK(read[0].activeCrashes() == 2);
 }
 
 TEST_CASE("suspects of unequal arrays or absurd ages are read within bounds", "[gateway]")
@@ -42,7 +42,7 @@
     REQUIRE(read.size() == 1);
     REQUIRE(read[0].crashes_.size() == 1);
     CHECK(read[0].crashes_[0].at_ < now);
-    QuarantineBook book({});
+    QuarantineTable book({});
     book.take(read, now);
     CHECK(book.isEmpty());
 }
--- a/unittests/Limits/LimitsTest.cpp
+++ b/unittests/Limits/LimitsTest.cpp
@@ -99,13 +99,13 @@
 {
     Admission admission;
     CatalogueEntry e = workload(0, 0);
-    CHECK(admission.tryStart(e, 1, start) == Admission::Verdict::NeedsSlot);
-    admission.take(entry, { 2, 0, start + validity, {} });
-    CHECK(admission.tryStart(e, 1, start) == Admission::Verdict::Admitted);
-    CHECK(admission.tryStart(e, 1, start) == Admission::Verdict::Admitted);
-    CHECK(admission.tryStart(e, 1, start) == Admission::Verdict::NeedsSlot);
+    CHECK(admission.tryStart(e, 1, start) == Admission::Decision::NeedsSlot);
+    admission.applyGrant(entry, { 2, 0, start + validity, {} });
+    CHECK(admission.tryStart(e, 1, start) == Admission::Decision::Admitted);
+    CHECK(admission.tryStart(e, 1, start) == Admission::Decision::Admitted);
+    CHECK(admission.tryStart(e, 1, start) == Admission::Decision::NeedsSlot);
     admission.finish(entry, 0);
-    CHECK(admission.tryStart(e, 1, start + validity) == Admission::Verdict::NeedsSlot);
+    CHECK(admission.tryStart(e, 1, start + validity) == Admission::Decision::NeedsSlot);
     CHECK(admission.inProgress(entry) == 1);
 }
 
@@ -113,8 +113,8 @@
 {
     Admission admission;
     CatalogueEntry e = workload(1000, 1000);
-    admission.take(entry, { 9, 0, start + validity, milliseconds(70) });
-    CHECK(admission.tryStart(e, 100, start) == Admission::Verdict::NeedsTokens);
+    admission.applyGrant(entry, { 9, 0, start + validity, milliseconds(70) });
+    CHECK(admission.tryStart(e, 100, start) == Admission::Decision::NeedsTokens);
     CHECK(admission.tokenWait(entry) == milliseconds(70));
     admission.beginWait(entry, 100);
     admission.beginWait(entry, 30);
@@ -123,10 +123,10 @@
     CHECK(demand.wanted_ == 6);
     CHECK(demand.tokensFirst_ == 100);
     CHECK(demand.tokensWanted_ == 130);
-    admission.take(entry, { 6, 130, start + validity, {} });
-    CHECK(admission.tryStart(e, 100, start) == Admission::Verdict::Admitted);
-    CHECK(admission.tryStart(e, 30, start) == Admission::Verdict::Admitted);
-    CHECK(admission.tryStart(e, 1, start) == Admission::Verdict::NeedsTokens);
+    admission.applyGrant(entry, { 6, 130, start + validity, {} });
+    CHECK(admission.tryStart(e, 100, start) == Admission::Decision::Admitted);
+    CHECK(admission.tryStart(e, 30, start) == Admission::Decision::Admitted);
+    CHECK(admission.tryStart(e, 1, start) == Admission::Decision::NeedsTokens);
     admission.endWait(entry, 100);
     admission.endWait(entry, 30);
     // What was spent since is wanted ahead; what is left of the answers counts.
@@ -143,7 +143,7 @@
 {
     Admission admission;
     CatalogueEntry e = workload(0, 0);
-    admission.take(entry, { 10, 0, start + validity, {} });
+    admission.applyGrant(entry, { 10, 0, start + validity, {} });
     CHECK(admission.makeDemand(e, 2).wanted_ == 2);
     CHECK(admission.held(entry, start) == 2);
 }
@@ -175,9 +175,9 @@
 
 /// Three data centres whose keepers lend each other slots over a network that
 /// loses messages and is cut now and then. Requests end within a validity.
-class LoanWorld {
+class LoanSimulation {
 public:
-    LoanWorld(std::uint64_t seed, std::uint64_t limit)
+    LoanSimulation(std::uint64_t seed, std::uint64_t limit)
         : random_(seed)
         , limit_(limit)
     {
@@ -200,7 +200,7 @@
         }
         return most;
     }
-    std::uint64_t borrowedOnce() const { return borrowedOnce_; }
+    std::uint64_t totalBorrowed() const { return totalBorrowed_; }
 
 private:
     static constexpr milliseconds loanValidity { 6000 };
@@ -236,7 +236,7 @@
         std::uint64_t used = other.grants_.granted(entry, now_) + other.loans_.lent(now_);
         std::uint64_t free = shareOf(lender) > used ? shareOf(lender) - used : 0;
         std::uint64_t slots = other.loans_.lend({ std::to_string(from) }, free, { 0, wanted }, loanValidity, validity, now_);
-        borrowedOnce_ += slots;
+        totalBorrowed_ += slots;
         if (!isAnswerLost)
             sites_[from].loans_.setBorrowed({ std::to_string(lender) }, slots, now_ + loanValidity);
     }
@@ -246,7 +246,7 @@
     std::vector<Site> sites_ { 3 };
     SteadyTime now_ = start;
     bool isCut_ = false;
-    std::uint64_t borrowedOnce_ = 0;
+    std::uint64_t totalBorrowed_ = 0;
 };
 
 } // namespace
@@ -256,9 +256,9 @@
     std::uint64_t borrowed = 0;
     for (std::uint64_t seed = 0; seed < 3000; ++seed) {
         std::uint64_t limit = 3 + seed % 40;
-        LoanWorld world(seed, limit);
-        REQUIRE(world.run() <= limit);
-        borrowed += world.borrowedOnce();
+        LoanSimulation simulation(seed, limit);
+        REQUIRE(simulation.run() <= limit);
+        borrowed += simulation.totalBorrowed();
     }
     CHECK(borrowed > 0);
 }
--- a/unittests/Orders/OrdersTest.cpp
+++ b/unittests/Orders/OrdersTest.cpp
@@ -38,15 +38,15 @@
     int run()
     {
         for (now_ = 0; now_ < length; now_ += step) {
-            for (Home& home : homes_)
-                act(home);
+            for (Dispatcher& dispatcher : dispatchers_)
+                act(dispatcher);
         }
         return stale_;
     }
     int orders() const { return orders_; }
 
 private:
-    struct Home {
+    struct Dispatcher {
         std::string name_;
         ClaimTable table_;
         SteadyTime claimedAt_;
@@ -62,49 +62,49 @@
     std::int64_t delay()
     {
         bool isFrozen = random_() % 4 == 0;
-        return static_cast<std::int64_t>(random_() % static_cast<std::uint64_t>(isFrozen ? timing.pauseBound_.count() : 10));
+        return static_cast<std::int64_t>(random_() % static_cast<std::uint64_t>(isFrozen ? timing.maxPause_.count() : 10));
     }
 
-    void act(Home& home)
+    void act(Dispatcher& dispatcher)
     {
-        if (home.pending_) {
-            if (now_ < home.dueAt_)
+        if (dispatcher.pending_) {
+            if (now_ < dispatcher.dueAt_)
                 return;
-            finish(home, *std::exchange(home.pending_, std::nullopt));
+            finish(dispatcher, *std::exchange(dispatcher.pending_, std::nullopt));
             return;
         }
-        for (std::size_t i = home.table_.nextOffset().value_; i < log_.size(); ++i)
-            home.table_.apply({ i }, log_[i], at(now_));
-        OrderSituation situation;
-        situation.self_ = { home.name_ };
-        situation.wanted_.version_ = "wanted";
-        situation.holder_ = home.table_.find({ "e" });
-        situation.claimedAt_ = home.claimedAt_;
-        situation.orderedAt_ = home.orderedAt_;
-        OrderStep next = nextOrderStep(situation, timing, at(now_));
+        for (std::size_t i = dispatcher.table_.nextOffset().value_; i < log_.size(); ++i)
+            dispatcher.table_.apply({ i }, log_[i], at(now_));
+        OrderContext context;
+        context.self_ = { dispatcher.name_ };
+        context.wanted_.version_ = "wanted";
+        context.holder_ = dispatcher.table_.find({ "e" });
+        context.claimedAt_ = dispatcher.claimedAt_;
+        context.orderedAt_ = dispatcher.orderedAt_;
+        OrderStep next = nextOrderStep(context, timing, at(now_));
         if (next == OrderStep::Claim)
-            home.claimedAt_ = at(now_);
-        if (situation.holder_)
-            home.token_ = situation.holder_->token_;
-        home.pending_ = next;
-        home.dueAt_ = now_ + delay();
+            dispatcher.claimedAt_ = at(now_);
+        if (context.holder_)
+            dispatcher.token_ = context.holder_->token_;
+        dispatcher.pending_ = next;
+        dispatcher.dueAt_ = now_ + delay();
     }
 
-    void finish(Home& home, OrderStep done)
+    void finish(Dispatcher& dispatcher, OrderStep done)
     {
         if (done == OrderStep::Claim)
-            log_.push_back(encodeClaim(claimOf(home.name_)));
+            log_.push_back(encodeClaim(claimOf(dispatcher.name_)));
         if (done != OrderStep::Order)
             return;
         ++orders_;
-        stale_ += home.token_ < newest_ ? 1 : 0;
-        newest_ = std::max(newest_, home.token_);
-        home.orderedAt_ = random_() % 2 ? std::optional(at(now_)) : std::nullopt;
+        stale_ += dispatcher.token_ < newest_ ? 1 : 0;
+        newest_ = std::max(newest_, dispatcher.token_);
+        dispatcher.orderedAt_ = random_() % 2 ? std::optional(at(now_)) : std::nullopt;
     }
 
     std::mt19937_64 random_;
     std::vector<std::string> log_;
-    std::vector<Home> homes_ { { "a", {}, start - milliseconds(9999), {}, {}, {}, 0 }, { "b", {}, start - milliseconds(9999), {}, {}, {}, 0 } };
+    std::vector<Dispatcher> dispatchers_ { { "a", {}, start - milliseconds(9999), {}, {}, {}, 0 }, { "b", {}, start - milliseconds(9999), {}, {}, {}, 0 } };
     std::int64_t now_ = 0;
     FencingToken newest_;
     int stale_ = 0;
@@ -143,17 +143,17 @@
     ClaimTable table;
     if (!stepCase.holder_.empty())
         table.apply({ 7 }, encodeClaim(claimOf(stepCase.holder_)), start);
-    OrderSituation situation;
-    situation.self_ = { "a" };
-    situation.wanted_.version_ = "v2";
-    situation.state_.configuration_.version_ = stepCase.isReached_ ? "v2" : "v1";
-    situation.holder_ = table.find({ "e" });
-    situation.claimedAt_ = start;
+    OrderContext context;
+    context.self_ = { "a" };
+    context.wanted_.version_ = "v2";
+    context.state_.configuration_.version_ = stepCase.isReached_ ? "v2" : "v1";
+    context.holder_ = table.find({ "e" });
+    context.claimedAt_ = start;
     if (stepCase.isOrdered_)
-        situation.orderedAt_ = start;
-    situation.ahead_ = stepCase.ahead_;
-    situation.active_ = stepCase.active_;
-    CHECK(nextOrderStep(situation, timing, at(stepCase.claimAge_)) == stepCase.expected_);
+        context.orderedAt_ = start;
+    context.ahead_ = stepCase.ahead_;
+    context.active_ = stepCase.active_;
+    CHECK(nextOrderStep(context, timing, at(stepCase.claimAge_)) == stepCase.expected_);
 }
 
 TEST_CASE("a successor waits out the home before it, unless the engine fences")
@@ -162,22 +162,22 @@
     ClaimTable table;
     table.apply({ 1 }, encodeClaim(claimOf("b")), at(0));
     table.apply({ 2 }, encodeClaim(claimOf("a")), at(150));
-    OrderSituation situation;
-    situation.self_ = { "a" };
-    situation.wanted_.version_ = "v2";
-    situation.holder_ = table.find({ "e" });
-    situation.claimedAt_ = at(150);
-    situation.honoursFencing_ = honoursFencing;
-    CHECK(situation.holder_->token_.value_ == 3);
-    CHECK(nextOrderStep(situation, timing, at(160)) == (honoursFencing ? OrderStep::Order : OrderStep::Drain));
-    CHECK(nextOrderStep(situation, timing, at(299)) == (honoursFencing ? OrderStep::Claim : OrderStep::Drain));
+    OrderContext context;
+    context.self_ = { "a" };
+    context.wanted_.version_ = "v2";
+    context.holder_ = table.find({ "e" });
+    context.claimedAt_ = at(150);
+    context.honoursFencing_ = honoursFencing;
+    CHECK(context.holder_->token_.value_ == 3);
+    CHECK(nextOrderStep(context, timing, at(160)) == (honoursFencing ? OrderStep::Order : OrderStep::Drain));
+    CHECK(nextOrderStep(context, timing, at(299)) == (honoursFencing ? OrderStep::Claim : OrderStep::Drain));
     // The other's validity and the longest freeze have passed, and so has our
     // claim: a new one of ours waits for nobody.
-    CHECK(nextOrderStep(situation, timing, at(301)) == OrderStep::Claim);
+    CHECK(nextOrderStep(context, timing, at(301)) == OrderStep::Claim);
     table.apply({ 3 }, encodeClaim(claimOf("a")), at(310));
-    situation.holder_ = table.find({ "e" });
-    situation.claimedAt_ = at(305);
-    CHECK(nextOrderStep(situation, timing, at(311)) == OrderStep::Order);
+    context.holder_ = table.find({ "e" });
+    context.claimedAt_ = at(305);
+    CHECK(nextOrderStep(context, timing, at(311)) == OrderStep::Order);
 }
 
 TEST_CASE("loads of one data centre queue in the log's order")
@@ -207,7 +207,7 @@
     // A record read twice changes nothing.
     table.apply({ 5 }, encodeClaim(claimOf("a", "e1")), at(0));
     CHECK_FALSE(table.find({ "e1" }));
-    table.forgetOld(milliseconds(100), at(200));
+    table.removeOlderThan(milliseconds(100), at(200));
     CHECK_FALSE(table.find({ "e2" }));
 }
 
--- a/unittests/Quota/QuotaNodes.h
+++ b/unittests/Quota/QuotaNodes.h
@@ -24,15 +24,15 @@
         : gossip_(gossip)
     {
         for (std::size_t i = 0; i < count; ++i)
-            books_.push_back(std::make_unique<QuotaBook>(start));
+            limiters_.push_back(std::make_unique<QuotaLimiter>(start));
     }
 
     void exchange(SteadyTime now)
     {
-        for (std::size_t from = 0; from < books_.size(); ++from) {
-            for (std::size_t to = 0; to < books_.size(); ++to) {
-                if (from != to && !silent_.contains(from) && !silent_.contains(to))
-                    books_[to]->setPeer({ std::to_string(from) }, incarnations_[from], books_[from]->admitted(), books_[from]->levels(), now);
+        for (std::size_t from = 0; from < limiters_.size(); ++from) {
+            for (std::size_t to = 0; to < limiters_.size(); ++to) {
+                if (from != to && !unresponsive_.contains(from) && !unresponsive_.contains(to))
+                    limiters_[to]->setPeer({ std::to_string(from) }, incarnations_[from], limiters_[from]->admitted(), limiters_[from]->levels(), now);
             }
         }
     }
@@ -44,27 +44,27 @@
         for (milliseconds t {}; t < duration; t += milliseconds(1)) {
             if (t.count() % gossip_.count() == 0)
                 exchange(from + t);
-            for (const auto& book : books_)
-                admitted += book->take(north, limit, cost, from + t) ? 0 : cost;
+            for (const auto& limiter : limiters_)
+                admitted += limiter->take(north, limit, cost, from + t) ? 0 : cost;
         }
         return admitted;
     }
 
     milliseconds gossip_;
-    std::vector<std::unique_ptr<QuotaBook>> books_;
+    std::vector<std::unique_ptr<QuotaLimiter>> limiters_;
     std::map<std::size_t, std::uint64_t> incarnations_;
-    std::set<std::size_t> silent_;
+    std::set<std::size_t> unresponsive_;
 };
 
 /// Nodes that hear the sum of all others late, as through relays.
-class LateNodes {
+class DelayedNodes {
 public:
-    LateNodes(std::size_t count, milliseconds lag)
+    DelayedNodes(std::size_t count, milliseconds lag)
         : lag_(lag)
         , random_(count)
     {
         for (std::size_t i = 0; i < count; ++i)
-            books_.push_back(std::make_unique<QuotaBook>(start, settingsOf(i, count)));
+            limiters_.push_back(std::make_unique<QuotaLimiter>(start, settingsOf(i, count)));
     }
 
     /// Requests of \p cost come at \p perSecond, each to a node drawn.
@@ -76,7 +76,7 @@
                 exchange(now);
             if (std::uniform_real_distribution<>(0, 1)(random_) >= perSecond / 1000)
                 continue;
-            if (!books_[random_() % books_.size()]->take(north, bucket, cost, now))
+            if (!limiters_[random_() % limiters_.size()]->take(north, bucket, cost, now))
                 admitted_.emplace_back(now, cost);
         }
     }
@@ -84,27 +84,27 @@
     /// Starts all nodes anew; none has heard another.
     void restart(SteadyTime now)
     {
-        told_.clear();
+        reports_.clear();
         startedAt_ = now;
-        for (std::size_t i = 0; i < books_.size(); ++i) {
-            books_[i] = std::make_unique<QuotaBook>(now, settingsOf(i, books_.size()));
-            books_[i]->setNodes(books_.size());
+        for (std::size_t i = 0; i < limiters_.size(); ++i) {
+            limiters_[i] = std::make_unique<QuotaLimiter>(now, settingsOf(i, limiters_.size()));
+            limiters_[i]->setNodes(limiters_.size());
         }
     }
 
     /// The most that was admitted in any window of \p length.
-    double most(milliseconds length) const
+    double maxAdmitted(milliseconds length) const
     {
         double sum = 0;
-        double most = 0;
+        double maxAdmitted = 0;
         auto oldest = admitted_.begin();
         for (const auto& [at, cost] : admitted_) {
             sum += cost;
             for (; at - oldest->first > length; ++oldest)
                 sum -= oldest->second;
-            most = std::max(most, sum);
+            maxAdmitted = std::max(maxAdmitted, sum);
         }
-        return most;
+        return maxAdmitted;
     }
 
     double sumSince(SteadyTime from) const
@@ -128,23 +128,23 @@
     void exchange(SteadyTime now)
     {
         std::vector<double> counts;
-        for (const auto& book : books_)
-            counts.push_back(book->admitted()[north]);
-        told_.emplace_back(now, counts);
-        while (told_.size() > 1 && told_[1].first + lag_ <= now)
-            told_.pop_front();
+        for (const auto& limiter : limiters_)
+            counts.push_back(limiter->admitted()[north]);
+        reports_.emplace_back(now, counts);
+        while (reports_.size() > 1 && reports_[1].first + lag_ <= now)
+            reports_.pop_front();
         double all = 0;
-        for (double count : told_.front().second)
+        for (double count : reports_.front().second)
             all += count;
-        for (std::size_t i = 0; i < books_.size(); ++i)
-            books_[i]->setPeer({ "others" }, 1, { { north, all - told_.front().second[i] } }, {}, now, books_.size() - 1, now - startedAt_ < milliseconds(3000));
+        for (std::size_t i = 0; i < limiters_.size(); ++i)
+            limiters_[i]->setPeer({ "others" }, 1, { { north, all - reports_.front().second[i] } }, {}, now, limiters_.size() - 1, now - startedAt_ < milliseconds(3000));
     }
 
     milliseconds lag_;
     std::mt19937_64 random_;
     SteadyTime startedAt_ = start;
-    std::vector<std::unique_ptr<QuotaBook>> books_;
-    std::deque<std::pair<SteadyTime, std::vector<double>>> told_;
+    std::vector<std::unique_ptr<QuotaLimiter>> limiters_;
+    std::deque<std::pair<SteadyTime, std::vector<double>>> reports_;
     std::deque<std::pair<SteadyTime, double>> admitted_;
 };
 
--- a/unittests/Quota/QuotaTest.cpp
+++ b/unittests/Quota/QuotaTest.cpp
@@ -20,11 +20,11 @@
     const QuotaLimit tokens { 700000, 2600000 };
     constexpr double cost = 12000;
     double calm = tokens.ratePerSecond_ / cost;
-    LateNodes nodes(count, milliseconds(lag));
+    DelayedNodes nodes(count, milliseconds(lag));
     nodes.run(start + milliseconds(10000), milliseconds(8000), calm * 0.8, tokens, cost);
     SteadyTime hot = start + milliseconds(18000);
     nodes.run(hot, milliseconds(12000), calm * excess, tokens, cost);
-    CHECK(nodes.most(milliseconds(8000)) <= (8 * tokens.ratePerSecond_ + tokens.burst_) * 1.1 + 140000);
+    CHECK(nodes.maxAdmitted(milliseconds(8000)) <= (8 * tokens.ratePerSecond_ + tokens.burst_) * 1.1 + 140000);
     CHECK(nodes.sumSince(hot) >= 0.9 * 12 * tokens.ratePerSecond_);
 }
 
@@ -35,15 +35,15 @@
     CAPTURE(asked);
     const QuotaLimit tokens { 700000, 2600000 };
     constexpr double cost = 12000;
-    QuotaBook book(start);
+    QuotaLimiter limiter(start);
     std::mt19937_64 random(7);
     SteadyTime begin = start + milliseconds(10000);
     double admitted = 0;
     for (milliseconds t {}; t < milliseconds(20000); t += milliseconds(1)) {
         if (t.count() % 200 == 0)
-            book.setPeer({ "others" }, 1, {}, {}, begin + t, 62);
+            limiter.setPeer({ "others" }, 1, {}, {}, begin + t, 62);
         if (std::uniform_real_distribution<>(0, 1)(random) < asked * tokens.ratePerSecond_ / cost / 1000)
-            admitted += book.take(north, tokens, cost, begin + t) ? 0 : cost;
+            admitted += limiter.take(north, tokens, cost, begin + t) ? 0 : cost;
     }
     double granted = 20 * tokens.ratePerSecond_ * std::min(1.0, asked);
     CHECK(admitted >= 0.93 * granted);
@@ -62,25 +62,25 @@
 
 TEST_CASE("what did not run is given back", "[quota]")
 {
-    QuotaBook book(start);
+    QuotaLimiter limiter(start);
     SteadyTime now = start + milliseconds(1000);
-    REQUIRE_FALSE(book.take(north, limit, 1400, now));
-    REQUIRE(book.take(north, limit, 1, now));
-    book.giveBack(north, 1400);
-    CHECK_FALSE(book.take(north, limit, 1, now));
-    CHECK(book.admitted()[north] == Approx(1));
+    REQUIRE_FALSE(limiter.take(north, limit, 1400, now));
+    REQUIRE(limiter.take(north, limit, 1, now));
+    limiter.giveBack(north, 1400);
+    CHECK_FALSE(limiter.take(north, limit, 1, now));
+    CHECK(limiter.admitted()[north] == Approx(1));
 }
 
 TEST_CASE("a refusal says when to come back", "[quota]")
 {
-    QuotaBook book(start);
+    QuotaLimiter limiter(start);
     SteadyTime now = start + milliseconds(1000);
-    REQUIRE_FALSE(book.take(north, limit, 1500, now));
-    auto wait = book.take(north, limit, 1, now);
+    REQUIRE_FALSE(limiter.take(north, limit, 1500, now));
+    auto wait = limiter.take(north, limit, 1, now);
     REQUIRE(wait);
     CHECK(*wait >= milliseconds(500));
     CHECK(*wait <= milliseconds(510));
-    CHECK_FALSE(book.take(north, limit, 1, now + *wait));
+    CHECK_FALSE(limiter.take(north, limit, 1, now + *wait));
 }
 
 TEST_CASE("repeats stay within their share of requests", "[quota]")
@@ -88,8 +88,8 @@
     RetrySettings settings;
     settings.ratio_ = 0.2;
     settings.extra_ = 10;
-    settings.used_ = 1;
-    RetryBudget budget(settings);
+    settings.usableShare_ = 1;
+    ServiceRetryBudget budget(settings);
     const ServiceName service { "s" };
     for (int i = 0; i < 100; ++i)
         budget.countRequest(service, start);
@@ -114,7 +114,7 @@
     constexpr double small = 200;
     constexpr std::uint64_t largeEveryMs = 14;
     constexpr std::uint64_t smallEveryMs = 19;
-    QuotaBook book(start);
+    QuotaLimiter limiter(start);
     SteadyTime begin = start + milliseconds(10000);
     double admitted = 0;
     int asked = 0;
@@ -122,10 +122,10 @@
     for (std::uint64_t t = 0; t < 20000; ++t) {
         SteadyTime now = begin + milliseconds(t);
         if (t % largeEveryMs == 0)
-            admitted += book.take(north, tokens, large, now) ? 0 : large;
+            admitted += limiter.take(north, tokens, large, now) ? 0 : large;
         if (t % smallEveryMs)
             continue;
-        bool isRefused = book.take(north, tokens, small, now).has_value();
+        bool isRefused = limiter.take(north, tokens, small, now).has_value();
         ++asked;
         refused += isRefused;
         admitted += isRefused ? 0 : small;
--- a/unittests/Quota/QuotaSilenceTest.cpp
+++ b/unittests/Quota/QuotaUnresponsiveTest.cpp
@@ -1,4 +1,4 @@
-//===- unittests/Quota/QuotaSilenceTest.cpp - quotas over freezes and cuts ===//
+//===- unittests/Quota/QuotaUnresponsiveTest.cpp - quotas over freezes and cuts ===//
 ///
 /// \file
 /// What a book charges for peers that are not heard, and gives back when they are.
@@ -14,40 +14,40 @@
 {
     // As after a freeze: nobody used anything meanwhile.
     auto silence = GENERATE(1500, 3000, 9000);
-    QuotaBook book(start);
+    QuotaLimiter limiter(start);
     SteadyTime now = start + milliseconds(20000);
-    book.setPeer({ "peer" }, 1, { { north, 50 } }, {}, now, 3);
-    REQUIRE_FALSE(book.take(north, limit, 1, now));
+    limiter.setPeer({ "peer" }, 1, { { north, 50 } }, {}, now, 3);
+    REQUIRE_FALSE(limiter.take(north, limit, 1, now));
     SteadyTime later = now + milliseconds(silence);
-    CHECK_FALSE(book.take(north, limit, 1, later));
-    book.setPeer({ "peer" }, 1, { { north, 51 } }, {}, later, 3);
-    CHECK_FALSE(book.take(north, limit, 900, later));
+    CHECK_FALSE(limiter.take(north, limit, 1, later));
+    limiter.setPeer({ "peer" }, 1, { { north, 51 } }, {}, later, 3);
+    CHECK_FALSE(limiter.take(north, limit, 900, later));
 }
 
 TEST_CASE("a peer that speaks again is charged what it used", "[quota]")
 {
-    QuotaBook book(start);
+    QuotaLimiter limiter(start);
     SteadyTime now = start + milliseconds(20000);
-    book.setPeer({ "peer" }, 1, { { north, 50 } }, {}, now, 3);
-    REQUIRE_FALSE(book.take(north, limit, 1000, now));
+    limiter.setPeer({ "peer" }, 1, { { north, 50 } }, {}, now, 3);
+    REQUIRE_FALSE(limiter.take(north, limit, 1000, now));
     SteadyTime later = now + milliseconds(1500);
-    REQUIRE_FALSE(book.take(north, limit, 1, later));
-    book.setPeer({ "peer" }, 1, { { north, 150 } }, {}, later, 3);
+    REQUIRE_FALSE(limiter.take(north, limit, 1, later));
+    limiter.setPeer({ "peer" }, 1, { { north, 150 } }, {}, later, 3);
     // One and a half seconds of the rate, less what both used; full at 1,000.
-    CHECK(book.levels()[north] == Approx(1000));
-    book.setPeer({ "peer" }, 1, { { north, 650 } }, {}, later, 3);
-    CHECK(book.levels()[north] == Approx(500));
+    CHECK(limiter.levels()[north] == Approx(1000));
+    limiter.setPeer({ "peer" }, 1, { { north, 650 } }, {}, later, 3);
+    CHECK(limiter.levels()[north] == Approx(500));
 }
 
 TEST_CASE("a thread that was frozen after it looked at the clock takes nothing back", "[quota]")
 {
-    QuotaBook book(start);
+    QuotaLimiter limiter(start);
     SteadyTime before = start + milliseconds(20000);
     SteadyTime after = before + milliseconds(2000);
-    REQUIRE_FALSE(book.take(north, limit, 1, before));
-    CHECK_FALSE(book.take(north, limit, 1, after));
-    CHECK_FALSE(book.take(north, limit, 1, before));
-    CHECK(book.levels()[north] == Approx(998));
+    REQUIRE_FALSE(limiter.take(north, limit, 1, before));
+    CHECK_FALSE(limiter.take(north, limit, 1, after));
+    CHECK_FALSE(limiter.take(north, limit, 1, before));
+    CHECK(limiter.levels()[north] == Approx(998));
 }
 
 TEST_CASE("a node frozen before its first request of an organisation admits it after", "[quota]")
@@ -55,48 +55,48 @@
     // Its peers told full buckets just before, and are silent for as long as it is frozen.
     auto frozen = GENERATE(900, 2200, 6000);
     CAPTURE(frozen);
-    QuotaBook book(start);
-    book.setNodes(4);
+    QuotaLimiter limiter(start);
+    limiter.setNodes(4);
     SteadyTime heard = start + milliseconds(100);
     for (const char* peer : { "1", "2", "3" })
-        book.setPeer({ peer }, 1, { { north, 5000 } }, { { north, 1000 } }, heard);
+        limiter.setPeer({ peer }, 1, { { north, 5000 } }, { { north, 1000 } }, heard);
     SteadyTime thawed = heard + milliseconds(frozen);
-    CHECK_FALSE(book.take(north, limit, 1, thawed));
+    CHECK_FALSE(limiter.take(north, limit, 1, thawed));
     // What they used meanwhile counts, and so does the rate of that time.
     for (const char* peer : { "1", "2", "3" })
-        book.setPeer({ peer }, 1, { { north, 5000 + 0.25 * frozen } }, {}, thawed);
-    CHECK_FALSE(book.take(north, limit, 1, thawed));
+        limiter.setPeer({ peer }, 1, { { north, 5000 + 0.25 * frozen } }, {}, thawed);
+    CHECK_FALSE(limiter.take(north, limit, 1, thawed));
 }
 
 TEST_CASE("what peers told before a node's first request is not given out again", "[quota]")
 {
-    QuotaBook book(start);
+    QuotaLimiter limiter(start);
     SteadyTime heard = start + milliseconds(20000);
-    book.setPeer({ "peer" }, 1, { { north, 5000 } }, { { north, 10 } }, heard);
+    limiter.setPeer({ "peer" }, 1, { { north, 5000 } }, { { north, 10 } }, heard);
     SteadyTime first = heard + milliseconds(200);
-    REQUIRE_FALSE(book.take(north, limit, 1, first));
+    REQUIRE_FALSE(limiter.take(north, limit, 1, first));
     // What was left, and the rate of 200 ms.
-    CHECK(book.levels()[north] == Approx(10 + 200 - 1));
+    CHECK(limiter.levels()[north] == Approx(10 + 200 - 1));
 }
 
 TEST_CASE("nodes that relays tell of as silent are charged their shares", "[quota]")
 {
-    QuotaBook book(start);
+    QuotaLimiter limiter(start);
     SteadyTime cut = start + milliseconds(20000);
     // Five are heard through relays, and four are cut off.
     double admitted = 0;
     for (milliseconds t {}; t < milliseconds(8000); t += milliseconds(1)) {
         if (t.count() % 200 == 0) {
-            book.setPeer({ "others" }, 1, {}, {}, cut + t, 5);
-            book.setSilentNodes(4, 5, cut + t);
+            limiter.setPeer({ "others" }, 1, {}, {}, cut + t, 5);
+            limiter.setUnresponsiveNodes(4, 5, cut + t);
         }
-        admitted += book.take(north, limit, 1, cut + t) ? 0 : 1;
+        admitted += limiter.take(north, limit, 1, cut + t) ? 0 : 1;
     }
     // The burst, and six tenths of eight seconds.
     CHECK(admitted <= 1000 + 0.6 * 8000 + 400);
     CHECK(admitted >= 4000);
-    book.setSilentNodes(0, 9, cut + milliseconds(8000));
-    CHECK_FALSE(book.take(north, limit, 1, cut + milliseconds(10000)));
+    limiter.setUnresponsiveNodes(0, 9, cut + milliseconds(8000));
+    CHECK_FALSE(limiter.take(north, limit, 1, cut + milliseconds(10000)));
 }
 
 TEST_CASE("nodes that relays tell of as back are charged what they used, and only that", "[quota]")
@@ -105,8 +105,8 @@
         const char* name_;
         double used_;
         std::uint64_t live_;
-        double least_;
-        double most_;
+        double min_;
+        double max_;
     };
     // Four of ten nodes are silent for 5 s of a rate of 1,000; the others use their shares.
     auto row = GENERATE(values<Row>({
@@ -116,33 +116,33 @@
         { "they are forgotten, not back", 0, 5, 0, 200 },
     }));
     CAPTURE(row.name_);
-    QuotaBook book(start);
+    QuotaLimiter limiter(start);
     SteadyTime cut = start + milliseconds(20000);
-    REQUIRE_FALSE(book.take(north, limit, 900, cut));
+    REQUIRE_FALSE(limiter.take(north, limit, 900, cut));
     milliseconds t {};
     for (; t < milliseconds(5000); t += milliseconds(10)) {
         if (t.count() % 200 == 0) {
-            book.setPeer({ "others" }, 1, { { north, 0.5 * static_cast<double>(t.count()) } }, {}, cut + t, 5);
-            book.setSilentNodes(4, 5, cut + t);
+            limiter.setPeer({ "others" }, 1, { { north, 0.5 * static_cast<double>(t.count()) } }, {}, cut + t, 5);
+            limiter.setUnresponsiveNodes(4, 5, cut + t);
         }
-        (void)book.take(north, limit, 1, cut + t);
+        (void)limiter.take(north, limit, 1, cut + t);
     }
     SteadyTime back = cut + t;
-    book.setPeer({ "others" }, 1, { { north, 0.5 * static_cast<double>(t.count()) + row.used_ } }, {}, back, row.live_);
-    book.setSilentNodes(0, row.live_, back);
-    CHECK(book.levels()[north] >= row.least_);
-    CHECK(book.levels()[north] <= row.most_);
+    limiter.setPeer({ "others" }, 1, { { north, 0.5 * static_cast<double>(t.count()) + row.used_ } }, {}, back, row.live_);
+    limiter.setUnresponsiveNodes(0, row.live_, back);
+    CHECK(limiter.levels()[north] >= row.min_);
+    CHECK(limiter.levels()[north] <= row.max_);
 }
 
 TEST_CASE("a node cut off from its peers uses no more than its share", "[quota]")
 {
     Nodes nodes(4, milliseconds(200));
     nodes.flood(start + milliseconds(5000), milliseconds(4000), 1);
-    nodes.silent_ = { 0 };
+    nodes.unresponsive_ = { 0 };
     double admitted = 0;
     SteadyTime cut = start + milliseconds(9000);
     for (milliseconds t {}; t < milliseconds(8000); t += milliseconds(1))
-        admitted += nodes.books_[0]->take(north, limit, 1, cut + t) ? 0 : 1;
+        admitted += nodes.limiters_[0]->take(north, limit, 1, cut + t) ? 0 : 1;
     // A quarter of eight seconds; the first second of silence is not yet charged.
     CHECK(admitted <= 2000 + 1000 * 0.75 + 200);
     CHECK(admitted >= 1500);
