--- a/include/pistachioloom/Limits.h
+++ b/include/pistachioloom/Limits.h
@@ -1,12 +1,13 @@
 //===- pistachioloom/Limits.h - admission and shares of limits -------------===//
 ///
 /// \file
-/// Pure decisions of whether a request may start. An entry's limits are split
-/// into guaranteed shares of the data centres; inside one a keeper grants slots
-/// to the nodes for a short time and hands out tokens. Keepers lend each other
-/// what their own data centre does not use, so that all of a limit can be used
-/// from anywhere; a cut ends the loans. Nothing here knows sockets or clocks:
-/// time is passed in.
+/// Decides whether a request may start. An entry's limits are split into
+/// guaranteed shares of the data centres. In each data centre a coordinator
+/// grants slots to the nodes for a short time and distributes tokens.
+/// Coordinators lend each other the slots that their own data centre does not
+/// use, so that any data centre can use the complete limit; loans expire during
+/// a network partition. The code uses neither sockets nor clocks: the caller
+/// passes the time in.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -17,21 +18,23 @@
 
 namespace pistachioloom {
 
-/// The part of \p limit that the data centre of rank \p rank among \p count may
-/// use without asking any other. The parts of all ranks sum to \p limit.
+/// \returns the share of \p limit that the data centre with rank \p rank among
+/// \p count may use without asking another one. The shares of all ranks sum to
+/// \p limit.
 std::uint64_t guaranteedShare(std::uint64_t limit, std::size_t rank, std::size_t count);
 
-/// Slots of one entry that this data centre's nodes hold, at its keeper. A
-/// grant not renewed before it expires is free again.
+/// The coordinator's record of the slots that are granted to the nodes of its
+/// data centre, by entry. A grant that is not renewed before it expires is free
+/// again.
 class GrantTable {
 public:
-    /// \p inUse is what the node works on and cannot give back; \p wanted what
-    /// it would like to hold in all. \returns what it may hold until
-    /// \p now + \p validity.
+    /// Grants slots to \p node. \p inUse counts the slots of its requests in
+    /// progress, which it cannot return; \p wanted is the total it asks for.
+    /// \returns the slots that it may hold until \p now + \p validity.
     std::uint64_t request(const EntryName& entry, const VmId& node, std::uint64_t share, std::uint64_t inUse, std::uint64_t wanted, milliseconds validity, SteadyTime now);
     std::uint64_t granted(const EntryName& entry, SteadyTime now) const;
     std::uint64_t grantedToOthers(const EntryName& entry, const VmId& node, SteadyTime now) const;
-    /// What the nodes told to work on.
+    /// Slots that the nodes reported as in use.
     std::uint64_t inUse(const EntryName& entry, SteadyTime now) const;
 
 private:
@@ -43,33 +46,34 @@
     std::map<EntryName, std::map<VmId, Grant>> grants_;
 };
 
-/// Slots of one entry lent between data centres, seen from one of them.
+/// Slots of one entry that one data centre lends to and borrows from others.
 ///
-/// The lender counts a loan as its own use until it expires. The borrower
-/// counts it only while grants made on it end before the loan does, so the sum
-/// of what all data centres admit stays within the limit.
+/// The lender counts a loan as its own use until the loan expires. The borrower
+/// uses a loan only for grants that expire before the loan does, so the sum of
+/// the slots that all data centres grant stays within the limit.
 class LoanTable {
 public:
     struct Request {
-        /// Lent slots that requests run on; they stay lent.
+        /// Borrowed slots of requests in progress; they stay lent.
         std::uint64_t inUse_ = 0;
         std::uint64_t wanted_ = 0;
     };
 
-    /// Lends to \p borrower out of \p free slots, those lent to it already not
-    /// among them. A smaller loan than before is free again only once grants
-    /// made on the larger one have ended, and the borrower, who may not get this
-    /// answer, believes in it no more.
+    /// Lends slots to \p borrower. \p free excludes the slots that are already
+    /// lent to it. When a loan shrinks, the difference stays reserved until the
+    /// grants made on the larger loan have expired and the borrower, which may not
+    /// receive this reply, no longer assumes the larger loan.
+    /// \returns the slots of the new loan.
     std::uint64_t lend(const DataCentreId& borrower, std::uint64_t free, const Request& request, milliseconds loanValidity, milliseconds grantValidity, SteadyTime now);
     /// Slots lent to others.
     std::uint64_t lent(SteadyTime now) const;
     std::uint64_t lentTo(const DataCentreId& borrower, SteadyTime now) const;
 
-    /// To be called before asking \p lender: no more than \p maxSlots of its slots
-    /// are used until it answers.
+    /// Limits the use of the loan from \p lender to \p maxSlots until the lender
+    /// replies. Must be called before each loan request.
     void capBorrowed(const DataCentreId& lender, std::uint64_t maxSlots);
     void setBorrowed(const DataCentreId& lender, std::uint64_t slots, SteadyTime expires);
-    /// Borrowed slots whose loans last until \p until.
+    /// Borrowed slots of loans that do not expire before \p until.
     std::uint64_t borrowed(SteadyTime until) const;
     /// Loans that have not expired, by lender.
     std::map<DataCentreId, std::uint64_t> borrowedFrom(SteadyTime now) const;
@@ -78,10 +82,10 @@
     struct OutgoingLoan {
         std::uint64_t slots_ = 0;
         SteadyTime expires_;
-        /// What the borrower may still take for lent, and until when.
+        /// Slots that the borrower may still assume to be lent, and until when.
         std::uint64_t assumedSlots_ = 0;
         SteadyTime assumedUntil_;
-        /// What grants may have been made on, and until when they stand.
+        /// Slots that may have been granted to nodes, and when these grants expire.
         std::uint64_t outstandingSlots_ = 0;
         SteadyTime outstandingUntil_;
     };
@@ -90,27 +94,32 @@
         SteadyTime expires_;
     };
 
+    /// \returns the slots that the lender must not use because of \p lent.
     static std::uint64_t reservedSlots(const OutgoingLoan& lent, SteadyTime now);
 
     std::map<DataCentreId, OutgoingLoan> lent_;
     std::map<DataCentreId, IncomingLoan> borrowed_;
 };
 
-/// Tokens an entry may still generate, refilled at its rate up to its burst.
+/// Token bucket of an entry's generated tokens, refilled at the entry's rate up
+/// to its burst.
 class TokenBucket {
 public:
     TokenBucket(std::uint64_t perSecond, std::uint64_t burst, SteadyTime now);
-    /// Takes \p tokens if the bucket is not in debt; a long answer may drive it
-    /// into debt, which later answers wait out.
+    /// Takes \p tokens if the bucket's level is above zero. A long answer may make
+    /// the level negative; later requests wait until it is above zero again.
     bool tryTake(std::uint64_t tokens, SteadyTime now);
-    /// Takes up to \p tokens, but leaves \p minLevel in the bucket.
+    /// Takes up to \p tokens, but leaves at least \p minLevel in the bucket.
+    /// \returns the tokens taken.
     std::uint64_t takeUpTo(std::uint64_t tokens, std::uint64_t minLevel, SteadyTime now);
-    /// Takes for a row of requests: as many of \p wanted tokens as there are,
-    /// but at least \p first of them if there is any, into debt.
+    /// Takes tokens for several waiting requests: up to \p wanted as far as
+    /// available. If the level is above zero, takes at least \p first, the tokens of
+    /// the first request, even if the level becomes negative.
+    /// \returns the tokens taken.
     std::uint64_t takeForRequests(std::uint64_t first, std::uint64_t wanted, SteadyTime now);
-    /// Returns what was taken and not used, or adds what another bucket gave.
+    /// Returns unused tokens to the bucket, or adds tokens of another bucket.
     void giveBack(std::uint64_t tokens);
-    /// How long until tryTake() may succeed.
+    /// \returns the time until tryTake() may succeed.
     milliseconds wait(SteadyTime now) const;
     void setRate(std::uint64_t perSecond, std::uint64_t burst);
 
@@ -123,41 +132,49 @@
     SteadyTime filledAt_;
 };
 
-/// Admission of one node: what it holds of every entry's limits.
+/// Admits requests on one node, within the slots and tokens that the node holds
+/// of each entry's limits.
 class Admission {
 public:
     enum class Decision {
         Admitted,
-        /// A slot must be asked of the keeper first.
+        /// The node must first request a slot from the coordinator.
         NeedsSlot,
-        /// Tokens must be asked of the keeper first.
+        /// The node must first request tokens from the coordinator.
         NeedsTokens,
     };
-    /// What to ask the keeper for.
+    /// Slots and tokens to request from the coordinator.
     struct Demand {
+        /// Slots of requests in progress.
         std::uint64_t inUse_ = 0;
+        /// Slots of requests in progress and of waiting requests.
         std::uint64_t needed_ = 0;
+        /// `needed_` and the slots requested ahead.
         std::uint64_t wanted_ = 0;
+        /// Tokens that the first waiting request lacks.
         std::uint64_t tokensFirst_ = 0;
         std::uint64_t tokensWanted_ = 0;
+        /// Unused tokens that the node gives back.
         std::uint64_t tokensReturned_ = 0;
     };
     struct Grant {
         std::uint64_t slots_ = 0;
         std::uint64_t tokens_ = 0;
         SteadyTime expires_;
-        /// When tokens may be had again, if there were none.
+        /// Time until tokens may be available again, if there were none.
         milliseconds tokenWait_ {};
     };
 
     Decision tryStart(const CatalogueEntry& entry, std::uint64_t tokens, SteadyTime now);
-    /// Ends a request that was admitted; \p unusedTokens go back.
+    /// Ends an admitted request and keeps its \p unusedTokens for other requests.
     void finish(const EntryName& entry, std::uint64_t unusedTokens);
-    /// A request that waits for slots or tokens, until it starts or gives up.
+    /// Adds a request that waits for slots or tokens. endWait() removes it when
+    /// it starts or is cancelled.
     void beginWait(const EntryName& entry, std::uint64_t tokens);
     void endWait(const EntryName& entry, std::uint64_t tokens);
-    /// Holds no more slots than asked for from now on, so that the keeper may
-    /// give the rest to others; what is returned is taken out.
+    /// \returns the demand for \p entry with \p slotsAhead spare slots. Releases
+    /// the slots beyond this demand immediately, so that the coordinator can grant
+    /// them to other nodes, and removes the returned tokens.
     Demand makeDemand(const CatalogueEntry& entry, std::uint64_t slotsAhead);
     void applyGrant(const EntryName& entry, const Grant& grant);
     std::uint64_t inProgress(const EntryName& entry) const;
@@ -172,17 +189,19 @@
         std::uint64_t slots_ = 0;
         SteadyTime expires_;
         std::uint64_t tokens_ = 0;
-        /// Since the last demand; so many are asked for ahead.
+        /// Tokens spent since the last demand; the next demand requests as many
+        /// ahead.
         std::uint64_t tokensSpent_ = 0;
         milliseconds tokenWait_ {};
-        /// Tokens of each request that waits.
+        /// Tokens of each waiting request.
         std::deque<std::uint64_t> waiting_;
     };
     std::map<EntryName, EntryState> entries_;
 };
 
-/// Waits for an engine's slots at its home: paid before trial, then by
-/// weighted fair shares among entries, then in order of arrival.
+/// Queue of the requests that wait at an engine's dispatcher for a slot. Paid
+/// requests start before trial requests; inside a class, entries share by
+/// weighted fair queueing, and ties start in order of arrival.
 class FairQueue {
 public:
     struct Waiter {
@@ -190,16 +209,17 @@
         EntryName entry_;
         ServiceClass class_ = ServiceClass::Paid;
         std::uint64_t weight_ = 1;
-        /// Work in tokens, the unit that is shared fairly.
+        /// Work in tokens, the unit of the fair shares.
         std::uint64_t cost_ = 1;
     };
 
     void push(Waiter waiter);
-    /// The next to start.
+    /// Removes and returns the next request to start.
     std::optional<Waiter> pop();
     bool remove(std::uint64_t id);
     std::size_t size() const { return waiting_.size(); }
-    /// Waiters that would start before one of class \p serviceClass.
+    /// \returns the number of waiting requests that would start before a new one
+    /// of class \p serviceClass.
     std::size_t ahead(ServiceClass serviceClass) const;
 
 private:
@@ -214,11 +234,12 @@
     std::uint64_t sequence_ = 0;
 };
 
-/// Allows retries up to a share of the requests seen, so that a failing engine
-/// does not multiply the load.
+/// Limits retries to a share of the requests, so that a failing engine does not
+/// multiply the load.
 class RetryBudget {
 public:
-    /// \p ratio is retries per request; \p reserve is allowed at once.
+    /// \p ratio is the number of retries per request; \p reserve bounds the
+    /// retries that can be saved up.
     RetryBudget(double ratio, double reserve);
     void countRequest();
     bool tryRetry();
--- a/include/pistachioloom/Orders.h
+++ b/include/pistachioloom/Orders.h
@@ -1,14 +1,16 @@
-//===- pistachioloom/Orders.h - who may order an engine, and when ----------===//
+//===- pistachioloom/Orders.h - orders that configure model engines --------===//
 ///
 /// \file
-/// Homes bring their engines to the configuration that the catalogue states.
-/// Before an order a home appends a claim to the log; the claim's offset is the
-/// order's fencing token, so an engine that compares tokens refuses a home that
-/// was replaced without knowing it. For engines that do not, a home waits out
-/// whatever the home before it may still send. Claims also queue the loads of
-/// one data centre, so that its engines are never all away at once.
+/// Dispatchers bring their engines to the configuration that the catalogue
+/// states. Before an order, a dispatcher appends a claim to the log. The order's
+/// fencing token follows from the claim's offset, so an engine that compares
+/// tokens rejects a dispatcher that was replaced without knowing it. For engines
+/// that ignore tokens, a dispatcher waits until its predecessor can no longer
+/// send orders. Claims also queue the loads of one data centre, so that its
+/// engines are never all unavailable simultaneously.
 ///
-/// Pure: time is passed in, and a claim's age counts from when it was read.
+/// The code is pure: the caller passes the time in, and the age of a claim
+/// counts from when it was read.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -17,50 +19,55 @@
 namespace pistachioloom {
 
 using ClaimId = Id<struct ClaimIdTag>;
-/// Orders with a smaller token than one that was obeyed are stale.
+/// An order is stale if its token is smaller than that of an order that the
+/// engine has already obeyed.
 using FencingToken = Quantity<struct FencingTokenTag>;
 
-/// What an engine says of itself.
+/// State that an engine reports.
 struct EngineState {
     EngineConfiguration configuration_;
     bool isLoading_ = false;
 };
 
-/// A node's word that it is going to order an engine.
+/// A node's announcement that it will send orders to an engine.
 struct EngineClaim {
     ClaimId id_;
     VmId engine_;
     VmId node_;
-    /// Loads of one model in one data centre queue behind each other.
+    /// Loads of one model in one data centre share a queue.
     std::string queue_;
-    /// The orders are given, or will not be: the claim ends.
+    /// The claim ends: its orders were sent, or will not be.
     bool isEnd_ = false;
 };
 
 std::string encodeClaim(const EngineClaim& claim);
-/// nullopt for a record that is no claim; such a record is void for all readers.
+/// \returns nullopt for a record that is not a claim; all readers ignore such a
+/// record.
 std::optional<EngineClaim> decodeClaim(const std::string& record);
 
-/// The claims' stream, applied in log order.
+/// The open claims, built by applying the records of the claims' stream in log
+/// order.
 class ClaimTable {
 public:
     struct Holder {
         EngineClaim claim_;
         FencingToken token_;
         SteadyTime readAt_;
-        /// Place in the queue; kept when the same node claims anew.
+        /// Position in the queue; a later claim on the same engine keeps it.
         LogOffset queuedAt_;
-        /// When we last read a claim of another node that did not end it.
+        /// When this node last read a claim of another node that the other node
+        /// did not end.
         std::optional<SteadyTime> otherReadAt_;
     };
 
     void apply(LogOffset offset, const std::string& record, SteadyTime now);
-    /// The newest claim on \p engine that has not ended, or nullptr.
+    /// \returns the newest claim on \p engine that has not ended, or nullptr.
     const Holder* find(const VmId& engine) const;
-    /// Open claims of the same queue that come before the one on \p engine, of
-    /// engines that \p isPresent knows.
+    /// \returns the number of open claims that precede the one on \p engine in the
+    /// same queue, counting only engines for which \p isPresent is true.
     std::size_t ahead(const VmId& engine, const std::function<bool(const VmId&)>& isPresent) const;
-    /// Forgets claims read longer than \p maxAge ago: their nodes are gone.
+    /// Removes claims read longer than \p maxAge ago, since their nodes have
+    /// stopped.
     void removeOlderThan(milliseconds maxAge, SteadyTime now);
     LogOffset nextOffset() const { return nextOffset_; }
 
@@ -73,50 +80,52 @@
 };
 
 struct OrderTiming {
-    /// A claim is acted on for this long after its append began.
+    /// How long after the start of its append a claim allows orders.
     milliseconds claimValidity_ { 5000 };
-    /// Longest time a node may be frozen between its last look at the clock and
-    /// its order, for engines that ignore fencing tokens.
+    /// Upper bound of the time that a node may be frozen between its last reading
+    /// of the clock and its order, for engines that ignore fencing tokens.
     milliseconds maxPause_ { 10000 };
-    /// A load that takes longer is ordered anew.
+    /// A load that takes longer is ordered again.
     milliseconds loadWaitLimit_ { 600000 };
 };
 
-/// What a home knows when it decides on one engine.
+/// What a dispatcher knows when it decides on the next step for one engine.
 struct OrderContext {
     VmId self_;
     EngineConfiguration wanted_;
     EngineState state_;
-    /// Of the claim table, read up to the log's end; nullptr for none.
+    /// The open claim on the engine, from a claim table that was read up to the
+    /// log's end; nullptr if there is none.
     const ClaimTable::Holder* holder_ = nullptr;
     std::size_t ahead_ = 0;
     std::size_t maxLoading_ = 1;
-    /// When the append of our claim began.
+    /// When the append of this node's claim began.
     SteadyTime claimedAt_;
-    /// When our last order was given, if it asked for `wanted_`.
+    /// When this node sent its last order, if it was for `wanted_`.
     std::optional<SteadyTime> orderedAt_;
-    /// Requests that the engine works on.
+    /// Requests in progress on the engine.
     std::uint64_t active_ = 0;
     bool honoursFencing_ = false;
 };
 
 enum class OrderStep {
-    /// Nothing to do.
+    /// The engine has the wanted configuration, and no claim is open.
     Settled,
     /// Append a claim.
     Claim,
-    /// Look again later.
+    /// Wait, and decide again later.
     Wait,
-    /// Admit nothing to the engine and look again.
+    /// Admit no requests to the engine, and decide again later.
     Drain,
-    /// Give the order, with the claim's token.
+    /// Send the order with the claim's token.
     Order,
-    /// Append the end of our claim.
+    /// Append a record that ends this node's claim.
     End,
 };
 
 std::string_view toString(OrderStep step);
 
+/// \returns the next step towards the wanted configuration of one engine.
 OrderStep nextOrderStep(const OrderContext& context, const OrderTiming& timing, SteadyTime now);
 
 } // namespace pistachioloom
--- a/lib/Limits/Admission.cpp
+++ b/lib/Limits/Admission.cpp
@@ -1,7 +1,8 @@
 //===- lib/Limits/Admission.cpp - the node's side of limits ----------------===//
 ///
 /// \file
-/// What a node holds of every entry's limits, and what it asks its keepers for.
+/// Tracks the slots and tokens that a node holds of each entry's limits, and
+/// computes the demand that it sends to its coordinators.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Limits.h"
 
--- a/lib/Limits/FairQueue.cpp
+++ b/lib/Limits/FairQueue.cpp
@@ -1,7 +1,8 @@
 //===- lib/Limits/FairQueue.cpp - order of waiting requests ----------------===//
 ///
 /// \file
-/// Start-time weighted fair queueing inside a class; paid before trial.
+/// Weighted fair queueing with virtual start times inside a class; paid requests
+/// precede trial requests.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Limits.h"
 
--- a/lib/Limits/Grants.cpp
+++ b/lib/Limits/Grants.cpp
@@ -1,7 +1,8 @@
-//===- lib/Limits/Grants.cpp - shares, grants and admission ----------------===//
+//===- lib/Limits/Grants.cpp - shares, grants, loans and budgets -----------===//
 ///
 /// \file
-/// The keeper's side: grants to nodes, loans to data centres, and tokens.
+/// The coordinator's side of limits: grants to nodes, loans to other data
+/// centres, and token buckets. The retry budget is also here.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Limits.h"
 
@@ -22,7 +23,8 @@
     std::erase_if(nodes, [&](const auto& item) { return item.second.expires_ <= now; });
     std::uint64_t others = grantedToOthers(entry, node, now);
     std::uint64_t available = share > others ? share - others : 0;
-    // Work in progress is counted even beyond the share: it is running.
+    // Slots in use are counted even beyond the share, since their requests are
+    // already running.
     std::uint64_t slots = std::max(inUse, std::min(available, std::max(wanted, inUse)));
     nodes[node] = { slots, inUse, now + validity };
     return slots;
@@ -77,11 +79,11 @@
     OutgoingLoan& lent = lent_[borrower];
     std::uint64_t before = reservedSlots(lent, now);
     std::uint64_t slots = std::max(request.inUse_, std::min(request.wanted_, free + before));
-    // Grants made before the question may stand for their validity.
+    // Grants made before this request may stay valid for their full validity.
     lent.outstandingSlots_ = before;
     lent.outstandingUntil_ = now + grantValidity;
-    // Our answer may be lost: then the borrower goes on believing in what it
-    // had, as far as its question promised.
+    // If the reply is lost, the borrower still assumes its previous loan, capped
+    // to what it requested.
     std::uint64_t known = std::max(lent.expires_ > now ? lent.slots_ : 0, lent.assumedUntil_ > now ? lent.assumedSlots_ : 0);
     lent.assumedSlots_ = std::min(known, std::max(request.wanted_, request.inUse_));
     lent.assumedUntil_ = std::max(lent.expires_, lent.assumedUntil_);
--- a/lib/Orders/Claims.cpp
+++ b/lib/Orders/Claims.cpp
@@ -1,7 +1,8 @@
 //===- lib/Orders/Claims.cpp - claims in log order -------------------------===//
 ///
 /// \file
-/// Records of the claims' stream and the table that readers build from them.
+/// Encodes and decodes records of the claims' stream, and implements the table
+/// that readers build from them.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Orders.h"
 
@@ -52,15 +53,15 @@
 
 void ClaimTable::applyClaim(LogOffset offset, EngineClaim claim, SteadyTime now)
 {
-    // Tokens start at one, so that zero stays free for engines never ordered.
+    // Tokens start at one, so that zero denotes an engine that was never ordered.
     Holder holder { std::move(claim), { offset.value_ + 1 }, now, offset, std::nullopt };
     auto found = open_.find(holder.claim_.engine_);
     if (found != open_.end()) {
         const Holder& before = found->second;
         bool isSameNode = before.claim_.node_ == holder.claim_.node_;
         holder.otherReadAt_ = isSameNode ? before.otherReadAt_ : std::optional(before.readAt_);
-        // A successor takes over the place of the home before it, too: the
-        // engine may be in the middle of its load.
+        // A new dispatcher also keeps the queue position of its predecessor, since
+        // the engine may already be loading.
         if (before.claim_.queue_ == holder.claim_.queue_)
             holder.queuedAt_ = before.queuedAt_;
     }
--- a/lib/Orders/Steps.cpp
+++ b/lib/Orders/Steps.cpp
@@ -1,7 +1,7 @@
 //===- lib/Orders/Steps.cpp - the next step towards a configuration --------===//
 ///
 /// \file
-/// One decision: what a home does next about one engine.
+/// Decides the next step of a dispatcher for one engine.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Orders.h"
 
@@ -36,9 +36,9 @@
     return now - context.claimedAt_ >= timing.claimValidity_;
 }
 
-// An order of the home before us may arrive until its claim has lapsed and the
-// longest freeze has passed. Reading its claim came after its append, so
-// counting from the reading waits long enough.
+// An order of the previous dispatcher may arrive until its claim has expired and
+// the longest freeze has passed. The claim was read after its append, so a wait
+// that counts from the reading is long enough.
 static bool mayOtherStillOrder(const OrderContext& context, const OrderTiming& timing, SteadyTime now)
 {
     auto otherReadAt = context.holder_->otherReadAt_;
@@ -47,7 +47,8 @@
     return now - *otherReadAt < timing.claimValidity_ + timing.maxPause_;
 }
 
-// An engine that does not load soon after its order has not got it.
+// If the engine is not loading within the claim's validity after the order, it
+// has not received the order.
 static bool isOrderTakingEffect(const OrderContext& context, const OrderTiming& timing, SteadyTime now)
 {
     if (!context.orderedAt_)
@@ -61,7 +62,8 @@
     if (isReached && !context.holder_)
         return OrderStep::Settled;
     if (!isOwn(context)) {
-        // Two nodes that both believe to be the home would otherwise claim in turns.
+        // Otherwise, two nodes that both assume to be the dispatcher would claim
+        // alternately.
         bool isOtherClaimRecent = context.holder_ && now - context.holder_->readAt_ < timing.claimValidity_;
         return isOtherClaimRecent ? OrderStep::Wait : OrderStep::Claim;
     }
--- a/unittests/Limits/LimitsTest.cpp
+++ b/unittests/Limits/LimitsTest.cpp
@@ -1,7 +1,8 @@
 //===- unittests/Limits/LimitsTest.cpp - admission and shares --------------===//
 ///
 /// \file
-/// Shares, grants, buckets, fair queues and retry budgets with injected time.
+/// Tests shares, grants, token buckets, fair queues and retry budgets with
+/// injected time.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Limits.h"
 
@@ -40,7 +41,7 @@
     }
 }
 
-TEST_CASE("grants never exceed the share, but for work that is running")
+TEST_CASE("grants exceed the share only for requests in progress")
 {
     for (std::uint64_t seed = 0; seed < 2000; ++seed) {
         std::mt19937_64 generator(seed);
@@ -56,7 +57,7 @@
             REQUIRE(granted >= inUse[node]);
             std::uint64_t before = inUse[node];
             inUse[node] = granted ? generator() % (granted + 1) : 0;
-            // Beyond the share only what the node was running already.
+            // Only requests that were already in progress may exceed the share.
             std::uint64_t others = table.granted(entry, now) - granted;
             REQUIRE((granted + others <= share || granted == before));
         }
@@ -67,7 +68,7 @@
     CHECK(table.request(entry, { "b" }, 10, 0, 8, validity, start + validity) == 8);
 }
 
-TEST_CASE("a token bucket admits up to its burst, then at its rate, and tells the wait")
+TEST_CASE("a token bucket admits up to its burst, then at its rate, and returns the wait time")
 {
     TokenBucket bucket(100, 200, start);
     CHECK(bucket.tryTake(200, start));
@@ -75,19 +76,20 @@
     milliseconds wait = bucket.wait(start);
     CHECK(wait.count() > 0);
     CHECK(bucket.tryTake(300, start + wait));
-    // In debt by 300 tokens: three seconds.
+    // The level is about -300 tokens, which takes three seconds to refill.
     CHECK(bucket.wait(start + wait) >= milliseconds(2900));
     CHECK(bucket.wait(start + wait) <= milliseconds(3100));
     bucket.giveBack(300);
     CHECK(bucket.tryTake(1, start + wait + milliseconds(20)));
 }
 
-TEST_CASE("tokens that a bucket gives are taken out of it, whoever gets them")
+TEST_CASE("tokens taken from a bucket lower its level, whichever way they are taken")
 {
     TokenBucket bucket(100, 200, start);
     CHECK(bucket.takeUpTo(500, 50, start) == 150);
     CHECK(bucket.takeUpTo(500, 50, start) == 0);
-    // A request longer than what is there is granted whole, the rest is not.
+    // A first request that exceeds the level gets all of its tokens; the other
+    // requests get none.
     CHECK(bucket.takeForRequests(80, 1000, start) == 80);
     CHECK(bucket.takeForRequests(1, 1000, start) == 0);
     CHECK(bucket.wait(start) >= milliseconds(290));
@@ -109,7 +111,7 @@
     CHECK(admission.inProgress(entry) == 1);
 }
 
-TEST_CASE("a node asks for the tokens it needs and returns those it does not")
+TEST_CASE("a node requests the tokens that it needs and returns the others")
 {
     Admission admission;
     CatalogueEntry e = workload(1000, 1000);
@@ -129,7 +131,8 @@
     CHECK(admission.tryStart(e, 1, start) == Admission::Decision::NeedsTokens);
     admission.endWait(entry, 100);
     admission.endWait(entry, 30);
-    // What was spent since is wanted ahead; what is left of the answers counts.
+    // The demand requests ahead what was spent since the last demand, less the
+    // unused tokens of finished requests.
     admission.finish(entry, 90);
     demand = admission.makeDemand(e, 4);
     CHECK(demand.tokensWanted_ == 40);
@@ -139,7 +142,7 @@
     CHECK(admission.makeDemand(e, 4).tokensReturned_ == 0);
 }
 
-TEST_CASE("a node holds no more slots than it asked for, from the asking on")
+TEST_CASE("a node releases the slots beyond its demand when it makes the demand")
 {
     Admission admission;
     CatalogueEntry e = workload(0, 0);
@@ -148,7 +151,7 @@
     CHECK(admission.held(entry, start) == 2);
 }
 
-TEST_CASE("a loan shrinks only after the grants made on it have ended")
+TEST_CASE("a loan shrinks only after the grants made on it have expired")
 {
     constexpr milliseconds loanValidity { 6000 };
     LoanTable lender;
@@ -162,7 +165,7 @@
     CHECK(lender.lent(start + validity - milliseconds(1)) == 10);
     CHECK(lender.lent(start + validity) == 3);
     CHECK(lender.lent(start + loanValidity) == 0);
-    // What runs stays lent, even by a lender that has forgotten the loan.
+    // Slots in use stay lent, even by a new lender that has no record of the loan.
     LoanTable successor;
     CHECK(successor.lend(borrower, 0, { 3, 8 }, loanValidity, validity, start) == 3);
     LoanTable holder;
@@ -173,8 +176,9 @@
 
 namespace {
 
-/// Three data centres whose keepers lend each other slots over a network that
-/// loses messages and is cut now and then. Requests end within a validity.
+/// Simulates three data centres whose coordinators lend each other slots over a
+/// network that loses messages and is partitioned at times. Requests finish
+/// within the validity of a grant.
 class LoanSimulation {
 public:
     LoanSimulation(std::uint64_t seed, std::uint64_t limit)
@@ -183,22 +187,22 @@
     {
     }
 
-    /// \returns the most that was granted at once, over all.
+    /// \returns the maximum of slots granted simultaneously in all data centres.
     std::uint64_t run()
     {
-        std::uint64_t most = 0;
+        std::uint64_t maxGranted = 0;
         for (int i = 0; i < 300; ++i) {
             now_ += milliseconds(random_() % 300);
-            isCut_ = random_() % 20 ? isCut_ : !isCut_;
+            isPartitioned_ = random_() % 20 ? isPartitioned_ : !isPartitioned_;
             std::size_t site = random_() % sites_.size();
             borrow(site, (site + 1 + random_() % 2) % sites_.size());
             request(site);
             std::uint64_t sum = 0;
             for (Site& each : sites_)
                 sum += each.grants_.granted(entry, now_);
-            most = std::max(most, sum);
+            maxGranted = std::max(maxGranted, sum);
         }
-        return most;
+        return maxGranted;
     }
     std::uint64_t totalBorrowed() const { return totalBorrowed_; }
 
@@ -228,16 +232,16 @@
     {
         std::uint64_t wanted = random_() % (limit_ + 1);
         sites_[from].loans_.promise({ std::to_string(lender) }, wanted);
-        bool isAskLost = isCut_ || random_() % 10 == 0;
-        bool isAnswerLost = random_() % 10 == 0;
-        if (isAskLost)
+        bool isRequestLost = isPartitioned_ || random_() % 10 == 0;
+        bool isReplyLost = random_() % 10 == 0;
+        if (isRequestLost)
             return;
         Site& other = sites_[lender];
         std::uint64_t used = other.grants_.granted(entry, now_) + other.loans_.lent(now_);
         std::uint64_t free = shareOf(lender) > used ? shareOf(lender) - used : 0;
         std::uint64_t slots = other.loans_.lend({ std::to_string(from) }, free, { 0, wanted }, loanValidity, validity, now_);
         totalBorrowed_ += slots;
-        if (!isAnswerLost)
+        if (!isReplyLost)
             sites_[from].loans_.setBorrowed({ std::to_string(lender) }, slots, now_ + loanValidity);
     }
 
@@ -245,13 +249,13 @@
     std::uint64_t limit_;
     std::vector<Site> sites_ { 3 };
     SteadyTime now_ = start;
-    bool isCut_ = false;
+    bool isPartitioned_ = false;
     std::uint64_t totalBorrowed_ = 0;
 };
 
 } // namespace
 
-TEST_CASE("data centres that lend to each other never grant more than the limit together")
+TEST_CASE("data centres that lend to each other never grant more than the limit in total")
 {
     std::uint64_t borrowed = 0;
     for (std::uint64_t seed = 0; seed < 3000; ++seed) {
@@ -263,7 +267,7 @@
     CHECK(borrowed > 0);
 }
 
-TEST_CASE("paid work goes before trial work, and weights share inside a class")
+TEST_CASE("paid requests start before trial requests, and entries of a class share by weight")
 {
     FairQueue queue;
     std::uint64_t id = 0;
@@ -285,13 +289,13 @@
     CHECK(queue.pop()->entry_ == EntryName { "trial" });
 }
 
-TEST_CASE("retries stay within their share of the requests")
+TEST_CASE("retries stay within their ratio to the requests")
 {
     RetryBudget budget(0.1, 10);
     int retries = 0;
     for (int i = 0; i < 10000; ++i) {
         budget.countRequest();
-        // Every request fails and wants to be tried again, twice.
+        // Every request fails and asks for two retries.
         retries += budget.tryRetry() ? 1 : 0;
         retries += budget.tryRetry() ? 1 : 0;
     }
--- a/unittests/Orders/OrdersTest.cpp
+++ b/unittests/Orders/OrdersTest.cpp
@@ -1,8 +1,9 @@
 //===- unittests/Orders/OrdersTest.cpp - claims and steps ------------------===//
 ///
 /// \file
-/// The steps of a home as a table, the queue of loads, and a random race of two
-/// homes, frozen now and then, at an engine that ignores fencing tokens.
+/// Tests the steps of a dispatcher with a table, the queue of loads, and a random
+/// race of two dispatchers for an engine that ignores fencing tokens. The
+/// dispatchers freeze at times.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Orders.h"
 
@@ -26,7 +27,8 @@
     return start + milliseconds(ms);
 }
 
-/// A race at one engine that obeys whatever comes, and is never content.
+/// Simulates two dispatchers that race to order one engine. The engine obeys each
+/// order and never reaches the wanted configuration.
 class Race {
 public:
     explicit Race(std::uint64_t seed)
@@ -34,7 +36,7 @@
     {
     }
 
-    /// \returns orders that came after one with a newer token.
+    /// \returns the number of orders that arrive after one with a newer token.
     int run()
     {
         for (now_ = 0; now_ < length; now_ += step) {
@@ -58,7 +60,8 @@
     static constexpr std::int64_t length = 4000;
     static constexpr std::int64_t step = 5;
 
-    // From decision to effect: mostly short, now and then a whole freeze.
+    // \returns the delay from a decision to its effect: mostly short, in a quarter
+    // of the cases up to the longest freeze.
     std::int64_t delay()
     {
         bool isFrozen = random_() % 4 == 0;
@@ -113,7 +116,7 @@
 
 } // namespace
 
-TEST_CASE("a home takes one step at a time")
+TEST_CASE("a dispatcher takes one step at a time")
 {
     struct StepCase {
         std::string name_;
@@ -126,16 +129,16 @@
         OrderStep expected_;
     };
     auto stepCase = GENERATE(values<StepCase>({
-        { "content", "", 0, true, false, 0, 0, OrderStep::Settled },
-        { "content, our claim open", "a", 10, true, true, 0, 0, OrderStep::End },
-        { "content, a dead node's claim open", "b", 150, true, false, 0, 0, OrderStep::Claim },
-        { "to be changed", "", 0, false, false, 0, 0, OrderStep::Claim },
+        { "configured", "", 0, true, false, 0, 0, OrderStep::Settled },
+        { "configured, own claim open", "a", 10, true, true, 0, 0, OrderStep::End },
+        { "configured, a stopped node's claim open", "b", 150, true, false, 0, 0, OrderStep::Claim },
+        { "to be configured", "", 0, false, false, 0, 0, OrderStep::Claim },
         { "another node claimed just now", "b", 10, false, false, 0, 0, OrderStep::Wait },
         { "another node's claim is old", "b", 150, false, false, 0, 0, OrderStep::Claim },
         { "others load first", "a", 10, false, false, 1, 0, OrderStep::Wait },
-        { "still at work", "a", 10, false, false, 0, 3, OrderStep::Drain },
+        { "requests in progress", "a", 10, false, false, 0, 3, OrderStep::Drain },
         { "ready", "a", 10, false, false, 0, 0, OrderStep::Order },
-        { "ready, but the claim lapsed", "a", 150, false, false, 0, 0, OrderStep::Claim },
+        { "ready, but the claim expired", "a", 150, false, false, 0, 0, OrderStep::Claim },
         { "just ordered", "a", 50, false, true, 0, 0, OrderStep::Wait },
         { "ordered without effect", "a", 150, false, true, 0, 0, OrderStep::Claim },
     }));
@@ -156,7 +159,7 @@
     CHECK(nextOrderStep(context, timing, at(stepCase.claimAge_)) == stepCase.expected_);
 }
 
-TEST_CASE("a successor waits out the home before it, unless the engine fences")
+TEST_CASE("a new dispatcher waits for its predecessor's claim to expire, unless the engine honours fencing")
 {
     bool honoursFencing = GENERATE(true, false);
     ClaimTable table;
@@ -171,8 +174,8 @@
     CHECK(context.holder_->token_.value_ == 3);
     CHECK(nextOrderStep(context, timing, at(160)) == (honoursFencing ? OrderStep::Order : OrderStep::Drain));
     CHECK(nextOrderStep(context, timing, at(299)) == (honoursFencing ? OrderStep::Claim : OrderStep::Drain));
-    // The other's validity and the longest freeze have passed, and so has our
-    // claim: a new one of ours waits for nobody.
+    // The validity of the other claim and the longest freeze have passed, and the
+    // own claim has expired. A new own claim waits for no other node.
     CHECK(nextOrderStep(context, timing, at(301)) == OrderStep::Claim);
     table.apply({ 3 }, encodeClaim(claimOf("a")), at(310));
     context.holder_ = table.find({ "e" });
@@ -180,7 +183,7 @@
     CHECK(nextOrderStep(context, timing, at(311)) == OrderStep::Order);
 }
 
-TEST_CASE("loads of one data centre queue in the log's order")
+TEST_CASE("loads of one data centre queue in log order")
 {
     ClaimTable table;
     auto isPresent = [](const VmId& engine) { return engine.value_ != "gone"; };
@@ -194,24 +197,24 @@
     CHECK(table.ahead({ "e1" }, isPresent) == 0);
     CHECK(table.ahead({ "e2" }, isPresent) == 1);
     CHECK(table.ahead({ "e3" }, isPresent) == 0);
-    // A new claim of the same node keeps its place; so does a successor's.
+    // A new claim of the same node or of a new dispatcher keeps its position.
     table.apply({ 5 }, encodeClaim(claimOf("a", "e1")), at(0));
     CHECK(table.ahead({ "e1" }, isPresent) == 0);
     table.apply({ 6 }, encodeClaim(claimOf("b", "e1")), at(0));
     CHECK(table.ahead({ "e1" }, isPresent) == 0);
-    // Only the holder ends a claim.
+    // Only the holder of a claim can end it.
     table.apply({ 7 }, encodeClaim(claimOf("a", "e1", true)), at(0));
     CHECK(table.ahead({ "e2" }, isPresent) == 1);
     table.apply({ 8 }, encodeClaim(claimOf("b", "e1", true)), at(0));
     CHECK(table.ahead({ "e2" }, isPresent) == 0);
-    // A record read twice changes nothing.
+    // Applying a record again changes nothing.
     table.apply({ 5 }, encodeClaim(claimOf("a", "e1")), at(0));
     CHECK_FALSE(table.find({ "e1" }));
     table.removeOlderThan(milliseconds(100), at(200));
     CHECK_FALSE(table.find({ "e2" }));
 }
 
-TEST_CASE("no order lands after a newer home's, whoever is frozen")
+TEST_CASE("no order arrives after one with a newer token, even if a dispatcher freezes")
 {
     int orders = 0;
     int stale = 0;
