--- a/include/pistachioloom/Orders.h
+++ b/include/pistachioloom/Orders.h
@@ -53,7 +53,7 @@
         EngineClaim claim_;
         FencingToken token_;
         SteadyTime readAt_;
-        /// Position in the queue; a later claim on the same engine keeps it.
+        /// Position in the queue; a later claim of the same engine and queue keeps it.
         LogOffset queuedAt_;
         /// When this node last read a claim of another node that the other node
         /// did not end.
--- a/include/pistachioloom/Quarantine.h
+++ b/include/pistachioloom/Quarantine.h
@@ -1,11 +1,12 @@
 //===- pistachioloom/Quarantine.h - requests that crash backend servers ----===//
 ///
 /// \file
-/// A request may crash each backend server that begins to run it, and come again at any
-/// node. Counted by backend server or by attempt, each crash is the first of its kind.
-/// Here crashes are counted by request, over attempts and nodes, and a request under
-/// which several servers crashed is held: it is sent to no more of them for a while.
-/// Time comes in.
+/// A request may crash each backend server that runs it, and callers may repeat it at
+/// any node. Counts by backend server or by attempt do not reveal this, since each crash
+/// is the first of its server or attempt. Therefore crashes are counted by request, over
+/// all attempts and nodes. A request during which several servers crashed is
+/// quarantined: for some time, it is sent to no further server. The caller passes the
+/// time in.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -18,11 +19,11 @@
 
 namespace pistachioloom {
 
-/// The same for every attempt at one request, on every node: 64 bits that tell
-/// nothing of the request to those who do not have the nodes' secret.
+/// Identifies a request over all attempts and nodes: a 64-bit keyed digest that reveals
+/// nothing about the request without the nodes' secret.
 using RequestFingerprint = Quantity<struct RequestFingerprintTag>;
 
-/// What makes two attempts the same request.
+/// The parts of a request that two attempts share if they are the same request.
 struct RequestIdentity {
     /// Empty where requests need no credential.
     std::string_view organisation_;
@@ -33,85 +34,89 @@
     std::string_view body_;
 };
 
-/// \p secret is what all nodes share and callers do not know.
+/// \returns the fingerprint of \p identity. All nodes share \p secret, and callers do
+/// not know it.
 RequestFingerprint fingerprintOf(const RequestIdentity& identity, std::string_view secret);
 
-/// Sixteen hexadecimal digits.
+/// \returns \p fingerprint as sixteen hexadecimal digits.
 std::string toString(RequestFingerprint fingerprint);
 
-/// Reads what toString() wrote.
+/// Parses the format of toString(). \returns nullopt for any other text.
 std::optional<RequestFingerprint> parseFingerprint(std::string_view text);
 
-/// One start of a backend server, hashed as in messages; see keyOf().
+/// Hash of one start of a backend server, the same as in messages; see keyOf().
 using BackendInstanceKey = Quantity<struct CrashSiteTag, std::uint32_t>;
 
 /// A backend server crashed while it ran the request.
 struct Crash {
     BackendInstanceKey backend_;
     SteadyTime at_ {};
-    /// The request was served since, or an operator cleared it.
+    /// The request was answered successfully afterwards, or an operator cleared it.
     bool isCleared_ = false;
 };
 
-/// Crashes under one request, as one node tells another.
+/// Crashes during one request, as nodes report them to each other.
 struct Suspect {
     RequestFingerprint request_;
     /// The organisation's name, hashed.
     std::uint32_t organisation_ = 0;
     std::vector<Crash> crashes_;
 
-    /// Crashes that are not cleared.
+    /// \returns the number of crashes that are not cleared.
     std::size_t activeCrashes() const;
 };
 
 struct QuarantineSettings {
-    /// Crashes under a request after which it is sent to no further backend server.
+    /// Number of active crashes at which a request is quarantined.
     std::uint64_t crashes_ = 3;
-    /// For how long; each crash after it doubles the time.
+    /// Duration of the first quarantine; each further crash doubles it, up to
+    /// `longest_`.
     milliseconds firstDuration_ { 600'000 };
     milliseconds longest_ { 24LL * 3600 * 1000 };
-    /// How long crashes are remembered beyond a quarantine, or without one.
+    /// How long crashes are kept after the quarantine, or after the last crash if there
+    /// is no quarantine.
     milliseconds retention_ { 600'000 };
-    /// Requests remembered, and those of one organisation among them: one that sends
-    /// many different ones must not push out those of others.
+    /// Maximum number of requests that are kept, in total and of one organisation. An
+    /// organisation that sends many different requests must not evict those of others.
     std::uint64_t capacity_ = 1024;
     std::uint64_t organisationCapacity_ = 256;
 };
 
-/// Why a request is not sent.
+/// State of a quarantined request.
 struct Quarantine {
     std::size_t crashes_ = 0;
     milliseconds sinceLastCrash_ {};
     milliseconds left_ {};
 };
 
-/// Crashes by request. Any two nodes that tell each other what they hold come to hold
-/// the same, in whatever order they are told: crashes are only added, and only
-/// cleared. Thread-safe.
+/// Crashes by request. Nodes that exchange reports converge to the same state in any
+/// order of the reports, since crashes are only added and only cleared. Thread-safe.
 class QuarantineTable {
 public:
     explicit QuarantineTable(QuarantineSettings settings);
 
-    /// Whether no request is suspected, so that none needs a fingerprint.
+    /// Whether no request is suspected, so that no fingerprint must be computed.
     bool isEmpty() const { return !count_; }
-    /// \returns the crashes held against \p request now.
+    /// Records a crash of \p backend during \p request.
+    /// \returns the active crashes of \p request.
     std::size_t noteCrash(RequestFingerprint request, const OrganisationId& organisation, BackendInstanceKey backend, SteadyTime now);
-    /// The crashes under \p request so far were not its doing. \returns whether any were
-    /// held against it.
+    /// Clears the crashes of \p request, which did not cause them. \returns whether any of
+    /// them was active.
     bool clear(RequestFingerprint request, SteadyTime now);
-    /// nullopt if \p request may be sent.
+    /// \returns nullopt if \p request may be sent.
     std::optional<Quarantine> check(RequestFingerprint request, SteadyTime now) const;
-    /// Crashes held against \p request.
+    /// \returns the number of crashes of \p request that are not cleared.
     std::size_t activeCrashesOf(RequestFingerprint request) const;
 
-    /// What to tell peers: what has changed lately, and a part of what is held against
-    /// requests for those that missed it. \p draw, uniform over 64 bits, picks the part.
+    /// \returns the suspects to report to peers: those that changed recently, and some of
+    /// the others for peers that missed earlier reports. \p draw, uniform over 64 bits,
+    /// selects these.
     std::vector<Suspect> told(SteadyTime now, std::uint64_t draw) const;
-    /// Takes what a peer told; times are on this node's clock.
-    void take(const std::vector<Suspect>& told, SteadyTime now);
-    /// All that is held, most crashes first.
+    /// Merges the suspects that a peer reported; their times are on this node's clock.
+    void take(const std::vector<Suspect>& reported, SteadyTime now);
+    /// \returns all suspects, those with the most active crashes first.
     std::vector<Suspect> suspects(SteadyTime now) const;
-    /// Requests that are not sent now.
+    /// \returns the number of requests that are quarantined.
     std::size_t quarantined(SteadyTime now) const;
 
 private:
@@ -126,7 +131,7 @@
     static bool merge(Entry& entry, const Crash& crash);
     void evictWeakest(std::uint32_t organisation);
     void removeExpired(SteadyTime now);
-    /// nullopt if the crashes held are too few.
+    /// \returns nullopt if too few crashes are active.
     std::optional<SteadyTime> quarantinedUntil(const std::vector<Crash>& crashes) const;
     SteadyTime expiryOf(const std::vector<Crash>& crashes) const;
 
@@ -136,8 +141,8 @@
     std::atomic<std::size_t> count_ { 0 };
 };
 
-/// Decides which suspects are to be written where they outlive all nodes: those that are
-/// held. Not thread-safe.
+/// Tracks which suspects are recorded in the storage that outlives all nodes. Suspects
+/// with enough active crashes for a quarantine are recorded. Not thread-safe.
 class QuarantineRecordTracker {
 public:
     explicit QuarantineRecordTracker(std::uint64_t crashesToHold)
@@ -147,31 +152,32 @@
 
     struct Change {
         Suspect suspect_;
-        /// Nothing is held against the request any more: its record goes.
+        /// The request has too few active crashes now: its record must be removed.
         bool isDropped_ = false;
     };
 
-    /// What differs between the records and \p suspects, which are all that is known.
+    /// \returns the changes that bring the records in line with \p suspects, which must
+    /// be complete.
     std::vector<Change> due(const std::vector<Suspect>& suspects) const;
-    /// \p change is in the records.
+    /// Notes that \p change was recorded.
     void noteRecorded(const Change& change);
 
 private:
     const std::uint64_t crashesToHold_;
-    /// Crashes that the record of each request holds.
+    /// Number of active crashes in the record of each request.
     std::map<RequestFingerprint, std::size_t> recorded_;
 };
 
-/// An attempt that its backend server cut off.
+/// An attempt whose connection the backend server cut off.
 struct CutOff {
     RequestFingerprint request_;
     OrganisationId organisation_;
     BackendInstanceKey backend_;
 };
 
-/// Tells crashes from connections that were lost for other reasons: attempts that were
-/// cut off count against their requests once their backend server is known to have
-/// ended, however much later that word comes. Thread-safe.
+/// Distinguishes crashes from connections that were lost for other reasons. An attempt
+/// that was cut off counts as a crash of its request when its backend server is known to
+/// have ended, up to 10 s later. Thread-safe.
 class CrashDetector {
 public:
     explicit CrashDetector(QuarantineTable& table)
@@ -179,29 +185,33 @@
     {
     }
 
-    /// A request against which a crash was counted.
+    /// A request with a newly counted crash.
     struct CountedRequest {
         RequestFingerprint request_;
         std::size_t crashes_ = 0;
     };
 
-    /// What follows from an attempt that was cut off.
+    /// The consequences of an attempt that was cut off.
     struct CutOffResult {
-        /// Set if its backend server was known to have ended.
+        /// Set if the backend server is already known to have ended.
         std::optional<CountedRequest> counted_;
-        /// Nobody looks yet whether the backend server has ended.
+        /// The caller must probe whether the backend server has ended, since no other
+        /// probe is running.
         bool needsProbe_ = false;
     };
 
+    /// Records an attempt that was cut off.
     CutOffResult noteCutOff(const CutOff& cutOff, SteadyTime now);
-    /// The probe that noteCutOff() asked for is over.
+    /// Notes that the probe that noteCutOff() requested has finished.
     void noteProbed(BackendInstanceKey backend);
-    /// \p backend ended without having said that it leaves.
+    /// Notes that \p backend ended without having reported that it leaves.
+    /// \returns the requests with a crash counted because of this.
     std::vector<CountedRequest> noteEnded(BackendInstanceKey backend, SteadyTime now);
-    /// Whether nothing is held against any request, so that clear() does nothing.
+    /// Whether no attempt is pending and no request is suspected, so that clear() has no
+    /// effect.
     bool isIdle() const { return !pendingCount_ && table_.isEmpty(); }
-    /// A backend server answered \p request whole, or an operator lifts it: what it is
-    /// held for so far was not its doing. \returns whether it was suspected.
+    /// Clears the crashes of \p request, since a backend server answered it completely or
+    /// an operator lifted its quarantine. \returns whether any crash was active.
     bool clear(RequestFingerprint request, SteadyTime now);
 
 private:
--- a/lib/Quarantine/CrashDetector.cpp
+++ b/lib/Quarantine/CrashDetector.cpp
@@ -1,14 +1,14 @@
-//===- lib/Quarantine/CrashDetector.cpp - crashes and lost connections --------===//
+//===- lib/Quarantine/CrashDetector.cpp - crashes and lost connections -----===//
 ///
 /// \file
-/// See pistachioloom/Quarantine.h.
+/// Implements CrashDetector of pistachioloom/Quarantine.h.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Quarantine.h"
 
 namespace pistachioloom {
 
-// The registry drops a backend server that crashed after three heartbeats, and nodes
-// hear of that a second later.
+// The registry removes a crashed backend server after three missed heartbeats, and the
+// nodes receive this a second later.
 static constexpr milliseconds maxEndDelay { 10000 };
 
 void CrashDetector::removeExpired(SteadyTime now)
--- a/lib/Quarantine/Fingerprint.cpp
+++ b/lib/Quarantine/Fingerprint.cpp
@@ -1,8 +1,8 @@
 //===- lib/Quarantine/Fingerprint.cpp - the identity of a request ----------===//
 ///
 /// \file
-/// A keyed digest: callers can neither aim at another's fingerprint nor can a body be
-/// guessed from one in a log.
+/// Fingerprints are keyed digests, so callers cannot produce the fingerprint of another
+/// caller's request, and a body cannot be guessed from a fingerprint in a log.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Quarantine.h"
 
--- a/lib/Quarantine/Quarantine.cpp
+++ b/lib/Quarantine/Quarantine.cpp
@@ -1,7 +1,7 @@
 //===- lib/Quarantine/Quarantine.cpp - crashes by request ------------------===//
 ///
 /// \file
-/// See pistachioloom/Quarantine.h.
+/// Implements QuarantineTable of pistachioloom/Quarantine.h.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Quarantine.h"
 
@@ -9,15 +9,16 @@
 
 namespace pistachioloom {
 
-// Crashes kept of one request: those that double its quarantine up to a day and more.
+// Crashes kept for one request: enough to double its quarantine to more than a day.
 static constexpr std::size_t maxCrashesKept = 12;
-// Each report tells a change for so long: some reports may be lost.
+// How long reports contain a change: more than one report, since some may be lost.
 static constexpr milliseconds changeReportPeriod { 2000 };
-// Requests in one report: at 40 bytes each it stays within one packet.
+// Requests in one report, so that the report fits into one packet at about 40 bytes per
+// request.
 static constexpr std::size_t maxChangesPerReport = 16;
 static constexpr std::size_t maxUnchangedPerReport = 8;
-// A single crash is told only when it is new: most are cleared soon, and it keeps
-// nothing from being sent.
+// A request with a single crash is reported only when it has changed: most such crashes
+// are cleared soon, and they do not prevent the request from being sent.
 static constexpr std::size_t minCrashesToRepeat = 2;
 
 static std::size_t countActive(const std::vector<Crash>& crashes)
@@ -47,17 +48,17 @@
 
 std::optional<SteadyTime> QuarantineTable::quarantinedUntil(const std::vector<Crash>& crashes) const
 {
-    std::size_t held = countActive(crashes);
-    if (held < settings_.crashes_)
+    std::size_t active = countActive(crashes);
+    if (active < settings_.crashes_)
         return std::nullopt;
     milliseconds length = settings_.firstDuration_;
-    for (std::size_t i = settings_.crashes_; i < held && length < settings_.longest_; ++i)
+    for (std::size_t i = settings_.crashes_; i < active && length < settings_.longest_; ++i)
         length *= 2;
     return lastActiveCrash(crashes) + std::min(length, settings_.longest_);
 }
 
-/// It follows from the crashes alone: nodes that tell each other an entry must not keep
-/// it alive by that.
+/// \returns when an entry expires. The time depends on the crashes alone, so that
+/// reports between nodes do not extend an entry's life.
 SteadyTime QuarantineTable::expiryOf(const std::vector<Crash>& crashes) const
 {
     SteadyTime last {};
@@ -72,7 +73,8 @@
     count_ = entries_.size();
 }
 
-/// Gives up the weakest suspicion, of \p organisation if that one has its share.
+/// Evicts the weakest suspect if the table is full, or the weakest one of \p organisation
+/// if that has reached its share.
 void QuarantineTable::evictWeakest(std::uint32_t organisation)
 {
     auto isOwn = [&](const auto& item) { return item.second.organisation_ == organisation; };
@@ -106,10 +108,10 @@
     return entry;
 }
 
-/// \returns whether \p crash was news.
+/// \returns whether \p crash changed \p entry other than in the time of a crash.
 bool QuarantineTable::merge(Entry& entry, const Crash& crash)
 {
-    auto known = std::find_if(entry.crashes_.begin(), entry.crashes_.end(), [&](const Crash& held) { return held.backend_ == crash.backend_; });
+    auto known = std::find_if(entry.crashes_.begin(), entry.crashes_.end(), [&](const Crash& other) { return other.backend_ == crash.backend_; });
     if (known != entry.crashes_.end()) {
         bool isUpdate = crash.isCleared_ && !known->isCleared_;
         known->isCleared_ |= crash.isCleared_;
@@ -120,7 +122,8 @@
         entry.crashes_.push_back(crash);
         return true;
     }
-    // The newest are kept, so that a request that still crashes servers stays held.
+    // The newest crashes are kept, so that a request that still crashes servers stays
+    // quarantined.
     Crash& oldest = *std::min_element(entry.crashes_.begin(), entry.crashes_.end(), [](const Crash& left, const Crash& right) { return left.at_ < right.at_; });
     if (crash.at_ <= oldest.at_)
         return false;
@@ -175,33 +178,33 @@
         return {};
     std::lock_guard lock(mutex_);
     std::vector<const Entries::value_type*> changed;
-    std::vector<const Entries::value_type*> held;
+    std::vector<const Entries::value_type*> unchanged;
     for (const auto& item : entries_) {
         if (now - item.second.changedAt_ <= changeReportPeriod)
             changed.push_back(&item);
         else if (countActive(item.second.crashes_) >= minCrashesToRepeat)
-            held.push_back(&item);
+            unchanged.push_back(&item);
     }
     auto hasMoreCrashes = [](const auto* left, const auto* right) {
         return std::pair(countActive(left->second.crashes_), left->second.changedAt_) > std::pair(countActive(right->second.crashes_), right->second.changedAt_);
     };
     std::sort(changed.begin(), changed.end(), hasMoreCrashes);
     changed.resize(std::min(changed.size(), maxChangesPerReport));
-    if (!held.empty())
-        std::rotate(held.begin(), held.begin() + static_cast<std::ptrdiff_t>(draw % held.size()), held.end());
-    held.resize(std::min(held.size(), maxUnchangedPerReport));
-    changed.insert(changed.end(), held.begin(), held.end());
+    if (!unchanged.empty())
+        std::rotate(unchanged.begin(), unchanged.begin() + static_cast<std::ptrdiff_t>(draw % unchanged.size()), unchanged.end());
+    unchanged.resize(std::min(unchanged.size(), maxUnchangedPerReport));
+    changed.insert(changed.end(), unchanged.begin(), unchanged.end());
     std::vector<Suspect> suspects;
     for (const auto* item : changed)
         suspects.push_back({ item->first, item->second.organisation_, item->second.crashes_ });
     return suspects;
 }
 
-void QuarantineTable::take(const std::vector<Suspect>& told, SteadyTime now)
+void QuarantineTable::take(const std::vector<Suspect>& reported, SteadyTime now)
 {
     std::lock_guard lock(mutex_);
-    for (const Suspect& suspect : told) {
-        // What has been forgotten here stays so.
+    for (const Suspect& suspect : reported) {
+        // A suspect that has expired on this node is not restored.
         if (now > expiryOf(suspect.crashes_))
             continue;
         Entry& entry = findOrAdd(suspect.request_, suspect.organisation_, now);
--- a/lib/Quarantine/QuarantineRecordTracker.cpp
+++ b/lib/Quarantine/QuarantineRecordTracker.cpp
@@ -1,7 +1,7 @@
-//===- lib/Quarantine/QuarantineRecordTracker.cpp - suspects that outlive all nodes ===//
+//===- lib/Quarantine/QuarantineRecordTracker.cpp - recorded suspects ------===//
 ///
 /// \file
-/// See QuarantineRecordTracker.
+/// Implements QuarantineRecordTracker of pistachioloom/Quarantine.h.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Quarantine.h"
 
@@ -10,17 +10,17 @@
 std::vector<QuarantineRecordTracker::Change> QuarantineRecordTracker::due(const std::vector<Suspect>& suspects) const
 {
     std::vector<Change> changes;
-    std::set<RequestFingerprint> held;
+    std::set<RequestFingerprint> toRecord;
     for (const Suspect& suspect : suspects) {
         if (suspect.activeCrashes() < crashesToHold_)
             continue;
-        held.insert(suspect.request_);
+        toRecord.insert(suspect.request_);
         auto recorded = recorded_.find(suspect.request_);
         if (recorded == recorded_.end() || recorded->second != suspect.activeCrashes())
             changes.push_back({ suspect, false });
     }
     for (const auto& [request, crashes] : recorded_) {
-        if (!held.contains(request))
+        if (!toRecord.contains(request))
             changes.push_back({ { request, 0, {} }, true });
     }
     return changes;
--- a/unittests/Quarantine/FingerprintTest.cpp
+++ b/unittests/Quarantine/FingerprintTest.cpp
@@ -1,7 +1,7 @@
 //===- unittests/Quarantine/FingerprintTest.cpp - identities of requests ---===//
 ///
 /// \file
-/// Which attempts are the same request.
+/// Tests which attempts count as the same request.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Quarantine.h"
 
@@ -11,7 +11,7 @@
 
 static const RequestIdentity reference { "north", "POST", "h.example", "/draft/1", "body" };
 
-TEST_CASE("attempts at one request have one fingerprint", "[quarantine]")
+TEST_CASE("attempts at one request have the same fingerprint", "[quarantine]")
 {
     std::string body = "body";
     CHECK(fingerprintOf({ "north", "POST", "h.example", "/draft/1", body }, "secret") == fingerprintOf(reference, "secret"));
@@ -30,14 +30,14 @@
         { "host", { "north", "POST", "i.example", "/draft/1", "body" }, "secret" },
         { "target", { "north", "POST", "h.example", "/draft/2", "body" }, "secret" },
         { "body", { "north", "POST", "h.example", "/draft/1", "bodz" }, "secret" },
-        { "a part's end moved to the next", { "north", "POST", "h.example", "/draft/1b", "ody" }, "secret" },
+        { "a byte moved from one part to the next", { "north", "POST", "h.example", "/draft/1b", "ody" }, "secret" },
         { "secret", reference, "other" },
     }));
     CAPTURE(row.name_);
     CHECK(fingerprintOf(row.identity_, row.secret_) != fingerprintOf(reference, "secret"));
 }
 
-TEST_CASE("fingerprints are written and read as sixteen digits", "[quarantine]")
+TEST_CASE("fingerprints are formatted and parsed as sixteen digits", "[quarantine]")
 {
     auto value = GENERATE(std::uint64_t { 0 }, std::uint64_t { 0x1f }, ~std::uint64_t { 0 });
     std::string text = toString(RequestFingerprint { value });
--- a/unittests/Quarantine/QuarantineTest.cpp
+++ b/unittests/Quarantine/QuarantineTest.cpp
@@ -1,8 +1,8 @@
 //===- unittests/Quarantine/QuarantineTest.cpp - crashes by request --------===//
 ///
 /// \file
-/// When a request is held, for how long, what clears it, and what nodes that tell each
-/// other come to hold.
+/// Tests when a request is quarantined, for how long, what clears it, and that nodes
+/// that exchange reports converge.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Quarantine.h"
 
@@ -35,7 +35,7 @@
         table.noteCrash(of, organisation, { 1000 + i }, at);
 }
 
-TEST_CASE("a request is held after three servers crashed under it, counted once each", "[quarantine]")
+TEST_CASE("a request is quarantined after three different servers crashed during it", "[quarantine]")
 {
     QuarantineTable table({});
     CHECK(table.isEmpty());
@@ -44,10 +44,10 @@
     CHECK(table.noteCrash(request, north, { 2 }, start) == 2);
     CHECK_FALSE(table.check(request, start));
     CHECK(table.noteCrash(request, north, { 3 }, after(100)) == 3);
-    auto held = table.check(request, after(600));
-    REQUIRE(held);
-    CHECK(held->crashes_ == 3);
-    CHECK(held->sinceLastCrash_ == milliseconds(500));
+    auto quarantine = table.check(request, after(600));
+    REQUIRE(quarantine);
+    CHECK(quarantine->crashes_ == 3);
+    CHECK(quarantine->sinceLastCrash_ == milliseconds(500));
     CHECK_FALSE(table.check({ 0xabd }, after(600)));
     CHECK(table.quarantined(after(600)) == 1);
 }
@@ -66,7 +66,7 @@
     CHECK_FALSE(table.check(request, start + row.length_));
 }
 
-TEST_CASE("a request that still crashes servers stays held however often it did", "[quarantine]")
+TEST_CASE("a request that still crashes servers stays quarantined after any number of crashes", "[quarantine]")
 {
     QuarantineTable table({});
     crash(table, request, 40, start);
@@ -75,14 +75,15 @@
     CHECK(table.check(request, later + std::chrono::hours(23)));
 }
 
-TEST_CASE("a request that is served is no longer suspected", "[quarantine]")
+TEST_CASE("a request that is answered is no longer suspected", "[quarantine]")
 {
     QuarantineTable table({});
     crash(table, request, 2, start);
     CHECK(table.clear(request, after(10)));
     CHECK_FALSE(table.clear(request, after(10)));
     CHECK(table.noteCrash(request, north, { 9 }, after(20)) == 1);
-    // The same crash, told late by a node that did not hear of the answer.
+    // A node that did not receive that the request was answered reports the same crash
+    // later.
     QuarantineTable other({});
     crash(other, request, 3, start);
     table.take(other.suspects(start), after(30));
@@ -91,7 +92,7 @@
     CHECK(other.activeCrashesOf(request) == 2);
 }
 
-TEST_CASE("nodes hold the same whatever the order in which they are told", "[quarantine]")
+TEST_CASE("nodes converge to the same state in any order of the reports", "[quarantine]")
 {
     auto seed = GENERATE(range(0, 50));
     std::mt19937_64 random(static_cast<std::uint64_t>(seed));
@@ -109,7 +110,7 @@
         QuarantineTable& from = *tables[random() % tables.size()];
         tables[random() % tables.size()]->take(from.told(after(at), random()), after(at));
     }
-    // Everybody hears everybody for a while.
+    // All nodes receive the reports of all others for four seconds.
     for (std::int64_t at = 4000; at < 8000; at += 200) {
         for (auto& to : tables) {
             for (auto& from : tables)
@@ -125,19 +126,19 @@
     }
 }
 
-TEST_CASE("a node that starts later is told of what is held", "[quarantine]")
+TEST_CASE("a node that starts later receives the quarantined requests", "[quarantine]")
 {
     QuarantineTable table({});
     for (std::uint64_t of = 1; of <= 20; ++of)
         crash(table, { of }, 3, start);
     QuarantineTable started({});
-    // Reports of the platform's contact time.
+    // The reports that a new node receives within the platform's contact time.
     for (std::uint64_t report = 0; report < 15; ++report)
         started.take(table.told(after(60'000), report * 7919), after(60'000));
     CHECK(started.quarantined(after(60'000)) == 20);
 }
 
-TEST_CASE("a flood of suspects of one organisation pushes out its own, weakest first", "[quarantine]")
+TEST_CASE("a flood of suspects of one organisation evicts its own, weakest first", "[quarantine]")
 {
     QuarantineTable table(smallTableSettings());
     crash(table, { 1 }, 3, start);
@@ -149,30 +150,30 @@
     CHECK(table.suspects(after(20)).size() <= 8);
 }
 
-TEST_CASE("what is told is bounded, gravest first", "[quarantine]")
+TEST_CASE("a report is bounded and starts with the most crashes", "[quarantine]")
 {
     QuarantineTable table({});
     for (std::uint64_t of = 1; of <= 200; ++of)
         crash(table, { of }, 1, start);
     crash(table, { 500 }, 2, start);
-    auto told = table.told(after(100), 0);
-    CHECK(told.size() <= 24);
-    REQUIRE_FALSE(told.empty());
-    CHECK(told.front().request_.value_ == 500);
-    // Single crashes are told while they are new.
+    auto reported = table.told(after(100), 0);
+    CHECK(reported.size() <= 24);
+    REQUIRE_FALSE(reported.empty());
+    CHECK(reported.front().request_.value_ == 500);
+    // Requests with a single crash are reported only while they are new.
     CHECK(table.told(after(5000), 0).size() == 1);
 }
 
-TEST_CASE("suspicion is forgotten, and not revived by nodes that remember it longer", "[quarantine]")
+TEST_CASE("an expired suspect is not restored by a node that keeps it longer", "[quarantine]")
 {
     QuarantineTable table({});
     crash(table, request, 2, start);
-    auto told = table.suspects(start);
+    auto reported = table.suspects(start);
     SteadyTime later = start + milliseconds(600'001);
-    table.take(told, later);
+    table.take(reported, later);
     table.noteCrash({ 77 }, north, { 1 }, later);
     CHECK(table.activeCrashesOf(request) == 0);
-    table.take(told, later);
+    table.take(reported, later);
     CHECK(table.activeCrashesOf(request) == 0);
 }
 
@@ -188,16 +189,16 @@
     CHECK(table.isEmpty());
     CHECK_FALSE(detector.isIdle());
     detector.noteProbed({ 1 });
-    // The registry drops it some seconds later.
+    // The registry removes the server some seconds later.
     CHECK(detector.noteEnded({ 1 }, after(4000)).size() == 2);
     CHECK(table.activeCrashesOf(request) == 1);
-    // One that was read late counts at once.
+    // An attempt that is found cut off after the server's end counts immediately.
     auto late = detector.noteCutOff({ { 0x123 }, north, { 1 } }, after(4100));
     REQUIRE(late.counted_);
     CHECK(late.counted_->crashes_ == 1);
 }
 
-TEST_CASE("an attempt that was cut off and served elsewhere does not count later", "[quarantine]")
+TEST_CASE("an attempt that was cut off does not count if the request was answered elsewhere", "[quarantine]")
 {
     QuarantineTable table({});
     CrashDetector detector(table);
@@ -207,7 +208,7 @@
     CHECK(table.activeCrashesOf(request) == 0);
 }
 
-TEST_CASE("word of an end long after an attempt was cut off does not count", "[quarantine]")
+TEST_CASE("a server's end that is known long after an attempt was cut off does not count", "[quarantine]")
 {
     QuarantineTable table({});
     CrashDetector detector(table);
@@ -216,7 +217,7 @@
     CHECK(table.isEmpty());
 }
 
-TEST_CASE("a held request is recorded once for each crash, and dropped when nothing is held against it", "[quarantine]")
+TEST_CASE("a quarantined request is recorded again for each crash, and removed when it is cleared", "[quarantine]")
 {
     QuarantineTable table({});
     QuarantineRecordTracker record(3);
