--- a/include/pistachioloom/Reclaim.h
+++ b/include/pistachioloom/Reclaim.h
@@ -1,9 +1,11 @@
-//===- pistachioloom/Reclaim.h - what to do with streams of a leaving VM ---===//
+//===- pistachioloom/Reclaim.h - planning for streams of a leaving VM ------===//
 ///
 /// \file
-/// Pure planning for an announced reclaim of an engine's VM: finish in place,
-/// move the KV cache, or go on elsewhere from prompt and tokens. Fewest
-/// recomputed tokens, paid streams first; trial streams yield.
+/// Plans what happens to each stream when the reclaim of an engine's VM is
+/// announced: it finishes in place, its KV cache moves to another engine, or it
+/// continues on another engine by recomputing from its prompt and tokens. The
+/// plan recomputes few tokens and prefers paid streams to trial streams. The
+/// code is pure.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -11,7 +13,7 @@
 
 namespace pistachioloom {
 
-/// One generation on the leaving engine.
+/// A stream that the leaving engine generates.
 struct LeavingStream {
     RequestId request_;
     ServiceClass class_ = ServiceClass::Paid;
@@ -23,13 +25,13 @@
 struct ReclaimCost {
     /// Time left until the VM stops.
     milliseconds notice_ {};
-    /// Kept back for messages and the unforeseen.
+    /// Part of the notice that is reserved for messages and unexpected delays.
     milliseconds margin_ { 300 };
     milliseconds perToken_ { 20 };
-    /// KV cache of one token, and the bandwidth all exports share.
+    /// Size of the KV cache of one token, and the bandwidth that all exports share.
     ByteCount kvPerToken_ { 128UL * 1024 };
     ByteCount exportPerSecond_ { 1024UL * 1024 * 1024 };
-    /// Streams that targets can import.
+    /// Number of streams that other engines can import.
     std::size_t importSlots_ = 0;
 };
 
@@ -44,14 +46,14 @@
 struct ReclaimStep {
     RequestId request_;
     ReclaimAction action_ = ReclaimAction::Recompute;
-    /// Tokens computed again because of this step.
+    /// Tokens that are recomputed because of this step.
     std::uint64_t recomputedTokens_ = 0;
 };
 
-/// Plans every stream, in the order in which the steps should start.
+/// \returns a step for each stream, in the order in which the steps should start.
 std::vector<ReclaimStep> planReclaim(const std::vector<LeavingStream>& streams, const ReclaimCost& cost);
 
-/// Tokens that \p plan computes again.
+/// \returns the number of tokens that \p plan recomputes.
 std::uint64_t recomputedTokens(const std::vector<ReclaimStep>& plan);
 
 } // namespace pistachioloom
--- a/lib/Quota/Quota.cpp
+++ b/lib/Quota/Quota.cpp
@@ -1,7 +1,7 @@
 //===- lib/Quota/Quota.cpp - shared token buckets and the retry budget -----===//
 ///
 /// \file
-/// See Quota.h.
+/// Implements the quota limiter and the retry budget of pistachioloom/Quota.h.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Quota.h"
 
@@ -10,21 +10,21 @@
 
 namespace pistachioloom {
 
-// What was admitted lately fades with this time constant, in seconds: long enough
-// to see requests of 12,000 tokens that come once a second to each node.
+// Time constant of the decay of recent admissions, in seconds: long enough to include
+// requests of 12,000 tokens that arrive once a second at each node.
 static constexpr double recentSeconds = 1;
-// How an organisation's requests are spread over nodes is seen over this time.
+// Time constant, in seconds, for the distribution of requests over nodes.
 static constexpr double longSeconds = 10;
-// How much one request moves the mean cost: some dozens are seen in a second.
+// Weight of one request in the mean cost, given some dozens of requests per second.
 static constexpr double meanCostWeight = 0.02;
-// The share of a rate that a node may save up, in seconds.
+// How much of its share of the rate a node may save up, in seconds.
 static constexpr double maxSavedShareSeconds = 0.5;
-// A bucket filled in steps since the start is not taken for a fuller one.
+// Tolerance for the rounding of a bucket that was filled in steps since the start.
 static constexpr double startTolerance = 1.01;
-// Part of the nodes that a starting one has to hear to know what is left; the rest is
-// within the tenth of a quota that may be passed.
+// Share of the nodes whose reports a starting node needs to know what is left. The
+// others are within the tenth by which a quota may be exceeded.
 static constexpr double minReportingShare = 0.9;
-// Steps of the golden ratio spread phases evenly however many are taken.
+// Steps of the golden ratio distribute phases evenly for any number of steps.
 static constexpr double phaseStep = 0.6180339887;
 
 static double secondsOf(SteadyTime::duration duration)
@@ -49,10 +49,10 @@
 
 bool QuotaLimiter::hasReportsFromMost(SteadyTime now) const
 {
-    std::uint64_t heard = 1;
+    std::uint64_t reporting = 1;
     for (const auto& [id, peer] : peers_)
-        heard += now - peer.receivedAt_ < settings_.unresponsiveAfter_ ? peer.nodes_ : 0;
-    return static_cast<double>(heard) >= minReportingShare * static_cast<double>(nodesKnown_);
+        reporting += now - peer.receivedAt_ < settings_.unresponsiveAfter_ ? peer.nodes_ : 0;
+    return static_cast<double>(reporting) >= minReportingShare * static_cast<double>(nodesKnown_);
 }
 
 bool QuotaLimiter::isStarting(const Bucket& bucket, SteadyTime now) const
@@ -61,8 +61,8 @@
         return false;
     if (now - startedAt_ >= settings_.minStartup_ && hasReportsFromMost(now))
         return false;
-    // A bucket that holds more than has come since this node's start was told by one
-    // that has run for longer.
+    // A bucket with more tokens than the rate has added since this node's start got its
+    // level from a node that has run for longer.
     return bucket.level_ <= startTolerance * secondsCredited(now) * bucket.limit_.ratePerSecond_;
 }
 
@@ -73,7 +73,7 @@
 
 void QuotaLimiter::fill(Bucket& bucket, SteadyTime now) const
 {
-    // A thread that was frozen after it looked at the clock comes with an old time.
+    // A thread that was frozen after it read the clock passes an old time.
     if (now <= bucket.filledAt_)
         return;
     double seconds = secondsOf(now - bucket.filledAt_);
@@ -90,8 +90,8 @@
         bucket.share_ = std::min(shareRate * maxSavedShareSeconds, *bucket.share_ + seconds * shareRate);
 }
 
-/// Charges what silent peers may have admitted since they were last heard, beside
-/// what the rate has added in that time.
+/// Charges the buckets for what unresponsive peers may have admitted since their last
+/// reports. fill() adds the rate of that time separately.
 void QuotaLimiter::chargeUnresponsive(SteadyTime now)
 {
     double all = nodes();
@@ -113,8 +113,8 @@
 
 double QuotaLimiter::shareOf(const Bucket& bucket) const
 {
-    // Right after the start what others were asked was not heard yet, and all that
-    // came seems to come here.
+    // Right after the start, no reports of other nodes have arrived yet, and all
+    // requests seem to arrive at this node.
     if (bucket.filledAt_ - startedAt_ < settings_.startup_)
         return 1 / nodes();
     double all = bucket.ownLong_ + bucket.othersLong_;
@@ -126,8 +126,8 @@
 {
     bool isRelayed = std::any_of(peers_.begin(), peers_.end(), [](const auto& entry) { return entry.second.nodes_ > 1; });
     double lag = secondsOf(isRelayed ? settings_.relayedLag_ : settings_.lag_);
-    // Others get what this node gets, though it has not heard of it yet: as much
-    // for each as it gets itself, until it was seen how requests are spread.
+    // Assumes that other nodes receive requests that they have not reported yet: each as
+    // many as this node, until the distribution of the requests is known.
     double others = nodes() - 1;
     double unknown = bucket.limit_.ratePerSecond_ / nodes();
     double ratio = (bucket.othersLong_ + unknown * others) / (bucket.ownLong_ + unknown);
@@ -141,11 +141,11 @@
     return isSmall ? -secondsOf(settings_.maxSmallDebt_) * bucket.limit_.ratePerSecond_ : 0;
 }
 
-/// Admits this node's share of the rate while the rest of a quota is divided.
+/// Admits this node's share of the rate while the nodes divide the remainder of a quota.
 std::optional<milliseconds> QuotaLimiter::takeShare(Bucket& bucket, double cost, SteadyTime now)
 {
     if (!bucket.share_) {
-        // A node that has just started has its share of the time since then.
+        // A node that has just started gets its share of the rate since its start.
         double saved = isStarting(bucket, now) ? secondsCredited(now) * bucket.limit_.ratePerSecond_ * shareOf(bucket) : 0;
         bucket.share_ = saved - phase_ * cost;
         phase_ += phaseStep;
@@ -159,14 +159,15 @@
     return milliseconds(static_cast<std::int64_t>(wait * 1000) + 1);
 }
 
-/// A bucket begins as others told it, or empty at this node's start.
-void QuotaLimiter::begin(Bucket& bucket, const OrganisationId& organisation) const
+/// Initialises a bucket with the level that a peer reported, or as empty when this
+/// node's start credit begins.
+void QuotaLimiter::initialise(Bucket& bucket, const OrganisationId& organisation) const
 {
-    auto heard = receivedLevels_.find(organisation);
-    bucket.initialisedAt_ = heard != receivedLevels_.end() ? heard->second.at_ : startedAt_ - settings_.startCredit_;
+    auto received = receivedLevels_.find(organisation);
+    bucket.initialisedAt_ = received != receivedLevels_.end() ? received->second.at_ : startedAt_ - settings_.startCredit_;
     bucket.filledAt_ = bucket.initialisedAt_;
-    if (heard != receivedLevels_.end()) {
-        bucket.level_ = heard->second.level_;
+    if (received != receivedLevels_.end()) {
+        bucket.level_ = received->second.level_;
         return;
     }
     for (const auto& [id, peer] : peers_) {
@@ -186,9 +187,10 @@
     auto [found, isNew] = buckets_.try_emplace(organisation);
     Bucket& bucket = found->second;
     if (isNew)
-        begin(bucket, organisation);
+        initialise(bucket, organisation);
     bucket.limit_ = limit;
-    // Charged before the rate is added: a full bucket does not overflow first.
+    // Charges come before the rate is added, so that the cap at the burst does not
+    // discard tokens that the charges would use.
     chargeUnresponsive(now);
     fill(bucket, now);
     bucket.meanCost_ += meanCostWeight * (cost - bucket.meanCost_);
@@ -231,7 +233,8 @@
     return levels;
 }
 
-/// Gives back a part of what \p peer was charged while it was silent.
+/// Refunds \p part, a share from 0 to 1, of what was charged for \p peer while it was
+/// unresponsive.
 void QuotaLimiter::refundCharges(const VmId& peer, double part)
 {
     for (auto& [organisation, bucket] : buckets_) {
@@ -259,14 +262,15 @@
         double before = peer.counts_[organisation];
         peer.counts_[organisation] = count;
         auto bucket = buckets_.find(organisation);
-        // What it admitted before it was first heard is in the levels it told.
+        // The levels that the peer reported already include what it admitted before its
+        // first report.
         if (bucket == buckets_.end() || (isFirst && !isFresh))
             continue;
         bucket->second.level_ -= count - before;
         bucket->second.othersRecent_ += std::max(0.0, count - before);
         bucket->second.othersLong_ += std::max(0.0, count - before);
     }
-    // What it was charged while it was silent is replaced by what it did.
+    // The peer's actual counts replace what was charged while it was unresponsive.
     refundCharges(id, 1);
     for (const auto& [organisation, level] : levels) {
         if (!buckets_.contains(organisation) && !peer.isCountedFromStart_)
@@ -284,7 +288,7 @@
     auto [found, isNew] = peers_.try_emplace(unresponsiveNodes);
     Peer& peer = found->second;
     std::uint64_t before = isNew ? 0 : peer.nodes_;
-    // Those that are silent no more are back, or forgotten.
+    // A node that is no longer unresponsive has either recovered or been removed.
     std::uint64_t recovered = std::min(before - std::min(before, nodes), live - std::min(live, liveNodes_));
     liveNodes_ = live;
     if (recovered)
@@ -343,11 +347,11 @@
     std::lock_guard lock(mutex_);
     Window& window = windows_[service];
     dropOld(window.requests_, now - settings_.window_);
-    dropOld(window.repeats_, now - settings_.window_);
+    dropOld(window.retries_, now - settings_.window_);
     double allowed = settings_.ratio_ * static_cast<double>(window.requests_.size()) + settings_.extra_ / static_cast<double>(settings_.nodes_);
-    if (static_cast<double>(window.repeats_.size()) + 1 > allowed * settings_.usableShare_)
+    if (static_cast<double>(window.retries_.size()) + 1 > allowed * settings_.usableShare_)
         return false;
-    window.repeats_.push_back(now);
+    window.retries_.push_back(now);
     return true;
 }
 
--- a/lib/Reclaim/Reclaim.cpp
+++ b/lib/Reclaim/Reclaim.cpp
@@ -1,8 +1,9 @@
 //===- lib/Reclaim/Reclaim.cpp - planning of an announced reclaim ----------===//
 ///
 /// \file
-/// A greedy plan: what finishes in time stays; the export bandwidth goes to
-/// the streams that would lose most, paid ones first; the rest recompute.
+/// Implements a greedy plan. Streams that finish in time stay. The export
+/// bandwidth goes to paid streams first, and within a class to those with the
+/// most cached tokens. The others recompute.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Reclaim.h"
 
--- a/unittests/Quota/QuotaNodes.h
+++ b/unittests/Quota/QuotaNodes.h
@@ -1,7 +1,7 @@
 //===- unittests/Quota/QuotaNodes.h - several nodes in one process ---------===//
 ///
 /// \file
-/// Several books stand for several nodes; time is passed in.
+/// Simulates several nodes with one limiter each; the tests pass the time in.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -18,7 +18,7 @@
 inline const QuotaLimit limit { 1000, 1000 };
 inline const SteadyTime start { milliseconds(1000000) };
 
-/// Nodes that tell each other their counts every \p gossip.
+/// Nodes that report their counts to each other every \p gossip.
 struct Nodes {
     Nodes(std::size_t count, milliseconds gossip)
         : gossip_(gossip)
@@ -37,7 +37,8 @@
         }
     }
 
-    /// Every node is asked for \p cost each ms. \returns what was admitted.
+    /// Sends a request of \p cost to each node every millisecond. \returns the cost
+    /// admitted.
     double flood(SteadyTime from, milliseconds duration, double cost)
     {
         double admitted = 0;
@@ -56,7 +57,7 @@
     std::set<std::size_t> unresponsive_;
 };
 
-/// Nodes that hear the sum of all others late, as through relays.
+/// Nodes that receive the sum of all others with a delay, as through relays.
 class DelayedNodes {
 public:
     DelayedNodes(std::size_t count, milliseconds lag)
@@ -67,7 +68,7 @@
             limiters_.push_back(std::make_unique<QuotaLimiter>(start, settingsOf(i, count)));
     }
 
-    /// Requests of \p cost come at \p perSecond, each to a node drawn.
+    /// Sends requests of \p cost at \p perSecond, each to a random node.
     void run(SteadyTime from, milliseconds duration, double perSecond, const QuotaLimit& bucket, double cost)
     {
         for (milliseconds t {}; t < duration; t += milliseconds(1)) {
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Starts all nodes anew; none has heard another.
+    /// Restarts all nodes; none has received a report of another.
     void restart(SteadyTime now)
     {
         reports_.clear();
@@ -92,7 +93,7 @@
         }
     }
 
-    /// The most that was admitted in any window of \p length.
+    /// \returns the maximum admitted in any window of \p length.
     double maxAdmitted(milliseconds length) const
     {
         double sum = 0;
--- a/unittests/Quota/QuotaRestartTest.cpp
+++ b/unittests/Quota/QuotaRestartTest.cpp
@@ -1,7 +1,7 @@
-//===- unittests/Quota/QuotaRestartTest.cpp - quotas over starts ----------===//
+//===- unittests/Quota/QuotaRestartTest.cpp - quotas over restarts ---------===//
 ///
 /// \file
-/// What nodes admit that start, alone or all at once.
+/// Tests what nodes admit after a start, alone or all simultaneously.
 //===----------------------------------------------------------------------===//
 #include "QuotaNodes.h"
 
@@ -10,7 +10,7 @@
 using namespace pistachioloom;
 using namespace pistachioloom::test;
 
-TEST_CASE("restarting nodes do not hand out full bursts again", "[quota]")
+TEST_CASE("restarting nodes do not admit full bursts again", "[quota]")
 {
     Nodes nodes(9, milliseconds(200));
     nodes.flood(start + milliseconds(5000), milliseconds(4000), 1);
@@ -23,7 +23,7 @@
     CHECK(admitted <= 2.1 * 1000 + 1000 + 200.0 * 9);
 }
 
-TEST_CASE("what peers admitted that started with this node counts whole", "[quota]")
+TEST_CASE("counts of peers that started with this node apply completely", "[quota]")
 {
     bool isFresh = GENERATE(true, false);
     bool isKnown = GENERATE(true, false);
@@ -32,54 +32,58 @@
     limiter.setNodes(10);
     if (isKnown)
         REQUIRE_FALSE(limiter.take(north, limit, 1, start + milliseconds(100)));
-    // A peer that has run for long tells what is left; one that has not knows no more.
+    // The levels of a peer that has run for long apply; those of a peer that has just
+    // started do not, since it knows no more than this node.
     limiter.setPeer({ "others" }, 1, { { north, 400 } }, { { north, 100 } }, start + milliseconds(600), 9, isFresh);
     (void)limiter.take(north, limit, 1, start + milliseconds(600));
-    // What comes in at 1,000 a second since the node was last up.
+    // The start credit at a rate of 1,000 per second.
     double credit = static_cast<double>(QuotaSettings {}.startCredit_.count());
     double known = isKnown ? 600 + credit - 1 : 100;
     CHECK(limiter.levels()[north] == Approx((isFresh ? 200 + credit - (isKnown ? 1 : 0) : known) - 1).margin(1));
 }
 
-TEST_CASE("nodes that all start at once do not each hand out the whole rate", "[quota]")
+TEST_CASE("nodes that start simultaneously do not each admit the full rate", "[quota]")
 {
     auto count = GENERATE(9U, 63U);
     auto excess = GENERATE(1.5, 7.5);
     CAPTURE(count, excess);
     const QuotaLimit tokens { 700000, 2600000 };
     constexpr double cost = 12000;
-    // They hear each other 0.4 s late.
+    // Reports between the nodes take 0.4 s.
     DelayedNodes nodes(count, milliseconds(400));
     nodes.restart(start + milliseconds(20000));
     nodes.run(start + milliseconds(20100), milliseconds(800), excess * tokens.ratePerSecond_ / cost, tokens, cost);
-    // Each may begin one request more than its share holds, beside the credit of the start.
+    // Each node may admit one request beyond its share, in addition to the start credit.
     CHECK(nodes.maxAdmitted(milliseconds(8000)) <= (0.9 + 0.4 + 0.3) * tokens.ratePerSecond_);
-    // Over the next seconds they hear each other: a tenth of 8 s and a second is tolerated.
+    // In the next seconds, the nodes receive each other's reports: a tenth of 8 s and of a
+    // second is tolerated.
     nodes.run(start + milliseconds(20900), milliseconds(3100), excess * tokens.ratePerSecond_ / cost, tokens, cost);
     CHECK(nodes.maxAdmitted(milliseconds(8000)) <= (4 + 0.9) * tokens.ratePerSecond_ + 140000);
-    // Where each of 63 nodes is asked once, a third finds its share saved up.
+    // If each of 63 nodes receives one request, a third of them have saved up the share
+    // for it.
     CHECK(nodes.maxAdmitted(milliseconds(8000)) >= 0.25 * tokens.ratePerSecond_);
 }
 
-TEST_CASE("a node that is alone gets the whole quota soon after its start", "[quota]")
+TEST_CASE("a node without reports from others gets the full quota soon after its start", "[quota]")
 {
     QuotaLimiter limiter(start);
     limiter.setNodes(12);
     double admitted = 0;
     for (milliseconds t {}; t < milliseconds(10000); t += milliseconds(1))
         admitted += limiter.take(north, limit, 1, start + t) ? 0 : 1;
-    // A twelfth of the first 3 s, in which others may be there unheard, and the rest whole.
+    // A twelfth of the rate in the first 3 s, in which other nodes may run without a
+    // report yet, and the full rate afterwards.
     CHECK(admitted >= 250 + 7000);
 }
 
-TEST_CASE("a quota holds over a kill of all nodes while it is asked for many times", "[quota]")
+TEST_CASE("a quota holds over a crash of all nodes while requests exceed it many times", "[quota]")
 {
     auto count = GENERATE(9U, 63U);
     auto excess = GENERATE(2.0, 7.5);
-    // A process that is killed is down for some hundred milliseconds at least.
+    // A process that crashes is down for at least some hundred milliseconds.
     auto down = GENERATE(400, 1300);
-    auto kills = GENERATE(1, 2);
-    CAPTURE(count, excess, down, kills);
+    auto crashes = GENERATE(1, 2);
+    CAPTURE(count, excess, down, crashes);
     const QuotaLimit tokens { 700000, 700000 };
     constexpr double cost = 12000;
     const double asked = excess * tokens.ratePerSecond_ / cost;
@@ -87,7 +91,7 @@
     SteadyTime now = start + milliseconds(10000);
     nodes.run(now, milliseconds(8000), asked, tokens, cost);
     now += milliseconds(8000);
-    for (int kill = 0; kill < kills; ++kill) {
+    for (int crash = 0; crash < crashes; ++crash) {
         now += milliseconds(down);
         nodes.restart(now);
         nodes.run(now, milliseconds(3000), asked, tokens, cost);
@@ -97,10 +101,10 @@
     CHECK(nodes.maxAdmitted(milliseconds(8000)) <= (8 * tokens.ratePerSecond_ + tokens.burst_) * 1.1 + 140000);
 }
 
-TEST_CASE("requests right after a kill of all nodes find what came in meanwhile", "[quota]")
+TEST_CASE("requests right after a crash of all nodes can use the rate of the downtime", "[quota]")
 {
-    // Nine nodes are down for 0.5 s, and are asked for half of the quota; a request
-    // of 12,000 tokens is a quarter of a second of one node's share.
+    // Nine or ten nodes are down for 0.5 s and receive requests for half of the quota. A
+    // request of 12,000 tokens takes a quarter of a second of one node's share.
     const QuotaLimit tokens { 420000, 420000 };
     constexpr double cost = 12000;
     SteadyTime now = start + milliseconds(20000);
--- a/unittests/Quota/QuotaTest.cpp
+++ b/unittests/Quota/QuotaTest.cpp
@@ -1,7 +1,8 @@
-//===- unittests/Quota/QuotaTest.cpp - quotas and repeats in calm times ---===//
+//===- unittests/Quota/QuotaTest.cpp - quotas and retries ------------------===//
 ///
 /// \file
-/// How much an organisation gets of its quota, and a service of its repeats.
+/// Tests how much of its quota an organisation gets, and how many retries a service
+/// gets, while all nodes are responsive.
 //===----------------------------------------------------------------------===//
 #include "QuotaNodes.h"
 
@@ -10,9 +11,9 @@
 using namespace pistachioloom;
 using namespace pistachioloom::test;
 
-TEST_CASE("an organisation that asks for many times its quota gets it, and little more", "[quota]")
+TEST_CASE("an organisation that requests many times its quota gets its quota and little more", "[quota]")
 {
-    // A tenth and 140,000 tokens over the quota in 8 s are tolerated by the users.
+    // Users accept up to a tenth and 140,000 tokens over the quota in 8 s.
     auto count = GENERATE(9U, 26U, 63U);
     auto lag = GENERATE(200, 400);
     auto excess = GENERATE(2.0, 4.0, 7.5);
@@ -28,9 +29,9 @@
     CHECK(nodes.sumSince(hot) >= 0.9 * 12 * tokens.ratePerSecond_);
 }
 
-TEST_CASE("an organisation whose callers keep to one node gets its quota there", "[quota]")
+TEST_CASE("an organisation whose callers stay with one node gets its quota there", "[quota]")
 {
-    // 62 others are heard, and none of them is asked by it.
+    // 62 other nodes report, and none of them receives requests of the organisation.
     auto asked = GENERATE(0.9, 3.0);
     CAPTURE(asked);
     const QuotaLimit tokens { 700000, 2600000 };
@@ -54,13 +55,13 @@
     auto count = GENERATE(1U, 3U, 9U);
     Nodes nodes(count, milliseconds(200));
     double admitted = nodes.flood(start + milliseconds(5000), milliseconds(8000), 1);
-    // The burst, eight seconds of the rate, and one exchange by which all nodes
-    // may overshoot.
+    // The burst, eight seconds of the rate, and one report interval in which all nodes
+    // may exceed the rate.
     CHECK(admitted >= 8000);
     CHECK(admitted <= 9000 + 200.0 * count);
 }
 
-TEST_CASE("what did not run is given back", "[quota]")
+TEST_CASE("the cost of a request that did not run is returned", "[quota]")
 {
     QuotaLimiter limiter(start);
     SteadyTime now = start + milliseconds(1000);
@@ -71,7 +72,7 @@
     CHECK(limiter.admitted()[north] == Approx(1));
 }
 
-TEST_CASE("a refusal says when to come back", "[quota]")
+TEST_CASE("a rejection returns the time after which to retry", "[quota]")
 {
     QuotaLimiter limiter(start);
     SteadyTime now = start + milliseconds(1000);
@@ -83,7 +84,7 @@
     CHECK_FALSE(limiter.take(north, limit, 1, now + *wait));
 }
 
-TEST_CASE("repeats stay within their share of requests", "[quota]")
+TEST_CASE("retries stay within their ratio to the requests", "[quota]")
 {
     RetrySettings settings;
     settings.ratio_ = 0.2;
@@ -98,17 +99,17 @@
         ++taken;
     CHECK(taken == 30);
     CHECK_FALSE(budget.take({ "other" }, start + milliseconds(20000)) == false);
-    // The window has passed: only the extra ones are left.
+    // The window has passed, so only the additional retries are left.
     taken = 0;
     while (budget.take(service, start + milliseconds(10001)))
         ++taken;
     CHECK(taken == 10);
 }
 
-TEST_CASE("small requests are not refused since large ones used up the quota", "[quota]")
+TEST_CASE("small requests are not rejected because large ones used up the quota", "[quota]")
 {
-    // An organisation asks for four times its quota with requests of 12,000 tokens, and
-    // beside it for a twentieth of the quota with small ones.
+    // An organisation requests four times its quota with requests of 12,000 tokens, and in
+    // addition a twentieth of the quota with small ones.
     const QuotaLimit tokens { 210000, 210000 };
     constexpr double large = 12000;
     constexpr double small = 200;
@@ -118,20 +119,21 @@
     SteadyTime begin = start + milliseconds(10000);
     double admitted = 0;
     int asked = 0;
-    int refused = 0;
+    int rejected = 0;
     for (std::uint64_t t = 0; t < 20000; ++t) {
         SteadyTime now = begin + milliseconds(t);
         if (t % largeEveryMs == 0)
             admitted += limiter.take(north, tokens, large, now) ? 0 : large;
         if (t % smallEveryMs)
             continue;
-        bool isRefused = limiter.take(north, tokens, small, now).has_value();
+        bool isRejected = limiter.take(north, tokens, small, now).has_value();
         ++asked;
-        refused += isRefused;
-        admitted += isRefused ? 0 : small;
+        rejected += isRejected;
+        admitted += isRejected ? 0 : small;
     }
-    CHECK(refused * 100 <= asked);
-    // The sum is that of the quota: large ones wait for what small ones took.
+    CHECK(rejected * 100 <= asked);
+    // The sum stays within the quota, since large requests wait for the tokens that the
+    // small ones took.
     CHECK(admitted <= 20 * tokens.ratePerSecond_ + tokens.burst_ + large);
     CHECK(admitted >= 0.95 * 20 * tokens.ratePerSecond_);
 }
--- a/unittests/Quota/QuotaUnresponsiveTest.cpp
+++ b/unittests/Quota/QuotaUnresponsiveTest.cpp
@@ -1,7 +1,8 @@
-//===- unittests/Quota/QuotaUnresponsiveTest.cpp - quotas over freezes and cuts ===//
+//===- unittests/Quota/QuotaUnresponsiveTest.cpp - unresponsive peers ------===//
 ///
 /// \file
-/// What a book charges for peers that are not heard, and gives back when they are.
+/// Tests what a limiter charges for unresponsive peers, and what it refunds when they
+/// report again.
 //===----------------------------------------------------------------------===//
 #include "QuotaNodes.h"
 
@@ -10,9 +11,9 @@
 using namespace pistachioloom;
 using namespace pistachioloom::test;
 
-TEST_CASE("what was charged for a silent peer is given back when it speaks again", "[quota]")
+TEST_CASE("charges for an unresponsive peer are refunded when it reports again", "[quota]")
 {
-    // As after a freeze: nobody used anything meanwhile.
+    // The peer admitted nothing in that time, as after a freeze.
     auto silence = GENERATE(1500, 3000, 9000);
     QuotaLimiter limiter(start);
     SteadyTime now = start + milliseconds(20000);
@@ -24,7 +25,7 @@
     CHECK_FALSE(limiter.take(north, limit, 900, later));
 }
 
-TEST_CASE("a peer that speaks again is charged what it used", "[quota]")
+TEST_CASE("a peer that reports again is charged what it used", "[quota]")
 {
     QuotaLimiter limiter(start);
     SteadyTime now = start + milliseconds(20000);
@@ -33,13 +34,13 @@
     SteadyTime later = now + milliseconds(1500);
     REQUIRE_FALSE(limiter.take(north, limit, 1, later));
     limiter.setPeer({ "peer" }, 1, { { north, 150 } }, {}, later, 3);
-    // One and a half seconds of the rate, less what both used; full at 1,000.
+    // One and a half seconds of the rate, less what both used, capped at 1,000.
     CHECK(limiter.levels()[north] == Approx(1000));
     limiter.setPeer({ "peer" }, 1, { { north, 650 } }, {}, later, 3);
     CHECK(limiter.levels()[north] == Approx(500));
 }
 
-TEST_CASE("a thread that was frozen after it looked at the clock takes nothing back", "[quota]")
+TEST_CASE("a thread that was frozen after it read the clock does not set a bucket back", "[quota]")
 {
     QuotaLimiter limiter(start);
     SteadyTime before = start + milliseconds(20000);
@@ -50,9 +51,10 @@
     CHECK(limiter.levels()[north] == Approx(998));
 }
 
-TEST_CASE("a node frozen before its first request of an organisation admits it after", "[quota]")
+TEST_CASE("a node frozen before an organisation's first request admits the request afterwards", "[quota]")
 {
-    // Its peers told full buckets just before, and are silent for as long as it is frozen.
+    // Its peers reported full buckets just before, and seem unresponsive while it is
+    // frozen.
     auto frozen = GENERATE(900, 2200, 6000);
     CAPTURE(frozen);
     QuotaLimiter limiter(start);
@@ -62,28 +64,28 @@
         limiter.setPeer({ peer }, 1, { { north, 5000 } }, { { north, 1000 } }, heard);
     SteadyTime thawed = heard + milliseconds(frozen);
     CHECK_FALSE(limiter.take(north, limit, 1, thawed));
-    // What they used meanwhile counts, and so does the rate of that time.
+    // What the peers used in that time counts, and so does the rate of that time.
     for (const char* peer : { "1", "2", "3" })
         limiter.setPeer({ peer }, 1, { { north, 5000 + 0.25 * frozen } }, {}, thawed);
     CHECK_FALSE(limiter.take(north, limit, 1, thawed));
 }
 
-TEST_CASE("what peers told before a node's first request is not given out again", "[quota]")
+TEST_CASE("levels reported before a node's first request are not admitted twice", "[quota]")
 {
     QuotaLimiter limiter(start);
     SteadyTime heard = start + milliseconds(20000);
     limiter.setPeer({ "peer" }, 1, { { north, 5000 } }, { { north, 10 } }, heard);
     SteadyTime first = heard + milliseconds(200);
     REQUIRE_FALSE(limiter.take(north, limit, 1, first));
-    // What was left, and the rate of 200 ms.
+    // The reported level and the rate of 200 ms.
     CHECK(limiter.levels()[north] == Approx(10 + 200 - 1));
 }
 
-TEST_CASE("nodes that relays tell of as silent are charged their shares", "[quota]")
+TEST_CASE("nodes that relays report as unresponsive are charged their shares", "[quota]")
 {
     QuotaLimiter limiter(start);
     SteadyTime cut = start + milliseconds(20000);
-    // Five are heard through relays, and four are cut off.
+    // Five nodes report through relays, and four are partitioned.
     double admitted = 0;
     for (milliseconds t {}; t < milliseconds(8000); t += milliseconds(1)) {
         if (t.count() % 200 == 0) {
@@ -99,7 +101,7 @@
     CHECK_FALSE(limiter.take(north, limit, 1, cut + milliseconds(10000)));
 }
 
-TEST_CASE("nodes that relays tell of as back are charged what they used, and only that", "[quota]")
+TEST_CASE("nodes that relays report as recovered are charged only what they used", "[quota]")
 {
     struct Row {
         const char* name_;
@@ -108,12 +110,13 @@
         double min_;
         double max_;
     };
-    // Four of ten nodes are silent for 5 s of a rate of 1,000; the others use their shares.
+    // Four of ten nodes are unresponsive for 5 s at a rate of 1,000; the others use their
+    // shares.
     auto row = GENERATE(values<Row>({
         { "they used their shares", 4 * 500, 9, 0, 200 },
         { "they used nothing", 0, 9, 900, 1000 },
         { "they used more than the rate", 5500, 9, -3600, -3200 },
-        { "they are forgotten, not back", 0, 5, 0, 200 },
+        { "they are removed, not recovered", 0, 5, 0, 200 },
     }));
     CAPTURE(row.name_);
     QuotaLimiter limiter(start);
@@ -134,7 +137,7 @@
     CHECK(limiter.levels()[north] <= row.max_);
 }
 
-TEST_CASE("a node cut off from its peers uses no more than its share", "[quota]")
+TEST_CASE("a node partitioned from its peers uses no more than its share", "[quota]")
 {
     Nodes nodes(4, milliseconds(200));
     nodes.flood(start + milliseconds(5000), milliseconds(4000), 1);
@@ -143,7 +146,7 @@
     SteadyTime cut = start + milliseconds(9000);
     for (milliseconds t {}; t < milliseconds(8000); t += milliseconds(1))
         admitted += nodes.limiters_[0]->take(north, limit, 1, cut + t) ? 0 : 1;
-    // A quarter of eight seconds; the first second of silence is not yet charged.
+    // A quarter of eight seconds; the first second without reports is not charged yet.
     CHECK(admitted <= 2000 + 1000 * 0.75 + 200);
     CHECK(admitted >= 1500);
 }
--- a/unittests/Reclaim/ReclaimTest.cpp
+++ b/unittests/Reclaim/ReclaimTest.cpp
@@ -1,7 +1,8 @@
 //===- unittests/Reclaim/ReclaimTest.cpp - plans for leaving engines -------===//
 ///
 /// \file
-/// Tables of plans, and the greedy plan against an exhaustive optimum.
+/// Tests plans with a table, and compares the greedy plan with the optimum of an
+/// exhaustive search.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Reclaim.h"
 
@@ -17,7 +18,7 @@
     return { { id }, serviceClass, held, 0, remaining };
 }
 
-/// One millisecond of export for each token.
+/// \returns costs with which the export of a token takes one millisecond.
 ReclaimCost cost(int noticeMs, std::size_t imports)
 {
     ReclaimCost result;
@@ -38,7 +39,7 @@
     return result;
 }
 
-/// The least tokens recomputed by any choice of streams to export.
+/// \returns the minimum of recomputed tokens over all choices of streams to export.
 std::uint64_t bestRecomputed(const std::vector<LeavingStream>& streams, const ReclaimCost& cost)
 {
     std::uint64_t best = std::numeric_limits<std::uint64_t>::max();
@@ -63,7 +64,7 @@
 
 } // namespace
 
-TEST_CASE("what finishes stays, what fits moves, the rest recomputes; paid first")
+TEST_CASE("streams finish in place, move or recompute, paid ones first")
 {
     struct PlanCase {
         std::string name_;
@@ -76,10 +77,10 @@
         { "finishes in time", { stream("a", ServiceClass::Paid, 500, 10) }, cost(100, 9), { { "a", Action::FinishInPlace } } },
         { "moves", { stream("a", ServiceClass::Paid, 50, 100) }, cost(100, 9), { { "a", Action::MoveCache } } },
         { "no import slot", { stream("a", ServiceClass::Paid, 50, 100) }, cost(100, 0), { { "a", Action::Recompute } } },
-        { "no time", { stream("a", ServiceClass::Paid, 500, 100) }, cost(100, 9), { { "a", Action::Recompute } } },
+        { "not enough time to export", { stream("a", ServiceClass::Paid, 500, 100) }, cost(100, 9), { { "a", Action::Recompute } } },
         { "paid before a larger trial", { stream("t", ServiceClass::Trial, 90, 100), stream("p", ServiceClass::Paid, 50, 100) }, cost(100, 9), { { "t", Action::Recompute }, { "p", Action::MoveCache } } },
-        { "one slot goes to the larger", { stream("a", ServiceClass::Paid, 20, 100), stream("b", ServiceClass::Paid, 40, 100) }, cost(100, 1), { { "a", Action::Recompute }, { "b", Action::MoveCache } } },
-        { "no notice at all", { stream("a", ServiceClass::Paid, 1, 1) }, cost(0, 9), { { "a", Action::Recompute } } },
+        { "the only import slot goes to the larger", { stream("a", ServiceClass::Paid, 20, 100), stream("b", ServiceClass::Paid, 40, 100) }, cost(100, 1), { { "a", Action::Recompute }, { "b", Action::MoveCache } } },
+        { "no notice", { stream("a", ServiceClass::Paid, 1, 1) }, cost(0, 9), { { "a", Action::Recompute } } },
     }));
     INFO(planCase.name_);
     CHECK(actions(planReclaim(planCase.streams_, planCase.cost_)) == planCase.expected_);
