--- a/unittests/Quota/QuotaRestartTest.cpp
+++ b/unittests/Quota/QuotaRestartTest.cpp
@@ -86,18 +86,18 @@
     CAPTURE(count, excess, down, crashes);
     const QuotaLimit tokens { 700000, 700000 };
     constexpr double cost = 12000;
-    const double asked = excess * tokens.ratePerSecond_ / cost;
+    const double requested = excess * tokens.ratePerSecond_ / cost;
     DelayedNodes nodes(count, milliseconds(400));
     SteadyTime now = start + milliseconds(10000);
-    nodes.run(now, milliseconds(8000), asked, tokens, cost);
+    nodes.run(now, milliseconds(8000), requested, tokens, cost);
     now += milliseconds(8000);
     for (int crash = 0; crash < crashes; ++crash) {
         now += milliseconds(down);
         nodes.restart(now);
-        nodes.run(now, milliseconds(3000), asked, tokens, cost);
+        nodes.run(now, milliseconds(3000), requested, tokens, cost);
         now += milliseconds(3000);
     }
-    nodes.run(now, milliseconds(4000), asked, tokens, cost);
+    nodes.run(now, milliseconds(4000), requested, tokens, cost);
     CHECK(nodes.maxAdmitted(milliseconds(8000)) <= (8 * tokens.ratePerSecond_ + tokens.burst_) * 1.1 + 140000);
 }
 
@@ -108,14 +108,14 @@
     const QuotaLimit tokens { 420000, 420000 };
     constexpr double cost = 12000;
     SteadyTime now = start + milliseconds(20000);
-    double asked = 0;
+    double requested = 0;
     double admitted = 0;
     for (std::size_t run = 0; run < 20; ++run) {
         DelayedNodes nodes(9 + run % 2, milliseconds(400));
         nodes.restart(now);
         nodes.run(now, milliseconds(600), 0.5 * tokens.ratePerSecond_ / cost, tokens, cost);
-        asked += 0.6 * 0.5 * tokens.ratePerSecond_;
+        requested += 0.6 * 0.5 * tokens.ratePerSecond_;
         admitted += nodes.sumSince(now);
     }
-    CHECK(admitted >= 0.9 * asked);
+    CHECK(admitted >= 0.9 * requested);
 }
--- a/unittests/Quota/QuotaTest.cpp
+++ b/unittests/Quota/QuotaTest.cpp
@@ -32,8 +32,8 @@
 TEST_CASE("an organisation whose callers stay with one node gets its quota there", "[quota]")
 {
     // 62 other nodes report, and none of them receives requests of the organisation.
-    auto asked = GENERATE(0.9, 3.0);
-    CAPTURE(asked);
+    auto requested = GENERATE(0.9, 3.0);
+    CAPTURE(requested);
     const QuotaLimit tokens { 700000, 2600000 };
     constexpr double cost = 12000;
     QuotaLimiter limiter(start);
@@ -43,10 +43,10 @@
     for (milliseconds t {}; t < milliseconds(20000); t += milliseconds(1)) {
         if (t.count() % 200 == 0)
             limiter.setPeer({ "others" }, 1, {}, {}, begin + t, 62);
-        if (std::uniform_real_distribution<>(0, 1)(random) < asked * tokens.ratePerSecond_ / cost / 1000)
+        if (std::uniform_real_distribution<>(0, 1)(random) < requested * tokens.ratePerSecond_ / cost / 1000)
             admitted += limiter.take(north, tokens, cost, begin + t) ? 0 : cost;
     }
-    double granted = 20 * tokens.ratePerSecond_ * std::min(1.0, asked);
+    double granted = 20 * tokens.ratePerSecond_ * std::min(1.0, requested);
     CHECK(admitted >= 0.93 * granted);
 }
 
@@ -118,7 +118,7 @@
     QuotaLimiter limiter(start);
     SteadyTime begin = start + milliseconds(10000);
     double admitted = 0;
-    int asked = 0;
+    int requested = 0;
     int rejected = 0;
     for (std::uint64_t t = 0; t < 20000; ++t) {
         SteadyTime now = begin + milliseconds(t);
@@ -127,11 +127,11 @@
         if (t % smallEveryMs)
             continue;
         bool isRejected = limiter.take(north, tokens, small, now).has_value();
-        ++asked;
+        ++requested;
         rejected += isRejected;
         admitted += isRejected ? 0 : small;
     }
-    CHECK(rejected * 100 <= asked);
+    CHECK(rejected * 100 <= requested);
     // The sum stays within the quota, since large requests wait for the tokens that the
     // small ones took.
     CHECK(admitted <= 20 * tokens.ratePerSecond_ + tokens.burst_ + large);
--- a/unittests/Quota/QuotaUnresponsiveTest.cpp
+++ b/unittests/Quota/QuotaUnresponsiveTest.cpp
@@ -14,12 +14,12 @@
 TEST_CASE("charges for an unresponsive peer are refunded when it reports again", "[quota]")
 {
     // The peer admitted nothing in that time, as after a freeze.
-    auto silence = GENERATE(1500, 3000, 9000);
+    auto duration = GENERATE(1500, 3000, 9000);
     QuotaLimiter limiter(start);
     SteadyTime now = start + milliseconds(20000);
     limiter.setPeer({ "peer" }, 1, { { north, 50 } }, {}, now, 3);
     REQUIRE_FALSE(limiter.take(north, limit, 1, now));
-    SteadyTime later = now + milliseconds(silence);
+    SteadyTime later = now + milliseconds(duration);
     CHECK_FALSE(limiter.take(north, limit, 1, later));
     limiter.setPeer({ "peer" }, 1, { { north, 51 } }, {}, later, 3);
     CHECK_FALSE(limiter.take(north, limit, 900, later));
@@ -59,10 +59,10 @@
     CAPTURE(frozen);
     QuotaLimiter limiter(start);
     limiter.setNodes(4);
-    SteadyTime heard = start + milliseconds(100);
+    SteadyTime reportedAt = start + milliseconds(100);
     for (const char* peer : { "1", "2", "3" })
-        limiter.setPeer({ peer }, 1, { { north, 5000 } }, { { north, 1000 } }, heard);
-    SteadyTime thawed = heard + milliseconds(frozen);
+        limiter.setPeer({ peer }, 1, { { north, 5000 } }, { { north, 1000 } }, reportedAt);
+    SteadyTime thawed = reportedAt + milliseconds(frozen);
     CHECK_FALSE(limiter.take(north, limit, 1, thawed));
     // What the peers used in that time counts, and so does the rate of that time.
     for (const char* peer : { "1", "2", "3" })
@@ -73,9 +73,9 @@
 TEST_CASE("levels reported before a node's first request are not admitted twice", "[quota]")
 {
     QuotaLimiter limiter(start);
-    SteadyTime heard = start + milliseconds(20000);
-    limiter.setPeer({ "peer" }, 1, { { north, 5000 } }, { { north, 10 } }, heard);
-    SteadyTime first = heard + milliseconds(200);
+    SteadyTime reportedAt = start + milliseconds(20000);
+    limiter.setPeer({ "peer" }, 1, { { north, 5000 } }, { { north, 10 } }, reportedAt);
+    SteadyTime first = reportedAt + milliseconds(200);
     REQUIRE_FALSE(limiter.take(north, limit, 1, first));
     // The reported level and the rate of 200 ms.
     CHECK(limiter.levels()[north] == Approx(10 + 200 - 1));
@@ -84,21 +84,21 @@
 TEST_CASE("nodes that relays report as unresponsive are charged their shares", "[quota]")
 {
     QuotaLimiter limiter(start);
-    SteadyTime cut = start + milliseconds(20000);
+    SteadyTime partitionedAt = start + milliseconds(20000);
     // Five nodes report through relays, and four are partitioned.
     double admitted = 0;
     for (milliseconds t {}; t < milliseconds(8000); t += milliseconds(1)) {
         if (t.count() % 200 == 0) {
-            limiter.setPeer({ "others" }, 1, {}, {}, cut + t, 5);
-            limiter.setUnresponsiveNodes(4, 5, cut + t);
+            limiter.setPeer({ "others" }, 1, {}, {}, partitionedAt + t, 5);
+            limiter.setUnresponsiveNodes(4, 5, partitionedAt + t);
         }
-        admitted += limiter.take(north, limit, 1, cut + t) ? 0 : 1;
+        admitted += limiter.take(north, limit, 1, partitionedAt + t) ? 0 : 1;
     }
     // The burst, and six tenths of eight seconds.
     CHECK(admitted <= 1000 + 0.6 * 8000 + 400);
     CHECK(admitted >= 4000);
-    limiter.setUnresponsiveNodes(0, 9, cut + milliseconds(8000));
-    CHECK_FALSE(limiter.take(north, limit, 1, cut + milliseconds(10000)));
+    limiter.setUnresponsiveNodes(0, 9, partitionedAt + milliseconds(8000));
+    CHECK_FALSE(limiter.take(north, limit, 1, partitionedAt + milliseconds(10000)));
 }
 
 TEST_CASE("nodes that relays report as recovered are charged only what they used", "[quota]")
@@ -120,19 +120,19 @@
     }));
     CAPTURE(row.name_);
     QuotaLimiter limiter(start);
-    SteadyTime cut = start + milliseconds(20000);
-    REQUIRE_FALSE(limiter.take(north, limit, 900, cut));
+    SteadyTime partitionedAt = start + milliseconds(20000);
+    REQUIRE_FALSE(limiter.take(north, limit, 900, partitionedAt));
     milliseconds t {};
     for (; t < milliseconds(5000); t += milliseconds(10)) {
         if (t.count() % 200 == 0) {
-            limiter.setPeer({ "others" }, 1, { { north, 0.5 * static_cast<double>(t.count()) } }, {}, cut + t, 5);
-            limiter.setUnresponsiveNodes(4, 5, cut + t);
+            limiter.setPeer({ "others" }, 1, { { north, 0.5 * static_cast<double>(t.count()) } }, {}, partitionedAt + t, 5);
+            limiter.setUnresponsiveNodes(4, 5, partitionedAt + t);
         }
-        (void)limiter.take(north, limit, 1, cut + t);
+        (void)limiter.take(north, limit, 1, partitionedAt + t);
     }
-    SteadyTime back = cut + t;
-    limiter.setPeer({ "others" }, 1, { { north, 0.5 * static_cast<double>(t.count()) + row.used_ } }, {}, back, row.live_);
-    limiter.setUnresponsiveNodes(0, row.live_, back);
+    SteadyTime recoveredAt = partitionedAt + t;
+    limiter.setPeer({ "others" }, 1, { { north, 0.5 * static_cast<double>(t.count()) + row.used_ } }, {}, recoveredAt, row.live_);
+    limiter.setUnresponsiveNodes(0, row.live_, recoveredAt);
     CHECK(limiter.levels()[north] >= row.min_);
     CHECK(limiter.levels()[north] <= row.max_);
 }
@@ -143,9 +143,9 @@
     nodes.flood(start + milliseconds(5000), milliseconds(4000), 1);
     nodes.unresponsive_ = { 0 };
     double admitted = 0;
-    SteadyTime cut = start + milliseconds(9000);
+    SteadyTime partitionedAt = start + milliseconds(9000);
     for (milliseconds t {}; t < milliseconds(8000); t += milliseconds(1))
-        admitted += nodes.limiters_[0]->take(north, limit, 1, cut + t) ? 0 : 1;
+        admitted += nodes.limiters_[0]->take(north, limit, 1, partitionedAt + t) ? 0 : 1;
     // A quarter of eight seconds; the first second without reports is not charged yet.
     CHECK(admitted <= 2000 + 1000 * 0.75 + 200);
     CHECK(admitted >= 1500);
--- a/unittests/Reclaim/ReclaimTest.cpp
+++ b/unittests/Reclaim/ReclaimTest.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-LeavingStream stream(const std::string& id, ServiceClass serviceClass, std::uint64_t held, std::uint64_t remaining)
+LeavingStream stream(const std::string& id, ServiceClass serviceClass, std::uint64_t cached, std::uint64_t remaining)
 {
-    return { { id }, serviceClass, held, 0, remaining };
+    return { { id }, serviceClass, cached, 0, remaining };
 }
 
 /// \returns costs with which the export of a token takes one millisecond.
@@ -48,12 +48,12 @@
         std::uint64_t exported = 0;
         std::size_t imports = 0;
         for (std::size_t i = 0; i < streams.size(); ++i) {
-            std::uint64_t held = streams[i].promptTokens_ + streams[i].generatedTokens_;
+            std::uint64_t cached = streams[i].promptTokens_ + streams[i].generatedTokens_;
             if (chosen >> i & 1U) {
-                exported += held + 1;
+                exported += cached + 1;
                 ++imports;
             } else if (cost.perToken_ * static_cast<std::int64_t>(streams[i].remainingTokens_) > cost.notice_) {
-                recomputed += held;
+                recomputed += cached;
             }
         }
         if (imports <= cost.importSlots_ && static_cast<std::int64_t>(exported) <= cost.notice_.count())
