--- a/include/pistachioloom/Quota.h
+++ b/include/pistachioloom/Quota.h
@@ -151,7 +151,7 @@
     /// \returns the seconds since this node's start, plus its start credit.
     double secondsCredited(SteadyTime now) const;
     /// \returns an estimate of what other nodes have admitted but not reported yet.
-    double maxUnreported(const Bucket& bucket) const;
+    double estimateUnreported(const Bucket& bucket) const;
     std::optional<milliseconds> takeShare(Bucket& bucket, double cost, SteadyTime now);
 
     const SteadyTime startedAt_;
--- a/lib/Quota/Quota.cpp
+++ b/lib/Quota/Quota.cpp
@@ -122,7 +122,7 @@
     return 0.5 / nodes() + 0.5 * observedShare;
 }
 
-double QuotaLimiter::maxUnreported(const Bucket& bucket) const
+double QuotaLimiter::estimateUnreported(const Bucket& bucket) const
 {
     bool isRelayed = std::any_of(peers_.begin(), peers_.end(), [](const auto& entry) { return entry.second.nodes_ > 1; });
     double lag = secondsOf(isRelayed ? settings_.relayedLag_ : settings_.lag_);
@@ -198,7 +198,7 @@
         double wait = (1 - bucket.level_) / limit.ratePerSecond_;
         return milliseconds(static_cast<std::int64_t>(wait * 1000) + 1);
     }
-    if (bucket.level_ > maxUnreported(bucket) && !isStarting(bucket, now))
+    if (bucket.level_ > estimateUnreported(bucket) && !isStarting(bucket, now))
         bucket.share_.reset();
     else if (auto wait = takeShare(bucket, cost, now))
         return wait;
