--- a/include/pistachioloom/Forward.h
+++ b/include/pistachioloom/Forward.h
@@ -109,10 +109,10 @@
     /// See fingerprintOf().
     std::string fingerprintSecret_;
     BackendTable& backends_;
-    QuotaBook& quotas_;
-    RetryBudget& retries_;
-    QuarantineBook& quarantine_;
-    CrashWatch& crashes_;
+    QuotaLimiter& quotas_;
+    ServiceRetryBudget& retries_;
+    QuarantineTable& quarantine_;
+    CrashDetector& crashes_;
     RolloutBook& rollouts_;
     Metrics& metrics_;
     /// Whether connections close after their answer.
--- a/lib/Quarantine/Fingerprint.cpp
+++ b/lib/Quarantine/Fingerprint.cpp
@@ -1,8 +1,8 @@
 //===- lib/Quarantine/Fingerprint.cpp - the identity of a request ----------===//
 ///
 /// \file
-/// A keyed digest: callers can neither aim at another's fingerprint nor can a body be
-/// guessed from one in a log.
+/// Fingerprints are keyed digests, so callers cannot produce the fingerprint of another
+/// caller's request, and a body cannot be guessed from a fingerprint in a log.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Quarantine.h"
 
@@ -30,8 +30,8 @@
 {
     std::uint64_t value = 0;
     auto read = std::from_chars(text.data(), text.data() + text.size(), value, hexBase);
-    bool isWhole = text.size() == fingerprintDigits && read.ec == std::errc {} && read.ptr == text.data() + text.size();
-    return isWhole ? std::optional(RequestFingerprint { value }) : std::nullopt;
+    bool isValid = text.size() == fingerprintDigits && read.ec == std::errc {} && read.ptr == text.data() + text.size();
+    return isValid ? std::optional(RequestFingerprint { value }) : std::nullopt;
 }
 
 } // namespace pistachioloom
