--- a/include/pistachioloom/Duties.h
+++ b/include/pistachioloom/Duties.h
@@ -28,7 +28,7 @@
 
 struct DutyTiming {
     /// Silence after which a holder is succeeded.
-    milliseconds holderSilence_ { 2600 };
+    milliseconds holderTimeout_ { 2600 };
     /// A new holder waits so long after its claim, so that what its predecessor
     /// began before it could see the claim is over.
     milliseconds actAfterClaim_ { 1600 };
@@ -37,30 +37,30 @@
     /// Nodes wait so long for a holder to be heard after their start.
     milliseconds firstClaimAfter_ { 1500 };
     /// What each place in the order of candidates waits longer than the one before.
-    milliseconds rankStep_ { 400 };
+    milliseconds rankDelay_ { 400 };
 };
 
 /// One node's part in who holds the duties.
-class DutySeat {
+class DutyLease {
 public:
-    DutySeat(VmId self, DutyTiming timing, SteadyTime startedAt);
+    DutyLease(VmId self, DutyTiming timing, SteadyTime startedAt);
 
-    /// A peer said at \p heardAt that it holds the duties by \p token. Relays pass this
+    /// A peer said at \p reportedAt that it holds the duties by \p token. Relays pass this
     /// on late; taken for new, it would delay the successor of a holder that is gone.
-    void heardHolder(const VmId& holder, DutyToken token, SteadyTime heardAt);
+    void noteHolder(const VmId& holder, DutyToken token, SteadyTime reportedAt);
     /// The holder by \p token gave up the duties, and is succeeded without waiting for
     /// its silence.
-    void heardReleased(DutyToken token, SteadyTime now);
+    void noteReleased(DutyToken token, SteadyTime now);
     /// A peer said that it is stopping: if it is the holder it acts no more, and is
     /// succeeded without waiting for its silence.
-    void heardStopping(const VmId& peer, SteadyTime now);
+    void noteStopping(const VmId& peer, SteadyTime now);
     /// Whether to claim now. \p rank is this node's place among live candidates.
     bool shouldClaim(std::size_t rank, SteadyTime now) const;
     /// A claim of this node was written.
-    void claimed(DutyToken token, SteadyTime now);
+    void becomeHolder(DutyToken token, SteadyTime now);
     /// A record of this node could not be written because another came first,
     /// or its claim is unsure.
-    void lost(SteadyTime now);
+    void stepDown(SteadyTime now);
     bool isHolder() const { return isHolder_; }
     DutyToken token() const { return token_; }
     /// Whether acts may begin: it holds, and its predecessor has ended.
@@ -78,16 +78,16 @@
     DutyToken token_ {};
     SteadyTime claimedAt_ {};
     VmId holder_;
-    SteadyTime holderHeardAt_ {};
+    SteadyTime holderLastSeenAt_ {};
     /// What is heard late of holders up to this one is no news.
-    DutyToken released_ {};
+    DutyToken releasedToken_ {};
 };
 
 /// Counts of requests that began, by window, of this node and its peers.
 /// Thread-safe.
-class UsageBook {
+class UsageTracker {
 public:
-    explicit UsageBook(milliseconds window);
+    explicit UsageTracker(milliseconds window);
 
     /// Counts one request at \p wallTime, in ms since the start of 1970.
     void count(const OrganisationId& organisation, std::int64_t wallMs);
@@ -100,7 +100,7 @@
     /// The sum over all nodes, also those that are gone.
     UsageCounts sum(WindowNumber window) const;
     /// All windows, summed over all nodes but one start of one peer.
-    std::map<WindowNumber, UsageCounts> sumsWithout(const VmId& vm, std::uint64_t incarnation) const;
+    std::map<WindowNumber, UsageCounts> sumsExcluding(const VmId& vm, std::uint64_t incarnation) const;
     WindowNumber windowAt(std::int64_t wallMs) const;
     /// Forgets windows before \p oldest.
     void forget(WindowNumber oldest);
@@ -125,11 +125,11 @@
 };
 
 /// The newest window to report at \p nowMs, in ms since the start of 1970.
-/// \p allToldWithin says whether all nodes told their counts in the time given.
-std::optional<WindowNumber> dueWindow(std::int64_t nowMs, milliseconds window, const UsageTiming& timing, const std::function<bool(milliseconds)>& allToldWithin);
+/// \p allReportedWithin says whether all nodes told their counts in the time given.
+std::optional<WindowNumber> dueWindow(std::int64_t nowMs, milliseconds window, const UsageTiming& timing, const std::function<bool(milliseconds)>& allReportedWithin);
 
 /// What the clocks of the nodes agree on. Thread-safe.
-class ClockAgreement {
+class ClockOffsetEstimator {
 public:
     /// A peer's clock was ahead of this node's by \p offset.
     void setPeer(const VmId& vm, std::int64_t offsetMs, SteadyTime now);
@@ -137,13 +137,13 @@
     std::int64_t correctionMs(SteadyTime now) const;
 
 private:
-    struct Told {
+    struct PeerClock {
         std::int64_t offsetMs_ = 0;
         SteadyTime at_ {};
     };
 
     mutable std::mutex mutex_;
-    std::map<VmId, Told> peers_;
+    std::map<VmId, PeerClock> peers_;
 };
 
 struct DemandTiming {
@@ -151,13 +151,13 @@
     milliseconds window_ { 4000 };
     /// The highest rate of this time counts: engines take seconds to boot, and
     /// demand that fell may come back.
-    milliseconds memory_ { 5000 };
+    milliseconds peakWindow_ { 5000 };
     /// A node that is silent for longer has gone, and its callers to other nodes.
     milliseconds validity_ { 3000 };
 };
 
 /// What one node, or several, tell of the requests to a service's engines.
-struct DemandTold {
+struct ServiceDemand {
     double tokensPerSecond_ = 0;
     /// What an engine reads in a millisecond, and the answers that show it.
     double prefillPerMs_ = 0;
@@ -169,19 +169,19 @@
 ///
 /// Nodes tell rates and not counts: counts of nodes that come back after a cut would
 /// arrive at once and look like a burst.
-class DemandBook {
+class DemandEstimator {
 public:
-    explicit DemandBook(DemandTiming timing = {})
+    explicit DemandEstimator(DemandTiming timing = {})
         : timing_(timing)
     {
     }
 
-    /// This node was asked for \p asked tokens since its start.
-    void countOwn(const ServiceName& service, TokenCount asked, SteadyTime now);
+    /// This node was asked for \p totalTokens tokens since its start.
+    void recordLocalTokens(const ServiceName& service, TokenCount totalTokens, SteadyTime now);
     /// This node's tokens in a second.
-    double ownRate(const ServiceName& service) const;
+    double localRate(const ServiceName& service) const;
     /// What \p vm tells; it counts until told anew, or for the validity.
-    void setSource(const VmId& vm, const ServiceName& service, const DemandTold& told, SteadyTime now);
+    void setSource(const VmId& vm, const ServiceName& service, const ServiceDemand& reported, SteadyTime now);
     /// What an engine reads in a millisecond: the mean over nodes, weighted by
     /// what each has seen.
     double prefillPerMs(const ServiceName& service, double fallback) const;
@@ -199,12 +199,12 @@
         double tokens_ = 0;
     };
     struct Source {
-        DemandTold told_;
+        ServiceDemand reported_;
         SteadyTime at_ {};
     };
     struct Demand {
         /// Tokens that this node was asked for, over the last window.
-        std::deque<Reading> own_;
+        std::deque<Reading> local_;
         std::map<VmId, Source> sources_;
         /// Tokens a second of all nodes.
         std::deque<Reading> rates_;
@@ -212,7 +212,7 @@
         std::optional<SteadyTime> firstAt_;
     };
 
-    static double rateOf(const std::deque<Reading>& own);
+    static double rateOf(const std::deque<Reading>& local);
 
     const DemandTiming timing_;
     mutable std::mutex mutex_;
--- a/include/pistachioloom/Fleet.h
+++ b/include/pistachioloom/Fleet.h
@@ -33,7 +33,7 @@
     double growth_ = 0.2;
     /// Part of an engine's slots that is planned to be taken: with all of them taken
     /// requests wait for one.
-    double slotsUsed_ = 0.75;
+    double targetUtilisation_ = 0.75;
     /// Reclaimable engines wanted in each data centre, as part of those needed
     /// in all.
     double reclaimableShare_ = 0.7;
@@ -42,38 +42,38 @@
     /// How often orders are looked at.
     milliseconds period_ { 500 };
     /// The highest need of this time is ordered for, beside the memory of demand.
-    milliseconds hold_ { 2000 };
+    milliseconds stabilisationWindow_ { 2000 };
     /// Reclaimable engines are ordered for the highest need of this time: they cost a
     /// fraction of lasting ones, and are what is left when those of other data centres
     /// are taken away.
-    milliseconds reclaimableHold_ { 15000 };
+    milliseconds reclaimableStabilisationWindow_ { 15000 };
     /// No order until no engine has registered for so long, a heartbeat of 1.2 s and
     /// its way: an order dismisses those that have not registered yet.
-    milliseconds settling_ { 1500 };
+    milliseconds settleTime_ { 1500 };
     /// Lasting engines are not dismissed for so long after reclaimable ones were taken
     /// away: others may be on their way out, and what is dismissed takes the boot
     /// time to come back.
-    milliseconds caution_ { 3000 };
+    milliseconds dismissalCooldown_ { 3000 };
     /// An order is repeated after this time if the engines are not there.
-    milliseconds repeat_ { 8000 };
+    milliseconds repeatInterval_ { 8000 };
     /// An order that was refused, since no engine was to be had, is repeated
     /// after this time.
-    milliseconds refusedRepeat_ { 2000 };
+    milliseconds rejectedRepeatInterval_ { 2000 };
 };
 
 /// Engines of one service in one data centre.
-struct FleetPlace {
+struct DataCentreFleet {
     DataCentreId dataCentre_;
     /// Price of a lasting engine's second there.
-    double price_ = 1;
+    double cost_ = 1;
     /// Engines that take new work.
-    std::uint64_t lasting_ = 0;
+    std::uint64_t onDemand_ = 0;
     std::uint64_t reclaimable_ = 0;
     /// Lasting engines that are there or on their way, if more were ordered.
-    std::uint64_t lastingOrdered_ = 0;
+    std::uint64_t onDemandOrdered_ = 0;
     /// Lasting engines of a version that may not take the service's requests: the platform
     /// counts them with the others, and the plan does not.
-    std::uint64_t lastingApart_ = 0;
+    std::uint64_t onDemandExcluded_ = 0;
 };
 
 struct FleetDemand {
@@ -83,7 +83,7 @@
     std::uint64_t least_ = 0;
     std::uint64_t most_ = 0;
     /// Reclaimable engines to hold in each data centre.
-    std::uint64_t reclaimablePerPlace_ = 0;
+    std::uint64_t reclaimablePerDataCentre_ = 0;
     /// Part of the largest data centre's reclaimable engines that is not counted
     /// on: they go all at once.
     double reserveShare_ = 1;
@@ -97,14 +97,14 @@
 /// What to order in each place: reclaimable engines as wanted, and lasting ones
 /// for what would be missing if the data centre with most reclaimable engines
 /// lost the reserved part of them; cheapest data centre first.
-std::vector<FleetOrder> planFleet(const ServiceName& service, const FleetDemand& demand, const std::vector<FleetPlace>& places);
+std::vector<FleetOrder> planFleet(const ServiceName& service, const FleetDemand& demand, const std::vector<DataCentreFleet>& fleets);
 
 /// What is known of one service's engines at a moment.
 struct FleetView {
     ServiceName service_;
     FleetBounds bounds_;
     /// Engines that take new work, by data centre.
-    std::vector<FleetPlace> places_;
+    std::vector<DataCentreFleet> dataCentres_;
     /// Prompt tokens a second that all nodes are asked for; nullopt until it was seen
     /// for long enough.
     std::optional<double> tokensPerSecond_;
@@ -115,20 +115,20 @@
     std::uint64_t slotsTaken_ = 0;
     /// Demand and slots taken were told by nearly all nodes. What a part of them told
     /// shows that so many engines are needed, but not that no more are.
-    bool isWhole_ = true;
+    bool isComplete_ = true;
     /// A new version is brought in, or goes: nothing is dismissed, and nothing ordered
     /// that is not missing, since an order does not say of which version.
-    bool holdsAll_ = false;
+    bool isRollingOut_ = false;
 
-    std::uint64_t lasting() const;
+    std::uint64_t onDemand() const;
     std::uint64_t reclaimable() const;
-    std::uint64_t engines() const { return lasting() + reclaimable(); }
+    std::uint64_t engines() const { return onDemand() + reclaimable(); }
 };
 
 /// Decides on orders for all services. Not thread-safe.
-class FleetBook {
+class FleetTracker {
 public:
-    explicit FleetBook(FleetSettings settings);
+    explicit FleetTracker(FleetSettings settings);
 
     /// Notes which engines have come and gone; call it on every node at regular times,
     /// so that a new holder of the duty knows.
@@ -139,19 +139,19 @@
     /// What another holder of the duty found to be needed; counts as this one's last need.
     void inheritNeed(const ServiceName& service, std::uint64_t engines, SteadyTime now);
     /// The platform took the order, or has no such engines now.
-    void noteOrdered(const FleetOrder& order, bool isTaken, SteadyTime now);
+    void noteOrdered(const FleetOrder& order, bool isAccepted, SteadyTime now);
     /// Engines that the service needed when dueOrders() was last called for it.
     std::uint64_t needed(const ServiceName& service) const;
 
 private:
     struct LastOrder {
         std::uint64_t wanted_ = 0;
-        bool isTaken_ = false;
+        bool isAccepted_ = false;
         SteadyTime at_ {};
     };
     /// How a service's engines have come to be known, on any node.
     struct Registrations {
-        std::uint64_t mostLasting_ = 0;
+        std::uint64_t maxOnDemand_ = 0;
         /// Engines of either kind were seen.
         bool hasAny_ = false;
         SteadyTime grewAt_ {};
--- a/include/pistachioloom/Forward.h
+++ b/include/pistachioloom/Forward.h
@@ -109,7 +109,7 @@
     RetryBudget& retries_;
     QuarantineBook& quarantine_;
     CrashWatch& crashes_;
-    RolloutBook& rollouts_;
+    RolloutTracker& rollouts_;
     Metrics& metrics_;
     /// Connections close after their answer.
     std::atomic<bool> isStopping_ { false };
--- a/include/pistachioloom/Rollout.h
+++ b/include/pistachioloom/Rollout.h
@@ -76,7 +76,7 @@
 };
 
 /// Stands for all backend servers that are not of the target.
-inline constexpr BackendKey stableServers = 0;
+inline constexpr BackendKey stableBackendKey = 0;
 
 /// What one node, or several, have counted since they heard of an order.
 struct RolloutTally {
@@ -84,7 +84,7 @@
     /// Requests sent to the service, and those of them sent to the target.
     std::uint64_t requests_ = 0;
     std::uint64_t exposed_ = 0;
-    /// By backend server of the target, or stableServers, and by route.
+    /// By backend server of the target, or stableBackendKey, and by route.
     std::map<std::pair<BackendKey, RouteKey>, AnswerTally> cells_;
 
     void add(const RolloutTally& other);
@@ -105,29 +105,29 @@
     double exposedExtra_ = 50;
     /// Part of the period after which a target that was not worse gets the rest. A
     /// version may turn bad late, so it is on trial as long as time allows.
-    double trialPart_ = 0.7;
+    double trialFraction_ = 0.7;
     /// Part of the period at whose end there is a verdict.
-    double verdictPart_ = 0.9;
+    double decisionFraction_ = 0.9;
     /// While the rest follows, the share doubles after each such part of the period.
-    double shiftStep_ = 0.035;
+    double shiftStepFraction_ = 0.035;
     /// A share that was not heard of again for so long counts as 0 during a trial.
     milliseconds validity_ { 2500 };
     /// Answers of the target on each route that has traffic, before it may get the rest.
-    std::uint64_t leastAnswers_ = 20;
+    std::uint64_t minAnswers_ = 20;
 };
 
 /// Says why the target is worse than the others, or nothing. \p tally is cumulative;
 /// called at regular times.
-using RolloutJudge = std::function<std::optional<std::string>(const RolloutTally& tally, SteadyTime now)>;
+using RolloutEvaluator = std::function<std::optional<std::string>(const RolloutTally& tally, SteadyTime now)>;
 
 /// A cumulative sum test (Page, 1954) of each backend server of the target on each route:
 /// the log likelihood ratio of a higher part of bad answers against the part that the
 /// others have at the same time, which may only rise from 0. Worse is a target most of
 /// whose backend servers show it: one that fails alone has troubles of its own.
-RolloutJudge makeSequentialJudge();
+RolloutEvaluator makeSequentialEvaluator();
 
 /// Compares parts of bad answers over the last two seconds with a fixed difference.
-RolloutJudge makeThresholdJudge();
+RolloutEvaluator makeThresholdEvaluator();
 
 /// What the holder of the duties knows of an order at a moment.
 struct RolloutView {
@@ -140,14 +140,14 @@
 };
 
 /// Leads one order to its verdict.
-class RolloutPilot {
+class RolloutController {
 public:
-    /// \p begunAt is when the order was first acted on; \p state goes on from what an
+    /// \p startedAt is when the order was first acted on; \p state goes on from what an
     /// earlier holder decided.
-    RolloutPilot(RolloutSettings settings, RolloutState state, SteadyTime begunAt, std::uint64_t term, RolloutJudge judge);
+    RolloutController(RolloutSettings settings, RolloutState state, SteadyTime startedAt, std::uint64_t term, RolloutEvaluator evaluator);
 
     /// Decides. A verdict to revert holds at once.
-    const RolloutState& steer(const RolloutView& view, SteadyTime now);
+    const RolloutState& adjust(const RolloutView& view, SteadyTime now);
     /// Set if nothing is left but to record that the order is complete.
     bool isReadyToComplete() const { return isReadyToComplete_; }
     /// Completion is recorded.
@@ -157,19 +157,19 @@
     const RolloutState& state() const { return state_; }
     /// Why the last decision was taken.
     const std::string& reason() const { return reason_; }
-    SteadyTime begunAt() const { return begunAt_; }
+    SteadyTime startedAt() const { return startedAt_; }
 
 private:
     void set(RolloutPhase phase, double share, std::string reason);
-    void steerTrial(const RolloutView& view, SteadyTime now);
-    void steerShift(const RolloutView& view, SteadyTime now);
+    void adjustTrial(const RolloutView& view, SteadyTime now);
+    void adjustShift(const RolloutView& view, SteadyTime now);
     bool hasEvidence(const RolloutTally& tally) const;
-    SteadyTime at(double partOfPeriod) const;
+    SteadyTime at(double fractionOfPeriod) const;
 
     const RolloutSettings settings_;
     RolloutState state_;
-    const SteadyTime begunAt_;
-    RolloutJudge judge_;
+    const SteadyTime startedAt_;
+    RolloutEvaluator evaluator_;
     std::string reason_;
     SteadyTime shiftedAt_ {};
     SteadyTime targetOnlySince_ {};
@@ -217,32 +217,32 @@
 
 /// A node's part in all orders: whom requests go to, and what comes of them.
 /// Thread-safe.
-class RolloutBook {
+class RolloutTracker {
 public:
-    explicit RolloutBook(RolloutSettings settings);
+    explicit RolloutTracker(RolloutSettings settings);
 
     /// Whether there is no order, so that nothing is restricted or counted.
     bool isEmpty() const { return !count_; }
     /// An operator's order was read. \returns whether it was news.
-    bool takeOrder(const RolloutOrder& order, SteadyTime now);
-    /// \p state was told by its holder at \p saidAt. \returns whether it replaced another.
-    bool take(const RolloutState& state, SteadyTime saidAt, SteadyTime now);
-    struct Heard {
+    bool applyOrder(const RolloutOrder& order, SteadyTime now);
+    /// \p state was told by its holder at \p reportedAt. \returns whether it replaced another.
+    bool take(const RolloutState& state, SteadyTime reportedAt, SteadyTime now);
+    struct ReceivedState {
         RolloutState state_;
-        SteadyTime saidAt_ {};
+        SteadyTime reportedAt_ {};
         /// When this node heard of the order.
-        SteadyTime orderedAt_ {};
+        SteadyTime orderReceivedAt_ {};
     };
-    std::vector<Heard> states() const;
+    std::vector<ReceivedState> states() const;
     std::optional<RolloutState> find(const ServiceName& service) const;
 
-    enum class Send {
+    enum class SendKind {
         First,
         /// Repeats and moves stay with the version that is known.
-        Again,
+        Subsequent,
     };
     /// Which versions a request of \p service on \p route may be sent to; nullopt for any.
-    std::optional<VersionRule> assign(const ServiceName& service, RouteKey route, Send send, SteadyTime now);
+    std::optional<VersionRule> assign(const ServiceName& service, RouteKey route, SendKind send, SteadyTime now);
     /// A request was sent to a backend server of \p service.
     void noteSent(const ServiceName& service, const BackendVersion& version);
     void noteAnswer(const ServiceName& service, const RolloutAnswer& answer);
@@ -256,7 +256,7 @@
 
 private:
     struct Entry {
-        Heard heard_;
+        ReceivedState received_;
         RolloutTally tally_;
         /// Mean time between events of other versions, by route.
         std::map<RouteKey, double> usualGapMs_;
--- a/lib/Duties/Demand.cpp
+++ b/lib/Duties/Demand.cpp
@@ -1,7 +1,7 @@
 //===- lib/Duties/Demand.cpp - tokens a second over all nodes --------------===//
 ///
 /// \file
-/// See DemandBook.
+/// See DemandEstimator.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Duties.h"
 
@@ -10,51 +10,51 @@
 namespace pistachioloom {
 
 // Answers beyond which a node's word on the reading rate weighs no more.
-static constexpr std::uint64_t mostWeight = 200;
+static constexpr std::uint64_t maxWeight = 200;
 // With fewer answers a node has no say.
-static constexpr std::uint64_t leastWeight = 12;
+static constexpr std::uint64_t minObservations = 12;
 
 // A rate over less than this, in seconds, would be that of single requests.
-static constexpr double shortestSpan = 1;
+static constexpr double minSpanSeconds = 1;
 
-double DemandBook::rateOf(const std::deque<Reading>& own)
+double DemandEstimator::rateOf(const std::deque<Reading>& local)
 {
-    if (own.size() < 2)
+    if (local.size() < 2)
         return 0;
-    double span = std::chrono::duration<double>(own.back().at_ - own.front().at_).count();
-    return (own.back().tokens_ - own.front().tokens_) / std::max(span, shortestSpan);
+    double span = std::chrono::duration<double>(local.back().at_ - local.front().at_).count();
+    return (local.back().tokens_ - local.front().tokens_) / std::max(span, minSpanSeconds);
 }
 
-void DemandBook::countOwn(const ServiceName& service, TokenCount asked, SteadyTime now)
+void DemandEstimator::recordLocalTokens(const ServiceName& service, TokenCount totalTokens, SteadyTime now)
 {
     std::lock_guard lock(mutex_);
-    std::deque<Reading>& own = demand_[service].own_;
-    own.push_back({ now, static_cast<double>(asked.value_) });
-    while (now - own.front().at_ > timing_.window_)
-        own.pop_front();
+    std::deque<Reading>& local = demand_[service].local_;
+    local.push_back({ now, static_cast<double>(totalTokens.value_) });
+    while (now - local.front().at_ > timing_.window_)
+        local.pop_front();
 }
 
-double DemandBook::ownRate(const ServiceName& service) const
+double DemandEstimator::localRate(const ServiceName& service) const
 {
     std::lock_guard lock(mutex_);
     auto found = demand_.find(service);
-    return found == demand_.end() ? 0 : rateOf(found->second.own_);
+    return found == demand_.end() ? 0 : rateOf(found->second.local_);
 }
 
-void DemandBook::setSource(const VmId& vm, const ServiceName& service, const DemandTold& told, SteadyTime now)
+void DemandEstimator::setSource(const VmId& vm, const ServiceName& service, const ServiceDemand& reported, SteadyTime now)
 {
     std::lock_guard lock(mutex_);
-    demand_[service].sources_[vm] = { told, now };
+    demand_[service].sources_[vm] = { reported, now };
 }
 
-void DemandBook::forgetSource(const VmId& vm)
+void DemandEstimator::forgetSource(const VmId& vm)
 {
     std::lock_guard lock(mutex_);
     for (auto& [service, demand] : demand_)
         demand.sources_.erase(vm);
 }
 
-double DemandBook::prefillPerMs(const ServiceName& service, double fallback) const
+double DemandEstimator::prefillPerMs(const ServiceName& service, double fallback) const
 {
     std::lock_guard lock(mutex_);
     auto found = demand_.find(service);
@@ -63,24 +63,24 @@
     double sum = 0;
     double weights = 0;
     for (const auto& [vm, source] : found->second.sources_) {
-        const DemandTold& told = source.told_;
-        if (told.observations_ < leastWeight)
+        const ServiceDemand& reported = source.reported_;
+        if (reported.observations_ < minObservations)
             continue;
-        auto weight = static_cast<double>(std::min(told.observations_, mostWeight));
-        sum += weight * told.prefillPerMs_;
+        auto weight = static_cast<double>(std::min(reported.observations_, maxWeight));
+        sum += weight * reported.prefillPerMs_;
         weights += weight;
     }
     return weights > 0 ? sum / weights : fallback;
 }
 
-void DemandBook::sample(SteadyTime now)
+void DemandEstimator::sample(SteadyTime now)
 {
     std::lock_guard lock(mutex_);
     for (auto& [service, demand] : demand_) {
-        double sum = rateOf(demand.own_);
+        double sum = rateOf(demand.local_);
         for (const auto& [vm, source] : demand.sources_) {
             if (now - source.at_ <= timing_.validity_)
-                sum += source.told_.tokensPerSecond_;
+                sum += source.reported_.tokensPerSecond_;
         }
         // Before the first request there is no demand to speak of, rather than none.
         if (sum <= 0 && !demand.firstAt_)
@@ -88,12 +88,12 @@
         if (!demand.firstAt_)
             demand.firstAt_ = now;
         demand.rates_.push_back({ now, sum });
-        while (now - demand.rates_.front().at_ > timing_.memory_)
+        while (now - demand.rates_.front().at_ > timing_.peakWindow_)
             demand.rates_.pop_front();
     }
 }
 
-std::optional<double> DemandBook::peakRate(const ServiceName& service, SteadyTime now) const
+std::optional<double> DemandEstimator::peakRate(const ServiceName& service, SteadyTime now) const
 {
     std::lock_guard lock(mutex_);
     auto found = demand_.find(service);
--- a/lib/Duties/Usage.cpp
+++ b/lib/Duties/Usage.cpp
@@ -1,7 +1,7 @@
 //===- lib/Duties/Usage.cpp - counts by window, and the time of day --------===//
 ///
 /// \file
-/// See UsageBook and ClockAgreement.
+/// See UsageTracker and ClockOffsetEstimator.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Duties.h"
 
@@ -11,31 +11,31 @@
 namespace pistachioloom {
 
 // Windows that are told to peers: a report is due two windows after its end.
-static constexpr std::size_t windowsTold = 4;
+static constexpr std::size_t reportedWindows = 4;
 // A clock that was not heard of for so long has no say.
 static constexpr milliseconds clockValidity { 5000 };
 static const VmId ownSource {};
 // Windows kept of each source, two minutes of 5 s each; a report is due within
 // four, and without a bound a node that never reports would keep them for good.
-static constexpr std::size_t windowsKept = 24;
+static constexpr std::size_t maxWindowsPerSource = 24;
 
 static void dropOldWindows(std::map<WindowNumber, UsageCounts>& windows)
 {
-    while (windows.size() > windowsKept)
+    while (windows.size() > maxWindowsPerSource)
         windows.erase(windows.begin());
 }
 
-UsageBook::UsageBook(milliseconds window)
+UsageTracker::UsageTracker(milliseconds window)
     : window_(window)
 {
 }
 
-WindowNumber UsageBook::windowAt(std::int64_t wallMs) const
+WindowNumber UsageTracker::windowAt(std::int64_t wallMs) const
 {
     return { static_cast<std::uint64_t>(wallMs / window_.count()) };
 }
 
-void UsageBook::count(const OrganisationId& organisation, std::int64_t wallMs)
+void UsageTracker::count(const OrganisationId& organisation, std::int64_t wallMs)
 {
     std::lock_guard lock(mutex_);
     auto& own = sources_[{ ownSource, 0 }];
@@ -43,19 +43,19 @@
     dropOldWindows(own);
 }
 
-std::map<WindowNumber, UsageCounts> UsageBook::recent() const
+std::map<WindowNumber, UsageCounts> UsageTracker::recent() const
 {
     std::lock_guard lock(mutex_);
     auto own = sources_.find({ ownSource, 0 });
     if (own == sources_.end())
         return {};
     auto first = own->second.end();
-    for (std::size_t i = 0; i < windowsTold && first != own->second.begin(); ++i)
+    for (std::size_t i = 0; i < reportedWindows && first != own->second.begin(); ++i)
         --first;
     return { first, own->second.end() };
 }
 
-void UsageBook::setPeer(const VmId& vm, std::uint64_t incarnation, const std::map<WindowNumber, UsageCounts>& windows)
+void UsageTracker::setPeer(const VmId& vm, std::uint64_t incarnation, const std::map<WindowNumber, UsageCounts>& windows)
 {
     std::lock_guard lock(mutex_);
     auto& known = sources_[{ vm, incarnation }];
@@ -68,13 +68,13 @@
     dropOldWindows(known);
 }
 
-void UsageBook::forgetPeer(const VmId& vm)
+void UsageTracker::forgetPeer(const VmId& vm)
 {
     std::lock_guard lock(mutex_);
     std::erase_if(sources_, [&](const auto& entry) { return entry.first.first == vm; });
 }
 
-UsageCounts UsageBook::sum(WindowNumber window) const
+UsageCounts UsageTracker::sum(WindowNumber window) const
 {
     std::lock_guard lock(mutex_);
     UsageCounts sum;
@@ -88,7 +88,7 @@
     return sum;
 }
 
-std::map<WindowNumber, UsageCounts> UsageBook::sumsWithout(const VmId& vm, std::uint64_t incarnation) const
+std::map<WindowNumber, UsageCounts> UsageTracker::sumsExcluding(const VmId& vm, std::uint64_t incarnation) const
 {
     std::lock_guard lock(mutex_);
     std::map<WindowNumber, UsageCounts> sums;
@@ -103,7 +103,7 @@
     return sums;
 }
 
-void UsageBook::forget(WindowNumber oldest)
+void UsageTracker::forget(WindowNumber oldest)
 {
     std::lock_guard lock(mutex_);
     for (auto& [source, windows] : sources_)
@@ -111,34 +111,34 @@
     std::erase_if(sources_, [](const auto& entry) { return entry.second.empty(); });
 }
 
-void ClockAgreement::setPeer(const VmId& vm, std::int64_t offsetMs, SteadyTime now)
+void ClockOffsetEstimator::setPeer(const VmId& vm, std::int64_t offsetMs, SteadyTime now)
 {
     std::lock_guard lock(mutex_);
     peers_[vm] = { offsetMs, now };
 }
 
-std::int64_t ClockAgreement::correctionMs(SteadyTime now) const
+std::int64_t ClockOffsetEstimator::correctionMs(SteadyTime now) const
 {
     std::lock_guard lock(mutex_);
     std::vector<std::int64_t> offsets { 0 };
-    for (const auto& [vm, told] : peers_) {
-        if (now - told.at_ <= clockValidity)
-            offsets.push_back(told.offsetMs_);
+    for (const auto& [vm, peerClock] : peers_) {
+        if (now - peerClock.at_ <= clockValidity)
+            offsets.push_back(peerClock.offsetMs_);
     }
     auto middle = offsets.begin() + static_cast<std::ptrdiff_t>(offsets.size() / 2);
     std::nth_element(offsets.begin(), middle, offsets.end());
     return *middle;
 }
 
-std::optional<WindowNumber> dueWindow(std::int64_t nowMs, milliseconds window, const UsageTiming& timing, const std::function<bool(milliseconds)>& allToldWithin)
+std::optional<WindowNumber> dueWindow(std::int64_t nowMs, milliseconds window, const UsageTiming& timing, const std::function<bool(milliseconds)>& allReportedWithin)
 {
     // What a node tells was counted up to a moment before.
-    constexpr milliseconds toldLate { 300 };
+    constexpr milliseconds reportAge { 300 };
     auto newestEnded = [&](milliseconds before) { return static_cast<std::uint64_t>(std::max<std::int64_t>(0, (nowMs - before.count()) / window.count())); };
     std::uint64_t settled = newestEnded(std::min(timing.settled_, timing.longest_));
     std::uint64_t overdue = newestEnded(timing.longest_);
     milliseconds sinceEnd { nowMs - static_cast<std::int64_t>(settled) * window.count() };
-    bool isComplete = sinceEnd > toldLate && allToldWithin(sinceEnd - toldLate);
+    bool isComplete = sinceEnd > reportAge && allReportedWithin(sinceEnd - reportAge);
     std::uint64_t ended = isComplete ? settled : overdue;
     // The window that ended is the one before.
     return ended ? std::optional(WindowNumber { ended - 1 }) : std::nullopt;
--- a/lib/Fleet/FleetBook.cpp
+++ b/lib/Fleet/FleetTracker.cpp
@@ -1,7 +1,7 @@
-//===- lib/Fleet/FleetBook.cpp - orders over time --------------------------===//
+//===- lib/Fleet/FleetTracker.cpp - orders over time --------------------------===//
 ///
 /// \file
-/// See FleetBook.
+/// See FleetTracker.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Fleet.h"
 
@@ -12,180 +12,180 @@
 
 // A data centre lost its reclaimable engines if fewer than this part of them is left:
 // all of them go at once, and the registry tells of them within two readings.
-static constexpr double partLeft = 0.5;
+static constexpr double reclaimedThreshold = 0.5;
 
-std::uint64_t FleetView::lasting() const
+std::uint64_t FleetView::onDemand() const
 {
     std::uint64_t sum = 0;
-    for (const FleetPlace& place : places_)
-        sum += place.lasting_;
+    for (const DataCentreFleet& fleet : dataCentres_)
+        sum += fleet.onDemand_;
     return sum;
 }
 
 std::uint64_t FleetView::reclaimable() const
 {
     std::uint64_t sum = 0;
-    for (const FleetPlace& place : places_)
-        sum += place.reclaimable_;
+    for (const DataCentreFleet& fleet : dataCentres_)
+        sum += fleet.reclaimable_;
     return sum;
 }
 
-FleetBook::FleetBook(FleetSettings settings)
+FleetTracker::FleetTracker(FleetSettings settings)
     : settings_(settings)
 {
 }
 
-const FleetBook::LastOrder* FleetBook::lastOrder(const FleetOrder& order) const
+const FleetTracker::LastOrder* FleetTracker::lastOrder(const FleetOrder& order) const
 {
     auto found = ordered_.find({ order.service_, order.dataCentre_, order.isReclaimable_ });
     return found == ordered_.end() ? nullptr : &found->second;
 }
 
-void FleetBook::observe(const FleetView& view, SteadyTime now)
+void FleetTracker::observe(const FleetView& view, SteadyTime now)
 {
     Registrations& known = registrations_[view.service_];
     // Reclaimable ones come later, as they are ordered.
     bool isFirst = view.engines() && !known.hasAny_;
-    if (isFirst || view.lasting() > known.mostLasting_) {
-        known.mostLasting_ = view.lasting();
+    if (isFirst || view.onDemand() > known.maxOnDemand_) {
+        known.maxOnDemand_ = view.onDemand();
         known.grewAt_ = now;
     }
     known.hasAny_ |= view.engines() > 0;
     // Where requests have come for long enough to know their rate and no engine has
     // registered, all are gone. Also reclaimable ones alone are a settled list: a holder
     // that waited for lasting ones would order none when all reclaimable ones go.
-    bool areAllGone = !known.hasAny_ && view.tokensPerSecond_;
-    known.isSettled_ |= areAllGone || (known.hasAny_ && now - known.grewAt_ >= settings_.settling_);
-    for (const FleetPlace& place : view.places_) {
-        std::uint64_t& before = known.reclaimable_[place.dataCentre_];
-        const LastOrder* ordered = lastOrder({ view.service_, place.dataCentre_, true, 0 });
-        bool wasDismissed = ordered && ordered->wanted_ <= place.reclaimable_;
-        if (static_cast<double>(place.reclaimable_) < partLeft * static_cast<double>(before) && !wasDismissed)
+    bool isLost = !known.hasAny_ && view.tokensPerSecond_;
+    known.isSettled_ |= isLost || (known.hasAny_ && now - known.grewAt_ >= settings_.settleTime_);
+    for (const DataCentreFleet& fleet : view.dataCentres_) {
+        std::uint64_t& before = known.reclaimable_[fleet.dataCentre_];
+        const LastOrder* ordered = lastOrder({ view.service_, fleet.dataCentre_, true, 0 });
+        bool wasDismissed = ordered && ordered->wanted_ <= fleet.reclaimable_;
+        if (static_cast<double>(fleet.reclaimable_) < reclaimedThreshold * static_cast<double>(before) && !wasDismissed)
             known.reclaimedAt_ = now;
-        before = place.reclaimable_;
+        before = fleet.reclaimable_;
     }
 }
 
 /// Engines whose slots hold what is under way, with some to spare.
-static std::uint64_t enginesForSlots(const FleetView& view, double slotsUsed)
+static std::uint64_t enginesForSlots(const FleetView& view, double targetUtilisation)
 {
     if (!view.slots_ || !view.engines())
         return 0;
     double perEngine = static_cast<double>(view.slots_) / static_cast<double>(view.engines());
-    return static_cast<std::uint64_t>(std::ceil(static_cast<double>(view.slotsTaken_) / (perEngine * slotsUsed)));
+    return static_cast<std::uint64_t>(std::ceil(static_cast<double>(view.slotsTaken_) / (perEngine * targetUtilisation)));
 }
 
 /// What the service needs now. Before demand is known, the need of the holder before
 /// counts, or the most that was there, so that a new holder changes nothing.
-FleetDemand FleetBook::demandOf(const FleetView& view, SteadyTime now)
+FleetDemand FleetTracker::demandOf(const FleetView& view, SteadyTime now)
 {
     std::uint64_t& before = needed_[view.service_];
     std::uint64_t needed = before;
     // Engines that were ordered here may be more than what is needed.
     if (!inherited_.contains(view.service_))
-        needed = std::max(before, ordered_.empty() ? view.engines() : view.lasting());
+        needed = std::max(before, ordered_.empty() ? view.engines() : view.onDemand());
     if (view.tokensPerSecond_)
-        needed = std::max(enginesFor(*view.tokensPerSecond_ * (1 + settings_.growth_), view.prefillPerMs_, settings_.margin_), enginesForSlots(view, settings_.slotsUsed_));
+        needed = std::max(enginesFor(*view.tokensPerSecond_ * (1 + settings_.growth_), view.prefillPerMs_, settings_.margin_), enginesForSlots(view, settings_.targetUtilisation_));
     // A node that hears few others would dismiss the engines of all the rest.
-    if (!view.isWhole_)
+    if (!view.isComplete_)
         needed = std::max(needed, before);
     // The highest need of a while counts, so that engines are not given up in one
     // moment and missed in the next.
     std::deque<Need>& recent = needs_[view.service_];
     recent.push_back({ now, needed });
-    while (now - recent.front().at_ > settings_.reclaimableHold_)
+    while (now - recent.front().at_ > settings_.reclaimableStabilisationWindow_)
         recent.pop_front();
     FleetDemand demand { 0, view.bounds_.least_, view.bounds_.most_, 0, settings_.reserveShare_ };
     std::uint64_t highest = 0;
     for (const Need& need : recent) {
         highest = std::max(highest, need.engines_);
-        if (now - need.at_ <= settings_.hold_)
+        if (now - need.at_ <= settings_.stabilisationWindow_)
             demand.needed_ = std::max(demand.needed_, need.engines_);
     }
     auto reclaimable = static_cast<std::uint64_t>(std::ceil(static_cast<double>(highest) * settings_.reclaimableShare_));
-    std::uint64_t room = demand.most_ - std::min(demand.most_, demand.least_);
-    demand.reclaimablePerPlace_ = std::min(room, reclaimable);
+    std::uint64_t capacity = demand.most_ - std::min(demand.most_, demand.least_);
+    demand.reclaimablePerDataCentre_ = std::min(capacity, reclaimable);
     before = demand.needed_;
     return demand;
 }
 
-bool FleetBook::isDue(const FleetOrder& order, std::uint64_t present, const Registrations& registrations, SteadyTime now) const
+bool FleetTracker::isDue(const FleetOrder& order, std::uint64_t present, const Registrations& registrations, SteadyTime now) const
 {
     bool isDismissal = order.wanted_ < present;
     // An order given before all have registered would dismiss the others. Reclaimable
     // engines take their boot time to come, and more of them dismiss nothing.
     if (!registrations.isSettled_ && (!order.isReclaimable_ || order.wanted_ <= present))
         return false;
-    if (!order.isReclaimable_ && isDismissal && registrations.reclaimedAt_ && now - *registrations.reclaimedAt_ < settings_.caution_)
+    if (!order.isReclaimable_ && isDismissal && registrations.reclaimedAt_ && now - *registrations.reclaimedAt_ < settings_.dismissalCooldown_)
         return false;
     const LastOrder* last = lastOrder(order);
     if (!last)
         return true;
     // Nobody has engines of this kind now, however many are asked for.
-    if (!last->isTaken_ && order.wanted_ > present && now - last->at_ < settings_.refusedRepeat_)
+    if (!last->isAccepted_ && order.wanted_ > present && now - last->at_ < settings_.rejectedRepeatInterval_)
         return false;
     // An order that was taken is in force, though engines take time to come.
-    bool isSame = last->wanted_ == order.wanted_ && last->isTaken_;
-    return !isSame || (present != order.wanted_ && now - last->at_ >= settings_.repeat_);
+    bool isSame = last->wanted_ == order.wanted_ && last->isAccepted_;
+    return !isSame || (present != order.wanted_ && now - last->at_ >= settings_.repeatInterval_);
 }
 
-std::vector<FleetOrder> FleetBook::dueOrders(const FleetView& view, SteadyTime now)
+std::vector<FleetOrder> FleetTracker::dueOrders(const FleetView& view, SteadyTime now)
 {
     FleetDemand demand = demandOf(view, now);
     // The platform bounds what is ordered by all engines that are there, those of a new
     // version among them, and would dismiss some of them.
-    if (view.holdsAll_ && view.engines() >= demand.needed_)
+    if (view.isRollingOut_ && view.engines() >= demand.needed_)
         return {};
     std::vector<FleetOrder> dismissals;
     std::vector<FleetOrder> additions;
-    std::vector<FleetPlace> places = view.places_;
-    std::map<DataCentreId, const FleetPlace*> placeOf;
+    std::vector<DataCentreFleet> fleets = view.dataCentres_;
+    std::map<DataCentreId, const DataCentreFleet*> fleetOf;
     // Lasting engines as ordered, by which the platform bounds the others.
-    std::map<DataCentreId, std::uint64_t> lasting;
-    for (FleetPlace& place : places) {
-        const LastOrder* last = lastOrder({ view.service_, place.dataCentre_, false, 0 });
-        bool isOrdered = last && last->isTaken_;
-        std::uint64_t ordered = isOrdered ? last->wanted_ - std::min(last->wanted_, place.lastingApart_) : 0;
-        place.lastingOrdered_ = ordered;
-        lasting[place.dataCentre_] = isOrdered ? ordered : place.lasting_;
-        placeOf[place.dataCentre_] = &place;
+    std::map<DataCentreId, std::uint64_t> onDemand;
+    for (DataCentreFleet& fleet : fleets) {
+        const LastOrder* last = lastOrder({ view.service_, fleet.dataCentre_, false, 0 });
+        bool isOrdered = last && last->isAccepted_;
+        std::uint64_t ordered = isOrdered ? last->wanted_ - std::min(last->wanted_, fleet.onDemandExcluded_) : 0;
+        fleet.onDemandOrdered_ = ordered;
+        onDemand[fleet.dataCentre_] = isOrdered ? ordered : fleet.onDemand_;
+        fleetOf[fleet.dataCentre_] = &fleet;
     }
-    std::vector<FleetOrder> orders = planFleet(view.service_, demand, places);
+    std::vector<FleetOrder> orders = planFleet(view.service_, demand, fleets);
     std::stable_partition(orders.begin(), orders.end(), [](const FleetOrder& order) { return !order.isReclaimable_; });
     for (FleetOrder& order : orders) {
-        const FleetPlace& place = *placeOf[order.dataCentre_];
-        std::uint64_t present = order.isReclaimable_ ? place.reclaimable_ : place.lasting_;
+        const DataCentreFleet& fleet = *fleetOf[order.dataCentre_];
+        std::uint64_t present = order.isReclaimable_ ? fleet.reclaimable_ : fleet.onDemand_;
         if (order.isReclaimable_)
-            order.wanted_ = std::min(order.wanted_, demand.most_ - std::min(demand.most_, lasting[order.dataCentre_]));
-        if (view.holdsAll_ && order.wanted_ < present)
+            order.wanted_ = std::min(order.wanted_, demand.most_ - std::min(demand.most_, onDemand[order.dataCentre_]));
+        if (view.isRollingOut_ && order.wanted_ < present)
             continue;
         if (!order.isReclaimable_) {
-            order.wanted_ += place.lastingApart_;
-            present += place.lastingApart_;
+            order.wanted_ += fleet.onDemandExcluded_;
+            present += fleet.onDemandExcluded_;
         }
         if (!isDue(order, present, registrations_[view.service_], now))
             continue;
         if (!order.isReclaimable_)
-            lasting[order.dataCentre_] = order.wanted_;
+            onDemand[order.dataCentre_] = order.wanted_;
         (order.wanted_ < present ? dismissals : additions).push_back(order);
     }
     dismissals.insert(dismissals.end(), additions.begin(), additions.end());
     return dismissals;
 }
 
-void FleetBook::inheritNeed(const ServiceName& service, std::uint64_t engines, SteadyTime now)
+void FleetTracker::inheritNeed(const ServiceName& service, std::uint64_t engines, SteadyTime now)
 {
     inherited_.insert(service);
     needed_[service] = engines;
     needs_[service].push_back({ now, engines });
 }
 
-void FleetBook::noteOrdered(const FleetOrder& order, bool isTaken, SteadyTime now)
+void FleetTracker::noteOrdered(const FleetOrder& order, bool isAccepted, SteadyTime now)
 {
-    ordered_[{ order.service_, order.dataCentre_, order.isReclaimable_ }] = { order.wanted_, isTaken, now };
+    ordered_[{ order.service_, order.dataCentre_, order.isReclaimable_ }] = { order.wanted_, isAccepted, now };
 }
 
-std::uint64_t FleetBook::needed(const ServiceName& service) const
+std::uint64_t FleetTracker::needed(const ServiceName& service) const
 {
     auto found = needed_.find(service);
     return found == needed_.end() ? 0 : found->second;
--- a/lib/Fleet/Plan.cpp
+++ b/lib/Fleet/Plan.cpp
@@ -18,56 +18,56 @@
     return static_cast<std::uint64_t>(std::ceil(busy + margin * std::sqrt(busy)));
 }
 
-std::vector<FleetOrder> planFleet(const ServiceName& service, const FleetDemand& demand, const std::vector<FleetPlace>& places)
+std::vector<FleetOrder> planFleet(const ServiceName& service, const FleetDemand& demand, const std::vector<DataCentreFleet>& fleets)
 {
     std::uint64_t reclaimable = 0;
     std::uint64_t largest = 0;
-    for (const FleetPlace& place : places) {
-        std::uint64_t counted = std::min(place.reclaimable_, demand.reclaimablePerPlace_);
+    for (const DataCentreFleet& fleet : fleets) {
+        std::uint64_t counted = std::min(fleet.reclaimable_, demand.reclaimablePerDataCentre_);
         reclaimable += counted;
         largest = std::max(largest, counted);
     }
-    std::uint64_t safe = reclaimable - static_cast<std::uint64_t>(std::ceil(static_cast<double>(largest) * demand.reserveShare_));
-    std::uint64_t lasting = demand.needed_ - std::min(demand.needed_, safe);
+    std::uint64_t reliable = reclaimable - static_cast<std::uint64_t>(std::ceil(static_cast<double>(largest) * demand.reserveShare_));
+    std::uint64_t onDemand = demand.needed_ - std::min(demand.needed_, reliable);
 
-    std::vector<const FleetPlace*> byPrice;
-    for (const FleetPlace& place : places)
-        byPrice.push_back(&place);
-    std::stable_sort(byPrice.begin(), byPrice.end(), [](const FleetPlace* left, const FleetPlace* right) { return left->price_ < right->price_; });
+    std::vector<const DataCentreFleet*> byCost;
+    for (const DataCentreFleet& fleet : fleets)
+        byCost.push_back(&fleet);
+    std::stable_sort(byCost.begin(), byCost.end(), [](const DataCentreFleet* left, const DataCentreFleet* right) { return left->cost_ < right->cost_; });
 
     // Engines that are there, or on their way, stay while more are wanted than there are:
     // one that moves to another data centre is missing for its boot time.
     std::map<DataCentreId, std::uint64_t> share;
-    std::uint64_t placed = 0;
+    std::uint64_t assigned = 0;
     std::uint64_t present = 0;
     // Reclaimable engines that are there count towards the least number, too. Lasting
     // ones for it cost several times as much.
-    auto floorOf = [&](const FleetPlace& place) { return demand.least_ - std::min(demand.least_, place.reclaimable_); };
-    auto expected = [&](const FleetPlace& place) { return std::max({ place.lasting_, place.lastingOrdered_, floorOf(place) }); };
-    for (const FleetPlace& place : places)
-        present += expected(place);
-    for (const FleetPlace& place : places) {
-        std::uint64_t kept = std::min(present <= lasting ? expected(place) : floorOf(place), demand.most_);
-        share[place.dataCentre_] = kept;
-        placed += kept;
+    auto minOnDemand = [&](const DataCentreFleet& fleet) { return demand.least_ - std::min(demand.least_, fleet.reclaimable_); };
+    auto expected = [&](const DataCentreFleet& fleet) { return std::max({ fleet.onDemand_, fleet.onDemandOrdered_, minOnDemand(fleet) }); };
+    for (const DataCentreFleet& fleet : fleets)
+        present += expected(fleet);
+    for (const DataCentreFleet& fleet : fleets) {
+        std::uint64_t kept = std::min(present <= onDemand ? expected(fleet) : minOnDemand(fleet), demand.most_);
+        share[fleet.dataCentre_] = kept;
+        assigned += kept;
     }
     // The others one at a time where fewest are, so that no data centre holds most.
     for (std::uint64_t level = 0; level < demand.most_; ++level) {
-        for (const FleetPlace* place : byPrice) {
+        for (const DataCentreFleet* fleet : byCost) {
             // What is there of the other kind takes room, what is only wanted
             // does not: it may not be to be had.
-            bool hasRoom = level + std::min(place->reclaimable_, demand.reclaimablePerPlace_) < demand.most_;
-            if (share[place->dataCentre_] != level || placed >= lasting || !hasRoom)
+            bool hasCapacity = level + std::min(fleet->reclaimable_, demand.reclaimablePerDataCentre_) < demand.most_;
+            if (share[fleet->dataCentre_] != level || assigned >= onDemand || !hasCapacity)
                 continue;
-            ++share[place->dataCentre_];
-            ++placed;
+            ++share[fleet->dataCentre_];
+            ++assigned;
         }
     }
     std::vector<FleetOrder> orders;
-    for (const FleetPlace& place : places) {
-        std::uint64_t wanted = share[place.dataCentre_];
-        orders.push_back({ service, place.dataCentre_, true, std::min(demand.reclaimablePerPlace_, demand.most_ - wanted) });
-        orders.push_back({ service, place.dataCentre_, false, wanted });
+    for (const DataCentreFleet& fleet : fleets) {
+        std::uint64_t wanted = share[fleet.dataCentre_];
+        orders.push_back({ service, fleet.dataCentre_, true, std::min(demand.reclaimablePerDataCentre_, demand.most_ - wanted) });
+        orders.push_back({ service, fleet.dataCentre_, false, wanted });
     }
     return orders;
 }
--- a/lib/Forward/Forwarding.cpp
+++ b/lib/Forward/Forwarding.cpp
@@ -218,7 +218,7 @@
             break;
         }
         auto choice = takeMoveTarget();
-        shape_.version_ = context_.rollouts_.assign(shape_.service_, routeKeyOf(route_->name_), sends_ ? RolloutBook::Send::Again : RolloutBook::Send::First, steadyNow());
+        shape_.version_ = context_.rollouts_.assign(shape_.service_, routeKeyOf(route_->name_), sends_ ? RolloutTracker::SendKind::Subsequent : RolloutTracker::SendKind::First, steadyNow());
         if (!choice)
             choice = context_.backends_.choose(shape_, excluded_, steadyNow());
         if (!choice) {
--- a/lib/Forward/Moving.cpp
+++ b/lib/Forward/Moving.cpp
@@ -43,7 +43,7 @@
     shape.promptTokens_ = {};
     shape.parts_.clear();
     shape.reclaimed_ = from.dataCentre_;
-    shape.version_ = context_.rollouts_.assign(shape.service_, routeKeyOf(route_->name_), RolloutBook::Send::Again, steadyNow());
+    shape.version_ = context_.rollouts_.assign(shape.service_, routeKeyOf(route_->name_), RolloutTracker::SendKind::Subsequent, steadyNow());
     auto to = context_.backends_.choose(shape, excluded_, steadyNow());
     if (!to)
         return;
--- a/lib/Gateway/DutyRunner.cpp
+++ b/lib/Gateway/DutyRunner.cpp
@@ -23,7 +23,7 @@
         DutyTiming timing;
         // Together more than the lease, so that a holder that comes back later
         // never acts within one lease of its earlier acts.
-        timing.holderSilence_ = lease * 85 / 100;
+        timing.holderTimeout_ = lease * 85 / 100;
         timing.actAfterClaim_ = lease / 2 + milliseconds(100);
         timing.recordValidity_ = lease / 3;
         return timing;
@@ -82,7 +82,7 @@
         return;
     }
     asio::co_spawn(io_, run(), asio::detached);
-    asio::co_spawn(io_, rollouts_.steer(), asio::detached);
+    asio::co_spawn(io_, rollouts_.adjust(), asio::detached);
 }
 
 DutyToken DutyRunner::heldToken() const
@@ -111,10 +111,10 @@
     co_return isRecorded;
 }
 
-void DutyRunner::heardStopping(const VmId& peer)
+void DutyRunner::noteStopping(const VmId& peer)
 {
     std::lock_guard lock(mutex_);
-    seat_.heardStopping(peer, steadyNow());
+    seat_.noteStopping(peer, steadyNow());
 }
 
 DutyToken DutyRunner::releasedToken() const
@@ -123,17 +123,17 @@
     return released_;
 }
 
-void DutyRunner::heardReleased(DutyToken token)
+void DutyRunner::noteReleased(DutyToken token)
 {
     std::lock_guard lock(mutex_);
-    seat_.heardReleased(token, steadyNow());
+    seat_.noteReleased(token, steadyNow());
 }
 
-void DutyRunner::heardHolder(const VmId& holder, DutyToken token, SteadyTime heardAt)
+void DutyRunner::noteHolder(const VmId& holder, DutyToken token, SteadyTime heardAt)
 {
     std::lock_guard lock(mutex_);
     bool was = seat_.isHolder();
-    seat_.heardHolder(holder, token, heardAt);
+    seat_.noteHolder(holder, token, heardAt);
     if (was && !seat_.isHolder())
         logger_.info(LogLine("Another node holds the duties.").add("holder", holder.value_).add("token", static_cast<std::int64_t>(token.value_)));
 }
@@ -143,7 +143,7 @@
     std::lock_guard lock(mutex_);
     if (seat_.isHolder())
         released_ = seat_.token();
-    seat_.lost(steadyNow());
+    seat_.stepDown(steadyNow());
     logger_.info(LogLine("Give up the duties.").add("why", why).add("token", static_cast<std::int64_t>(released_.value_)));
 }
 
@@ -177,7 +177,7 @@
 {
     SteadyTime now = steadyNow();
     for (const auto& [service, view] : context_.backends_.services()) {
-        context_.demand_.countOwn(service, { view.tokensAsked_ }, now);
+        context_.demand_.recordLocalTokens(service, { view.tokensAsked_ }, now);
         // What it tells its peers stands beside theirs; the rate is counted above.
         context_.demand_.setSource(context_.settings_.vm_, service, { 0, view.prefillPerMs_, view.observations_ }, now);
     }
@@ -258,7 +258,7 @@
     if (isNews) {
         std::lock_guard lock(mutex_);
         if (newestClaim_.token_ > seat_.token()) {
-            seat_.heardHolder(newestClaim_.vm_, newestClaim_.token_, steadyNow());
+            seat_.noteHolder(newestClaim_.vm_, newestClaim_.token_, steadyNow());
             co_return;
         }
     }
@@ -272,7 +272,7 @@
         fleet_.inheritNeed(service, engines, steadyNow());
     std::lock_guard lock(mutex_);
     // The token is the claim's offset plus one, which is the end after it.
-    seat_.claimed({ end_.value_ }, steadyNow());
+    seat_.becomeHolder({ end_.value_ }, steadyNow());
     logger_.info(LogLine("Hold the duties.").add("token", static_cast<std::int64_t>(end_.value_)));
 }
 
@@ -336,7 +336,7 @@
 FleetView DutyRunner::viewOf(const ServicePolicy& service, SteadyTime now) const
 {
     auto rollout = context_.rollouts_.find(service.name_);
-    std::map<DataCentreId, FleetPlace> places;
+    std::map<DataCentreId, DataCentreFleet> places;
     for (const auto& [dataCentre, price] : service.fleet_->prices_)
         places[dataCentre] = { dataCentre, price, 0, 0 };
     for (const BackendRecord& record : context_.backends_.records()) {
@@ -344,21 +344,21 @@
         if (record.service_ != service.name_ || record.isLeaving_ || found == places.end())
             continue;
         if (!rollout || mayServe(*rollout, record.version_))
-            ++(record.isReclaimable_ ? found->second.reclaimable_ : found->second.lasting_);
+            ++(record.isReclaimable_ ? found->second.reclaimable_ : found->second.onDemand_);
         else if (!record.isReclaimable_)
-            ++found->second.lastingApart_;
+            ++found->second.onDemandExcluded_;
     }
     FleetView view { service.name_, *service.fleet_, {}, {}, 0, 0, 0, true, false };
     for (auto& [dataCentre, place] : places)
-        view.places_.push_back(std::move(place));
+        view.dataCentres_.push_back(std::move(place));
     view.tokensPerSecond_ = context_.demand_.peakRate(service.name_, now);
     view.prefillPerMs_ = context_.demand_.prefillPerMs(service.name_, context_.settings_.choice_.prefillPerMs_);
     BackendBook::Occupancy occupancy = context_.backends_.occupancy(service.name_);
     view.slots_ = occupancy.slots_;
     view.slotsTaken_ = occupancy.taken_;
-    view.isWhole_ = reports_->coverage(now).isWhole();
-    bool hasApart = std::any_of(view.places_.begin(), view.places_.end(), [](const FleetPlace& place) { return place.lastingApart_ > 0; });
-    view.holdsAll_ = rollout && (!isFinal(rollout->phase_) || (rollout->phase_ == RolloutPhase::Reverted && hasApart));
+    view.isComplete_ = reports_->coverage(now).isWhole();
+    bool hasApart = std::any_of(view.dataCentres_.begin(), view.dataCentres_.end(), [](const DataCentreFleet& place) { return place.onDemandExcluded_ > 0; });
+    view.isRollingOut_ = rollout && (!isFinal(rollout->phase_) || (rollout->phase_ == RolloutPhase::Reverted && hasApart));
     return view;
 }
 
@@ -386,9 +386,9 @@
         if (needed == before)
             continue;
         LogLine line("Engines needed.");
-        line.add("service", view.service_.value_).add("needed", static_cast<std::int64_t>(needed)).add("lasting", static_cast<std::int64_t>(view.lasting())).add("reclaimable", static_cast<std::int64_t>(view.reclaimable()));
+        line.add("service", view.service_.value_).add("needed", static_cast<std::int64_t>(needed)).add("lasting", static_cast<std::int64_t>(view.onDemand())).add("reclaimable", static_cast<std::int64_t>(view.reclaimable()));
         line.add("tokens_per_s", view.tokensPerSecond_ ? std::to_string(static_cast<std::int64_t>(*view.tokensPerSecond_)) : "").add("prefill_per_ms", std::to_string(view.prefillPerMs_));
-        line.add("is_whole", view.isWhole_ ? "yes" : "no");
+        line.add("is_whole", view.isComplete_ ? "yes" : "no");
         line.add("slots", static_cast<std::int64_t>(view.slots_)).add("slots_taken", static_cast<std::int64_t>(view.slotsTaken_));
         logger_.info(line);
     }
--- a/lib/Gateway/DutyRunner.h
+++ b/lib/Gateway/DutyRunner.h
@@ -24,11 +24,11 @@
     DutyToken heldToken() const;
     /// The token to tell peers: a stopping node holds no duties any more.
     DutyToken toldToken() const;
-    void heardStopping(const VmId& peer);
+    void noteStopping(const VmId& peer);
     /// The token by which this node held the duties and gave them up, or 0.
     DutyToken releasedToken() const;
-    void heardHolder(const VmId& holder, DutyToken token, SteadyTime heardAt);
-    void heardReleased(DutyToken token);
+    void noteHolder(const VmId& holder, DutyToken token, SteadyTime heardAt);
+    void noteReleased(DutyToken token);
     const RolloutRunner& rollouts() const { return rollouts_; }
 
 private:
@@ -60,7 +60,7 @@
     GatewayContext& context_;
     const PeerReports* reports_ = nullptr;
     mutable std::mutex mutex_;
-    DutySeat seat_;
+    DutyLease seat_;
     DutyToken released_ {};
     /// The end of the log as far as this node has read it.
     LogOffset end_;
@@ -76,7 +76,7 @@
     std::set<WindowNumber> reported_;
     /// The newest need of each service in the log, of any holder.
     std::map<ServiceName, std::uint64_t> recordedNeeds_;
-    FleetBook fleet_;
+    FleetTracker fleet_;
     RolloutRunner rollouts_;
     SteadyTime fleetAt_ {};
     Logger logger_ { "duties" };
--- a/lib/Gateway/Feed.cpp
+++ b/lib/Gateway/Feed.cpp
@@ -84,7 +84,7 @@
         }
         from = read.value().next_;
         for (const RolloutOrder& order : read.value().rollouts_) {
-            if (context_.rollouts_.takeOrder(order, steadyNow()))
+            if (context_.rollouts_.applyOrder(order, steadyNow()))
                 logger_.info(LogLine("Roll-out is ordered.").add("service", order.service_.value_).add("target", order.target_.value_).add("number", static_cast<std::int64_t>(order.number_.value_)).add("period_ms", order.period_.count()));
         }
         if (!read.value().sources_.empty()) {
--- a/lib/Gateway/Gateway.cpp
+++ b/lib/Gateway/Gateway.cpp
@@ -73,7 +73,7 @@
     , context_(std::move(settings), std::move(platform))
     , ios_(makeContexts(context_.settings_.threads_))
     , peerPool_(ios_[0]->get_executor(), context_.settings_.peerCredential_, [this](const Error& error) { logger_.warn("Peer link: " + describe(error)); })
-    , reports_(*ios_[0], context_, { [this] { return duties_.toldToken(); }, [this] { return duties_.releasedToken(); }, [this](const VmId& vm, DutyToken token, SteadyTime heardAt) { duties_.heardHolder(vm, token, heardAt); }, [this](DutyToken token) { duties_.heardReleased(token); }, [this](const VmId& vm) { duties_.heardStopping(vm); }, [this] { return feed_.isReader(); }, [this] { return feed_.isPlatformLost(); } })
+    , reports_(*ios_[0], context_, { [this] { return duties_.toldToken(); }, [this] { return duties_.releasedToken(); }, [this](const VmId& vm, DutyToken token, SteadyTime heardAt) { duties_.noteHolder(vm, token, heardAt); }, [this](DutyToken token) { duties_.noteReleased(token); }, [this](const VmId& vm) { duties_.noteStopping(vm); }, [this] { return feed_.isReader(); }, [this] { return feed_.isPlatformLost(); } })
     , duties_(*ios_[0], context_)
     , probe_(context_)
     , feed_(*ios_[0], context_, reports_, peerPool_, background_)
--- a/lib/Gateway/GatewayContext.h
+++ b/lib/Gateway/GatewayContext.h
@@ -42,10 +42,10 @@
     RetryBudget retries_;
     QuarantineBook quarantine_;
     CrashWatch crashes_;
-    RolloutBook rollouts_;
-    UsageBook usage_;
-    ClockAgreement clocks_;
-    DemandBook demand_;
+    RolloutTracker rollouts_;
+    UsageTracker usage_;
+    ClockOffsetEstimator clocks_;
+    DemandEstimator demand_;
     ForwardContext forward_;
     std::atomic<bool> isStopping_ { false };
 
--- a/lib/Gateway/GatewaySettings.cpp
+++ b/lib/Gateway/GatewaySettings.cpp
@@ -41,15 +41,15 @@
     {
         settings.margin_ = map.number("margin", 0, 100, settings.margin_);
         settings.growth_ = map.number("growth", 0, 10, settings.growth_);
-        settings.slotsUsed_ = map.number("slots_used", 0.01, 1, settings.slotsUsed_);
+        settings.targetUtilisation_ = map.number("slots_used", 0.01, 1, settings.targetUtilisation_);
         settings.reclaimableShare_ = map.number("reclaimable_share", 0, 2, settings.reclaimableShare_);
         settings.reserveShare_ = map.number("reserve_share", 0, 1, settings.reserveShare_);
         settings.period_ = map.duration("period", milliseconds(100), oneMinute, settings.period_);
-        settings.hold_ = map.duration("hold", milliseconds(0), oneDay, settings.hold_);
-        settings.reclaimableHold_ = map.duration("reclaimable_hold", milliseconds(0), oneDay, settings.reclaimableHold_);
-        settings.settling_ = map.duration("settling", milliseconds(0), oneDay, settings.settling_);
-        settings.caution_ = map.duration("caution", milliseconds(0), oneDay, settings.caution_);
-        settings.repeat_ = map.duration("repeat", milliseconds(100), oneDay, settings.repeat_);
+        settings.stabilisationWindow_ = map.duration("hold", milliseconds(0), oneDay, settings.stabilisationWindow_);
+        settings.reclaimableStabilisationWindow_ = map.duration("reclaimable_hold", milliseconds(0), oneDay, settings.reclaimableStabilisationWindow_);
+        settings.settleTime_ = map.duration("settling", milliseconds(0), oneDay, settings.settleTime_);
+        settings.dismissalCooldown_ = map.duration("caution", milliseconds(0), oneDay, settings.dismissalCooldown_);
+        settings.repeatInterval_ = map.duration("repeat", milliseconds(100), oneDay, settings.repeatInterval_);
         map.finish();
     }
 
@@ -108,14 +108,14 @@
         settings.trialShare_ = map.number("trial_share", 0, 1, settings.trialShare_);
         settings.exposedShare_ = map.number("exposed_share", 0, 1, settings.exposedShare_);
         settings.exposedExtra_ = map.number("exposed_extra", 0, 1'000'000, settings.exposedExtra_);
-        settings.trialPart_ = map.number("trial_part", 0, 1, settings.trialPart_);
-        settings.verdictPart_ = map.number("verdict_part", 0, 1, settings.verdictPart_);
-        settings.shiftStep_ = map.number("shift_step", 0, 1, settings.shiftStep_);
+        settings.trialFraction_ = map.number("trial_part", 0, 1, settings.trialFraction_);
+        settings.decisionFraction_ = map.number("verdict_part", 0, 1, settings.decisionFraction_);
+        settings.shiftStepFraction_ = map.number("shift_step", 0, 1, settings.shiftStepFraction_);
         settings.validity_ = map.duration("validity", milliseconds(200), oneMinute, settings.validity_);
-        settings.leastAnswers_ = map.integer("least_answers", 1, 1'000'000, settings.leastAnswers_);
+        settings.minAnswers_ = map.integer("least_answers", 1, 1'000'000, settings.minAnswers_);
         // A version on trial must stay within what a bad one may get.
         settings.trialShare_ = std::min(settings.trialShare_, settings.exposedShare_);
-        if (settings.trialPart_ >= settings.verdictPart_)
+        if (settings.trialFraction_ >= settings.decisionFraction_)
             map.fail("trial_part", "expected less than verdict_part");
         map.finish();
     }
--- a/lib/Gateway/RelayBook.cpp
+++ b/lib/Gateway/RelayBook.cpp
@@ -279,7 +279,7 @@
     auto found = others_.find(receiver);
     const wire::NodeSums* theirs = found == others_.end() ? nullptr : found->second.current(now);
     if (theirs && theirs->duty_token())
-        putUsage(newest(ownUsage_.sumsWithout({}, anyIncarnation)), *sums.mutable_usage());
+        putUsage(newest(ownUsage_.sumsExcluding({}, anyIncarnation)), *sums.mutable_usage());
     else
         sums.clear_rollout_counts();
     return sums;
@@ -306,8 +306,8 @@
         sums.clear_rollout_counts();
         return sums;
     }
-    std::map<WindowNumber, UsageCounts> usage = ownUsage_.sumsWithout(receiver, found->second.incarnation_);
-    for (const auto& [window, counts] : othersUsage_.sumsWithout({}, anyIncarnation)) {
+    std::map<WindowNumber, UsageCounts> usage = ownUsage_.sumsExcluding(receiver, found->second.incarnation_);
+    for (const auto& [window, counts] : othersUsage_.sumsExcluding({}, anyIncarnation)) {
         for (const auto& [organisation, count] : counts)
             usage[window][organisation] += count;
     }
--- a/lib/Gateway/RelayBook.h
+++ b/lib/Gateway/RelayBook.h
@@ -95,8 +95,8 @@
 
     std::map<VmId, Node> nodes_;
     std::map<DataCentreId, SumGroup> others_;
-    UsageBook ownUsage_;
-    UsageBook othersUsage_;
+    UsageTracker ownUsage_;
+    UsageTracker othersUsage_;
     /// Counts of nodes that were forgotten.
     NamedCounts goneAdmitted_;
 };
--- a/lib/Gateway/ReportMessages.cpp
+++ b/lib/Gateway/ReportMessages.cpp
@@ -79,7 +79,7 @@
     for (const auto& [service, view] : context_.backends_.services()) {
         wire::DemandReport& told = *report.add_demand();
         told.set_service(service.value_);
-        told.set_tokens_per_second(context_.demand_.ownRate(service));
+        told.set_tokens_per_second(context_.demand_.localRate(service));
         told.set_prefill_per_ms(view.prefillPerMs_);
         told.set_observations(view.observations_);
     }
--- a/lib/Gateway/RolloutMessages.cpp
+++ b/lib/Gateway/RolloutMessages.cpp
@@ -34,12 +34,12 @@
     return RolloutState { std::move(order), *phase, std::clamp(report.share(), 0.0, 1.0), report.term(), report.step() };
 }
 
-void putRollouts(const std::vector<RolloutBook::Heard>& states, google::protobuf::RepeatedPtrField<wire::RolloutReport>& message, SteadyTime now)
+void putRollouts(const std::vector<RolloutTracker::ReceivedState>& states, google::protobuf::RepeatedPtrField<wire::RolloutReport>& message, SteadyTime now)
 {
-    for (const RolloutBook::Heard& heard : states) {
+    for (const RolloutTracker::ReceivedState& heard : states) {
         wire::RolloutReport& report = *message.Add();
         report = toWire(heard.state_);
-        report.set_age_ms(static_cast<std::uint64_t>(std::max<std::int64_t>(0, std::chrono::duration_cast<milliseconds>(now - heard.saidAt_).count())));
+        report.set_age_ms(static_cast<std::uint64_t>(std::max<std::int64_t>(0, std::chrono::duration_cast<milliseconds>(now - heard.reportedAt_).count())));
     }
 }
 
--- a/lib/Gateway/RolloutMessages.h
+++ b/lib/Gateway/RolloutMessages.h
@@ -14,7 +14,7 @@
 /// nullopt if a field is missing or odd.
 std::optional<RolloutState> fromWire(const wire::RolloutReport& report);
 
-void putRollouts(const std::vector<RolloutBook::Heard>& states, google::protobuf::RepeatedPtrField<wire::RolloutReport>& message, SteadyTime now);
+void putRollouts(const std::vector<RolloutTracker::ReceivedState>& states, google::protobuf::RepeatedPtrField<wire::RolloutReport>& message, SteadyTime now);
 
 void putTallies(const RolloutTallies& tallies, google::protobuf::RepeatedPtrField<wire::RolloutCounts>& message);
 /// The tallies of a message, which may have arrays of unequal length: the shortest one
--- a/lib/Gateway/RolloutPage.cpp
+++ b/lib/Gateway/RolloutPage.cpp
@@ -23,7 +23,7 @@
     AnswerTally target;
     AnswerTally others;
     for (const auto& [cell, counted] : shown.tally_.cells_) {
-        AnswerTally& side = cell.first == stableServers ? others : target;
+        AnswerTally& side = cell.first == stableBackendKey ? others : target;
         side.answers_ += counted.answers_;
         side.bad_ += counted.bad_;
     }
--- a/lib/Gateway/RolloutRunner.cpp
+++ b/lib/Gateway/RolloutRunner.cpp
@@ -22,7 +22,7 @@
 {
 }
 
-asio::awaitable<void> RolloutRunner::steer()
+asio::awaitable<void> RolloutRunner::adjust()
 {
     for (;;) {
         co_await sleepFor(steerPeriod);
@@ -41,7 +41,7 @@
         if (!hasNotes_ || hooks_.token_() != token_)
             continue;
         SteadyTime now = steadyNow();
-        for (const RolloutBook::Heard& heard : context_.rollouts_.states())
+        for (const RolloutTracker::ReceivedState& heard : context_.rollouts_.states())
             lead(heard, now);
     }
 }
@@ -80,7 +80,7 @@
         logger_.info(LogLine("Verdict is read.").add("service", state->order_.service_.value_).add("target", state->order_.target_.value_).add("phase", toString(state->phase_)));
 }
 
-void RolloutRunner::lead(const RolloutBook::Heard& heard, SteadyTime now)
+void RolloutRunner::lead(const RolloutTracker::ReceivedState& heard, SteadyTime now)
 {
     const RolloutOrder& order = heard.state_.order_;
     auto found = orders_.find(order.service_);
@@ -95,14 +95,14 @@
         }
     }
     if (found == orders_.end())
-        found = orders_.emplace(order.service_, Order { RolloutPilot(context_.settings_.rollout_, heard.state_, heard.orderedAt_, token_.value_, makeSequentialJudge()) }).first;
-    RolloutPilot& pilot = found->second.pilot_;
+        found = orders_.emplace(order.service_, Order { RolloutController(context_.settings_.rollout_, heard.state_, heard.orderReceivedAt_, token_.value_, makeSequentialEvaluator()) }).first;
+    RolloutController& pilot = found->second.pilot_;
     if (isFinal(pilot.state().phase_))
         return;
     RolloutState before = pilot.state();
     BackendBook::Versions versions = context_.backends_.versions(order.service_, order.target_);
     RolloutView view { context_.rollouts_.total(order.service_), versions.target_, versions.others_, versions.othersRunning_ };
-    RolloutState after = pilot.steer(view, now);
+    RolloutState after = pilot.adjust(view, now);
     // Said anew each time: a trial whose holder is silent ends at the other nodes.
     (void)context_.rollouts_.take(after, now, now);
     if (after == before)
@@ -114,7 +114,7 @@
     LogLine line("Roll-out moves on.");
     line.add("service", order.service_.value_).add("target", order.target_.value_).add("phase", toString(after.phase_)).add("share", std::to_string(after.share_)).add("why", pilot.reason());
     line.add("requests", static_cast<std::int64_t>(view.tally_.requests_)).add("exposed", static_cast<std::int64_t>(view.tally_.exposed_)).add("target_servers", static_cast<std::int64_t>(view.targetServers_)).add("other_servers", static_cast<std::int64_t>(view.stableServers_));
-    line.add("other_running", static_cast<std::int64_t>(view.stableRunning_)).add("since_order_ms", std::chrono::duration_cast<milliseconds>(now - heard.orderedAt_).count());
+    line.add("other_running", static_cast<std::int64_t>(view.stableRunning_)).add("since_order_ms", std::chrono::duration_cast<milliseconds>(now - heard.orderReceivedAt_).count());
     logger_.info(line);
 }
 
@@ -209,7 +209,7 @@
 {
     std::vector<Shown> all;
     std::lock_guard lock(reasonsMutex_);
-    for (const RolloutBook::Heard& heard : context_.rollouts_.states()) {
+    for (const RolloutTracker::ReceivedState& heard : context_.rollouts_.states()) {
         const RolloutOrder& order = heard.state_.order_;
         auto reason = reasons_.find(order.service_);
         all.push_back({ heard.state_, reason == reasons_.end() ? "" : reason->second, context_.rollouts_.total(order.service_), context_.backends_.versions(order.service_, order.target_) });
--- a/lib/Gateway/RolloutRunner.h
+++ b/lib/Gateway/RolloutRunner.h
@@ -28,7 +28,7 @@
     RolloutRunner(GatewayContext& context, Hooks hooks);
 
     /// Decides at regular times while this node holds the duties. Waits for nobody.
-    asio::awaitable<void> steer();
+    asio::awaitable<void> adjust();
     /// Records and tells what is due. \returns false if this node holds the duties no more.
     asio::awaitable<bool> act();
     /// A verdict in the log of duties, by any holder.
@@ -45,12 +45,12 @@
 
 private:
     struct Order {
-        RolloutPilot pilot_;
+        RolloutController pilot_;
         bool isActiveTold_ = false;
     };
 
     asio::awaitable<void> readNotes();
-    void lead(const RolloutBook::Heard& heard, SteadyTime now);
+    void lead(const RolloutTracker::ReceivedState& heard, SteadyTime now);
     asio::awaitable<bool> settle(ServiceName service, RolloutState verdict);
     asio::awaitable<bool> tell(RolloutState state);
     asio::awaitable<bool> recordVerdict(RolloutState verdict, bool isTold);
--- a/lib/Rollout/Answers.cpp
+++ b/lib/Rollout/Answers.cpp
@@ -10,18 +10,18 @@
 // Estimates are off by half as often as not; several times slower is not chance.
 static constexpr double slowRatio = 2.5;
 // Shorter waits than this beyond the estimate are noise of the network and of VMs.
-static constexpr milliseconds leastDelay { 60 };
-static constexpr double leastGapDelayMs = 5;
+static constexpr milliseconds minDelay { 60 };
+static constexpr double minGapDelayMs = 5;
 
 static bool isSlow(const AttemptOutcome& outcome)
 {
     double ratio = outcome.hasBegun_ ? outcome.waitRatio_ : static_cast<double>(outcome.waited_.count()) / static_cast<double>(std::max<std::int64_t>(1, outcome.estimate_.count()));
-    return ratio > slowRatio && outcome.waited_ > outcome.estimate_ + leastDelay;
+    return ratio > slowRatio && outcome.waited_ > outcome.estimate_ + minDelay;
 }
 
 std::optional<bool> isBadAnswer(const AttemptOutcome& outcome, double usualGapMs)
 {
-    bool hasSlowEvents = usualGapMs > 0 && outcome.eventGapMs_ > slowRatio * usualGapMs + leastGapDelayMs;
+    bool hasSlowEvents = usualGapMs > 0 && outcome.eventGapMs_ > slowRatio * usualGapMs + minGapDelayMs;
     switch (outcome.outcome_) {
     case BackendOutcome::Served:
         return outcome.isFailure_ || isSlow(outcome) || hasSlowEvents;
--- a/lib/Rollout/Judges.cpp
+++ b/lib/Rollout/Evaluators.cpp
@@ -1,7 +1,7 @@
-//===- lib/Rollout/Judges.cpp - whether a version is worse than another ----===//
+//===- lib/Rollout/Evaluators.cpp - whether a version is worse than another ----===//
 ///
 /// \file
-/// See makeSequentialJudge() and makeThresholdJudge().
+/// See makeSequentialEvaluator() and makeThresholdEvaluator().
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Rollout.h"
 
@@ -14,26 +14,26 @@
 
 namespace {
 
-    constexpr double memoryMs = 1000;
-    constexpr double noMemoryMs = 20;
+    constexpr double longDecayMs = 1000;
+    constexpr double shortDecayMs = 20;
 
     /// Part of bad answers among the others, with fading memory.
-    class FadingPart {
+    class DecayingRate {
     public:
-        explicit FadingPart(double memory)
-            : memory_(memory)
+        explicit DecayingRate(double decayMs)
+            : decayMs_(decayMs)
         {
         }
 
         void observe(const AnswerTally& counted, double passedMs)
         {
-            double kept = std::exp(-passedMs / memory_);
-            answers_ = answers_ * kept + static_cast<double>(counted.answers_);
-            bad_ = bad_ * kept + static_cast<double>(counted.bad_);
+            double remaining = std::exp(-passedMs / decayMs_);
+            answers_ = answers_ * remaining + static_cast<double>(counted.answers_);
+            bad_ = bad_ * remaining + static_cast<double>(counted.bad_);
         }
 
         double answers() const { return answers_; }
-        double part() const
+        double rate() const
         {
             // With little seen, a few bad answers are assumed.
             constexpr double assumedBad = 0.4;
@@ -41,14 +41,14 @@
             return (bad_ + assumedBad) / (answers_ + assumedAnswers);
         }
         /// The part that few answers may have by chance where so many were seen.
-        double upperPart() const
+        double upperRate() const
         {
             constexpr double deviations = 1.0;
-            return part() + deviations * std::sqrt(part() * (1 - part()) / (answers_ + 1));
+            return rate() + deviations * std::sqrt(rate() * (1 - rate()) / (answers_ + 1));
         }
 
     private:
-        double memory_;
+        double decayMs_;
         double answers_ = 0;
         double bad_ = 0;
     };
@@ -66,27 +66,27 @@
         return routes;
     }
 
-    class SequentialJudge {
+    class SequentialEvaluator {
     public:
         std::optional<std::string> operator()(const RolloutTally& tally, SteadyTime now)
         {
             RolloutTally counted = tally.since(before_);
-            double passed = judgedAt_ == SteadyTime {} ? 0 : passedMs(judgedAt_, now);
+            double passed = evaluatedAt_ == SteadyTime {} ? 0 : passedMs(evaluatedAt_, now);
             before_ = tally;
-            judgedAt_ = now;
+            evaluatedAt_ = now;
             for (const auto& [cell, answers] : counted.cells_) {
-                if (cell.first == stableServers)
+                if (cell.first == stableBackendKey)
                     stable_[cell.second].observe(answers, passed);
             }
             std::map<RouteKey, std::uint64_t> ofTarget;
             for (const auto& [cell, answers] : counted.cells_)
-                ofTarget[cell.second] += cell.first == stableServers ? 0 : answers.answers_;
+                ofTarget[cell.second] += cell.first == stableBackendKey ? 0 : answers.answers_;
             for (const auto& [cell, answers] : counted.cells_) {
-                if (cell.first != stableServers && stable_[cell.second].outnumbers(ofTarget[cell.second]))
+                if (cell.first != stableBackendKey && stable_[cell.second].outnumbers(ofTarget[cell.second]))
                     test(cell, answers);
             }
             for (RouteKey route : routesOf(tally)) {
-                if (auto why = judge(route))
+                if (auto why = evaluate(route))
                     return why;
             }
             return std::nullopt;
@@ -94,36 +94,36 @@
 
     private:
         // Above the others' part of bad answers, what counts as worse.
-        static constexpr double worseBy = 0.15;
-        static constexpr double mostPart = 0.97;
+        static constexpr double degradation = 0.15;
+        static constexpr double maxRate = 0.97;
         // A backend server adds no more than this to the sum: one alone proves nothing.
-        static constexpr double mostScore = 6;
+        static constexpr double maxScore = 6;
         // One bad answer in a dozen raises a score by about 2.
-        static constexpr double scoreShown = 1.5;
+        static constexpr double degradedScore = 1.5;
         static constexpr double scoreToRevert = 12;
-        static constexpr double partToRevert = 0.8;
-        static constexpr std::uint64_t leastAnswers = 4;
-        static constexpr std::size_t leastServers = 3;
-        static constexpr double othersForOne = 3;
+        static constexpr double fractionToRevert = 0.8;
+        static constexpr std::uint64_t minAnswers = 4;
+        static constexpr std::size_t minServers = 3;
+        static constexpr double minStablePerTarget = 3;
 
-        struct Recent {
-            FadingPart lately_ { memoryMs };
-            FadingPart now_ { noMemoryMs };
+        struct StableRates {
+            DecayingRate longTerm_ { longDecayMs };
+            DecayingRate shortTerm_ { shortDecayMs };
 
             void observe(const AnswerTally& counted, double passed)
             {
-                lately_.observe(counted, passed);
-                now_.observe(counted, passed);
+                longTerm_.observe(counted, passed);
+                shortTerm_.observe(counted, passed);
             }
             /// Without many of the others at the same time an answer says nothing of the
             /// version.
             bool outnumbers(std::uint64_t ofTarget) const
             {
-                double least = othersForOne * static_cast<double>(ofTarget);
-                return lately_.answers() >= least && now_.answers() >= least;
+                double required = minStablePerTarget * static_cast<double>(ofTarget);
+                return longTerm_.answers() >= required && shortTerm_.answers() >= required;
             }
             // A trouble that begins now hardly shows in what was seen lately.
-            double part() const { return std::max(lately_.upperPart(), now_.part()); }
+            double rate() const { return std::max(longTerm_.upperRate(), shortTerm_.rate()); }
         };
         struct Score {
             double value_ = 0;
@@ -132,36 +132,36 @@
 
         void test(const std::pair<BackendKey, RouteKey>& cell, const AnswerTally& counted)
         {
-            double usual = std::min(mostPart - worseBy / 2, stable_[cell.second].part());
-            double worse = std::min(mostPart, usual + worseBy);
-            double ofBad = std::log(worse / usual);
-            double ofGood = std::log((1 - worse) / (1 - usual));
+            double baseline = std::min(maxRate - degradation / 2, stable_[cell.second].rate());
+            double degraded = std::min(maxRate, baseline + degradation);
+            double badLogRatio = std::log(degraded / baseline);
+            double goodLogRatio = std::log((1 - degraded) / (1 - baseline));
             Score& score = scores_[cell];
             score.answers_ += counted.answers_;
             auto bad = static_cast<double>(counted.bad_);
             auto good = static_cast<double>(counted.answers_ - counted.bad_);
-            score.value_ = std::clamp(score.value_ + bad * ofBad + good * ofGood, 0.0, mostScore);
+            score.value_ = std::clamp(score.value_ + bad * badLogRatio + good * goodLogRatio, 0.0, maxScore);
         }
 
-        std::optional<std::string> judge(RouteKey route) const
+        std::optional<std::string> evaluate(RouteKey route) const
         {
             double sum = 0;
-            std::size_t judged = 0;
-            std::size_t worse = 0;
+            std::size_t evaluated = 0;
+            std::size_t degraded = 0;
             for (const auto& [cell, score] : scores_) {
-                if (cell.second != route || score.answers_ < leastAnswers)
+                if (cell.second != route || score.answers_ < minAnswers)
                     continue;
-                ++judged;
+                ++evaluated;
                 sum += score.value_;
-                worse += score.value_ >= scoreShown;
+                degraded += score.value_ >= degradedScore;
             }
-            auto needed = std::max<std::size_t>(std::min<std::size_t>(2, judged), static_cast<std::size_t>(std::ceil(partToRevert * static_cast<double>(judged))));
-            bool isJudged = judged && judged >= std::min(leastServers, servers());
+            auto needed = std::max<std::size_t>(std::min<std::size_t>(2, evaluated), static_cast<std::size_t>(std::ceil(fractionToRevert * static_cast<double>(evaluated))));
+            bool hasEnoughServers = evaluated && evaluated >= std::min(minServers, servers());
             // Few backend servers cannot reach the sum.
-            double neededSum = std::min(scoreToRevert, 0.9 * mostScore * static_cast<double>(judged));
-            if (!isJudged || worse < needed || sum < neededSum)
+            double neededSum = std::min(scoreToRevert, 0.9 * maxScore * static_cast<double>(evaluated));
+            if (!hasEnoughServers || degraded < needed || sum < neededSum)
                 return std::nullopt;
-            return std::to_string(worse) + " of " + std::to_string(judged) + " backend servers are worse, by a log likelihood ratio of " + std::to_string(sum);
+            return std::to_string(degraded) + " of " + std::to_string(evaluated) + " backend servers are worse, by a log likelihood ratio of " + std::to_string(sum);
         }
 
         /// Backend servers of the target that have answered on any route.
@@ -174,12 +174,12 @@
         }
 
         RolloutTally before_;
-        SteadyTime judgedAt_ {};
-        std::map<RouteKey, Recent> stable_;
+        SteadyTime evaluatedAt_ {};
+        std::map<RouteKey, StableRates> stable_;
         std::map<std::pair<BackendKey, RouteKey>, Score> scores_;
     };
 
-    class ThresholdJudge {
+    class ThresholdEvaluator {
     public:
         std::optional<std::string> operator()(const RolloutTally& tally, SteadyTime now)
         {
@@ -193,11 +193,11 @@
                 for (const auto& [cell, answers] : counted.cells_) {
                     if (cell.second != route)
                         continue;
-                    AnswerTally& side = cell.first == stableServers ? stable : target;
+                    AnswerTally& side = cell.first == stableBackendKey ? stable : target;
                     side.answers_ += answers.answers_;
                     side.bad_ += answers.bad_;
                 }
-                if (target.answers_ >= leastAnswers && partOf(target) > partOf(stable) + worseBy)
+                if (target.answers_ >= minAnswers && badRateOf(target) > badRateOf(stable) + degradation)
                     return std::to_string(target.bad_) + " of " + std::to_string(target.answers_) + " answers are bad, against " + std::to_string(stable.bad_) + " of " + std::to_string(stable.answers_);
             }
             return std::nullopt;
@@ -205,10 +205,10 @@
 
     private:
         static constexpr milliseconds window { 2000 };
-        static constexpr std::uint64_t leastAnswers = 20;
-        static constexpr double worseBy = 0.1;
+        static constexpr std::uint64_t minAnswers = 20;
+        static constexpr double degradation = 0.1;
 
-        static double partOf(const AnswerTally& tally)
+        static double badRateOf(const AnswerTally& tally)
         {
             return tally.answers_ ? static_cast<double>(tally.bad_) / static_cast<double>(tally.answers_) : 0;
         }
@@ -222,14 +222,14 @@
 
 } // namespace
 
-RolloutJudge makeSequentialJudge()
+RolloutEvaluator makeSequentialEvaluator()
 {
-    return SequentialJudge {};
+    return SequentialEvaluator {};
 }
 
-RolloutJudge makeThresholdJudge()
+RolloutEvaluator makeThresholdEvaluator()
 {
-    return ThresholdJudge {};
+    return ThresholdEvaluator {};
 }
 
 } // namespace pistachioloom
--- a/lib/Rollout/RolloutBook.cpp
+++ b/lib/Rollout/RolloutTracker.cpp
@@ -1,4 +1,4 @@
-//===- lib/Rollout/RolloutBook.cpp - a node's part in roll-outs ------------===//
+//===- lib/Rollout/RolloutTracker.cpp - a node's part in roll-outs ------------===//
 ///
 /// \file
 /// States, shares and counts; see pistachioloom/Rollout.h.
@@ -13,7 +13,7 @@
 // Shares do not add up to whole requests exactly.
 static constexpr double wholeRequest = 1 - 1e-9;
 // How much one stream moves the usual time between events.
-static constexpr double gapLearning = 0.05;
+static constexpr double gapSmoothing = 0.05;
 
 RouteKey routeKeyOf(std::string_view routeName)
 {
@@ -44,7 +44,7 @@
     return std::nullopt;
 }
 
-static int finality(RolloutPhase phase)
+static int finalityRank(RolloutPhase phase)
 {
     switch (phase) {
     case RolloutPhase::Trial:
@@ -60,7 +60,7 @@
 
 bool supersedes(const RolloutState& left, const RolloutState& right)
 {
-    auto rank = [](const RolloutState& state) { return std::tuple(state.order_.number_, finality(state.phase_), state.term_, state.step_); };
+    auto rank = [](const RolloutState& state) { return std::tuple(state.order_.number_, finalityRank(state.phase_), state.term_, state.step_); };
     return rank(left) > rank(right);
 }
 
@@ -108,26 +108,26 @@
     return rest;
 }
 
-RolloutBook::RolloutBook(RolloutSettings settings)
+RolloutTracker::RolloutTracker(RolloutSettings settings)
     : settings_(settings)
 {
 }
 
-bool RolloutBook::takeOrder(const RolloutOrder& order, SteadyTime now)
+bool RolloutTracker::applyOrder(const RolloutOrder& order, SteadyTime now)
 {
     return take({ order, RolloutPhase::Trial, 0, 0, 0 }, now, now);
 }
 
-bool RolloutBook::take(const RolloutState& state, SteadyTime saidAt, SteadyTime now)
+bool RolloutTracker::take(const RolloutState& state, SteadyTime reportedAt, SteadyTime now)
 {
     std::lock_guard lock(mutex_);
     auto [found, isNew] = entries_.try_emplace(state.order_.service_);
     Entry& entry = found->second;
-    if (!isNew && entry.heard_.state_ == state) {
-        entry.heard_.saidAt_ = std::max(entry.heard_.saidAt_, saidAt);
+    if (!isNew && entry.received_.state_ == state) {
+        entry.received_.reportedAt_ = std::max(entry.received_.reportedAt_, reportedAt);
         return false;
     }
-    if (!isNew && !supersedes(state, entry.heard_.state_))
+    if (!isNew && !supersedes(state, entry.received_.state_))
         return false;
     bool isSameOrder = !isNew && entry.tally_.number_ == state.order_.number_;
     if (!isSameOrder) {
@@ -135,25 +135,25 @@
         entry.requests_.clear();
         entry.due_.clear();
     }
-    entry.heard_ = { state, saidAt, isSameOrder ? entry.heard_.orderedAt_ : now };
+    entry.received_ = { state, reportedAt, isSameOrder ? entry.received_.orderReceivedAt_ : now };
     count_ = entries_.size();
     return true;
 }
 
-std::vector<RolloutBook::Heard> RolloutBook::states() const
+std::vector<RolloutTracker::ReceivedState> RolloutTracker::states() const
 {
     std::lock_guard lock(mutex_);
-    std::vector<Heard> states;
+    std::vector<ReceivedState> states;
     for (const auto& [service, entry] : entries_)
-        states.push_back(entry.heard_);
+        states.push_back(entry.received_);
     return states;
 }
 
-std::optional<RolloutState> RolloutBook::find(const ServiceName& service) const
+std::optional<RolloutState> RolloutTracker::find(const ServiceName& service) const
 {
     std::lock_guard lock(mutex_);
     auto found = entries_.find(service);
-    return found == entries_.end() ? std::nullopt : std::optional(found->second.heard_.state_);
+    return found == entries_.end() ? std::nullopt : std::optional(found->second.received_.state_);
 }
 
 double shareOnRoute(double share, RouteKey route, const RouteRequests& requests)
@@ -170,7 +170,7 @@
     return std::min(1.0, share * all / (std::sqrt(static_cast<double>(found->second)) * roots));
 }
 
-std::optional<VersionRule> RolloutBook::assign(const ServiceName& service, RouteKey route, Send send, SteadyTime now)
+std::optional<VersionRule> RolloutTracker::assign(const ServiceName& service, RouteKey route, SendKind send, SteadyTime now)
 {
     if (isEmpty())
         return std::nullopt;
@@ -179,7 +179,7 @@
     if (found == entries_.end())
         return std::nullopt;
     Entry& entry = found->second;
-    const RolloutState& state = entry.heard_.state_;
+    const RolloutState& state = entry.received_.state_;
     VersionRule rule { state.order_.target_, false, 0, state.phase_ != RolloutPhase::Reverted };
     switch (state.phase_) {
     case RolloutPhase::Complete:
@@ -191,13 +191,13 @@
         return rule;
     case RolloutPhase::Trial:
         // Its holder may be gone, or may have found since that the target is bad.
-        rule.share_ = now - entry.heard_.saidAt_ > settings_.validity_ ? 0 : state.share_;
+        rule.share_ = now - entry.received_.reportedAt_ > settings_.validity_ ? 0 : state.share_;
         break;
     case RolloutPhase::Shifting:
         rule.share_ = state.share_;
         break;
     }
-    if (send == Send::Again) {
+    if (send == SendKind::Subsequent) {
         rule.usesTarget_ = rule.share_ >= 1;
         return rule;
     }
@@ -211,7 +211,7 @@
     return rule;
 }
 
-void RolloutBook::noteSent(const ServiceName& service, const BackendVersion& version)
+void RolloutTracker::noteSent(const ServiceName& service, const BackendVersion& version)
 {
     if (isEmpty())
         return;
@@ -220,43 +220,43 @@
     if (found == entries_.end())
         return;
     ++found->second.tally_.requests_;
-    found->second.tally_.exposed_ += version == found->second.heard_.state_.order_.target_;
+    found->second.tally_.exposed_ += version == found->second.received_.state_.order_.target_;
 }
 
-void RolloutBook::noteAnswer(const ServiceName& service, const RolloutAnswer& answer)
+void RolloutTracker::noteAnswer(const ServiceName& service, const RolloutAnswer& answer)
 {
     std::lock_guard lock(mutex_);
     auto found = entries_.find(service);
-    if (found == entries_.end() || isFinal(found->second.heard_.state_.phase_))
+    if (found == entries_.end() || isFinal(found->second.received_.state_.phase_))
         return;
     Entry& entry = found->second;
-    bool isOfTarget = answer.version_ == entry.heard_.state_.order_.target_;
+    bool isOfTarget = answer.version_ == entry.received_.state_.order_.target_;
     double& usualGap = entry.usualGapMs_[answer.route_];
     auto isBad = isBadAnswer(answer.outcome_, usualGap);
     if (!isBad)
         return;
     double gap = answer.outcome_.eventGapMs_;
     if (!isOfTarget && gap > 0)
-        usualGap += (gap - usualGap) * (usualGap > 0 ? gapLearning : 1);
-    AnswerTally& tally = entry.tally_.cells_[{ isOfTarget ? answer.backend_ : stableServers, answer.route_ }];
+        usualGap += (gap - usualGap) * (usualGap > 0 ? gapSmoothing : 1);
+    AnswerTally& tally = entry.tally_.cells_[{ isOfTarget ? answer.backend_ : stableBackendKey, answer.route_ }];
     ++tally.answers_;
     tally.bad_ += *isBad;
 }
 
-RolloutTallies RolloutBook::tallies() const
+RolloutTallies RolloutTracker::tallies() const
 {
     RolloutTallies tallies;
     if (isEmpty())
         return tallies;
     std::lock_guard lock(mutex_);
     for (const auto& [service, entry] : entries_) {
-        if (!isFinal(entry.heard_.state_.phase_))
+        if (!isFinal(entry.received_.state_.phase_))
             tallies[service] = entry.tally_;
     }
     return tallies;
 }
 
-void RolloutBook::setPeer(const VmId& source, RolloutTallies tallies)
+void RolloutTracker::setPeer(const VmId& source, RolloutTallies tallies)
 {
     if (isEmpty())
         return;
@@ -264,13 +264,13 @@
     peers_[source] = std::move(tallies);
 }
 
-void RolloutBook::forgetPeer(const VmId& source)
+void RolloutTracker::forgetPeer(const VmId& source)
 {
     std::lock_guard lock(mutex_);
     peers_.erase(source);
 }
 
-RolloutTally RolloutBook::total(const ServiceName& service) const
+RolloutTally RolloutTracker::total(const ServiceName& service) const
 {
     std::lock_guard lock(mutex_);
     auto found = entries_.find(service);
@@ -278,9 +278,9 @@
         return {};
     RolloutTally total = found->second.tally_;
     for (const auto& [source, tallies] : peers_) {
-        auto told = tallies.find(service);
-        if (told != tallies.end() && told->second.number_ == total.number_)
-            total.add(told->second);
+        auto reported = tallies.find(service);
+        if (reported != tallies.end() && reported->second.number_ == total.number_)
+            total.add(reported->second);
     }
     return total;
 }
--- a/unittests/Duties/SeatExplorationTest.cpp
+++ b/unittests/Duties/DutyLeaseExplorationTest.cpp
@@ -1,4 +1,4 @@
-//===- unittests/Duties/SeatExplorationTest.cpp - every schedule of two ----===//
+//===- unittests/Duties/DutyLeaseExplorationTest.cpp - every schedule of two ----===//
 ///
 /// \file
 /// Two nodes over one log of duties: every way in which they run, freeze, freeze
@@ -19,7 +19,7 @@
 
 enum class Choice {
     Runs,
-    HearsNobody,
+    Partitioned,
     Frozen,
     FreezesBeforeActing,
 };
@@ -32,36 +32,36 @@
 };
 
 struct Participant {
-    DutySeat seat_;
+    DutyLease lease_;
     /// The log's end as it knows it.
-    std::uint64_t end_ = 0;
+    std::uint64_t knownEnd_ = 0;
     /// When a record was begun whose act is still to come.
     std::optional<SteadyTime> recordedAt_;
 };
 
 struct World {
     std::vector<Participant> nodes_;
-    std::uint64_t log_ = 0;
+    std::uint64_t logEnd_ = 0;
     std::vector<Act> acts_;
 };
 
 World initialWorld()
 {
     DutyTiming timing;
-    timing.holderSilence_ = lease * 85 / 100;
+    timing.holderTimeout_ = lease * 85 / 100;
     timing.actAfterClaim_ = lease / 2 + milliseconds(100);
     timing.recordValidity_ = lease / 3;
     World world;
     for (const char* name : { "0", "1" })
-        world.nodes_.push_back({ DutySeat({ name }, timing, start), 0, std::nullopt });
+        world.nodes_.push_back({ DutyLease({ name }, timing, start), 0, std::nullopt });
     return world;
 }
 
 void act(World& world, int index, SteadyTime now)
 {
     Participant& node = world.nodes_[static_cast<std::size_t>(index)];
-    if (node.recordedAt_ && node.seat_.mayAct(*node.recordedAt_, now))
-        world.acts_.push_back({ index, node.seat_.token(), now });
+    if (node.recordedAt_ && node.lease_.mayAct(*node.recordedAt_, now))
+        world.acts_.push_back({ index, node.lease_.token(), now });
     node.recordedAt_.reset();
 }
 
@@ -73,17 +73,17 @@
     const Participant& peer = world.nodes_[static_cast<std::size_t>(1 - index)];
     // What it was about to do when it froze comes first.
     act(world, index, now);
-    if (choice != Choice::HearsNobody && peer.seat_.isHolder())
-        node.seat_.heardHolder({ std::to_string(1 - index) }, peer.seat_.token(), now);
-    if (node.seat_.shouldClaim(static_cast<std::size_t>(index), now)) {
-        node.end_ = ++world.log_;
-        return node.seat_.claimed({ node.end_ }, now);
+    if (choice != Choice::Partitioned && peer.lease_.isHolder())
+        node.lease_.noteHolder({ std::to_string(1 - index) }, peer.lease_.token(), now);
+    if (node.lease_.shouldClaim(static_cast<std::size_t>(index), now)) {
+        node.knownEnd_ = ++world.logEnd_;
+        return node.lease_.becomeHolder({ node.knownEnd_ }, now);
     }
-    if (!node.seat_.mayBegin(now))
+    if (!node.lease_.mayBegin(now))
         return;
-    if (node.end_ != world.log_)
-        return node.seat_.lost(now);
-    node.end_ = ++world.log_;
+    if (node.knownEnd_ != world.logEnd_)
+        return node.lease_.stepDown(now);
+    node.knownEnd_ = ++world.logEnd_;
     node.recordedAt_ = now;
     if (choice != Choice::FreezesBeforeActing)
         act(world, index, now);
--- a/unittests/Fleet/FleetTest.cpp
+++ b/unittests/Fleet/FleetTest.cpp
@@ -21,7 +21,7 @@
     FleetView view { service, { 1, 20, milliseconds(4000), 0.2, {} }, {}, tokensPerSecond, 50, 0, 0, true, false };
     const char* names[] = { "a", "b", "c" };
     for (std::size_t i = 0; i < engines.size(); ++i)
-        view.places_.push_back({ { names[i] }, 1, engines[i].first, engines[i].second, 0, 0 });
+        view.dataCentres_.push_back({ { names[i] }, 1, engines[i].first, engines[i].second, 0, 0 });
     return view;
 }
 
@@ -34,11 +34,11 @@
 }
 
 /// Lets the book see \p view until all count as registered.
-SteadyTime settle(FleetBook& book, const FleetView& view)
+SteadyTime settle(FleetTracker& tracker, const FleetView& view)
 {
-    book.observe(view, start);
+    tracker.observe(view, start);
     SteadyTime later = start + milliseconds(2000);
-    book.observe(view, later);
+    tracker.observe(view, later);
     return later;
 }
 
@@ -50,7 +50,7 @@
         const char* name_;
         FleetDemand demand_;
         std::vector<std::uint64_t> reclaimable_;
-        std::uint64_t lasting_;
+        std::uint64_t onDemand_;
     };
     auto row = GENERATE(values<Row>({
         { "none is there yet", { 12, 1, 12, 6, 1 }, { 0, 0, 0 }, 12 },
@@ -61,21 +61,21 @@
         { "more than may be ordered", { 100, 1, 12, 6, 0 }, { 0, 0, 0 }, 36 },
         { "nothing needed", { 0, 2, 12, 0, 0 }, { 0, 0, 0 }, 6 },
     }));
-    std::vector<FleetPlace> places { { { "a" }, 1.2, 0, row.reclaimable_[0] }, { { "b" }, 0.85, 0, row.reclaimable_[1] }, { { "c" }, 1, 0, row.reclaimable_[2] } };
+    std::vector<DataCentreFleet> fleets { { { "a" }, 1.2, 0, row.reclaimable_[0] }, { { "b" }, 0.85, 0, row.reclaimable_[1] }, { { "c" }, 1, 0, row.reclaimable_[2] } };
     CAPTURE(row.name_);
-    std::uint64_t lasting = 0;
-    for (const FleetOrder& order : planFleet({ "s" }, row.demand_, places)) {
+    std::uint64_t onDemand = 0;
+    for (const FleetOrder& order : planFleet({ "s" }, row.demand_, fleets)) {
         if (order.isReclaimable_) {
-            CHECK(order.wanted_ <= row.demand_.reclaimablePerPlace_);
+            CHECK(order.wanted_ <= row.demand_.reclaimablePerDataCentre_);
             continue;
         }
-        lasting += order.wanted_;
+        onDemand += order.wanted_;
         // The platform bounds both kinds together.
-        auto place = std::find_if(places.begin(), places.end(), [&](const FleetPlace& known) { return known.dataCentre_ == order.dataCentre_; });
-        CHECK(order.wanted_ + place->reclaimable_ >= row.demand_.least_);
+        auto fleet = std::find_if(fleets.begin(), fleets.end(), [&](const DataCentreFleet& known) { return known.dataCentre_ == order.dataCentre_; });
+        CHECK(order.wanted_ + fleet->reclaimable_ >= row.demand_.least_);
         CHECK(order.wanted_ <= row.demand_.most_);
     }
-    CHECK(lasting == row.lasting_);
+    CHECK(onDemand == row.onDemand_);
 }
 
 TEST_CASE("engines needed follow from tokens, rate and margin", "[fleet]")
@@ -94,7 +94,7 @@
         const char* name_;
         std::vector<std::pair<std::uint64_t, std::uint64_t>> engines_;
         std::uint64_t needed_;
-        std::vector<std::uint64_t> lasting_;
+        std::vector<std::uint64_t> onDemand_;
     };
     auto row = GENERATE(values<Row>({
         // The third data centre had no room while reclaimable engines were there.
@@ -105,12 +105,12 @@
     }));
     CAPTURE(row.name_);
     FleetDemand demand { row.needed_, 1, 20, 10, 1 };
-    std::vector<std::uint64_t> lasting;
-    for (const FleetOrder& order : planFleet(service, demand, viewOf(row.engines_, {}).places_)) {
+    std::vector<std::uint64_t> onDemand;
+    for (const FleetOrder& order : planFleet(service, demand, viewOf(row.engines_, {}).dataCentres_)) {
         if (!order.isReclaimable_)
-            lasting.push_back(order.wanted_);
+            onDemand.push_back(order.wanted_);
     }
-    CHECK(lasting == row.lasting_);
+    CHECK(onDemand == row.onDemand_);
 }
 
 TEST_CASE("engines on their way are not given up for others elsewhere", "[fleet]")
@@ -118,19 +118,19 @@
     // 13 of 22 lasting engines in two data centres are booting when a third one's
     // reclaimable engines go and there is room.
     FleetDemand demand { 45, 1, 40, 10, 1 };
-    std::vector<FleetPlace> places = viewOf({ { 9, 0 }, { 9, 0 }, { 1, 0 } }, {}).places_;
-    places[0].lastingOrdered_ = 22;
-    places[1].lastingOrdered_ = 22;
-    for (const FleetOrder& order : planFleet(service, demand, places)) {
+    std::vector<DataCentreFleet> fleets = viewOf({ { 9, 0 }, { 9, 0 }, { 1, 0 } }, {}).dataCentres_;
+    fleets[0].onDemandOrdered_ = 22;
+    fleets[1].onDemandOrdered_ = 22;
+    for (const FleetOrder& order : planFleet(service, demand, fleets)) {
         if (!order.isReclaimable_)
             CHECK(order.wanted_ == (order.dataCentre_.value_ == "c" ? 1 : 22));
     }
     // The book knows what it ordered.
-    FleetBook book({});
+    FleetTracker tracker({});
     FleetView view = viewOf({ { 2, 0 }, { 2, 0 }, { 2, 0 } }, 1000000);
-    SteadyTime now = settle(book, view);
-    book.noteOrdered({ service, { "a" }, false, 15 }, true, now);
-    for (const FleetOrder& order : book.dueOrders(view, now)) {
+    SteadyTime now = settle(tracker, view);
+    tracker.noteOrdered({ service, { "a" }, false, 15 }, true, now);
+    for (const FleetOrder& order : tracker.dueOrders(view, now)) {
         if (!order.isReclaimable_)
             CHECK_FALSE(order.dataCentre_.value_ == "a");
     }
@@ -138,14 +138,14 @@
 
 TEST_CASE("lasting engines are not ordered before all have registered", "[fleet]")
 {
-    FleetBook book({});
+    FleetTracker tracker({});
     FleetView view = viewOf({ { 4, 0 }, { 4, 0 }, { 0, 0 } }, {});
-    book.observe(view, start);
-    std::vector<FleetOrder> orders = book.dueOrders(view, start);
+    tracker.observe(view, start);
+    std::vector<FleetOrder> orders = tracker.dueOrders(view, start);
     CHECK(sumOf(orders, false) == 0);
     CHECK(sumOf(orders, true) == 18);
-    SteadyTime later = settle(book, view);
-    CHECK(sumOf(book.dueOrders(view, later), false) == 8);
+    SteadyTime later = settle(tracker, view);
+    CHECK(sumOf(tracker.dueOrders(view, later), false) == 8);
 }
 
 TEST_CASE("engines are dismissed before others are ordered", "[fleet]")
@@ -153,10 +153,10 @@
     // The platform bounds both kinds together: 38 reclaimable engines beside 38 lasting
     // ones were not followed by more, though more were ordered before the lasting ones
     // were dismissed.
-    FleetBook book({});
+    FleetTracker tracker({});
     FleetView view = viewOf({ { 8, 6 }, { 8, 6 }, { 8, 6 } }, 500000);
-    SteadyTime now = settle(book, view);
-    std::vector<FleetOrder> orders = book.dueOrders(view, now);
+    SteadyTime now = settle(tracker, view);
+    std::vector<FleetOrder> orders = tracker.dueOrders(view, now);
     REQUIRE(orders.size() >= 2);
     bool hasAdded = false;
     for (const FleetOrder& order : orders) {
@@ -171,50 +171,50 @@
 {
     // Ordered beside lasting ones that had not registered yet, 64 were taken for an order
     // and 39 came, for 8 s.
-    FleetBook book({});
+    FleetTracker tracker({});
     FleetView view = viewOf({ { 12, 0 }, { 12, 0 }, { 12, 0 } }, {});
-    book.observe(view, start);
-    for (const FleetOrder& order : book.dueOrders(view, start)) {
+    tracker.observe(view, start);
+    for (const FleetOrder& order : tracker.dueOrders(view, start)) {
         CHECK(order.isReclaimable_);
         CHECK(order.wanted_ == 20 - 12);
-        book.noteOrdered(order, true, start);
+        tracker.noteOrdered(order, true, start);
     }
     // Those that come do not count as engines that were there.
-    view.places_[0].reclaimable_ = 8;
+    view.dataCentres_[0].reclaimable_ = 8;
     SteadyTime now = start + milliseconds(1500);
-    book.observe(view, now);
+    tracker.observe(view, now);
     view.tokensPerSecond_ = 100000;
     now += milliseconds(2500);
-    std::vector<FleetOrder> orders = book.dueOrders(view, now);
+    std::vector<FleetOrder> orders = tracker.dueOrders(view, now);
     CHECK(std::any_of(orders.begin(), orders.end(), [](const FleetOrder& order) { return !order.isReclaimable_ && order.wanted_ < 12; }));
 }
 
 TEST_CASE("lasting engines stay while reclaimable ones are being taken away", "[fleet]")
 {
-    FleetBook book({});
+    FleetTracker tracker({});
     FleetView before = viewOf({ { 8, 14 }, { 8, 14 }, { 8, 14 } }, 500000);
-    SteadyTime now = settle(book, before);
+    SteadyTime now = settle(tracker, before);
     FleetView lost = viewOf({ { 8, 0 }, { 8, 14 }, { 8, 14 } }, 500000);
     now += milliseconds(500);
-    book.observe(lost, now);
+    tracker.observe(lost, now);
     auto dismisses = [](const std::vector<FleetOrder>& orders) {
         return std::any_of(orders.begin(), orders.end(), [](const FleetOrder& order) { return !order.isReclaimable_ && order.wanted_ < 8; });
     };
-    CHECK_FALSE(dismisses(book.dueOrders(lost, now)));
-    now += FleetSettings {}.caution_;
-    CHECK(dismisses(book.dueOrders(lost, now)));
+    CHECK_FALSE(dismisses(tracker.dueOrders(lost, now)));
+    now += FleetSettings {}.dismissalCooldown_;
+    CHECK(dismisses(tracker.dueOrders(lost, now)));
 }
 
 TEST_CASE("a dismissal of reclaimable engines is not taken for their loss", "[fleet]")
 {
-    FleetBook book({});
+    FleetTracker tracker({});
     FleetView before = viewOf({ { 8, 14 }, { 8, 14 }, { 8, 14 } }, 500000);
-    SteadyTime now = settle(book, before);
-    book.noteOrdered({ service, { "a" }, true, 2 }, true, now);
+    SteadyTime now = settle(tracker, before);
+    tracker.noteOrdered({ service, { "a" }, true, 2 }, true, now);
     FleetView after = viewOf({ { 8, 2 }, { 8, 14 }, { 8, 14 } }, 500000);
     now += milliseconds(500);
-    book.observe(after, now);
-    std::vector<FleetOrder> orders = book.dueOrders(after, now);
+    tracker.observe(after, now);
+    std::vector<FleetOrder> orders = tracker.dueOrders(after, now);
     CHECK(std::any_of(orders.begin(), orders.end(), [](const FleetOrder& order) { return !order.isReclaimable_ && order.wanted_ < 8; }));
 }
 
@@ -222,7 +222,7 @@
 {
     struct Row {
         const char* name_;
-        bool isTaken_;
+        bool isAccepted_;
         milliseconds after_;
         bool isRepeated_;
     };
@@ -233,12 +233,12 @@
         { "refused a while ago", false, milliseconds(2000), true },
     }));
     CAPTURE(row.name_);
-    FleetBook book({});
+    FleetTracker tracker({});
     FleetView view = viewOf({ { 8, 0 }, { 8, 0 }, { 8, 0 } }, 500000);
-    SteadyTime now = settle(book, view);
-    for (const FleetOrder& order : book.dueOrders(view, now))
-        book.noteOrdered(order, row.isTaken_ || !order.isReclaimable_, now);
-    CHECK((sumOf(book.dueOrders(view, now + row.after_), true) > 0) == row.isRepeated_);
+    SteadyTime now = settle(tracker, view);
+    for (const FleetOrder& order : tracker.dueOrders(view, now))
+        tracker.noteOrdered(order, row.isAccepted_ || !order.isReclaimable_, now);
+    CHECK((sumOf(tracker.dueOrders(view, now + row.after_), true) > 0) == row.isRepeated_);
 }
 
 TEST_CASE("lasting engines are ordered when all reclaimable ones go, also by a node that saw no lasting one", "[fleet]")
@@ -253,14 +253,14 @@
         { "none was there", { { 0, 0 }, { 0, 0 }, { 0, 0 } } },
     }));
     CAPTURE(row.name_);
-    FleetBook book(FleetSettings {});
+    FleetTracker tracker(FleetSettings {});
     constexpr double busyEngines = 8;
     FleetView before = viewOf(row.before_, busyEngines * 50000);
-    SteadyTime now = settle(book, before);
+    SteadyTime now = settle(tracker, before);
     FleetView lost = viewOf({ { 0, 0 }, { 0, 0 }, { 0, 0 } }, busyEngines * 50000);
     now += milliseconds(4000);
-    book.observe(lost, now);
-    CHECK(sumOf(book.dueOrders(lost, now), false) >= busyEngines);
+    tracker.observe(lost, now);
+    CHECK(sumOf(tracker.dueOrders(lost, now), false) >= busyEngines);
 }
 
 TEST_CASE("engines are dismissed on a whole count of demand only", "[fleet]")
@@ -268,7 +268,7 @@
     // A node that has just become the holder goes on from the need of the one before.
     struct Row {
         const char* name_;
-        bool isWhole_;
+        bool isComplete_;
         double tokensPerSecond_;
         bool isDismissed_;
         bool isAdded_;
@@ -280,19 +280,19 @@
     }));
     CAPTURE(row.name_);
     FleetSettings settings;
-    FleetBook book(settings);
+    FleetTracker tracker(settings);
     FleetView view = viewOf({ { 0, 18 }, { 0, 18 }, { 0, 18 } }, row.tokensPerSecond_);
     view.bounds_.most_ = 60;
-    view.isWhole_ = row.isWhole_;
-    SteadyTime now = settle(book, view);
+    view.isComplete_ = row.isComplete_;
+    SteadyTime now = settle(tracker, view);
     // What this would come to in each data centre is what is there.
     constexpr std::uint64_t inherited = 25;
-    book.inheritNeed(service, inherited, now);
+    tracker.inheritNeed(service, inherited, now);
     bool isDismissed = false;
     bool isAdded = false;
-    for (milliseconds passed {}; passed <= 2 * settings.reclaimableHold_; passed += settings.period_) {
-        book.observe(view, now + passed);
-        for (const FleetOrder& order : book.dueOrders(view, now + passed)) {
+    for (milliseconds passed {}; passed <= 2 * settings.reclaimableStabilisationWindow_; passed += settings.period_) {
+        tracker.observe(view, now + passed);
+        for (const FleetOrder& order : tracker.dueOrders(view, now + passed)) {
             isDismissed |= order.isReclaimable_ && order.wanted_ < 18;
             isAdded |= order.isReclaimable_ && order.wanted_ > 18;
         }
@@ -304,18 +304,18 @@
 TEST_CASE("a successor holds on to the need of the holder before it", "[fleet]")
 {
     FleetSettings settings;
-    FleetBook book(settings);
+    FleetTracker tracker(settings);
     FleetView view = viewOf({ { 0, 18 }, { 0, 18 }, { 0, 18 } }, 100000);
-    SteadyTime now = settle(book, view);
+    SteadyTime now = settle(tracker, view);
     constexpr std::uint64_t inherited = 25;
-    book.inheritNeed(service, inherited, now);
+    tracker.inheritNeed(service, inherited, now);
     auto dismisses = [&](SteadyTime at) {
-        std::vector<FleetOrder> orders = book.dueOrders(view, at);
+        std::vector<FleetOrder> orders = tracker.dueOrders(view, at);
         return std::any_of(orders.begin(), orders.end(), [](const FleetOrder& order) { return order.isReclaimable_ && order.wanted_ < 18; });
     };
     CHECK_FALSE(dismisses(now + settings.period_));
-    CHECK_FALSE(dismisses(now + settings.reclaimableHold_));
-    CHECK(dismisses(now + settings.reclaimableHold_ + settings.period_));
+    CHECK_FALSE(dismisses(now + settings.reclaimableStabilisationWindow_));
+    CHECK(dismisses(now + settings.reclaimableStabilisationWindow_ + settings.period_));
 }
 
 TEST_CASE("engines that are there are not ordered again as reclaimable ones by a successor", "[fleet]")
@@ -323,26 +323,26 @@
     // After a restart of all the first holder counted the 228 engines that were there as
     // its need, of which 115 had been needed, and ordered 160 reclaimable ones in each
     // data centre.
-    FleetBook book(FleetSettings {});
+    FleetTracker tracker(FleetSettings {});
     FleetView view = viewOf({ { 3, 18 }, { 3, 18 }, { 3, 18 } }, {});
     view.bounds_.most_ = 60;
-    SteadyTime now = settle(book, view);
+    SteadyTime now = settle(tracker, view);
     constexpr std::uint64_t inherited = 25;
-    book.inheritNeed(service, inherited, now);
-    std::vector<FleetOrder> orders = book.dueOrders(view, now);
+    tracker.inheritNeed(service, inherited, now);
+    std::vector<FleetOrder> orders = tracker.dueOrders(view, now);
     CHECK(std::none_of(orders.begin(), orders.end(), [](const FleetOrder& order) { return order.isReclaimable_ && order.wanted_ > 18; }));
-    CHECK(book.needed(service) == inherited);
+    CHECK(tracker.needed(service) == inherited);
 }
 
 TEST_CASE("engines of a version on trial are dismissed, or counted as those that serve", "[fleet]")
 {
     struct Row {
         const char* what_;
-        bool holdsAll_;
+        bool isRollingOut_;
         std::vector<std::pair<std::uint64_t, std::uint64_t>> engines_;
         double tokensPerSecond_;
         /// Lasting engines that are ordered beside those of the new version, 5 in each.
-        std::uint64_t lasting_;
+        std::uint64_t onDemand_;
     };
     const Row rows[] = {
         { "on trial, reclaimable ones suffice", true, { { 3, 6 }, { 3, 6 }, { 3, 6 } }, 200000, 0 },
@@ -351,22 +351,22 @@
     };
     for (const Row& row : rows) {
         CAPTURE(row.what_);
-        FleetBook book({});
+        FleetTracker tracker({});
         FleetView view = viewOf(row.engines_, row.tokensPerSecond_);
-        view.holdsAll_ = row.holdsAll_;
-        for (FleetPlace& place : view.places_)
-            place.lastingApart_ = 5;
-        SteadyTime now = settle(book, view);
-        std::vector<FleetOrder> orders = book.dueOrders(view, now);
-        std::uint64_t lasting = 0;
+        view.isRollingOut_ = row.isRollingOut_;
+        for (DataCentreFleet& fleet : view.dataCentres_)
+            fleet.onDemandExcluded_ = 5;
+        SteadyTime now = settle(tracker, view);
+        std::vector<FleetOrder> orders = tracker.dueOrders(view, now);
+        std::uint64_t onDemand = 0;
         for (const FleetOrder& order : orders) {
             if (order.isReclaimable_)
                 continue;
             CHECK(order.wanted_ >= 5);
-            lasting += order.wanted_ - 5;
+            onDemand += order.wanted_ - 5;
         }
-        CHECK(lasting >= row.lasting_);
-        if (row.holdsAll_ && !row.lasting_)
+        CHECK(onDemand >= row.onDemand_);
+        if (row.isRollingOut_ && !row.onDemand_)
             CHECK(orders.empty());
     }
 }
--- a/unittests/Gateway/GatewaySettingsTest.cpp
+++ b/unittests/Gateway/GatewaySettingsTest.cpp
@@ -50,7 +50,7 @@
     CHECK(settings->quarantine_.first_ == milliseconds(20000));
     CHECK(settings->quarantine_.organisationCapacity_ == 64);
     CHECK(settings->rollout_.exposedExtra_ == 50);
-    CHECK(settings->rollout_.trialPart_ == 0.6);
+    CHECK(settings->rollout_.trialFraction_ == 0.6);
     CHECK(settings->logs_.output_ == LogOutput::StandardOutput);
 }
 
--- a/unittests/Gateway/RolloutMessagesTest.cpp
+++ b/unittests/Gateway/RolloutMessagesTest.cpp
@@ -33,7 +33,7 @@
 {
     CHECK(fromWire(toWire(state)) == state);
     google::protobuf::RepeatedPtrField<wire::RolloutCounts> message;
-    RolloutTally tally { { 7 }, 100, 8, { { { stableServers, 6 }, { 92, 2 } }, { { 5, 6 }, { 8, 3 } } } };
+    RolloutTally tally { { 7 }, 100, 8, { { { stableBackendKey, 6 }, { 92, 2 } }, { { 5, 6 }, { 8, 3 } } } };
     putTallies({ { service, tally } }, message);
     RolloutTallies read = talliesOf(message);
     REQUIRE(read.contains(service));
--- a/unittests/Rollout/JudgesTest.cpp
+++ b/unittests/Rollout/EvaluatorsTest.cpp
@@ -1,4 +1,4 @@
-//===- unittests/Rollout/JudgesTest.cpp - seeded orders, good and bad ------===//
+//===- unittests/Rollout/EvaluatorsTest.cpp - seeded orders, good and bad ------===//
 ///
 /// \file
 /// Leads orders to their verdicts beside troubles that strike all versions alike: single
@@ -24,9 +24,9 @@
 constexpr double reportDelay = 0.6;
 constexpr double requestsPerSecond = 600;
 // Of the requests, on the first of two routes.
-constexpr double firstRoute = 0.86;
+constexpr double firstRouteShare = 0.86;
 constexpr std::size_t targetServers = 5;
-constexpr std::size_t stableServersCount = 60;
+constexpr std::size_t stableServerCount = 60;
 // The contract's bounds.
 constexpr double exposedShare = 0.1;
 constexpr double exposedExtra = 50;
@@ -35,7 +35,7 @@
 
 enum class Fault {
     None,
-    AtOnce,
+    Immediate,
     Later,
     UnderLoad,
     OneRoute,
@@ -48,22 +48,22 @@
     const char* name_;
 };
 
-constexpr FaultRow faults[] = { { Fault::AtOnce, "at once" }, { Fault::Later, "later" }, { Fault::UnderLoad, "under load" }, { Fault::OneRoute, "one route" }, { Fault::Slow, "slow" }, { Fault::WrongBytes, "wrong bytes" } };
+constexpr FaultRow faults[] = { { Fault::Immediate, "at once" }, { Fault::Later, "later" }, { Fault::UnderLoad, "under load" }, { Fault::OneRoute, "one route" }, { Fault::Slow, "slow" }, { Fault::WrongBytes, "wrong bytes" } };
 
 /// One order and the troubles beside it.
-class World {
+class Simulation {
 public:
-    World(Fault fault, std::uint64_t seed)
+    Simulation(Fault fault, std::uint64_t seed)
         : random_(seed)
         , fault_(fault)
     {
-        badPart_ = draw(0.3, 0.6);
+        badRate_ = draw(0.3, 0.6);
         badFrom_ = fault == Fault::Later ? draw(1, 0.6 * period) : 0;
         badRoute_ = draw(0, 1) < 0.5 ? 0 : 1;
         if (draw(0, 1) < 0.4) {
-            lateFrom_ = draw(0, period);
-            lateUntil_ = lateFrom_ + draw(1, 4);
-            latePart_ = draw(0.2, 0.6);
+            slowFrom_ = draw(0, period);
+            slowUntil_ = slowFrom_ + draw(1, 4);
+            slowRate_ = draw(0.2, 0.6);
         }
         failFrom_ = draw(0, 1) < 0.4 ? draw(0, period) : period;
         for (bool& isFailing : targetFails_)
@@ -77,7 +77,7 @@
     void step(double now, double share, RolloutTally& tally)
     {
         for (RouteKey route = 0; route < 2; ++route) {
-            double rate = requestsPerSecond * load(now) * tick * (route ? 1 - firstRoute : firstRoute);
+            double rate = requestsPerSecond * load(now) * tick * (route ? 1 - firstRouteShare : firstRouteShare);
             std::uint64_t all = poisson(rate);
             requests_[route] += all;
             double onRoute = share < 0.1 ? shareOnRoute(share, route, requests_) : share;
@@ -85,16 +85,16 @@
             tally.requests_ += all;
             tally.exposed_ += toTarget;
             // 15 in 100 of the stable ones fail, too.
-            double stableBad = usualBad(now) + (isFailTime(now) ? 0.15 * failPart : 0);
-            count(tally.cells_[{ stableServers, route }], all - toTarget, stableBad);
+            double stableBad = baselineBad(now) + (isFailTime(now) ? 0.15 * failRate : 0);
+            count(tally.cells_[{ stableBackendKey, route }], all - toTarget, stableBad);
             std::uint64_t left = toTarget;
             for (BackendKey server = 1; server <= targetServers; ++server) {
                 std::uint64_t here = server == targetServers ? left : std::binomial_distribution<std::uint64_t>(left, 1.0 / static_cast<double>(targetServers + 1 - server))(random_);
                 left -= here;
-                double part = usualBad(now) + (isFailTime(now) && targetFails_[server - 1] ? failPart : 0);
-                double own = versionBad(now, route, share);
-                std::uint64_t bad = count(tally.cells_[{ server, route }], here, 1 - (1 - std::min(1.0, part)) * (1 - own));
-                if (own > 0)
+                double serverRate = baselineBad(now) + (isFailTime(now) && targetFails_[server - 1] ? failRate : 0);
+                double versionRate = versionBad(now, route, share);
+                std::uint64_t bad = count(tally.cells_[{ server, route }], here, 1 - (1 - std::min(1.0, serverRate)) * (1 - versionRate));
+                if (versionRate > 0)
                     badAnswers_ += bad;
             }
         }
@@ -103,35 +103,35 @@
     std::uint64_t badAnswers() const { return badAnswers_; }
 
 private:
-    static constexpr double failPart = 0.4;
+    static constexpr double failRate = 0.4;
 
-    double draw(double least, double most) { return std::uniform_real_distribution<double>(least, most)(random_); }
+    double draw(double low, double high) { return std::uniform_real_distribution<double>(low, high)(random_); }
     std::uint64_t poisson(double mean) { return std::poisson_distribution<std::uint64_t>(mean)(random_); }
     bool isFailTime(double now) const { return now >= failFrom_ && now < failFrom_ + 6; }
-    double usualBad(double now) const { return 0.02 + (now >= lateFrom_ && now < lateUntil_ ? latePart_ : 0); }
+    double baselineBad(double now) const { return 0.02 + (now >= slowFrom_ && now < slowUntil_ ? slowRate_ : 0); }
 
     double versionBad(double now, RouteKey route, double share) const
     {
         switch (fault_) {
         case Fault::None:
             return 0;
-        case Fault::AtOnce:
+        case Fault::Immediate:
         case Fault::Slow:
         case Fault::WrongBytes:
-            return badPart_;
+            return badRate_;
         case Fault::Later:
-            return now >= badFrom_ ? badPart_ : 0;
+            return now >= badFrom_ ? badRate_ : 0;
         case Fault::UnderLoad:
-            return load(now) > 1.15 || share > 0.5 ? badPart_ : 0;
+            return load(now) > 1.15 || share > 0.5 ? badRate_ : 0;
         case Fault::OneRoute:
-            return route == badRoute_ ? badPart_ : 0;
+            return route == badRoute_ ? badRate_ : 0;
         }
         return 0;
     }
 
-    std::uint64_t count(AnswerTally& tally, std::uint64_t answers, double badPart)
+    std::uint64_t count(AnswerTally& tally, std::uint64_t answers, double badRate)
     {
-        std::uint64_t bad = std::binomial_distribution<std::uint64_t>(answers, std::min(1.0, badPart))(random_);
+        std::uint64_t bad = std::binomial_distribution<std::uint64_t>(answers, std::min(1.0, badRate))(random_);
         tally.answers_ += answers;
         tally.bad_ += bad;
         return bad;
@@ -140,81 +140,81 @@
     std::mt19937_64 random_;
     RouteRequests requests_;
     Fault fault_;
-    double badPart_ = 0;
+    double badRate_ = 0;
     double badFrom_ = 0;
     RouteKey badRoute_ = 0;
-    double lateFrom_ = period + 1;
-    double lateUntil_ = period + 1;
-    double latePart_ = 0;
+    double slowFrom_ = period + 1;
+    double slowUntil_ = period + 1;
+    double slowRate_ = 0;
     double failFrom_ = 0;
     double phase_ = 0;
     bool targetFails_[targetServers] {};
     std::uint64_t badAnswers_ = 0;
 };
 
-struct Verdict {
+struct Outcome {
     bool isReverted_ = false;
     double at_ = 0;
     double exposedOverBound_ = 0;
     /// Requests later than the roll-back time after the 50th bad answer.
-    std::uint64_t late_ = 0;
+    std::uint64_t afterRollback_ = 0;
 };
 
-Verdict play(Fault fault, std::uint64_t seed, RolloutJudge judge)
+Outcome simulate(Fault fault, std::uint64_t seed, RolloutEvaluator evaluator)
 {
-    World world(fault, seed);
+    Simulation simulation(fault, seed);
     const SteadyTime start { milliseconds(1000000) };
     auto at = [&](double seconds) { return start + milliseconds(static_cast<std::int64_t>(seconds * 1000)); };
     RolloutOrder order { { 1 }, { "s" }, { "v2" }, milliseconds(static_cast<std::int64_t>(period * 1000)) };
-    RolloutPilot pilot({}, { order, RolloutPhase::Trial, 0, 0, 0 }, start, 1, std::move(judge));
+    RolloutController controller({}, { order, RolloutPhase::Trial, 0, 0, 0 }, start, 1, std::move(evaluator));
     std::deque<RolloutTally> tallies;
     std::deque<double> shares;
     RolloutTally tally { { 1 }, 0, 0, {} };
-    Verdict verdict;
+    Outcome outcome;
     double fiftiethAt = 1000;
     const auto delay = static_cast<std::size_t>(reportDelay / tick);
     for (double now = 0; now < period; now += tick) {
-        shares.push_back(pilot.state().share_);
+        shares.push_back(controller.state().share_);
         double share = shares.size() > delay ? shares[shares.size() - 1 - delay] : 0;
         std::uint64_t exposedBefore = tally.exposed_;
-        world.step(now, share, tally);
+        simulation.step(now, share, tally);
         if (now > fiftiethAt + rollback)
-            verdict.late_ += tally.exposed_ - exposedBefore;
-        if (world.badAnswers() >= badTolerated)
+            outcome.afterRollback_ += tally.exposed_ - exposedBefore;
+        if (simulation.badAnswers() >= badTolerated)
             fiftiethAt = std::min(fiftiethAt, now);
         tallies.push_back(tally);
         if (tallies.size() > delay + 1)
             tallies.pop_front();
-        pilot.steer({ tallies.front(), targetServers, stableServersCount, share >= 1 ? 0U : 50U }, at(now));
-        bool isOver = isFinal(pilot.state().phase_);
-        verdict.isReverted_ |= pilot.state().phase_ == RolloutPhase::Reverted;
-        if (pilot.isReadyToComplete() && !isOver) {
-            pilot.complete();
+        controller.adjust({ tallies.front(), targetServers, stableServerCount, share >= 1 ? 0U : 50U }, at(now));
+        bool isOver = isFinal(controller.state().phase_);
+        outcome.isReverted_ |= controller.state().phase_ == RolloutPhase::Reverted;
+        if (controller.isReadyToComplete() && !isOver) {
+            controller.complete();
             isOver = true;
         }
-        if (isOver && verdict.at_ == 0)
-            verdict.at_ = now;
+        if (isOver && outcome.at_ == 0)
+            outcome.at_ = now;
     }
-    verdict.exposedOverBound_ = static_cast<double>(tally.exposed_) - exposedShare * static_cast<double>(tally.requests_) - exposedExtra;
-    return verdict;
+    outcome.exposedOverBound_ = static_cast<double>(tally.exposed_) - exposedShare * static_cast<double>(tally.requests_) - exposedExtra;
+    return outcome;
 }
 
 struct Summary {
     int reverted_ = 0;
     int overBound_ = 0;
-    int late_ = 0;
+    int afterRollback_ = 0;
     double meanAt_ = 0;
 };
 
-Summary playAll(Fault fault, int orders, const std::function<RolloutJudge()>& makeJudge)
+Summary simulateAll(Fault fault, int orders, const std::function<RolloutEvaluator()>& makeEvaluator)
 {
     Summary summary;
     for (int i = 0; i < orders; ++i) {
-        Verdict verdict = play(fault, static_cast<std::uint64_t>(i) + 1, makeJudge());
-        summary.reverted_ += verdict.isReverted_;
-        summary.overBound_ += verdict.exposedOverBound_ > 0;
-        summary.late_ += verdict.late_ > 0;
-        summary.meanAt_ += verdict.at_ / orders;
+        Outcome outcome = simulate(fault, static_cast<std::uint64_t>(i) + 1, makeEvaluator());
+        summary.reverted_ += outcome.isReverted_;
+        summary.overBound_ += outcome.exposedOverBound_ > 0;
+        summary.afterRollback_ += outcome.afterRollback_ > 0;
+        summary.meanAt_ += outcome.at_ / orders;
     }
     return summary;
 }
@@ -225,7 +225,7 @@
 
 TEST_CASE("good versions are reverted for troubles that strike all alike", "[rollout]")
 {
-    Summary good = playAll(Fault::None, orders, makeSequentialJudge);
+    Summary good = simulateAll(Fault::None, orders, makeSequentialEvaluator);
     CHECK(good.reverted_ < orders / 100);
     CHECK(good.meanAt_ < period);
 }
@@ -234,25 +234,25 @@
 {
     for (const FaultRow& row : faults) {
         CAPTURE(row.name_);
-        Summary bad = playAll(row.fault_, orders, makeSequentialJudge);
+        Summary bad = simulateAll(row.fault_, orders, makeSequentialEvaluator);
         CHECK(bad.reverted_ == orders);
         CHECK(bad.overBound_ == 0);
-        CHECK(bad.late_ == 0);
+        CHECK(bad.afterRollback_ == 0);
     }
 }
 
 TEST_CASE("figures of both judges", "[.figures]")
 {
-    struct Way {
+    struct Method {
         const char* name_;
-        RolloutJudge (*make_)();
+        RolloutEvaluator (*make_)();
     };
-    const Way ways[] = { { "sequential", makeSequentialJudge }, { "threshold", makeThresholdJudge } };
+    const Method methods[] = { { "sequential", makeSequentialEvaluator }, { "threshold", makeThresholdEvaluator } };
     std::cout << "judge       version      reverted  over the bound  after roll-back  mean time of the verdict\n";
-    for (const Way& way : ways) {
+    for (const Method& method : methods) {
         auto show = [&](const char* name, Fault fault) {
-            Summary summary = playAll(fault, orders, way.make_);
-            std::cout << std::left << std::setw(12) << way.name_ << std::setw(13) << name << std::setw(10) << summary.reverted_ << std::setw(16) << summary.overBound_ << std::setw(17) << summary.late_ << std::setprecision(3) << summary.meanAt_ << " s\n";
+            Summary summary = simulateAll(fault, orders, method.make_);
+            std::cout << std::left << std::setw(12) << method.name_ << std::setw(13) << name << std::setw(10) << summary.reverted_ << std::setw(16) << summary.overBound_ << std::setw(17) << summary.afterRollback_ << std::setprecision(3) << summary.meanAt_ << " s\n";
         };
         show("good", Fault::None);
         for (const FaultRow& row : faults)
--- a/unittests/Rollout/RolloutTest.cpp
+++ b/unittests/Rollout/RolloutTest.cpp
@@ -36,11 +36,11 @@
 }
 
 /// Requests of a hundred that go to the target.
-int toTarget(RolloutBook& book, SteadyTime now, RolloutBook::Send send = RolloutBook::Send::First)
+int toTarget(RolloutTracker& tracker, SteadyTime now, RolloutTracker::SendKind send = RolloutTracker::SendKind::First)
 {
     int count = 0;
     for (int i = 0; i < 100; ++i) {
-        auto rule = book.assign(service, route, send, now);
+        auto rule = tracker.assign(service, route, send, now);
         count += rule && rule->usesTarget_;
     }
     return count;
@@ -49,7 +49,7 @@
 RolloutTally tallyOf(std::uint64_t requests, std::uint64_t exposed, std::uint64_t bad = 0)
 {
     RolloutTally tally { { 1 }, requests, exposed, {} };
-    tally.cells_[{ stableServers, route }] = { requests - exposed, 0 };
+    tally.cells_[{ stableBackendKey, route }] = { requests - exposed, 0 };
     for (BackendKey backend = 1; backend <= 4; ++backend)
         tally.cells_[{ backend, route }] = { exposed / 4, bad / 4 };
     return tally;
@@ -59,13 +59,13 @@
 
 TEST_CASE("requests reach a version that was ordered before its share is known", "[rollout]")
 {
-    RolloutBook book({});
-    CHECK_FALSE(book.assign(service, route, RolloutBook::Send::First, start));
-    CHECK(book.takeOrder(orderOf(1), start));
-    CHECK_FALSE(book.takeOrder(orderOf(1), start));
-    CHECK(book.assign(service, route, RolloutBook::Send::First, start));
-    CHECK(toTarget(book, start) == 0);
-    CHECK_FALSE(book.assign({ "other" }, route, RolloutBook::Send::First, start));
+    RolloutTracker tracker({});
+    CHECK_FALSE(tracker.assign(service, route, RolloutTracker::SendKind::First, start));
+    CHECK(tracker.applyOrder(orderOf(1), start));
+    CHECK_FALSE(tracker.applyOrder(orderOf(1), start));
+    CHECK(tracker.assign(service, route, RolloutTracker::SendKind::First, start));
+    CHECK(toTarget(tracker, start) == 0);
+    CHECK_FALSE(tracker.assign({ "other" }, route, RolloutTracker::SendKind::First, start));
 }
 
 TEST_CASE("each phase sends its share to the target, and repeats only once all go there", "[rollout]")
@@ -88,10 +88,10 @@
     };
     for (const Row& row : rows) {
         CAPTURE(toString(row.phase_), row.share_, row.ageMs_);
-        RolloutBook book({});
-        CHECK(book.take({ orderOf(1), row.phase_, row.share_, 1, 1 }, start, start));
-        CHECK(toTarget(book, after(row.ageMs_)) == row.first_);
-        CHECK(toTarget(book, after(row.ageMs_), RolloutBook::Send::Again) == row.again_);
+        RolloutTracker tracker({});
+        CHECK(tracker.take({ orderOf(1), row.phase_, row.share_, 1, 1 }, start, start));
+        CHECK(toTarget(tracker, after(row.ageMs_)) == row.first_);
+        CHECK(toTarget(tracker, after(row.ageMs_), RolloutTracker::SendKind::Subsequent) == row.again_);
     }
 }
 
@@ -104,12 +104,12 @@
     CHECK(0.86 * dense + 0.14 * sparse == Approx(0.08));
     CHECK(shareOnRoute(0.08, 3, requests) == 0.08);
     CHECK(shareOnRoute(0.08, 1, { { 1, 100 } }) == Approx(0.08));
-    RolloutBook book({});
-    book.take({ orderOf(1), RolloutPhase::Trial, 0.08, 1, 1 }, start, start);
+    RolloutTracker tracker({});
+    tracker.take({ orderOf(1), RolloutPhase::Trial, 0.08, 1, 1 }, start, start);
     int toTargetOf[2] {};
     for (int i = 0; i < 10000; ++i) {
         bool isSparse = i % 7 == 0;
-        toTargetOf[isSparse] += book.assign(service, isSparse ? 2 : 1, RolloutBook::Send::First, start)->usesTarget_;
+        toTargetOf[isSparse] += tracker.assign(service, isSparse ? 2 : 1, RolloutTracker::SendKind::First, start)->usesTarget_;
     }
     CHECK(toTargetOf[1] > 200);
     CHECK(toTargetOf[0] + toTargetOf[1] < 850);
@@ -126,14 +126,14 @@
     CHECK(supersedes(complete, reverted));
     CHECK(supersedes(next, complete));
     // In whatever order they come, the same is held.
-    std::vector<RolloutState> told { trial, reverted, next };
-    std::sort(told.begin(), told.end());
+    std::vector<RolloutState> reported { trial, reverted, next };
+    std::sort(reported.begin(), reported.end());
     do {
-        RolloutBook book({});
-        for (const RolloutState& state : told)
-            book.take(state, start, start);
-        CHECK(book.find(service) == next);
-    } while (std::next_permutation(told.begin(), told.end()));
+        RolloutTracker tracker({});
+        for (const RolloutState& state : reported)
+            tracker.take(state, start, start);
+        CHECK(tracker.find(service) == next);
+    } while (std::next_permutation(reported.begin(), reported.end()));
 }
 
 TEST_CASE("what speaks against a version, and what does not", "[rollout]")
@@ -194,26 +194,26 @@
 
 TEST_CASE("a good version goes from its trial to completion within the period", "[rollout]")
 {
-    RolloutPilot pilot({}, { orderOf(1), RolloutPhase::Trial, 0, 0, 0 }, start, 3, makeSequentialJudge());
+    RolloutController controller({}, { orderOf(1), RolloutPhase::Trial, 0, 0, 0 }, start, 3, makeSequentialEvaluator());
     std::uint64_t requests = 0;
     double exposed = 0;
     std::optional<std::int64_t> readyAt;
     for (std::int64_t ms = 0; ms <= 10000 && !readyAt; ms += 200) {
         requests += 120;
-        exposed += 120 * pilot.state().share_;
+        exposed += 120 * controller.state().share_;
         RolloutView view { tallyOf(requests, static_cast<std::uint64_t>(exposed)), 4, 40, ms < 8500 ? 10U : 0U };
-        RolloutState state = pilot.steer(view, after(ms));
+        RolloutState state = controller.adjust(view, after(ms));
         if (ms < 6900)
             CHECK(state.share_ <= 0.08);
-        if (pilot.isReadyToComplete())
+        if (controller.isReadyToComplete())
             readyAt = ms;
     }
     REQUIRE(readyAt);
     CHECK(*readyAt <= 9200);
-    CHECK(pilot.state().share_ == 1);
-    CHECK_FALSE(isFinal(pilot.state().phase_));
-    pilot.complete();
-    CHECK(pilot.state().phase_ == RolloutPhase::Complete);
+    CHECK(controller.state().share_ == 1);
+    CHECK_FALSE(isFinal(controller.state().phase_));
+    controller.complete();
+    CHECK(controller.state().phase_ == RolloutPhase::Complete);
 }
 
 TEST_CASE("an order without a verdict at the end of its period is reverted", "[rollout]")
@@ -230,37 +230,37 @@
     };
     for (const Row& row : rows) {
         CAPTURE(row.what_);
-        RolloutPilot pilot({}, { orderOf(1), RolloutPhase::Trial, 0, 0, 0 }, start, 3, makeSequentialJudge());
+        RolloutController controller({}, { orderOf(1), RolloutPhase::Trial, 0, 0, 0 }, start, 3, makeSequentialEvaluator());
         for (std::int64_t ms = 0; ms < 9000; ms += 500)
-            CHECK(pilot.steer({ row.tally_, row.targetServers_, 40, 9 }, after(ms)).phase_ == RolloutPhase::Trial);
-        CHECK(pilot.steer({ row.tally_, row.targetServers_, 40, 9 }, after(9000)).phase_ == RolloutPhase::Reverted);
+            CHECK(controller.adjust({ row.tally_, row.targetServers_, 40, 9 }, after(ms)).phase_ == RolloutPhase::Trial);
+        CHECK(controller.adjust({ row.tally_, row.targetServers_, 40, 9 }, after(9000)).phase_ == RolloutPhase::Reverted);
     }
 }
 
 TEST_CASE("a version gets more than the bound while others have few requests", "[rollout]")
 {
-    RolloutPilot pilot({}, { orderOf(1), RolloutPhase::Trial, 0, 0, 0 }, start, 3, makeSequentialJudge());
-    CHECK(pilot.steer({ tallyOf(100, 8), 4, 40, 9 }, after(200)).share_ == 0.08);
-    CHECK(pilot.steer({ tallyOf(100, 36), 4, 40, 9 }, after(400)).share_ == 0);
-    CHECK(pilot.steer({ tallyOf(400, 36), 4, 40, 9 }, after(600)).share_ == 0.08);
+    RolloutController controller({}, { orderOf(1), RolloutPhase::Trial, 0, 0, 0 }, start, 3, makeSequentialEvaluator());
+    CHECK(controller.adjust({ tallyOf(100, 8), 4, 40, 9 }, after(200)).share_ == 0.08);
+    CHECK(controller.adjust({ tallyOf(100, 36), 4, 40, 9 }, after(400)).share_ == 0);
+    CHECK(controller.adjust({ tallyOf(400, 36), 4, 40, 9 }, after(600)).share_ == 0.08);
 }
 
 TEST_CASE("an order for the version that runs already is complete", "[rollout]")
 {
-    RolloutPilot pilot({}, { orderOf(1), RolloutPhase::Trial, 0, 0, 0 }, start, 3, makeSequentialJudge());
-    pilot.steer({ tallyOf(100, 0), 40, 0, 0 }, after(0));
-    CHECK_FALSE(pilot.isReadyToComplete());
-    pilot.steer({ tallyOf(100, 0), 40, 0, 0 }, after(3000));
-    CHECK(pilot.isReadyToComplete());
+    RolloutController controller({}, { orderOf(1), RolloutPhase::Trial, 0, 0, 0 }, start, 3, makeSequentialEvaluator());
+    controller.adjust({ tallyOf(100, 0), 40, 0, 0 }, after(0));
+    CHECK_FALSE(controller.isReadyToComplete());
+    controller.adjust({ tallyOf(100, 0), 40, 0, 0 }, after(3000));
+    CHECK(controller.isReadyToComplete());
 }
 
 TEST_CASE("a new holder begins an order anew that another has reverted", "[rollout]")
 {
-    RolloutPilot pilot({}, { orderOf(1), RolloutPhase::Reverted, 0, 3, 5 }, start, 4, makeSequentialJudge());
-    CHECK(pilot.steer({ tallyOf(1000, 0), 4, 40, 9 }, after(200)).phase_ == RolloutPhase::Reverted);
-    pilot.revert("again");
-    CHECK(pilot.state().step_ == 5);
-    RolloutPilot shifting({}, { orderOf(1), RolloutPhase::Shifting, 0.64, 3, 8 }, start, 4, makeSequentialJudge());
-    CHECK(shifting.steer({ tallyOf(1000, 640), 40, 40, 9 }, after(8000)).share_ == 1);
+    RolloutController controller({}, { orderOf(1), RolloutPhase::Reverted, 0, 3, 5 }, start, 4, makeSequentialEvaluator());
+    CHECK(controller.adjust({ tallyOf(1000, 0), 4, 40, 9 }, after(200)).phase_ == RolloutPhase::Reverted);
+    controller.revert("again");
+    CHECK(controller.state().step_ == 5);
+    RolloutController shifting({}, { orderOf(1), RolloutPhase::Shifting, 0.64, 3, 8 }, start, 4, makeSequentialEvaluator());
+    CHECK(shifting.adjust({ tallyOf(1000, 640), 40, 40, 9 }, after(8000)).share_ == 1);
     CHECK(shifting.state().term_ == 4);
 }
--- a/unittests/Support/SuspensionTest.cpp
+++ b/unittests/Support/SuspensionTest.cpp
@@ -33,9 +33,9 @@
 
 TEST_CASE("a lease that ran out while the VM was suspended is acted on after it", "[suspension]")
 {
-    DutySeat seat({ "node" }, {}, steadyNow());
+    DutyLease seat({ "node" }, {}, steadyNow());
     SteadyTime recordedAt = steadyNow();
-    seat.claimed({ 1 }, recordedAt);
+    seat.becomeHolder({ 1 }, recordedAt);
     suspend(std::chrono::seconds(60));
     CHECK_FALSE(seat.mayAct(recordedAt, steadyNow()));
 }
