--- a/include/pistachioloom/Duties.h
+++ b/include/pistachioloom/Duties.h
@@ -1,11 +1,12 @@
-//===- pistachioloom/Duties.h - work that one node at a time does ----------===//
+//===- pistachioloom/Duties.h - leader lease and usage accounting ---------===//
 ///
 /// \file
-/// Who holds the duties towards the platform, and what is counted for them. A claim
-/// is a record of the platform's log, written only if nothing came in between, so its
-/// offset orders the holders; every act is preceded by such a record, so that a holder
-/// that was succeeded finds out before it acts. Pure: time and records come in,
-/// decisions go out.
+/// Elects the node that performs the duties towards the platform, and keeps the usage
+/// and demand counts that the duties need. A claim is a record that is appended to the
+/// platform's log only if no other record was appended in between, so the offsets of
+/// claims order the holders. The holder appends such a record before every act on the
+/// platform, so that a holder that was replaced notices it before it acts. This code
+/// does no I/O: time and records are passed in, and decisions are returned.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -20,54 +21,60 @@
 
 namespace pistachioloom {
 
-/// Grows with each holder: the offset of its claim plus one.
+/// Fencing token of a holder: the offset of its claim plus one, so it increases with
+/// each holder.
 using DutyToken = Quantity<struct DutyTokenTag>;
-/// Windows are counted from the start of 1970.
+/// Index of a usage window, counted from the Unix epoch.
 using WindowNumber = Quantity<struct WindowNumberTag>;
 using UsageCounts = std::map<OrganisationId, std::uint64_t>;
 
 struct DutyTiming {
-    /// Silence after which a holder is succeeded.
+    /// Other nodes may claim the duties after they have not received a report from the
+    /// holder for this time.
     milliseconds holderTimeout_ { 2600 };
-    /// A new holder waits so long after its claim, so that what its predecessor
-    /// began before it could see the claim is over.
+    /// A new holder waits this long after its claim, so that acts that its predecessor
+    /// started before it could see the claim have ended.
     milliseconds actAfterClaim_ { 1600 };
-    /// A holder acts only within this time after its last record was begun.
+    /// A holder acts only within this time after it started to append its last record.
     milliseconds recordValidity_ { 1000 };
-    /// Nodes wait so long for a holder to be heard after their start.
+    /// After its start a node waits this long for a report from a holder before it claims.
     milliseconds firstClaimAfter_ { 1500 };
-    /// What each place in the order of candidates waits longer than the one before.
+    /// Additional wait of each candidate over the candidate that is ranked before it.
     milliseconds rankDelay_ { 400 };
 };
 
-/// One node's part in who holds the duties.
+/// One node's view of the lease on the duties, and its own claim to it.
 class DutyLease {
 public:
     DutyLease(VmId self, DutyTiming timing, SteadyTime startedAt);
 
-    /// A peer said at \p reportedAt that it holds the duties by \p token. Relays pass this
-    /// on late; taken for new, it would delay the successor of a holder that is gone.
+    /// A peer reported at \p reportedAt that it holds the duties by \p token. Relays
+    /// forward such reports with a delay; \p reportedAt must be the time of the original
+    /// report, or the takeover from a holder that has failed is delayed.
     void noteHolder(const VmId& holder, DutyToken token, SteadyTime reportedAt);
-    /// The holder by \p token gave up the duties, and is succeeded without waiting for
-    /// its silence.
+    /// The holder by \p token released the duties, so that other nodes may claim them
+    /// without waiting for the holder's timeout.
     void noteReleased(DutyToken token, SteadyTime now);
-    /// A peer said that it is stopping: if it is the holder it acts no more, and is
-    /// succeeded without waiting for its silence.
+    /// A peer reported that it is stopping. If it is the holder it does not act any more,
+    /// and other nodes may claim the duties without waiting for the holder's timeout.
     void noteStopping(const VmId& peer, SteadyTime now);
-    /// Whether to claim now. \p rank is this node's place among live candidates.
+    /// Whether this node should claim the duties now. \p rank is its position among the
+    /// live candidates, from 0.
     bool shouldClaim(std::size_t rank, SteadyTime now) const;
-    /// A claim of this node was written.
+    /// A claim of this node was appended to the log.
     void becomeHolder(DutyToken token, SteadyTime now);
-    /// A record of this node could not be written because another came first,
-    /// or its claim is unsure.
+    /// A record of this node could not be appended because another record came first,
+    /// or the outcome of its claim is unknown.
     void stepDown(SteadyTime now);
     bool isHolder() const { return isHolder_; }
     DutyToken token() const { return token_; }
-    /// Whether acts may begin: it holds, and its predecessor has ended.
+    /// Whether this node may start acts: it is the holder, and the acts of its predecessor
+    /// have ended.
     bool mayBegin(SteadyTime now) const;
-    /// Whether an act is still covered by a record begun at \p recordedAt.
+    /// Whether an act is still covered by a record that this node started to append at
+    /// \p recordedAt.
     bool mayAct(SteadyTime recordedAt, SteadyTime now) const;
-    /// The holder this node knows of, itself or a peer; empty if none.
+    /// The holder that this node knows of, itself or a peer; empty if there is none.
     VmId knownHolder(SteadyTime now) const;
 
 private:
@@ -79,30 +86,30 @@
     SteadyTime claimedAt_ {};
     VmId holder_;
     SteadyTime holderLastSeenAt_ {};
-    /// What is heard late of holders up to this one is no news.
+    /// Reports of holders up to this token are outdated and ignored.
     DutyToken releasedToken_ {};
 };
 
-/// Counts of requests that began, by window, of this node and its peers.
-/// Thread-safe.
+/// Counts the requests that started in each window, by organisation, for this node and
+/// its peers. Thread-safe.
 class UsageTracker {
 public:
     explicit UsageTracker(milliseconds window);
 
-    /// Counts one request at \p wallTime, in ms since the start of 1970.
+    /// Counts one request at \p wallMs, in ms since the Unix epoch.
     void count(const OrganisationId& organisation, std::int64_t wallMs);
-    /// This node's newest windows, for its peers.
+    /// This node's newest windows, to be sent to its peers.
     std::map<WindowNumber, UsageCounts> recent() const;
-    /// A peer's counts. They only grow, so the higher of two stays.
+    /// Merges a peer's counts. They never decrease, so the higher of two counts is kept.
     void setPeer(const VmId& vm, std::uint64_t incarnation, const std::map<WindowNumber, UsageCounts>& windows);
-    /// Forgets all counts of \p vm, which come through another source from now on.
+    /// Removes all counts of \p vm, which are reported through another source from now on.
     void forgetPeer(const VmId& vm);
-    /// The sum over all nodes, also those that are gone.
+    /// The sum over all nodes, including those that have left.
     UsageCounts sum(WindowNumber window) const;
-    /// All windows, summed over all nodes but one start of one peer.
+    /// All windows, summed over all nodes except one incarnation of one peer.
     std::map<WindowNumber, UsageCounts> sumsExcluding(const VmId& vm, std::uint64_t incarnation) const;
     WindowNumber windowAt(std::int64_t wallMs) const;
-    /// Forgets windows before \p oldest.
+    /// Removes all windows before \p oldest.
     void forget(WindowNumber oldest);
     milliseconds window() const { return window_; }
 
@@ -114,26 +121,28 @@
     std::map<Source, std::map<WindowNumber, UsageCounts>> sources_;
 };
 
-/// When a window's usage is reported after its end.
+/// Delays after which a window's usage is reported, counted from the window's end.
 struct UsageTiming {
-    /// If all nodes told their counts since: reports of 200 ms, three in a row through
-    /// relays, and clocks that differ by some hundred ms. Counts that wait longer are
-    /// lost with the nodes if all are killed.
+    /// Used if all nodes have reported their counts since the window's end. It covers
+    /// three reports in a row through relays, one each 200 ms, and clocks that differ by
+    /// a few hundred ms. Counts that wait longer are lost if all nodes are terminated.
     milliseconds settled_ { 1500 };
-    /// Else: nodes that are cut off may come back by then.
+    /// Used otherwise, so that partitioned nodes may reconnect in the meantime.
     milliseconds longest_ { 5000 };
 };
 
-/// The newest window to report at \p nowMs, in ms since the start of 1970.
-/// \p allReportedWithin says whether all nodes told their counts in the time given.
+/// The newest window whose usage is due at \p nowMs, in ms since the Unix epoch; nullopt
+/// if no window has ended yet. \p allReportedWithin returns whether all nodes reported
+/// their counts within the given time before now.
 std::optional<WindowNumber> dueWindow(std::int64_t nowMs, milliseconds window, const UsageTiming& timing, const std::function<bool(milliseconds)>& allReportedWithin);
 
-/// What the clocks of the nodes agree on. Thread-safe.
+/// Estimates the offset of this node's clock from the median of all nodes' clocks.
+/// Thread-safe.
 class ClockOffsetEstimator {
 public:
-    /// A peer's clock was ahead of this node's by \p offset.
+    /// A peer's clock was ahead of this node's clock by \p offsetMs.
     void setPeer(const VmId& vm, std::int64_t offsetMs, SteadyTime now);
-    /// What to add to this node's time of day: the median of all clocks.
+    /// The correction to add to this node's time of day, in ms: the median of all offsets.
     std::int64_t correctionMs(SteadyTime now) const;
 
 private:
@@ -147,28 +156,30 @@
 };
 
 struct DemandTiming {
-    /// A node's rate is taken over this time.
+    /// A node's request rate is averaged over this time.
     milliseconds window_ { 4000 };
-    /// The highest rate of this time counts: engines take seconds to boot, and
-    /// demand that fell may come back.
+    /// The peak rate is the highest rate of this time. Engines take seconds to boot, and
+    /// demand that has dropped may recover.
     milliseconds peakWindow_ { 5000 };
-    /// A node that is silent for longer has gone, and its callers to other nodes.
+    /// A report is ignored after this time: its node has failed, and its callers have moved
+    /// to other nodes.
     milliseconds validity_ { 3000 };
 };
 
-/// What one node, or several, tell of the requests to a service's engines.
+/// Demand for a service's engines as one node, or several, report it.
 struct ServiceDemand {
     double tokensPerSecond_ = 0;
-    /// What an engine reads in a millisecond, and the answers that show it.
+    /// Prompt tokens that an engine reads in a millisecond, and the number of answers that
+    /// this rate was observed from.
     double prefillPerMs_ = 0;
     std::uint64_t observations_ = 0;
 };
 
-/// Prompt tokens that all nodes are asked for of each service in a second.
-/// Thread-safe.
+/// Estimates the prompt tokens a second that callers of all nodes request from each
+/// service. Thread-safe.
 ///
-/// Nodes tell rates and not counts: counts of nodes that come back after a cut would
-/// arrive at once and look like a burst.
+/// Nodes report rates instead of counts: the counts of nodes that reconnect after a
+/// partition would arrive all together and look like a burst.
 class DemandEstimator {
 public:
     explicit DemandEstimator(DemandTiming timing = {})
@@ -176,21 +187,22 @@
     {
     }
 
-    /// This node was asked for \p totalTokens tokens since its start.
+    /// This node received requests for \p totalTokens tokens since its start.
     void recordLocalTokens(const ServiceName& service, TokenCount totalTokens, SteadyTime now);
-    /// This node's tokens in a second.
+    /// This node's own rate, in tokens a second.
     double localRate(const ServiceName& service) const;
-    /// What \p vm tells; it counts until told anew, or for the validity.
+    /// Sets the demand that \p vm reports. It counts until the next report, or until its
+    /// validity has passed.
     void setSource(const VmId& vm, const ServiceName& service, const ServiceDemand& reported, SteadyTime now);
-    /// What an engine reads in a millisecond: the mean over nodes, weighted by
-    /// what each has seen.
+    /// Prompt tokens that an engine reads in a millisecond: the mean over nodes, weighted
+    /// by the answers that each node has observed; \p fallback if there are too few.
     double prefillPerMs(const ServiceName& service, double fallback) const;
-    /// Forgets \p vm, which is told of through another source from now on.
+    /// Removes \p vm, which is reported through another source from now on.
     void forgetSource(const VmId& vm);
-    /// Takes a reading over all nodes; call it at regular times.
+    /// Samples the sum of rates over all nodes; to be called at regular intervals.
     void sample(SteadyTime now);
-    /// The highest rate of the memory, in tokens a second; nullopt until a whole
-    /// window was seen.
+    /// The highest rate of the peak window, in tokens a second; nullopt until requests
+    /// have been observed for a complete rate window.
     std::optional<double> peakRate(const ServiceName& service, SteadyTime now) const;
 
 private:
@@ -203,12 +215,12 @@
         SteadyTime at_ {};
     };
     struct Demand {
-        /// Tokens that this node was asked for, over the last window.
+        /// Cumulative tokens requested from this node, over the last window.
         std::deque<Reading> local_;
         std::map<VmId, Source> sources_;
-        /// Tokens a second of all nodes.
+        /// Tokens a second, summed over all nodes.
         std::deque<Reading> rates_;
-        /// When the first request was seen anywhere.
+        /// When the first request to any node was observed.
         std::optional<SteadyTime> firstAt_;
     };
 
--- a/include/pistachioloom/Fleet.h
+++ b/include/pistachioloom/Fleet.h
@@ -1,9 +1,11 @@
-//===- pistachioloom/Fleet.h - how many engines are ordered ----------------===//
+//===- pistachioloom/Fleet.h - how many engines to order ------------------===//
 ///
 /// \file
-/// From demand and from the engines that are registered follows what to order in
-/// each data centre: reclaimable engines while they are to be had, lasting ones for
-/// what would be missing without them. Pure: time and counts come in, orders go out.
+/// Plans from the demand and from the registered engines how many engines to order in
+/// each data centre: reclaimable engines while they are available, and on-demand ones
+/// (which the platform does not reclaim) for the need that reclaimable ones cannot be
+/// relied on to cover. This code does no I/O: time and counts are passed in, and orders
+/// are returned.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -15,7 +17,7 @@
 
 namespace pistachioloom {
 
-/// An order of engines for one data centre.
+/// An order that sets the number of engines of one kind in one data centre.
 struct FleetOrder {
     ServiceName service_;
     DataCentreId dataCentre_;
@@ -26,98 +28,104 @@
 };
 
 struct FleetSettings {
-    /// Engines beyond those that the demand keeps busy, as a multiple of the square
-    /// root of that number. 1.3 is 0.6 of the time busy for 4 engines.
+    /// Spare engines in addition to those that the demand keeps busy, as a multiple of
+    /// the square root of the latter. At 1.3, four busy engines are planned for a
+    /// utilisation of 0.6.
     double margin_ = 1.3;
-    /// What demand may grow by while engines boot, as a part of it.
+    /// Growth of the demand that is expected while engines boot, as a fraction of it.
     double growth_ = 0.2;
-    /// Part of an engine's slots that is planned to be taken: with all of them taken
-    /// requests wait for one.
+    /// Fraction of an engine's slots that is planned to be occupied. With all of them
+    /// occupied requests would have to wait for a slot.
     double targetUtilisation_ = 0.75;
-    /// Reclaimable engines wanted in each data centre, as part of those needed
-    /// in all.
+    /// Reclaimable engines to order in each data centre, as a fraction of the engines
+    /// needed in all data centres together.
     double reclaimableShare_ = 0.7;
-    /// Part of the largest data centre's reclaimable engines that is not counted on.
+    /// Fraction of the reclaimable engines in the data centre with most of them that the
+    /// plan does not rely on.
     double reserveShare_ = 1;
-    /// How often orders are looked at.
+    /// Interval at which orders are reviewed.
     milliseconds period_ { 500 };
-    /// The highest need of this time is ordered for, beside the memory of demand.
+    /// Orders cover the highest need of this time. The demand itself is already a peak
+    /// over DemandTiming::peakWindow_.
     milliseconds stabilisationWindow_ { 2000 };
-    /// Reclaimable engines are ordered for the highest need of this time: they cost a
-    /// fraction of lasting ones, and are what is left when those of other data centres
-    /// are taken away.
+    /// Orders of reclaimable engines cover the highest need of this time. They cost a
+    /// fraction of on-demand ones, and they are the capacity that remains when those of
+    /// other data centres are reclaimed.
     milliseconds reclaimableStabilisationWindow_ { 15000 };
-    /// No order until no engine has registered for so long, a heartbeat of 1.2 s and
-    /// its way: an order dismisses those that have not registered yet.
+    /// No order is sent until no engine has registered for this time, which covers a
+    /// heartbeat of 1.2 s and its latency: an order dismisses engines that have not
+    /// registered yet.
     milliseconds settleTime_ { 1500 };
-    /// Lasting engines are not dismissed for so long after reclaimable ones were taken
-    /// away: others may be on their way out, and what is dismissed takes the boot
-    /// time to come back.
+    /// On-demand engines are not dismissed for this time after reclaimable ones were
+    /// reclaimed: more of those may follow, and an engine that was dismissed takes its
+    /// boot time to be replaced.
     milliseconds dismissalCooldown_ { 3000 };
-    /// An order is repeated after this time if the engines are not there.
+    /// An order is repeated after this time if its engines have not registered.
     milliseconds repeatInterval_ { 8000 };
-    /// An order that was refused, since no engine was to be had, is repeated
-    /// after this time.
+    /// An order that the platform rejected because it had no engines available is
+    /// repeated after this time.
     milliseconds rejectedRepeatInterval_ { 2000 };
 };
 
 /// Engines of one service in one data centre.
 struct DataCentreFleet {
     DataCentreId dataCentre_;
-    /// Price of a lasting engine's second there.
+    /// Cost of an on-demand engine for a second.
     double cost_ = 1;
-    /// Engines that take new work.
+    /// Engines that accept new work.
     std::uint64_t onDemand_ = 0;
     std::uint64_t reclaimable_ = 0;
-    /// Lasting engines that are there or on their way, if more were ordered.
+    /// On-demand engines that were ordered, whether they have registered or not; 0 unless
+    /// an order was accepted.
     std::uint64_t onDemandOrdered_ = 0;
-    /// Lasting engines of a version that may not take the service's requests: the platform
-    /// counts them with the others, and the plan does not.
+    /// On-demand engines of a version that may not receive the service's requests. The
+    /// platform counts them with the others, but the plan does not.
     std::uint64_t onDemandExcluded_ = 0;
 };
 
 struct FleetDemand {
-    /// Engines that the demand needs, with its margin.
+    /// Engines that the demand needs, including the margin.
     std::uint64_t needed_ = 0;
-    /// Bounds of both kinds together in each data centre.
+    /// Bounds in each data centre for engines of both kinds together.
     std::uint64_t least_ = 0;
     std::uint64_t most_ = 0;
-    /// Reclaimable engines to hold in each data centre.
+    /// Reclaimable engines to order in each data centre.
     std::uint64_t reclaimablePerDataCentre_ = 0;
-    /// Part of the largest data centre's reclaimable engines that is not counted
-    /// on: they go all at once.
+    /// Fraction of the reclaimable engines in the data centre with most of them that the
+    /// plan does not rely on, since they are all reclaimed together.
     double reserveShare_ = 1;
 };
 
-/// Engines that \p tokensPerSecond need when an engine reads \p prefillPerMs: those
-/// it would keep busy, and \p margin times the square root of them, since the
-/// waits of many engines that share their work vary less than those of few.
+/// Engines needed for \p tokensPerSecond prompt tokens if an engine reads \p prefillPerMs
+/// tokens in a millisecond: the engines that this load keeps busy, and \p margin times
+/// the square root of their number, since queueing delays vary less with many engines
+/// that share the load than with few.
 std::uint64_t enginesFor(double tokensPerSecond, double prefillPerMs, double margin);
 
-/// What to order in each place: reclaimable engines as wanted, and lasting ones
-/// for what would be missing if the data centre with most reclaimable engines
-/// lost the reserved part of them; cheapest data centre first.
+/// Plans the orders for each data centre: reclaimable engines as wanted, and on-demand
+/// ones for the need that would remain uncovered if the data centre with most reclaimable
+/// engines lost the reserved fraction of them. Cheaper data centres are filled first.
 std::vector<FleetOrder> planFleet(const ServiceName& service, const FleetDemand& demand, const std::vector<DataCentreFleet>& fleets);
 
-/// What is known of one service's engines at a moment.
+/// A snapshot of one service's engines and demand.
 struct FleetView {
     ServiceName service_;
     FleetBounds bounds_;
-    /// Engines that take new work, by data centre.
+    /// Engines that accept new work, by data centre.
     std::vector<DataCentreFleet> dataCentres_;
-    /// Prompt tokens a second that all nodes are asked for; nullopt until it was seen
-    /// for long enough.
+    /// Prompt tokens a second that callers request from all nodes; nullopt until they have
+    /// been observed for long enough.
     std::optional<double> tokensPerSecond_;
     /// Prompt tokens that an engine reads in a millisecond.
     double prefillPerMs_ = 0;
-    /// Slots of all engines, and those that are taken.
+    /// Slots of all engines, and those of them that are occupied.
     std::uint64_t slots_ = 0;
     std::uint64_t slotsTaken_ = 0;
-    /// Demand and slots taken were told by nearly all nodes. What a part of them told
-    /// shows that so many engines are needed, but not that no more are.
+    /// Nearly all nodes reported their demand and occupied slots. Reports of only some
+    /// nodes give a lower bound on the engines needed, but no upper bound.
     bool isComplete_ = true;
-    /// A new version is brought in, or goes: nothing is dismissed, and nothing ordered
-    /// that is not missing, since an order does not say of which version.
+    /// A new version is being rolled out or removed. Engines are then neither dismissed
+    /// nor ordered beyond the need, since an order does not specify a version.
     bool isRollingOut_ = false;
 
     std::uint64_t onDemand() const;
@@ -125,20 +133,22 @@
     std::uint64_t engines() const { return onDemand() + reclaimable(); }
 };
 
-/// Decides on orders for all services. Not thread-safe.
+/// Decides on the orders of all services. Not thread-safe.
 class FleetTracker {
 public:
     explicit FleetTracker(FleetSettings settings);
 
-    /// Notes which engines have come and gone; call it on every node at regular times,
-    /// so that a new holder of the duty knows.
+    /// Records which engines have registered and left. To be called on every node at
+    /// regular intervals, so that a new holder of the duties knows them.
     void observe(const FleetView& view, SteadyTime now);
-    /// Orders of one service that are not in force yet as far as the registry shows,
-    /// those that dismiss engines first: the platform bounds both kinds together.
+    /// Orders of one service that are due because the registered engines differ from the
+    /// plan. Orders that dismiss engines come first, since the platform's upper bound
+    /// applies to both kinds together.
     std::vector<FleetOrder> dueOrders(const FleetView& view, SteadyTime now);
-    /// What another holder of the duty found to be needed; counts as this one's last need.
+    /// Sets the number of engines that the previous holder of the duties found to be
+    /// needed; it is used as this node's own last need.
     void inheritNeed(const ServiceName& service, std::uint64_t engines, SteadyTime now);
-    /// The platform took the order, or has no such engines now.
+    /// The platform accepted the order, or rejected it because it has no such engines now.
     void noteOrdered(const FleetOrder& order, bool isAccepted, SteadyTime now);
     /// Engines that the service needed when dueOrders() was last called for it.
     std::uint64_t needed(const ServiceName& service) const;
@@ -149,14 +159,14 @@
         bool isAccepted_ = false;
         SteadyTime at_ {};
     };
-    /// How a service's engines have come to be known, on any node.
+    /// Registrations of a service's engines as this node has observed them.
     struct Registrations {
         std::uint64_t maxOnDemand_ = 0;
-        /// Engines of either kind were seen.
+        /// Engines of either kind have been observed.
         bool hasAny_ = false;
         SteadyTime grewAt_ {};
         bool isSettled_ = false;
-        /// Reclaimable engines of each data centre when last seen.
+        /// Reclaimable engines of each data centre at the last observation.
         std::map<DataCentreId, std::uint64_t> reclaimable_;
         std::optional<SteadyTime> reclaimedAt_;
     };
@@ -171,11 +181,11 @@
 
     const FleetSettings settings_;
     std::map<ServiceName, Registrations> registrations_;
-    /// The newest order for each service, data centre and kind.
+    /// The last order for each service, data centre and kind.
     std::map<std::tuple<ServiceName, DataCentreId, bool>, LastOrder> ordered_;
     std::map<ServiceName, std::deque<Need>> needs_;
     std::map<ServiceName, std::uint64_t> needed_;
-    /// Services whose need was inherited.
+    /// Services whose need was inherited from the previous holder.
     std::set<ServiceName> inherited_;
 };
 
--- a/include/pistachioloom/Rollout.h
+++ b/include/pistachioloom/Rollout.h
@@ -1,11 +1,12 @@
-//===- pistachioloom/Rollout.h - new versions of a service, brought in -----===//
+//===- pistachioloom/Rollout.h - staged roll-out of new versions ----------===//
 ///
 /// \file
-/// An operator orders that a service's requests go to backend servers of another
-/// version, which run beside the old ones. A small share of the requests goes there
-/// first, and what becomes of them is compared with what becomes of the others at the
-/// same time on the same route. A version that is worse gets nothing more; one that has
-/// not been worse for long enough gets all. Pure: time and counts come in.
+/// An operator orders that a service's requests move to backend servers of another
+/// version, which run concurrently with the old ones. A small share of the requests goes
+/// to the new version first, and their answers are compared with those of the old one at
+/// the same time on the same route. A version that is worse gets no further requests; a
+/// version that has not been worse for long enough gets all requests. This code does no
+/// I/O: time and counts are passed in.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -15,7 +16,7 @@
 
 namespace pistachioloom {
 
-/// Rises with each order: the offset of its record plus one.
+/// Increases with each order: the offset of its record plus one.
 using RolloutNumber = Quantity<struct RolloutNumberTag>;
 /// A route's name, hashed to 32 bits for messages.
 using RouteKey = std::uint32_t;
@@ -33,13 +34,13 @@
 };
 
 enum class RolloutPhase {
-    /// A share of the requests goes to the target, and is judged.
+    /// A share of the requests goes to the target, and its answers are evaluated.
     Trial,
-    /// The target was judged good; the rest follows.
+    /// The target passed its trial, and the remaining requests move to it in steps.
     Shifting,
-    /// The target gets nothing any more.
+    /// The target gets no requests any more.
     Reverted,
-    /// The target gets all; the others are gone.
+    /// The target gets all requests, and the other versions have left.
     Complete,
 };
 
@@ -48,114 +49,118 @@
 
 inline bool isFinal(RolloutPhase phase) { return phase == RolloutPhase::Reverted || phase == RolloutPhase::Complete; }
 
-/// What all nodes do about an order, as the holder of the duties decided.
+/// State of an order as the holder of the duties decided it, which all nodes apply.
 struct RolloutState {
     RolloutOrder order_;
     RolloutPhase phase_ = RolloutPhase::Trial;
-    /// The target's part of the service's requests, 0 to 1.
+    /// The target's share of the service's requests, 0 to 1.
     double share_ = 0;
-    /// The holder's fencing token, and its decisions by that token.
+    /// The holder's fencing token, and the number of its decisions under that token.
     std::uint64_t term_ = 0;
     std::uint64_t step_ = 0;
 
     auto operator<=>(const RolloutState&) const = default;
 };
 
-/// Whether \p left replaces \p right. Newer orders do; of one order a verdict does, also
-/// by an earlier holder: to revert is always safe, and completion is recorded before it
-/// is told.
+/// Whether \p left replaces \p right. Newer orders replace older ones. Within one order a
+/// final phase replaces others, even if an earlier holder decided it: to revert is always
+/// safe, and completion is recorded before it is reported.
 bool supersedes(const RolloutState& left, const RolloutState& right);
 
-/// Answers of one kind.
+/// Counts of answers from one group of backend servers on one route.
 struct AnswerTally {
     std::uint64_t answers_ = 0;
-    /// Failures, wrong bytes, and answers that came several times later than expected.
+    /// Failures, corrupt answers, and answers that took several times longer than estimated.
     std::uint64_t bad_ = 0;
 
     auto operator<=>(const AnswerTally&) const = default;
 };
 
-/// Stands for all backend servers that are not of the target.
+/// Key that stands for all backend servers that do not run the target.
 inline constexpr BackendKey stableBackendKey = 0;
 
-/// What one node, or several, have counted since they heard of an order.
+/// Counts of one node, or the sum over several, since they received an order.
 struct RolloutTally {
     RolloutNumber number_ {};
     /// Requests sent to the service, and those of them sent to the target.
     std::uint64_t requests_ = 0;
     std::uint64_t exposed_ = 0;
-    /// By backend server of the target, or stableBackendKey, and by route.
+    /// By backend server of the target, or stableBackendKey for all others, and by route.
     std::map<std::pair<BackendKey, RouteKey>, AnswerTally> cells_;
 
     void add(const RolloutTally& other);
-    /// Takes out what \p other holds.
+    /// Subtracts the counts of \p other.
     void remove(const RolloutTally& other);
-    /// What was counted since \p before; nothing where counts fell because a node left.
+    /// The increase since \p before; 0 for counts that decreased because a node left.
     RolloutTally since(const RolloutTally& before) const;
 };
 
 using RolloutTallies = std::map<ServiceName, RolloutTally>;
 
 struct RolloutSettings {
-    /// The target's part of the requests during its trial.
+    /// The target's share of the requests during its trial.
     double trialShare_ = 0.08;
-    /// The most of the service's requests that a bad version may get from its order to
-    /// its deadline, as a part of them, and beside it.
+    /// Upper bound on the requests that a bad version may get between its order and its
+    /// deadline: a share of the service's requests, plus a constant number.
     double exposedShare_ = 0.1;
     double exposedExtra_ = 50;
-    /// Part of the period after which a target that was not worse gets the rest. A
-    /// version may turn bad late, so it is on trial as long as time allows.
+    /// Fraction of the period after which a target that was not worse starts to get the
+    /// remaining requests. A version may degrade late, so the trial takes as long as the
+    /// period allows.
     double trialFraction_ = 0.7;
-    /// Part of the period at whose end there is a verdict.
+    /// Fraction of the period by whose end the order is decided.
     double decisionFraction_ = 0.9;
-    /// While the rest follows, the share doubles after each such part of the period.
+    /// While requests are shifted, the share doubles after each such fraction of the period.
     double shiftStepFraction_ = 0.035;
-    /// A share that was not heard of again for so long counts as 0 during a trial.
+    /// During a trial a share that was not reported again for this time counts as 0.
     milliseconds validity_ { 2500 };
-    /// Answers of the target on each route that has traffic, before it may get the rest.
+    /// Answers of the target that are required on each route with traffic before it may get
+    /// the remaining requests.
     std::uint64_t minAnswers_ = 20;
 };
 
-/// Says why the target is worse than the others, or nothing. \p tally is cumulative;
-/// called at regular times.
+/// Returns why the target is worse than the other versions, or nullopt. \p tally is
+/// cumulative. To be called at regular intervals.
 using RolloutEvaluator = std::function<std::optional<std::string>(const RolloutTally& tally, SteadyTime now)>;
 
-/// A cumulative sum test (Page, 1954) of each backend server of the target on each route:
-/// the log likelihood ratio of a higher part of bad answers against the part that the
-/// others have at the same time, which may only rise from 0. Worse is a target most of
-/// whose backend servers show it: one that fails alone has troubles of its own.
+/// Makes an evaluator that runs a cumulative sum test (Page, 1954) for each backend server
+/// of the target on each route. The sum is the log likelihood ratio of a degraded rate of
+/// bad answers against the rate that the other versions have at the same time, and never
+/// falls below 0. The target is worse if most of its backend servers exceed a threshold:
+/// a single server that fails has a fault of its own.
 RolloutEvaluator makeSequentialEvaluator();
 
-/// Compares parts of bad answers over the last two seconds with a fixed difference.
+/// Makes an evaluator that compares the rates of bad answers over the last two seconds
+/// and tolerates a fixed difference.
 RolloutEvaluator makeThresholdEvaluator();
 
-/// What the holder of the duties knows of an order at a moment.
+/// A snapshot of an order's counts and servers, as the holder of the duties knows them.
 struct RolloutView {
     RolloutTally tally_;
-    /// Backend servers that take work, of the target and not.
+    /// Backend servers that accept work: those that run the target, and all others.
     std::size_t targetServers_ = 0;
     std::size_t stableServers_ = 0;
-    /// Requests under way at those that are not of the target.
+    /// Running requests at backend servers that do not run the target.
     std::uint64_t stableRunning_ = 0;
 };
 
-/// Leads one order to its verdict.
+/// Controls one order until it is complete or reverted.
 class RolloutController {
 public:
-    /// \p startedAt is when the order was first acted on; \p state goes on from what an
-    /// earlier holder decided.
+    /// \p startedAt is when this node received the order. \p state is the state that an
+    /// earlier holder decided, from which this one resumes under \p term.
     RolloutController(RolloutSettings settings, RolloutState state, SteadyTime startedAt, std::uint64_t term, RolloutEvaluator evaluator);
 
-    /// Decides. A verdict to revert holds at once.
+    /// Updates the phase and the share. A decision to revert takes effect immediately.
     const RolloutState& adjust(const RolloutView& view, SteadyTime now);
-    /// Set if nothing is left but to record that the order is complete.
+    /// Whether all that remains is to record that the order is complete.
     bool isReadyToComplete() const { return isReadyToComplete_; }
-    /// Completion is recorded.
+    /// To be called once the completion is recorded.
     void complete();
-    /// An operator ends the order.
+    /// Reverts the order unless it is final, for example on an operator's request.
     void revert(std::string why);
     const RolloutState& state() const { return state_; }
-    /// Why the last decision was taken.
+    /// The reason of the last decision.
     const std::string& reason() const { return reason_; }
     SteadyTime startedAt() const { return startedAt_; }
 
@@ -177,29 +182,29 @@
     bool isReadyToComplete_ = false;
 };
 
-/// How an attempt at one backend server went, as far as it tells of its version.
+/// The outcome of an attempt at one backend server, as far as it depends on the version.
 struct AttemptOutcome {
     BackendOutcome outcome_ = BackendOutcome::Served;
-    /// The answer's status was a failure of the backend server's own.
+    /// The answer's status reports a failure of the backend server itself.
     bool isFailure_ = false;
-    /// The connection ended before the answer did.
+    /// The connection was closed before the answer was complete.
     bool isCutOff_ = false;
     bool hasBegun_ = false;
-    /// Time to the first byte, or until nobody waited any more; as a multiple of the
-    /// estimate for a backend server of usual speed; and that estimate.
+    /// Time to the first byte, or until the attempt was abandoned; the same as a multiple
+    /// of the estimate for a backend server of usual speed; and that estimate.
     milliseconds waited_ {};
     double waitRatio_ = 1;
     milliseconds estimate_ {};
-    /// Between events of a stream; 0 where there were fewer than two.
+    /// Mean time between the events of a stream; 0 if there were fewer than two.
     double eventGapMs_ = 0;
 };
 
-/// Whether \p outcome speaks against its backend server's version; nullopt where it
-/// speaks neither for nor against it: a cut link, a crash, a full queue, a caller that
-/// left. \p usualGapMs is between events of other versions, 0 if not known.
+/// Whether \p outcome is evidence that its backend server's version is bad; nullopt if it
+/// is no evidence either way, such as a cut connection, a crash, a full queue, or a caller
+/// that left. \p usualGapMs is the time between events of other versions, 0 if unknown.
 std::optional<bool> isBadAnswer(const AttemptOutcome& outcome, double usualGapMs);
 
-/// An attempt at one backend server.
+/// The answer of one backend server to an attempt on a route.
 struct RolloutAnswer {
     BackendVersion version_;
     BackendKey backend_ = 0;
@@ -210,27 +215,29 @@
 /// Requests of a service by route.
 using RouteRequests = std::map<RouteKey, std::uint64_t>;
 
-/// The target's part of the requests on \p route, so that it gets \p share of all: more
-/// where requests are few, since a version that is bad there alone would be found late.
-/// Parts are as the roots of the routes' requests.
+/// The target's share of the requests on \p route, such that its share of all requests is
+/// \p share. The target gets a higher share of routes with few requests, since a version
+/// that is bad only there would be detected late: its requests on each route are
+/// proportional to the square root of the route's requests.
 double shareOnRoute(double share, RouteKey route, const RouteRequests& requests);
 
-/// A node's part in all orders: whom requests go to, and what comes of them.
+/// A node's view of all orders: assigns requests to versions, and counts the answers.
 /// Thread-safe.
 class RolloutTracker {
 public:
     explicit RolloutTracker(RolloutSettings settings);
 
-    /// Whether there is no order, so that nothing is restricted or counted.
+    /// Whether there is no order, so that requests are neither restricted nor counted.
     bool isEmpty() const { return !count_; }
-    /// An operator's order was read. \returns whether it was news.
+    /// Applies an operator's order. \returns whether it was new.
     bool applyOrder(const RolloutOrder& order, SteadyTime now);
-    /// \p state was told by its holder at \p reportedAt. \returns whether it replaced another.
+    /// Applies \p state, which its holder reported at \p reportedAt. \returns whether it
+    /// replaced the state known so far.
     bool take(const RolloutState& state, SteadyTime reportedAt, SteadyTime now);
     struct ReceivedState {
         RolloutState state_;
         SteadyTime reportedAt_ {};
-        /// When this node heard of the order.
+        /// When this node received the order.
         SteadyTime orderReceivedAt_ {};
     };
     std::vector<ReceivedState> states() const;
@@ -238,17 +245,18 @@
 
     enum class SendKind {
         First,
-        /// Repeats and moves stay with the version that is known.
+        /// Retries and requests that move to another server stay with the stable version
+        /// until the target gets all requests.
         Subsequent,
     };
-    /// Which versions a request of \p service on \p route may be sent to; nullopt for any.
+    /// The versions that a request of \p service on \p route may be sent to; nullopt for any.
     std::optional<VersionRule> assign(const ServiceName& service, RouteKey route, SendKind send, SteadyTime now);
     /// A request was sent to a backend server of \p service.
     void noteSent(const ServiceName& service, const BackendVersion& version);
     void noteAnswer(const ServiceName& service, const RolloutAnswer& answer);
-    /// What this node has counted of orders without a verdict.
+    /// This node's counts for orders that are not final.
     RolloutTallies tallies() const;
-    /// What other nodes have counted; \p source replaces what it told before.
+    /// Sets the counts that \p source reports, which replace its earlier ones.
     void setPeer(const VmId& source, RolloutTallies tallies);
     void forgetPeer(const VmId& source);
     /// The sum over all nodes.
@@ -260,9 +268,10 @@
         RolloutTally tally_;
         /// Mean time between events of other versions, by route.
         std::map<RouteKey, double> usualGapMs_;
-        /// Since the order.
+        /// Requests by route since the order.
         RouteRequests requests_;
-        /// Requests due to the target on each route: those of a share add up to whole ones.
+        /// Requests due to the target on each route. Fractions accumulate until they make up
+        /// a request.
         std::map<RouteKey, double> due_;
     };
 
--- a/lib/Duties/Demand.cpp
+++ b/lib/Duties/Demand.cpp
@@ -1,4 +1,4 @@
-//===- lib/Duties/Demand.cpp - tokens a second over all nodes --------------===//
+//===- lib/Duties/Demand.cpp - token rates over all nodes -----------------===//
 ///
 /// \file
 /// See DemandEstimator.
@@ -9,12 +9,12 @@
 
 namespace pistachioloom {
 
-// Answers beyond which a node's word on the reading rate weighs no more.
+// More observed answers than this do not increase the weight of a node's prefill rate.
 static constexpr std::uint64_t maxWeight = 200;
-// With fewer answers a node has no say.
+// Nodes that have observed fewer answers are left out of the mean.
 static constexpr std::uint64_t minObservations = 12;
 
-// A rate over less than this, in seconds, would be that of single requests.
+// Rates are taken over at least this span: over a shorter one single requests dominate.
 static constexpr double minSpanSeconds = 1;
 
 double DemandEstimator::rateOf(const std::deque<Reading>& local)
@@ -82,7 +82,7 @@
             if (now - source.at_ <= timing_.validity_)
                 sum += source.reported_.tokensPerSecond_;
         }
-        // Before the first request there is no demand to speak of, rather than none.
+        // Before the first request the demand is unknown rather than zero.
         if (sum <= 0 && !demand.firstAt_)
             continue;
         if (!demand.firstAt_)
--- a/lib/Duties/DutyLease.cpp
+++ b/lib/Duties/DutyLease.cpp
@@ -1,4 +1,4 @@
-//===- lib/Duties/DutyLease.cpp - who holds the duties --------------------------===//
+//===- lib/Duties/DutyLease.cpp - claims and loss of the duties -----------===//
 ///
 /// \file
 /// See DutyLease.
@@ -9,7 +9,7 @@
 
 namespace pistachioloom {
 
-// A claim at offset 0. Offsets are never used again, also when records expire.
+// Token of a claim at offset 0. Offsets are never reused, even when records expire.
 static constexpr DutyToken firstToken { 1 };
 
 DutyLease::DutyLease(VmId self, DutyTiming timing, SteadyTime startedAt)
@@ -62,7 +62,7 @@
 {
     isHolder_ = true;
     token_ = token;
-    // The log's first record ever: nobody acted before.
+    // This is the first record that the log ever held, so there is no predecessor.
     claimedAt_ = token == firstToken ? now - timing_.actAfterClaim_ : now;
     holder_ = self_;
     holderLastSeenAt_ = now;
@@ -71,7 +71,7 @@
 void DutyLease::stepDown(SteadyTime now)
 {
     isHolder_ = false;
-    // Whoever came first is given the time to be heard.
+    // The node whose record came first gets the usual timeout to report itself.
     holder_ = { "unknown" };
     holderLastSeenAt_ = now;
 }
--- a/lib/Duties/Usage.cpp
+++ b/lib/Duties/Usage.cpp
@@ -1,4 +1,4 @@
-//===- lib/Duties/Usage.cpp - counts by window, and the time of day --------===//
+//===- lib/Duties/Usage.cpp - usage counts and clock offsets --------------===//
 ///
 /// \file
 /// See UsageTracker and ClockOffsetEstimator.
@@ -10,13 +10,14 @@
 
 namespace pistachioloom {
 
-// Windows that are told to peers: a report is due two windows after its end.
+// Windows sent to peers: a window's usage is reported within two windows of its end.
 static constexpr std::size_t reportedWindows = 4;
-// A clock that was not heard of for so long has no say.
+// An offset that was not reported again within this time is ignored.
 static constexpr milliseconds clockValidity { 5000 };
 static const VmId ownSource {};
-// Windows kept of each source, two minutes of 5 s each; a report is due within
-// four, and without a bound a node that never reports would keep them for good.
+// Windows kept for each source, which is two minutes at 5 s a window. Usage is reported
+// within four windows; without the bound a node that never reports usage would keep
+// all windows forever.
 static constexpr std::size_t maxWindowsPerSource = 24;
 
 static void dropOldWindows(std::map<WindowNumber, UsageCounts>& windows)
@@ -132,7 +133,7 @@
 
 std::optional<WindowNumber> dueWindow(std::int64_t nowMs, milliseconds window, const UsageTiming& timing, const std::function<bool(milliseconds)>& allReportedWithin)
 {
-    // What a node tells was counted up to a moment before.
+    // A node's report covers only what it counted until shortly before it was received.
     constexpr milliseconds reportAge { 300 };
     auto newestEnded = [&](milliseconds before) { return static_cast<std::uint64_t>(std::max<std::int64_t>(0, (nowMs - before.count()) / window.count())); };
     std::uint64_t settled = newestEnded(std::min(timing.settled_, timing.longest_));
@@ -140,7 +141,7 @@
     milliseconds sinceEnd { nowMs - static_cast<std::int64_t>(settled) * window.count() };
     bool isComplete = sinceEnd > reportAge && allReportedWithin(sinceEnd - reportAge);
     std::uint64_t ended = isComplete ? settled : overdue;
-    // The window that ended is the one before.
+    // `ended` is the number of the current window, and the one before it has ended.
     return ended ? std::optional(WindowNumber { ended - 1 }) : std::nullopt;
 }
 
--- a/lib/Fleet/FleetTracker.cpp
+++ b/lib/Fleet/FleetTracker.cpp
@@ -1,4 +1,4 @@
-//===- lib/Fleet/FleetTracker.cpp - orders over time --------------------------===//
+//===- lib/Fleet/FleetTracker.cpp - orders of engines over time -----------===//
 ///
 /// \file
 /// See FleetTracker.
@@ -10,8 +10,8 @@
 
 namespace pistachioloom {
 
-// A data centre lost its reclaimable engines if fewer than this part of them is left:
-// all of them go at once, and the registry tells of them within two readings.
+// A data centre's reclaimable engines count as reclaimed if less than this fraction of
+// them remains: all of them leave together, and the registry shows it within two reads.
 static constexpr double reclaimedThreshold = 0.5;
 
 std::uint64_t FleetView::onDemand() const
@@ -44,16 +44,17 @@
 void FleetTracker::observe(const FleetView& view, SteadyTime now)
 {
     Registrations& known = registrations_[view.service_];
-    // Reclaimable ones come later, as they are ordered.
+    // Growth of reclaimable engines is ignored: they register later, as they are ordered.
     bool isFirst = view.engines() && !known.hasAny_;
     if (isFirst || view.onDemand() > known.maxOnDemand_) {
         known.maxOnDemand_ = view.onDemand();
         known.grewAt_ = now;
     }
     known.hasAny_ |= view.engines() > 0;
-    // Where requests have come for long enough to know their rate and no engine has
-    // registered, all are gone. Also reclaimable ones alone are a settled list: a holder
-    // that waited for lasting ones would order none when all reclaimable ones go.
+    // If requests have arrived for long enough to know their rate and no engine has
+    // registered, all engines are lost. Reclaimable engines alone settle the list as
+    // well: a holder that waited for on-demand ones would order none when all reclaimable
+    // ones are reclaimed.
     bool isLost = !known.hasAny_ && view.tokensPerSecond_;
     known.isSettled_ |= isLost || (known.hasAny_ && now - known.grewAt_ >= settings_.settleTime_);
     for (const DataCentreFleet& fleet : view.dataCentres_) {
@@ -66,7 +67,8 @@
     }
 }
 
-/// Engines whose slots hold what is under way, with some to spare.
+/// The number of engines at which the running requests occupy at most the fraction
+/// \p targetUtilisation of all slots.
 static std::uint64_t enginesForSlots(const FleetView& view, double targetUtilisation)
 {
     if (!view.slots_ || !view.engines())
@@ -75,22 +77,23 @@
     return static_cast<std::uint64_t>(std::ceil(static_cast<double>(view.slotsTaken_) / (perEngine * targetUtilisation)));
 }
 
-/// What the service needs now. Before demand is known, the need of the holder before
-/// counts, or the most that was there, so that a new holder changes nothing.
+/// The engines that the service needs now. Before the demand is known the need that was
+/// inherited from the previous holder is used, or the highest number of engines present,
+/// so that a new holder changes nothing.
 FleetDemand FleetTracker::demandOf(const FleetView& view, SteadyTime now)
 {
     std::uint64_t& before = needed_[view.service_];
     std::uint64_t needed = before;
-    // Engines that were ordered here may be more than what is needed.
+    // After this node has sent orders, the reclaimable engines present may exceed the need.
     if (!inherited_.contains(view.service_))
         needed = std::max(before, ordered_.empty() ? view.engines() : view.onDemand());
     if (view.tokensPerSecond_)
         needed = std::max(enginesFor(*view.tokensPerSecond_ * (1 + settings_.growth_), view.prefillPerMs_, settings_.margin_), enginesForSlots(view, settings_.targetUtilisation_));
-    // A node that hears few others would dismiss the engines of all the rest.
+    // A node that receives few reports would dismiss engines that the other nodes need.
     if (!view.isComplete_)
         needed = std::max(needed, before);
-    // The highest need of a while counts, so that engines are not given up in one
-    // moment and missed in the next.
+    // The highest recent need is used, so that engines are not dismissed shortly before
+    // they are needed again.
     std::deque<Need>& recent = needs_[view.service_];
     recent.push_back({ now, needed });
     while (now - recent.front().at_ > settings_.reclaimableStabilisationWindow_)
@@ -112,8 +115,9 @@
 bool FleetTracker::isDue(const FleetOrder& order, std::uint64_t present, const Registrations& registrations, SteadyTime now) const
 {
     bool isDismissal = order.wanted_ < present;
-    // An order given before all have registered would dismiss the others. Reclaimable
-    // engines take their boot time to come, and more of them dismiss nothing.
+    // An order that is sent before all engines have registered would dismiss the others.
+    // Additional reclaimable engines are exempt: they dismiss nothing and take their boot
+    // time to register.
     if (!registrations.isSettled_ && (!order.isReclaimable_ || order.wanted_ <= present))
         return false;
     if (!order.isReclaimable_ && isDismissal && registrations.reclaimedAt_ && now - *registrations.reclaimedAt_ < settings_.dismissalCooldown_)
@@ -121,10 +125,10 @@
     const LastOrder* last = lastOrder(order);
     if (!last)
         return true;
-    // Nobody has engines of this kind now, however many are asked for.
+    // The platform has no engines of this kind now, whatever number is ordered.
     if (!last->isAccepted_ && order.wanted_ > present && now - last->at_ < settings_.rejectedRepeatInterval_)
         return false;
-    // An order that was taken is in force, though engines take time to come.
+    // An accepted order is in force, though its engines take time to boot.
     bool isSame = last->wanted_ == order.wanted_ && last->isAccepted_;
     return !isSame || (present != order.wanted_ && now - last->at_ >= settings_.repeatInterval_);
 }
@@ -132,15 +136,16 @@
 std::vector<FleetOrder> FleetTracker::dueOrders(const FleetView& view, SteadyTime now)
 {
     FleetDemand demand = demandOf(view, now);
-    // The platform bounds what is ordered by all engines that are there, those of a new
-    // version among them, and would dismiss some of them.
+    // The platform applies its bounds to all engines present, including those of a new
+    // version, and would dismiss some of them.
     if (view.isRollingOut_ && view.engines() >= demand.needed_)
         return {};
     std::vector<FleetOrder> dismissals;
     std::vector<FleetOrder> additions;
     std::vector<DataCentreFleet> fleets = view.dataCentres_;
     std::map<DataCentreId, const DataCentreFleet*> fleetOf;
-    // Lasting engines as ordered, by which the platform bounds the others.
+    // On-demand engines as ordered: the platform limits reclaimable engines to the capacity
+    // that these leave.
     std::map<DataCentreId, std::uint64_t> onDemand;
     for (DataCentreFleet& fleet : fleets) {
         const LastOrder* last = lastOrder({ view.service_, fleet.dataCentre_, false, 0 });
--- a/lib/Fleet/Plan.cpp
+++ b/lib/Fleet/Plan.cpp
@@ -1,7 +1,7 @@
-//===- lib/Fleet/Plan.cpp - engines of one moment -------------------------===//
+//===- lib/Fleet/Plan.cpp - engines needed, and where to order them -------===//
 ///
 /// \file
-/// See planFleet().
+/// See enginesFor() and planFleet().
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Fleet.h"
 
@@ -35,13 +35,13 @@
         byCost.push_back(&fleet);
     std::stable_sort(byCost.begin(), byCost.end(), [](const DataCentreFleet* left, const DataCentreFleet* right) { return left->cost_ < right->cost_; });
 
-    // Engines that are there, or on their way, stay while more are wanted than there are:
-    // one that moves to another data centre is missing for its boot time.
+    // Engines that are present or booting stay where they are unless fewer are wanted: an
+    // engine that is replaced in another data centre is missing for its boot time.
     std::map<DataCentreId, std::uint64_t> share;
     std::uint64_t assigned = 0;
     std::uint64_t present = 0;
-    // Reclaimable engines that are there count towards the least number, too. Lasting
-    // ones for it cost several times as much.
+    // Reclaimable engines that are present count towards the lower bound, since on-demand
+    // ones cost several times as much.
     auto minOnDemand = [&](const DataCentreFleet& fleet) { return demand.least_ - std::min(demand.least_, fleet.reclaimable_); };
     auto expected = [&](const DataCentreFleet& fleet) { return std::max({ fleet.onDemand_, fleet.onDemandOrdered_, minOnDemand(fleet) }); };
     for (const DataCentreFleet& fleet : fleets)
@@ -51,11 +51,12 @@
         share[fleet.dataCentre_] = kept;
         assigned += kept;
     }
-    // The others one at a time where fewest are, so that no data centre holds most.
+    // The remaining engines are assigned one at a time to the data centre with fewest, so
+    // that no data centre holds most of them.
     for (std::uint64_t level = 0; level < demand.most_; ++level) {
         for (const DataCentreFleet* fleet : byCost) {
-            // What is there of the other kind takes room, what is only wanted
-            // does not: it may not be to be had.
+            // Only reclaimable engines that are present use up capacity. Those that are
+            // merely wanted do not, since they may not be available.
             bool hasCapacity = level + std::min(fleet->reclaimable_, demand.reclaimablePerDataCentre_) < demand.most_;
             if (share[fleet->dataCentre_] != level || assigned >= onDemand || !hasCapacity)
                 continue;
--- a/lib/Rollout/Answers.cpp
+++ b/lib/Rollout/Answers.cpp
@@ -1,4 +1,4 @@
-//===- lib/Rollout/Answers.cpp - what an attempt says of a version ---------===//
+//===- lib/Rollout/Answers.cpp - classifies answers as good or bad --------===//
 ///
 /// \file
 /// See isBadAnswer().
@@ -7,9 +7,9 @@
 
 namespace pistachioloom {
 
-// Estimates are off by half as often as not; several times slower is not chance.
+// Estimates are often off by half, but an answer several times slower is not chance.
 static constexpr double slowRatio = 2.5;
-// Shorter waits than this beyond the estimate are noise of the network and of VMs.
+// Shorter delays beyond the estimate are noise of the network and of the VMs.
 static constexpr milliseconds minDelay { 60 };
 static constexpr double minGapDelayMs = 5;
 
@@ -30,7 +30,7 @@
     case BackendOutcome::Broken:
         return outcome.isCutOff_ ? std::nullopt : std::optional(true);
     case BackendOutcome::Abandoned:
-        // That nobody waited any longer says something only if it was for long.
+        // An abandoned attempt is evidence only if the caller waited for long.
         return isSlow(outcome) || hasSlowEvents ? std::optional(true) : std::nullopt;
     case BackendOutcome::Full:
     case BackendOutcome::WrongInstance:
--- a/lib/Rollout/Evaluators.cpp
+++ b/lib/Rollout/Evaluators.cpp
@@ -1,4 +1,4 @@
-//===- lib/Rollout/Evaluators.cpp - whether a version is worse than another ----===//
+//===- lib/Rollout/Evaluators.cpp - whether a version is worse ------------===//
 ///
 /// \file
 /// See makeSequentialEvaluator() and makeThresholdEvaluator().
@@ -17,7 +17,7 @@
     constexpr double longDecayMs = 1000;
     constexpr double shortDecayMs = 20;
 
-    /// Part of bad answers among the others, with fading memory.
+    /// Rate of bad answers of the stable version, with exponential decay.
     class DecayingRate {
     public:
         explicit DecayingRate(double decayMs)
@@ -35,12 +35,12 @@
         double answers() const { return answers_; }
         double rate() const
         {
-            // With little seen, a few bad answers are assumed.
+            // While there are few answers, a small rate of bad ones is assumed.
             constexpr double assumedBad = 0.4;
             constexpr double assumedAnswers = 20;
             return (bad_ + assumedBad) / (answers_ + assumedAnswers);
         }
-        /// The part that few answers may have by chance where so many were seen.
+        /// Upper bound of the rate, by its standard error at the number of answers counted.
         double upperRate() const
         {
             constexpr double deviations = 1.0;
@@ -93,10 +93,11 @@
         }
 
     private:
-        // Above the others' part of bad answers, what counts as worse.
+        // A rate of bad answers that exceeds the baseline by this much counts as worse.
         static constexpr double degradation = 0.15;
         static constexpr double maxRate = 0.97;
-        // A backend server adds no more than this to the sum: one alone proves nothing.
+        // Limit of one backend server's score, since a single server is no evidence against
+        // the version.
         static constexpr double maxScore = 6;
         // One bad answer in a dozen raises a score by about 2.
         static constexpr double degradedScore = 1.5;
@@ -115,14 +116,14 @@
                 longTerm_.observe(counted, passed);
                 shortTerm_.observe(counted, passed);
             }
-            /// Without many of the others at the same time an answer says nothing of the
-            /// version.
+            /// Whether the stable version has enough answers at the same time to compare with
+            /// \p ofTarget answers of the target.
             bool outnumbers(std::uint64_t ofTarget) const
             {
                 double required = minStablePerTarget * static_cast<double>(ofTarget);
                 return longTerm_.answers() >= required && shortTerm_.answers() >= required;
             }
-            // A trouble that begins now hardly shows in what was seen lately.
+            // The long-term rate hardly shows a fault that has just started.
             double rate() const { return std::max(longTerm_.upperRate(), shortTerm_.rate()); }
         };
         struct Score {
@@ -157,7 +158,7 @@
             }
             auto needed = std::max<std::size_t>(std::min<std::size_t>(2, evaluated), static_cast<std::size_t>(std::ceil(fractionToRevert * static_cast<double>(evaluated))));
             bool hasEnoughServers = evaluated && evaluated >= std::min(minServers, servers());
-            // Few backend servers cannot reach the sum.
+            // Few backend servers cannot reach the full sum.
             double neededSum = std::min(scoreToRevert, 0.9 * maxScore * static_cast<double>(evaluated));
             if (!hasEnoughServers || degraded < needed || sum < neededSum)
                 return std::nullopt;
--- a/lib/Rollout/RolloutController.cpp
+++ b/lib/Rollout/RolloutController.cpp
@@ -1,4 +1,4 @@
-//===- lib/Rollout/RolloutController.cpp - an order's way to its verdict --------===//
+//===- lib/Rollout/RolloutController.cpp - decisions on one order ---------===//
 ///
 /// \file
 /// See RolloutController.
@@ -12,11 +12,12 @@
 
 namespace {
 
-    // All nodes hear of a share within this time: three reports, through relays.
+    // All nodes receive a share within this time, which covers three reports through relays.
     constexpr milliseconds sharePropagation { 800 };
-    // Backend servers that do not run the target may be on their way.
+    // Backend servers that do not run the target may be about to register.
     constexpr milliseconds minTargetOnlyTime { 3000 };
-    // Answers on a route without which it has no traffic to judge by.
+    // A route on which the other versions have fewer answers has too little traffic to
+    // require evidence on it.
     constexpr std::uint64_t minRouteAnswers = 200;
 
 } // namespace
@@ -59,7 +60,7 @@
         set(RolloutPhase::Reverted, 0, std::move(why));
 }
 
-/// Whether the target has answered on each route that others answer on.
+/// Whether the target has enough answers in total, and on each route with traffic.
 bool RolloutController::hasEvidence(const RolloutTally& tally) const
 {
     std::map<RouteKey, AnswerTally> stable;
@@ -82,7 +83,7 @@
         revert(*degradation);
         return state_;
     }
-    // An order for the version that runs already.
+    // The order is for the version that already runs alone.
     bool isTargetOnly = !view.stableServers_ && view.targetServers_;
     if (!isTargetOnly)
         targetOnlySince_ = SteadyTime {};
@@ -104,7 +105,7 @@
 {
     if (now >= at(settings_.decisionFraction_))
         return revert("no verdict within the period");
-    // Counts of the last reports are on their way.
+    // Half of the constant allowance is kept for counts that are still to be reported.
     double allowed = settings_.exposedShare_ * static_cast<double>(view.tally_.requests_) + settings_.exposedExtra_ / 2;
     bool isWithinExposure = static_cast<double>(view.tally_.exposed_) < allowed;
     if (!view.targetServers_ || !isWithinExposure)
@@ -124,7 +125,7 @@
     }
     if (state_.share_ < 1 || now - shiftedAt_ < sharePropagation)
         return;
-    // Whatever still runs at the others breaks off when they stop.
+    // Requests that still run at other versions are aborted when those stop.
     isReadyToComplete_ = !view.stableRunning_ || now >= at(settings_.decisionFraction_);
 }
 
--- a/lib/Rollout/RolloutTracker.cpp
+++ b/lib/Rollout/RolloutTracker.cpp
@@ -1,7 +1,7 @@
-//===- lib/Rollout/RolloutTracker.cpp - a node's part in roll-outs ------------===//
+//===- lib/Rollout/RolloutTracker.cpp - a node's view of roll-outs --------===//
 ///
 /// \file
-/// States, shares and counts; see pistachioloom/Rollout.h.
+/// States, shares and counts of roll-outs; see pistachioloom/Rollout.h.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Rollout.h"
 
@@ -10,9 +10,9 @@
 
 namespace pistachioloom {
 
-// Shares do not add up to whole requests exactly.
+// Sums of shares are inexact, so slightly less than 1 counts as a request.
 static constexpr double wholeRequest = 1 - 1e-9;
-// How much one stream moves the usual time between events.
+// Weight of one stream in the moving average of the time between events.
 static constexpr double gapSmoothing = 0.05;
 
 RouteKey routeKeyOf(std::string_view routeName)
@@ -66,7 +66,7 @@
 
 void RolloutTally::add(const RolloutTally& other)
 {
-    // Counts of an older order say nothing of this one.
+    // Counts of an older order do not apply to this one.
     if (other.number_ < number_)
         return;
     if (number_ < other.number_)
@@ -183,14 +183,14 @@
     VersionRule rule { state.order_.target_, false, 0, state.phase_ != RolloutPhase::Reverted };
     switch (state.phase_) {
     case RolloutPhase::Complete:
-        // The others stop, which is known late.
+        // Servers of other versions are stopping, and this node may not know it yet.
         rule.usesTarget_ = true;
         rule.share_ = 1;
         return rule;
     case RolloutPhase::Reverted:
         return rule;
     case RolloutPhase::Trial:
-        // Its holder may be gone, or may have found since that the target is bad.
+        // The holder may have failed, or may have decided since that the target is bad.
         rule.share_ = now - entry.received_.reportedAt_ > settings_.validity_ ? 0 : state.share_;
         break;
     case RolloutPhase::Shifting:
