--- a/unittests/Duties/DutiesTest.cpp
+++ b/unittests/Duties/DutiesTest.cpp
@@ -1,8 +1,8 @@
-//===- unittests/Duties/DutiesTest.cpp - who holds duties, and what for ----===//
+//===- unittests/Duties/DutiesTest.cpp - duty lease, usage and demand -----===//
 ///
 /// \file
-/// Races of holders with freezes and lost reports, usage by window, clocks, and
-/// orders of engines.
+/// Races of claims with frozen nodes and lost reports, usage by window, clock offsets,
+/// and demand.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Duties.h"
 
@@ -32,7 +32,8 @@
     SteadyTime at_ {};
 };
 
-/// Nodes over one log: a claim or record is written only at the log's end.
+/// Nodes that share a log. A claim or record is appended only if its node knows the
+/// log's current end.
 class LeaseSimulation {
 public:
     LeaseSimulation(std::uint32_t seed, std::size_t nodes)
@@ -83,7 +84,7 @@
                 node.lease_.noteHolder({ std::to_string(other) }, peer.lease_.token(), now);
         }
         if (node.lease_.shouldClaim(index, now)) {
-            // It reads the log, and another may come first.
+            // The node reads the log, and another node may append in between.
             node.knownEnd_ = logEnd_;
             if (chance(0.2))
                 ++logEnd_;
@@ -98,7 +99,7 @@
         if (node.knownEnd_ != logEnd_)
             return node.lease_.stepDown(now);
         node.knownEnd_ = ++logEnd_;
-        // A freeze may fall between the record and the act.
+        // The node may freeze between its record and the act.
         SteadyTime actAt = now + milliseconds(chance(0.1) ? 5000 : 5);
         if (node.lease_.mayAct(now, actAt))
             acts_.push_back({ index, node.lease_.token(), actAt });
@@ -112,7 +113,7 @@
 
 } // namespace
 
-TEST_CASE("holders never overlap, whatever freezes and falls silent", "[duties]")
+TEST_CASE("acts of two holders never overlap when nodes freeze or lose their connections", "[duties]")
 {
     std::size_t changes = 0;
     for (std::uint32_t seed = 0; seed < 400; ++seed) {
@@ -125,16 +126,16 @@
             REQUIRE((acts[i].token_ == acts[i - 1].token_) <= isSameHolder);
             changes += !isSameHolder;
             lastOf[acts[i - 1].node_] = acts[i - 1].at_;
-            // A, B, A within one lease.
+            // Acts of A, then B, then A again take longer than one lease.
             if (!isSameHolder && lastOf.contains(acts[i].node_))
                 REQUIRE(acts[i].at_ - lastOf[acts[i].node_] > lease);
         }
     }
-    // The races are worth something only if holders change.
+    // The check is vacuous unless the holder changes often.
     CHECK(changes > 500);
 }
 
-TEST_CASE("only who claims first of all begins without waiting for a predecessor", "[duties]")
+TEST_CASE("only the first claim ever may act without waiting for a predecessor", "[duties]")
 {
     DutyLease first({ "a" }, timing(), start);
     first.becomeHolder({ 1 }, start);
@@ -145,24 +146,24 @@
     CHECK(second.mayBegin(start + timing().actAfterClaim_));
 }
 
-TEST_CASE("a holder is succeeded by the age of what is heard of it", "[duties]")
+TEST_CASE("the holder's timeout counts from its original report, not from forwarded copies", "[duties]")
 {
     DutyTiming timing;
     DutyLease dutyLease({ "b" }, timing, start);
     SteadyTime now = start + milliseconds(20000);
     dutyLease.noteHolder({ "a" }, { 7 }, now);
-    // Relays go on telling what they heard then.
+    // Relays keep forwarding the same report.
     for (int i = 1; i <= 10; ++i)
         dutyLease.noteHolder({ "a" }, { 7 }, now);
     CHECK_FALSE(dutyLease.shouldClaim(0, now + timing.holderTimeout_));
     CHECK(dutyLease.shouldClaim(0, now + timing.holderTimeout_ + milliseconds(1)));
-    // Old word that comes late takes nothing back.
+    // An older report that arrives late does not shorten the timeout.
     dutyLease.noteHolder({ "a" }, { 7 }, now + milliseconds(1000));
     dutyLease.noteHolder({ "a" }, { 7 }, now);
     CHECK_FALSE(dutyLease.shouldClaim(0, now + timing.holderTimeout_ + milliseconds(1000)));
 }
 
-TEST_CASE("a holder that gave up is succeeded at once, whatever is heard late", "[duties]")
+TEST_CASE("released duties may be claimed immediately, even if old reports of the holder arrive late", "[duties]")
 {
     DutyLease dutyLease({ "b" }, {}, start);
     SteadyTime now = start + milliseconds(20000);
@@ -175,14 +176,14 @@
     CHECK(dutyLease.shouldClaim(0, now + milliseconds(1)));
     dutyLease.noteHolder({ "c" }, { 9 }, now);
     CHECK_FALSE(dutyLease.shouldClaim(0, now + milliseconds(1)));
-    // A holder is not succeeded by its own word of an earlier time.
+    // A late report of an earlier release does not end a newer claim.
     DutyLease holder({ "c" }, {}, start);
     holder.becomeHolder({ 9 }, now);
     holder.noteReleased({ 7 }, now);
     CHECK(holder.isHolder());
 }
 
-TEST_CASE("a holder that stops is succeeded at once, any other stop changes nothing", "[duties]")
+TEST_CASE("duties may be claimed immediately if their holder stops, but not if another node stops", "[duties]")
 {
     DutyLease dutyLease({ "b" }, timing(), start);
     SteadyTime now = start + milliseconds(10000);
@@ -191,12 +192,12 @@
     CHECK_FALSE(dutyLease.shouldClaim(0, now + milliseconds(100)));
     dutyLease.noteStopping({ "a" }, now);
     CHECK(dutyLease.shouldClaim(0, now + milliseconds(100)));
-    // The next in the order waits for the first.
+    // The second candidate waits for the first one.
     CHECK_FALSE(dutyLease.shouldClaim(1, now + milliseconds(100)));
     CHECK(dutyLease.shouldClaim(1, now + milliseconds(500)));
 }
 
-TEST_CASE("usage is summed over nodes, also those that are gone", "[duties]")
+TEST_CASE("usage is summed over all nodes, including those that have left", "[duties]")
 {
     UsageTracker usage(milliseconds(5000));
     const OrganisationId north { "north" };
@@ -213,7 +214,7 @@
     CHECK(usage.sum({ 2 }).empty());
 }
 
-TEST_CASE("the time of day is what most clocks say", "[duties]")
+TEST_CASE("the time of day is corrected to the median of all clocks", "[duties]")
 {
     ClockOffsetEstimator clocks;
     CHECK(clocks.correctionMs(start) == 0);
@@ -227,7 +228,7 @@
     CHECK(clocks.correctionMs(start + milliseconds(60000)) == 0);
 }
 
-TEST_CASE("demand is the sum of what nodes are asked for a second, and its peak stays a while", "[duties]")
+TEST_CASE("demand is the sum of the nodes' token rates, and its peak is kept for the peak window", "[duties]")
 {
     DemandEstimator demand(DemandTiming { milliseconds(4000), milliseconds(5000), milliseconds(3000) });
     const ServiceName service { "s" };
@@ -238,7 +239,7 @@
         demand.setSource({ "b" }, service, { reportedRate, 50, 100 }, now);
         demand.sample(now);
     };
-    // Nothing is known before a whole window was seen.
+    // The demand is unknown until a complete window has been observed.
     for (std::uint64_t i = 0; i < 16; ++i) {
         step(250 * i, 500);
         CHECK_FALSE(demand.peakRate(service, now));
@@ -246,7 +247,7 @@
     step(4000, 500);
     CHECK(demand.localRate(service) == Approx(1000));
     CHECK(demand.peakRate(service, now) == Approx(1500));
-    // Both fall; the peak stays for 5 s.
+    // Both rates drop, and the peak is kept for 5 s.
     for (int i = 0; i < 16; ++i)
         step(4000, 100);
     CHECK(demand.localRate(service) == Approx(0));
@@ -257,7 +258,7 @@
     CHECK_FALSE(demand.peakRate({ "other" }, now));
 }
 
-TEST_CASE("a node that comes back after a silence brings no demand of that time", "[duties]")
+TEST_CASE("a node that reconnects does not report the demand of the time it was disconnected", "[duties]")
 {
     DemandEstimator demand;
     const ServiceName service { "s" };
@@ -266,7 +267,8 @@
     for (int i = 0; i < 100; ++i) {
         now += milliseconds(250);
         demand.recordLocalTokens(service, {}, now);
-        // Silent for 12 s, while it was asked for 1,000 tokens a second.
+        // The peer is disconnected for 12 s, while callers request 1,000 tokens a second
+        // from it.
         if (i < 20 || i >= 68)
             demand.setSource({ "b" }, service, { 1000, 50, 100 }, now);
         demand.sample(now);
@@ -281,7 +283,7 @@
     CHECK(demand.peakRate(service, now) == Approx(0));
 }
 
-TEST_CASE("the reading rate is the mean of what nodes learnt", "[duties]")
+TEST_CASE("the prefill rate is the weighted mean of the nodes' rates", "[duties]")
 {
     DemandEstimator demand;
     const ServiceName service { "s" };
@@ -291,7 +293,7 @@
     CHECK(demand.prefillPerMs({ "other" }, 10) == 10);
 }
 
-TEST_CASE("a window's usage is reported soon after its end if all nodes told their counts", "[duties]")
+TEST_CASE("a window's usage is due soon after its end if all nodes have reported their counts", "[duties]")
 {
     struct Row {
         const char* name_;
@@ -301,12 +303,12 @@
     };
     // Windows of 5 s; window 199 ends at 1,000,000 ms.
     auto row = GENERATE(values<Row>({
-        { "right after its end", 1000500, milliseconds(100), 198 },
-        { "all told since", 1001500, milliseconds(200), 199 },
-        { "one was last heard before its end", 1001500, milliseconds(1600), 198 },
-        { "one is silent, and the time is over", 1005000, milliseconds(9000), 199 },
-        { "all told, and the next has ended", 1006500, milliseconds(200), 200 },
-        { "the first window is not over", 3000, milliseconds(0), std::nullopt },
+        { "immediately after its end", 1000500, milliseconds(100), 198 },
+        { "all nodes have reported since", 1001500, milliseconds(200), 199 },
+        { "one node last reported before its end", 1001500, milliseconds(1600), 198 },
+        { "one node is unresponsive, and the longest delay has passed", 1005000, milliseconds(9000), 199 },
+        { "all nodes have reported, and the next window has ended", 1006500, milliseconds(200), 200 },
+        { "the first window has not ended", 3000, milliseconds(0), std::nullopt },
     }));
     CAPTURE(row.name_);
     auto due = dueWindow(row.nowMs_, milliseconds(5000), {}, [&](milliseconds time) { return row.reportAge_ <= time; });
@@ -315,9 +317,10 @@
         CHECK(due->value_ == *row.due_);
 }
 
-TEST_CASE("a window that ended 2 s before all nodes are killed is reported before", "[duties]")
+TEST_CASE("a window's usage is due within 2 s of its end", "[duties]")
 {
-    // The holder looks each 250 ms, and all nodes report each 200 ms.
+    // The holder checks every 250 ms, and all nodes report every 200 ms. Counts that are not
+    // reported within 2 s are lost if all nodes are terminated then.
     std::set<std::uint64_t> reported;
     for (std::int64_t now = 1000000; now < 1002000; now += 250) {
         if (auto due = dueWindow(now, milliseconds(5000), {}, [](milliseconds time) { return time >= milliseconds(200); }))
--- a/unittests/Duties/DutyLeaseExplorationTest.cpp
+++ b/unittests/Duties/DutyLeaseExplorationTest.cpp
@@ -1,8 +1,9 @@
-//===- unittests/Duties/DutyLeaseExplorationTest.cpp - every schedule of two ----===//
+//===- unittests/Duties/DutyLeaseExplorationTest.cpp - all schedules ------===//
 ///
 /// \file
-/// Two nodes over one log of duties: every way in which they run, freeze, freeze
-/// between a record and its act, or do not hear each other, for five steps.
+/// Explores all schedules of two nodes that share a log, for five steps. In each step each
+/// node runs, runs without receiving the other's reports, is frozen, or freezes between a
+/// record and its act.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Duties.h"
 
@@ -33,9 +34,9 @@
 
 struct Participant {
     DutyLease lease_;
-    /// The log's end as it knows it.
+    /// The log's end as this node knows it.
     std::uint64_t knownEnd_ = 0;
-    /// When a record was begun whose act is still to come.
+    /// When the node started to append a record whose act is still pending.
     std::optional<SteadyTime> recordedAt_;
 };
 
@@ -71,7 +72,7 @@
         return;
     Participant& node = world.nodes_[static_cast<std::size_t>(index)];
     const Participant& peer = world.nodes_[static_cast<std::size_t>(1 - index)];
-    // What it was about to do when it froze comes first.
+    // An act that was pending when the node froze comes first.
     act(world, index, now);
     if (choice != Choice::Partitioned && peer.lease_.isHolder())
         node.lease_.noteHolder({ std::to_string(1 - index) }, peer.lease_.token(), now);
@@ -89,7 +90,7 @@
         act(world, index, now);
 }
 
-/// Returns what is wrong with the order of acts, or nothing.
+/// Returns what is wrong with the order of acts, or an empty text.
 std::string problemOf(const std::vector<Act>& acts)
 {
     std::map<int, SteadyTime> lastOf;
@@ -98,7 +99,7 @@
         const Act& now = acts[i];
         lastOf[before.node_] = before.at_;
         if (now.token_ < before.token_)
-            return "a token falls";
+            return "the token decreases";
         if (now.node_ == before.node_)
             continue;
         if (now.token_ == before.token_)
@@ -134,7 +135,7 @@
             run(world, 1, static_cast<Choice>(rest % choices), at);
             rest /= choices;
         }
-        // Then both run undisturbed for two leases.
+        // Afterwards both nodes run without faults for two leases.
         for (int i = 0; i < 7; ++i, at += step) {
             run(world, 0, Choice::Runs, at);
             run(world, 1, Choice::Runs, at);
@@ -145,12 +146,12 @@
             FAIL(problem);
         }
         changes += world.acts_.back().node_ != settled.acts_.front().node_;
-        // Somebody holds the duties in the end.
+        // One of the nodes holds the duties at the end.
         if (at - world.acts_.back().at_ > 2 * step) {
             CAPTURE(schedule);
-            FAIL("nobody acts after both run again");
+            FAIL("no node acts after both run again");
         }
     }
-    // Schedules are worth something only if holders change.
+    // The check is vacuous unless the holder changes in enough schedules.
     CHECK(changes > schedules / 50);
 }
--- a/unittests/Fleet/FleetTest.cpp
+++ b/unittests/Fleet/FleetTest.cpp
@@ -1,7 +1,7 @@
-//===- unittests/Fleet/FleetTest.cpp - how many engines are ordered --------===//
+//===- unittests/Fleet/FleetTest.cpp - plans and orders of engines --------===//
 ///
 /// \file
-/// Plans of one moment, and orders over time with the engines that follow them.
+/// Plans for a given state, and orders over time as engines register and leave.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Fleet.h"
 
@@ -15,7 +15,8 @@
 const ServiceName service { "s" };
 const SteadyTime start { milliseconds(1000000) };
 
-/// Engines in three data centres, as lasting and reclaimable ones in each.
+/// A view with engines in up to three data centres, as pairs of on-demand and reclaimable
+/// ones.
 FleetView viewOf(std::vector<std::pair<std::uint64_t, std::uint64_t>> engines, std::optional<double> tokensPerSecond)
 {
     FleetView view { service, { 1, 20, milliseconds(4000), 0.2, {} }, {}, tokensPerSecond, 50, 0, 0, true, false };
@@ -33,7 +34,7 @@
     return sum;
 }
 
-/// Lets the book see \p view until all count as registered.
+/// Observes \p view until the registrations count as settled. \returns the time then.
 SteadyTime settle(FleetTracker& tracker, const FleetView& view)
 {
     tracker.observe(view, start);
@@ -44,7 +45,7 @@
 
 } // namespace
 
-TEST_CASE("lasting engines stand in for reclaimable ones that are missing", "[fleet]")
+TEST_CASE("on-demand engines cover the need that reclaimable ones cannot", "[fleet]")
 {
     struct Row {
         const char* name_;
@@ -53,12 +54,12 @@
         std::uint64_t onDemand_;
     };
     auto row = GENERATE(values<Row>({
-        { "none is there yet", { 12, 1, 12, 6, 1 }, { 0, 0, 0 }, 12 },
-        { "enough without the largest", { 12, 1, 12, 6, 1 }, { 6, 6, 6 }, 0 },
+        { "no engine is present yet", { 12, 1, 12, 6, 1 }, { 0, 0, 0 }, 12 },
+        { "enough without the largest data centre", { 12, 1, 12, 6, 1 }, { 6, 6, 6 }, 0 },
         { "one data centre lost", { 12, 1, 12, 6, 1 }, { 6, 6, 0 }, 6 },
         { "nothing reserved", { 12, 1, 12, 6, 0 }, { 6, 6, 0 }, 1 },
-        { "the least number is held by either kind", { 4, 2, 12, 6, 1 }, { 6, 1, 0 }, 3 },
-        { "more than may be ordered", { 100, 1, 12, 6, 0 }, { 0, 0, 0 }, 36 },
+        { "either kind counts towards the lower bound", { 4, 2, 12, 6, 1 }, { 6, 1, 0 }, 3 },
+        { "more than the upper bound", { 100, 1, 12, 6, 0 }, { 0, 0, 0 }, 36 },
         { "nothing needed", { 0, 2, 12, 0, 0 }, { 0, 0, 0 }, 6 },
     }));
     std::vector<DataCentreFleet> fleets { { { "a" }, 1.2, 0, row.reclaimable_[0] }, { { "b" }, 0.85, 0, row.reclaimable_[1] }, { { "c" }, 1, 0, row.reclaimable_[2] } };
@@ -70,7 +71,7 @@
             continue;
         }
         onDemand += order.wanted_;
-        // The platform bounds both kinds together.
+        // The platform's bounds apply to both kinds together.
         auto fleet = std::find_if(fleets.begin(), fleets.end(), [&](const DataCentreFleet& known) { return known.dataCentre_ == order.dataCentre_; });
         CHECK(order.wanted_ + fleet->reclaimable_ >= row.demand_.least_);
         CHECK(order.wanted_ <= row.demand_.most_);
@@ -78,17 +79,17 @@
     CHECK(onDemand == row.onDemand_);
 }
 
-TEST_CASE("engines needed follow from tokens, rate and margin", "[fleet]")
+TEST_CASE("the engines needed follow from token rate, prefill rate and margin", "[fleet]")
 {
     CHECK(enginesFor(0, 50, 1) == 0);
     CHECK(enginesFor(50000, 50, 0) == 1);
     CHECK(enginesFor(50001, 50, 0) == 2);
     CHECK(enginesFor(200000, 50, 1) == 6);
-    // A hundred busy engines need a tenth more, where four need half more.
+    // A hundred busy engines need a tenth of spare engines, whereas four need a half.
     CHECK(enginesFor(5000000, 50, 1) == 110);
 }
 
-TEST_CASE("engines stay where they are while more are wanted", "[fleet]")
+TEST_CASE("engines stay in their data centre unless fewer are wanted", "[fleet]")
 {
     struct Row {
         const char* name_;
@@ -97,11 +98,11 @@
         std::vector<std::uint64_t> onDemand_;
     };
     auto row = GENERATE(values<Row>({
-        // The third data centre had no room while reclaimable engines were there.
-        { "room comes free elsewhere", { { 9, 0 }, { 9, 0 }, { 1, 0 } }, 27, { 9, 9, 9 } },
+        // The third data centre had no capacity while reclaimable engines were present.
+        { "capacity becomes free elsewhere", { { 9, 0 }, { 9, 0 }, { 1, 0 } }, 27, { 9, 9, 9 } },
         { "a few more are wanted", { { 9, 0 }, { 9, 0 }, { 1, 0 } }, 21, { 9, 9, 3 } },
-        { "fewer are wanted: evenly", { { 9, 0 }, { 9, 0 }, { 1, 0 } }, 12, { 4, 4, 4 } },
-        { "no more than may be there", { { 9, 0 }, { 9, 0 }, { 1, 0 } }, 90, { 20, 20, 20 } },
+        { "fewer are wanted, spread evenly", { { 9, 0 }, { 9, 0 }, { 1, 0 } }, 12, { 4, 4, 4 } },
+        { "limited by the upper bound", { { 9, 0 }, { 9, 0 }, { 1, 0 } }, 90, { 20, 20, 20 } },
     }));
     CAPTURE(row.name_);
     FleetDemand demand { row.needed_, 1, 20, 10, 1 };
@@ -113,10 +114,10 @@
     CHECK(onDemand == row.onDemand_);
 }
 
-TEST_CASE("engines on their way are not given up for others elsewhere", "[fleet]")
+TEST_CASE("booting engines are not dismissed in favour of other data centres", "[fleet]")
 {
-    // 13 of 22 lasting engines in two data centres are booting when a third one's
-    // reclaimable engines go and there is room.
+    // 13 of 22 on-demand engines in each of two data centres are booting when the reclaimable
+    // engines of a third one are reclaimed, which frees capacity there.
     FleetDemand demand { 45, 1, 40, 10, 1 };
     std::vector<DataCentreFleet> fleets = viewOf({ { 9, 0 }, { 9, 0 }, { 1, 0 } }, {}).dataCentres_;
     fleets[0].onDemandOrdered_ = 22;
@@ -125,7 +126,7 @@
         if (!order.isReclaimable_)
             CHECK(order.wanted_ == (order.dataCentre_.value_ == "c" ? 1 : 22));
     }
-    // The book knows what it ordered.
+    // The tracker takes its own accepted orders into account.
     FleetTracker tracker({});
     FleetView view = viewOf({ { 2, 0 }, { 2, 0 }, { 2, 0 } }, 1000000);
     SteadyTime now = settle(tracker, view);
@@ -136,7 +137,7 @@
     }
 }
 
-TEST_CASE("lasting engines are not ordered before all have registered", "[fleet]")
+TEST_CASE("on-demand engines are not ordered before registrations have settled", "[fleet]")
 {
     FleetTracker tracker({});
     FleetView view = viewOf({ { 4, 0 }, { 4, 0 }, { 0, 0 } }, {});
@@ -150,9 +151,9 @@
 
 TEST_CASE("engines are dismissed before others are ordered", "[fleet]")
 {
-    // The platform bounds both kinds together: 38 reclaimable engines beside 38 lasting
-    // ones were not followed by more, though more were ordered before the lasting ones
-    // were dismissed.
+    // The platform's upper bound applies to both kinds together. With 38 reclaimable and 38
+    // on-demand engines, an order of more reclaimable ones had no effect because it was
+    // sent before the on-demand ones were dismissed.
     FleetTracker tracker({});
     FleetView view = viewOf({ { 8, 6 }, { 8, 6 }, { 8, 6 } }, 500000);
     SteadyTime now = settle(tracker, view);
@@ -167,10 +168,10 @@
     CHECK(hasAdded);
 }
 
-TEST_CASE("no more reclaimable engines are ordered than there is room beside lasting ones", "[fleet]")
+TEST_CASE("reclaimable engines are ordered only up to the capacity that on-demand ones leave", "[fleet]")
 {
-    // Ordered beside lasting ones that had not registered yet, 64 were taken for an order
-    // and 39 came, for 8 s.
+    // An order that ignored on-demand engines which had not registered yet was accepted for
+    // 64 reclaimable ones, but only 39 booted, and it was not corrected for 8 s.
     FleetTracker tracker({});
     FleetView view = viewOf({ { 12, 0 }, { 12, 0 }, { 12, 0 } }, {});
     tracker.observe(view, start);
@@ -179,7 +180,7 @@
         CHECK(order.wanted_ == 20 - 12);
         tracker.noteOrdered(order, true, start);
     }
-    // Those that come do not count as engines that were there.
+    // Engines that were just ordered do not count as engines that were present before.
     view.dataCentres_[0].reclaimable_ = 8;
     SteadyTime now = start + milliseconds(1500);
     tracker.observe(view, now);
@@ -189,7 +190,7 @@
     CHECK(std::any_of(orders.begin(), orders.end(), [](const FleetOrder& order) { return !order.isReclaimable_ && order.wanted_ < 12; }));
 }
 
-TEST_CASE("lasting engines stay while reclaimable ones are being taken away", "[fleet]")
+TEST_CASE("on-demand engines are not dismissed while reclaimable ones are being reclaimed", "[fleet]")
 {
     FleetTracker tracker({});
     FleetView before = viewOf({ { 8, 14 }, { 8, 14 }, { 8, 14 } }, 500000);
@@ -205,7 +206,7 @@
     CHECK(dismisses(tracker.dueOrders(lost, now)));
 }
 
-TEST_CASE("a dismissal of reclaimable engines is not taken for their loss", "[fleet]")
+TEST_CASE("a dismissal of reclaimable engines is not mistaken for a reclaim", "[fleet]")
 {
     FleetTracker tracker({});
     FleetView before = viewOf({ { 8, 14 }, { 8, 14 }, { 8, 14 } }, 500000);
@@ -218,7 +219,7 @@
     CHECK(std::any_of(orders.begin(), orders.end(), [](const FleetOrder& order) { return !order.isReclaimable_ && order.wanted_ < 8; }));
 }
 
-TEST_CASE("orders that were taken or refused are repeated late", "[fleet]")
+TEST_CASE("accepted and rejected orders are repeated after their intervals", "[fleet]")
 {
     struct Row {
         const char* name_;
@@ -227,10 +228,10 @@
         bool isRepeated_;
     };
     auto row = GENERATE(values<Row>({
-        { "taken, on their way", true, milliseconds(4000), false },
-        { "taken, and they did not come", true, milliseconds(8000), true },
-        { "refused just now", false, milliseconds(500), false },
-        { "refused a while ago", false, milliseconds(2000), true },
+        { "accepted, engines are booting", true, milliseconds(4000), false },
+        { "accepted, engines did not register", true, milliseconds(8000), true },
+        { "rejected just now", false, milliseconds(500), false },
+        { "rejected a while ago", false, milliseconds(2000), true },
     }));
     CAPTURE(row.name_);
     FleetTracker tracker({});
@@ -241,16 +242,16 @@
     CHECK((sumOf(tracker.dueOrders(view, now + row.after_), true) > 0) == row.isRepeated_);
 }
 
-TEST_CASE("lasting engines are ordered when all reclaimable ones go, also by a node that saw no lasting one", "[fleet]")
+TEST_CASE("on-demand engines are ordered when all reclaimable ones are lost, even by a node that never observed an on-demand one", "[fleet]")
 {
     struct Row {
         const char* name_;
         std::vector<std::pair<std::uint64_t, std::uint64_t>> before_;
     };
-    // The node starts while there are reclaimable engines only, or none at all.
+    // The node starts while only reclaimable engines are present, or none at all.
     auto row = GENERATE(values<Row>({
-        { "reclaimable ones were there", { { 0, 9 }, { 0, 9 }, { 0, 9 } } },
-        { "none was there", { { 0, 0 }, { 0, 0 }, { 0, 0 } } },
+        { "reclaimable engines were present", { { 0, 9 }, { 0, 9 }, { 0, 9 } } },
+        { "no engine was present", { { 0, 0 }, { 0, 0 }, { 0, 0 } } },
     }));
     CAPTURE(row.name_);
     FleetTracker tracker(FleetSettings {});
@@ -263,9 +264,9 @@
     CHECK(sumOf(tracker.dueOrders(lost, now), false) >= busyEngines);
 }
 
-TEST_CASE("engines are dismissed on a whole count of demand only", "[fleet]")
+TEST_CASE("engines are dismissed only if nearly all nodes reported their demand", "[fleet]")
 {
-    // A node that has just become the holder goes on from the need of the one before.
+    // A node that has just become the holder starts from the need of its predecessor.
     struct Row {
         const char* name_;
         bool isComplete_;
@@ -274,9 +275,9 @@
         bool isAdded_;
     };
     auto row = GENERATE(values<Row>({
-        { "few told of it", false, 15000, false, false },
-        { "few told of more than before", false, 5000000, false, true },
-        { "all told, and less is needed", true, 15000, true, false },
+        { "few nodes reported", false, 15000, false, false },
+        { "few nodes reported more than before", false, 5000000, false, true },
+        { "all nodes reported, and fewer engines are needed", true, 15000, true, false },
     }));
     CAPTURE(row.name_);
     FleetSettings settings;
@@ -285,7 +286,7 @@
     view.bounds_.most_ = 60;
     view.isComplete_ = row.isComplete_;
     SteadyTime now = settle(tracker, view);
-    // What this would come to in each data centre is what is there.
+    // This need corresponds to the engines that are present in each data centre.
     constexpr std::uint64_t inherited = 25;
     tracker.inheritNeed(service, inherited, now);
     bool isDismissed = false;
@@ -301,7 +302,7 @@
     CHECK(isAdded == row.isAdded_);
 }
 
-TEST_CASE("a successor holds on to the need of the holder before it", "[fleet]")
+TEST_CASE("a new holder keeps the need of its predecessor for the stabilisation window", "[fleet]")
 {
     FleetSettings settings;
     FleetTracker tracker(settings);
@@ -318,11 +319,11 @@
     CHECK(dismisses(now + settings.reclaimableStabilisationWindow_ + settings.period_));
 }
 
-TEST_CASE("engines that are there are not ordered again as reclaimable ones by a successor", "[fleet]")
+TEST_CASE("a new holder does not order engines that are present again as reclaimable ones", "[fleet]")
 {
-    // After a restart of all the first holder counted the 228 engines that were there as
-    // its need, of which 115 had been needed, and ordered 160 reclaimable ones in each
-    // data centre.
+    // After a restart of all nodes the first holder took the 228 engines that were present
+    // for the need, although only 115 had been needed, and ordered 160 reclaimable ones in
+    // each data centre.
     FleetTracker tracker(FleetSettings {});
     FleetView view = viewOf({ { 3, 18 }, { 3, 18 }, { 3, 18 } }, {});
     view.bounds_.most_ = 60;
@@ -334,20 +335,21 @@
     CHECK(tracker.needed(service) == inherited);
 }
 
-TEST_CASE("engines of a version on trial are dismissed, or counted as those that serve", "[fleet]")
+TEST_CASE("engines of a version on trial are neither dismissed nor counted as serving", "[fleet]")
 {
     struct Row {
         const char* what_;
         bool isRollingOut_;
         std::vector<std::pair<std::uint64_t, std::uint64_t>> engines_;
         double tokensPerSecond_;
-        /// Lasting engines that are ordered beside those of the new version, 5 in each.
+        /// On-demand engines to order in addition to those of the new version, of which each
+        /// data centre has 5.
         std::uint64_t onDemand_;
     };
     const Row rows[] = {
         { "on trial, reclaimable ones suffice", true, { { 3, 6 }, { 3, 6 }, { 3, 6 } }, 200000, 0 },
         { "on trial, reclaimable ones were lost", true, { { 0, 0 }, { 0, 0 }, { 0, 0 } }, 300000, 10 },
-        { "gone", false, { { 3, 6 }, { 3, 6 }, { 3, 6 } }, 200000, 0 },
+        { "removed", false, { { 3, 6 }, { 3, 6 }, { 3, 6 } }, 200000, 0 },
     };
     for (const Row& row : rows) {
         CAPTURE(row.what_);
--- a/unittests/Rollout/EvaluatorsTest.cpp
+++ b/unittests/Rollout/EvaluatorsTest.cpp
@@ -1,9 +1,10 @@
-//===- unittests/Rollout/EvaluatorsTest.cpp - seeded orders, good and bad ------===//
+//===- unittests/Rollout/EvaluatorsTest.cpp - simulated roll-outs ---------===//
 ///
 /// \file
-/// Leads orders to their verdicts beside troubles that strike all versions alike: single
-/// backend servers that fail, spells in which many answers are late, a load that swings.
-/// `RolloutTests [figures]` prints what both judges make of them.
+/// Simulates seeded roll-outs of good and bad versions together with faults that affect all
+/// versions: single backend servers that fail, periods in which many answers are slow, and
+/// a varying load. `RolloutEvaluatorsTests [figures]` prints the results of both
+/// evaluators.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Rollout.h"
 
@@ -20,14 +21,14 @@
 
 constexpr double period = 14;
 constexpr double tick = 0.15;
-// What nodes count reaches the holder so late, and its share the nodes.
+// Delay in seconds until the nodes' counts reach the holder, and its share the nodes.
 constexpr double reportDelay = 0.6;
 constexpr double requestsPerSecond = 600;
-// Of the requests, on the first of two routes.
+// Share of the requests on the first of two routes.
 constexpr double firstRouteShare = 0.86;
 constexpr std::size_t targetServers = 5;
 constexpr std::size_t stableServerCount = 60;
-// The contract's bounds.
+// The bounds that the contract sets on a bad version.
 constexpr double exposedShare = 0.1;
 constexpr double exposedExtra = 50;
 constexpr std::uint64_t badTolerated = 50;
@@ -48,9 +49,9 @@
     const char* name_;
 };
 
-constexpr FaultRow faults[] = { { Fault::Immediate, "at once" }, { Fault::Later, "later" }, { Fault::UnderLoad, "under load" }, { Fault::OneRoute, "one route" }, { Fault::Slow, "slow" }, { Fault::WrongBytes, "wrong bytes" } };
+constexpr FaultRow faults[] = { { Fault::Immediate, "immediate" }, { Fault::Later, "later" }, { Fault::UnderLoad, "under load" }, { Fault::OneRoute, "one route" }, { Fault::Slow, "slow" }, { Fault::WrongBytes, "wrong bytes" } };
 
-/// One order and the troubles beside it.
+/// One order, and the faults that occur in addition.
 class Simulation {
 public:
     Simulation(Fault fault, std::uint64_t seed)
@@ -73,7 +74,7 @@
 
     double load(double now) const { return 1 + 0.4 * std::sin(phase_ + now * 6.28 / 8); }
 
-    /// Requests of a step by \p share, added to \p tally.
+    /// Adds the requests of a step at the target's \p share to \p tally.
     void step(double now, double share, RolloutTally& tally)
     {
         for (RouteKey route = 0; route < 2; ++route) {
@@ -84,7 +85,7 @@
             std::uint64_t toTarget = std::binomial_distribution<std::uint64_t>(all, onRoute)(random_);
             tally.requests_ += all;
             tally.exposed_ += toTarget;
-            // 15 in 100 of the stable ones fail, too.
+            // 15 in 100 of the stable servers fail as well.
             double stableBad = baselineBad(now) + (isFailTime(now) ? 0.15 * failRate : 0);
             count(tally.cells_[{ stableBackendKey, route }], all - toTarget, stableBad);
             std::uint64_t left = toTarget;
@@ -156,7 +157,8 @@
     bool isReverted_ = false;
     double at_ = 0;
     double exposedOverBound_ = 0;
-    /// Requests later than the roll-back time after the 50th bad answer.
+    /// Requests to the target that come later after the 50th bad answer than the roll-back
+    /// time allows.
     std::uint64_t afterRollback_ = 0;
 };
 
@@ -223,14 +225,14 @@
 
 } // namespace
 
-TEST_CASE("good versions are reverted for troubles that strike all alike", "[rollout]")
+TEST_CASE("good versions are not reverted for faults that affect all versions", "[rollout]")
 {
     Summary good = simulateAll(Fault::None, orders, makeSequentialEvaluator);
     CHECK(good.reverted_ < orders / 100);
     CHECK(good.meanAt_ < period);
 }
 
-TEST_CASE("bad versions get more than the bound, or something after the roll-back time", "[rollout]")
+TEST_CASE("bad versions get no more requests than the bound, and none after the roll-back time", "[rollout]")
 {
     for (const FaultRow& row : faults) {
         CAPTURE(row.name_);
@@ -241,14 +243,14 @@
     }
 }
 
-TEST_CASE("figures of both judges", "[.figures]")
+TEST_CASE("results of both evaluators", "[.figures]")
 {
     struct Method {
         const char* name_;
         RolloutEvaluator (*make_)();
     };
     const Method methods[] = { { "sequential", makeSequentialEvaluator }, { "threshold", makeThresholdEvaluator } };
-    std::cout << "judge       version      reverted  over the bound  after roll-back  mean time of the verdict\n";
+    std::cout << "evaluator   version      reverted  over the bound  after roll-back  mean time of the decision\n";
     for (const Method& method : methods) {
         auto show = [&](const char* name, Fault fault) {
             Summary summary = simulateAll(fault, orders, method.make_);
--- a/unittests/Rollout/RolloutTest.cpp
+++ b/unittests/Rollout/RolloutTest.cpp
@@ -1,7 +1,7 @@
-//===- unittests/Rollout/RolloutTest.cpp - shares, states and verdicts -----===//
+//===- unittests/Rollout/RolloutTest.cpp - shares, states and decisions ---===//
 ///
 /// \file
-/// What a node does about an order, and how an order comes to its verdict.
+/// How a node assigns requests and merges states, and how an order is decided.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Rollout.h"
 
@@ -35,7 +35,7 @@
     return outcome;
 }
 
-/// Requests of a hundred that go to the target.
+/// Requests to the target out of 100.
 int toTarget(RolloutTracker& tracker, SteadyTime now, RolloutTracker::SendKind send = RolloutTracker::SendKind::First)
 {
     int count = 0;
@@ -57,7 +57,7 @@
 
 } // namespace
 
-TEST_CASE("requests reach a version that was ordered before its share is known", "[rollout]")
+TEST_CASE("no request reaches a target before its share is known", "[rollout]")
 {
     RolloutTracker tracker({});
     CHECK_FALSE(tracker.assign(service, route, RolloutTracker::SendKind::First, start));
@@ -68,7 +68,7 @@
     CHECK_FALSE(tracker.assign({ "other" }, route, RolloutTracker::SendKind::First, start));
 }
 
-TEST_CASE("each phase sends its share to the target, and repeats only once all go there", "[rollout]")
+TEST_CASE("each phase sends its share to the target, and retries only once all requests go there", "[rollout]")
 {
     struct Row {
         RolloutPhase phase_;
@@ -79,7 +79,7 @@
     };
     const Row rows[] = {
         { RolloutPhase::Trial, 0.08, 0, 8, 0 },
-        // Its holder is silent.
+        // The holder is unresponsive.
         { RolloutPhase::Trial, 0.08, 3000, 0, 0 },
         { RolloutPhase::Shifting, 0.5, 0, 50, 0 },
         { RolloutPhase::Shifting, 1, 9000, 100, 100 },
@@ -95,7 +95,7 @@
     }
 }
 
-TEST_CASE("a version that is bad on a sparse route alone is found late", "[rollout]")
+TEST_CASE("the target gets a higher share of a route with few requests", "[rollout]")
 {
     const RouteRequests requests { { 1, 8600 }, { 2, 1400 } };
     double dense = shareOnRoute(0.08, 1, requests);
@@ -115,7 +115,7 @@
     CHECK(toTargetOf[0] + toTargetOf[1] < 850);
 }
 
-TEST_CASE("a late word brings a reverted version back", "[rollout]")
+TEST_CASE("a state that arrives late does not replace a newer or final one", "[rollout]")
 {
     const RolloutState trial { orderOf(1), RolloutPhase::Trial, 0.08, 5, 1 };
     const RolloutState reverted { orderOf(1), RolloutPhase::Reverted, 0, 4, 9 };
@@ -125,7 +125,7 @@
     CHECK_FALSE(supersedes(trial, reverted));
     CHECK(supersedes(complete, reverted));
     CHECK(supersedes(next, complete));
-    // In whatever order they come, the same is held.
+    // The result is the same in whatever order the states arrive.
     std::vector<RolloutState> reported { trial, reverted, next };
     std::sort(reported.begin(), reported.end());
     do {
@@ -136,7 +136,7 @@
     } while (std::next_permutation(reported.begin(), reported.end()));
 }
 
-TEST_CASE("what speaks against a version, and what does not", "[rollout]")
+TEST_CASE("which outcomes are evidence against a version", "[rollout]")
 {
     struct Row {
         const char* what_;
@@ -152,18 +152,18 @@
     auto nothing = [](AttemptOutcome&) {};
     const Row rows[] = {
         { "as expected", served(100, 100), false },
-        { "twice as late", served(200, 100), false },
-        { "four times as late", served(400, 100), true },
-        { "noise of a short wait", served(30, 5), false },
+        { "twice as slow", served(200, 100), false },
+        { "four times as slow", served(400, 100), true },
+        { "noise on a short wait", served(30, 5), false },
         { "a failure", with(BackendOutcome::Served, [](AttemptOutcome& o) { o.isFailure_ = true; }), true },
-        { "a failure that is held", with(BackendOutcome::Failed, nothing), true },
-        { "wrong bytes", with(BackendOutcome::Broken, nothing), true },
-        { "a crash or a cut link", with(BackendOutcome::Broken, [](AttemptOutcome& o) { o.isCutOff_ = true; }), std::nullopt },
-        { "no room", with(BackendOutcome::Full, nothing), std::nullopt },
-        { "another has its address", with(BackendOutcome::WrongInstance, nothing), std::nullopt },
+        { "a failure that is withheld from the caller", with(BackendOutcome::Failed, nothing), true },
+        { "a corrupt answer", with(BackendOutcome::Broken, nothing), true },
+        { "a crash or a cut connection", with(BackendOutcome::Broken, [](AttemptOutcome& o) { o.isCutOff_ = true; }), std::nullopt },
+        { "a full queue", with(BackendOutcome::Full, nothing), std::nullopt },
+        { "another server at its address", with(BackendOutcome::WrongInstance, nothing), std::nullopt },
         { "no connection", with(BackendOutcome::Unreachable, nothing), std::nullopt },
         { "a caller that left", with(BackendOutcome::Abandoned, nothing), std::nullopt },
-        { "a caller that left after long", with(BackendOutcome::Abandoned, [](AttemptOutcome& o) { o.hasBegun_ = false; o.waited_ = milliseconds(2000); }), true },
+        { "a caller that left after a long wait", with(BackendOutcome::Abandoned, [](AttemptOutcome& o) { o.hasBegun_ = false; o.waited_ = milliseconds(2000); }), true },
         { "slow events", with(BackendOutcome::Served, [](AttemptOutcome& o) { o.eventGapMs_ = 200; }), true },
         { "usual events", with(BackendOutcome::Served, [](AttemptOutcome& o) { o.eventGapMs_ = 55; }), false },
     };
@@ -173,7 +173,7 @@
     }
 }
 
-TEST_CASE("counts of nodes add up, and fall without harm where a node leaves", "[rollout]")
+TEST_CASE("counts of nodes add up, and decreases count as 0 when a node leaves", "[rollout]")
 {
     RolloutTally total = tallyOf(1000, 80, 8);
     total.add(tallyOf(500, 40));
@@ -192,7 +192,7 @@
     CHECK(total.cells_[{ 1, route }] == AnswerTally { 20, 2 });
 }
 
-TEST_CASE("a good version goes from its trial to completion within the period", "[rollout]")
+TEST_CASE("a good version is complete within the period", "[rollout]")
 {
     RolloutController controller({}, { orderOf(1), RolloutPhase::Trial, 0, 0, 0 }, start, 3, makeSequentialEvaluator());
     std::uint64_t requests = 0;
@@ -216,7 +216,7 @@
     CHECK(controller.state().phase_ == RolloutPhase::Complete);
 }
 
-TEST_CASE("an order without a verdict at the end of its period is reverted", "[rollout]")
+TEST_CASE("an order that is not decided by the end of its period is reverted", "[rollout]")
 {
     struct Row {
         const char* what_;
@@ -224,8 +224,8 @@
         RolloutTally tally_;
     };
     const Row rows[] = {
-        { "no backend server of the target came", 0, tallyOf(1000, 0) },
-        { "it had hardly a request", 4, tallyOf(1000, 4) },
+        { "no backend server of the target registered", 0, tallyOf(1000, 0) },
+        { "the target got hardly any requests", 4, tallyOf(1000, 4) },
         { "no requests at all", 4, tallyOf(0, 0) },
     };
     for (const Row& row : rows) {
@@ -237,7 +237,7 @@
     }
 }
 
-TEST_CASE("a version gets more than the bound while others have few requests", "[rollout]")
+TEST_CASE("a target gets no requests beyond the bound while the service has few requests", "[rollout]")
 {
     RolloutController controller({}, { orderOf(1), RolloutPhase::Trial, 0, 0, 0 }, start, 3, makeSequentialEvaluator());
     CHECK(controller.adjust({ tallyOf(100, 8), 4, 40, 9 }, after(200)).share_ == 0.08);
@@ -245,7 +245,7 @@
     CHECK(controller.adjust({ tallyOf(400, 36), 4, 40, 9 }, after(600)).share_ == 0.08);
 }
 
-TEST_CASE("an order for the version that runs already is complete", "[rollout]")
+TEST_CASE("an order for the version that already runs alone is complete", "[rollout]")
 {
     RolloutController controller({}, { orderOf(1), RolloutPhase::Trial, 0, 0, 0 }, start, 3, makeSequentialEvaluator());
     controller.adjust({ tallyOf(100, 0), 40, 0, 0 }, after(0));
@@ -254,7 +254,7 @@
     CHECK(controller.isReadyToComplete());
 }
 
-TEST_CASE("a new holder begins an order anew that another has reverted", "[rollout]")
+TEST_CASE("a new holder keeps a reverted order reverted and resumes one that is shifting", "[rollout]")
 {
     RolloutController controller({}, { orderOf(1), RolloutPhase::Reverted, 0, 3, 5 }, start, 4, makeSequentialEvaluator());
     CHECK(controller.adjust({ tallyOf(1000, 0), 4, 40, 9 }, after(200)).phase_ == RolloutPhase::Reverted);
