--- a/include/pistachioloom/Duties.h
+++ b/include/pistachioloom/Duties.h
@@ -48,23 +48,23 @@
 public:
     DutyLease(VmId self, DutyTiming timing, SteadyTime startedAt);
 
-    /// A peer reported at \p reportedAt that it holds the duties by \p token. Relays
+    /// Records that a peer reported at \p reportedAt that it holds the duties by \p token. Relays
     /// forward such reports with a delay; \p reportedAt must be the time of the original
     /// report, or the takeover from a holder that has failed is delayed.
     void noteHolder(const VmId& holder, DutyToken token, SteadyTime reportedAt);
-    /// The holder by \p token released the duties, so that other nodes may claim them
-    /// without waiting for the holder's timeout.
+    /// Records that the holder by \p token released the duties, so that other nodes may
+    /// claim them without waiting for the holder's timeout.
     void noteReleased(DutyToken token, SteadyTime now);
-    /// A peer reported that it is stopping. If it is the holder it does not act any more,
-    /// and other nodes may claim the duties without waiting for the holder's timeout.
+    /// Records that a peer is stopping. If it is the holder it does not act any more, and
+    /// other nodes may claim the duties without waiting for the holder's timeout.
     void noteStopping(const VmId& peer, SteadyTime now);
     /// Whether this node should claim the duties now. \p rank is its position among the
     /// live candidates, from 0.
     bool shouldClaim(std::size_t rank, SteadyTime now) const;
-    /// A claim of this node was appended to the log.
+    /// Makes this node the holder, after its claim was appended to the log.
     void becomeHolder(DutyToken token, SteadyTime now);
-    /// A record of this node could not be appended because another record came first,
-    /// or the outcome of its claim is unknown.
+    /// Ends this node's term as the holder or its attempt to claim, because another record
+    /// was appended first or the outcome of its claim is unknown.
     void stepDown(SteadyTime now);
     bool isHolder() const { return isHolder_; }
     DutyToken token() const { return token_; }
--- a/include/pistachioloom/Fleet.h
+++ b/include/pistachioloom/Fleet.h
@@ -148,7 +148,8 @@
     /// Sets the number of engines that the previous holder of the duties found to be
     /// needed; it is used as this node's own last need.
     void inheritNeed(const ServiceName& service, std::uint64_t engines, SteadyTime now);
-    /// The platform accepted the order, or rejected it because it has no such engines now.
+    /// Records that the platform accepted the order, or rejected it because it has no such
+    /// engines now.
     void noteOrdered(const FleetOrder& order, bool isAccepted, SteadyTime now);
     /// Engines that the service needed when dueOrders() was last called for it.
     std::uint64_t needed(const ServiceName& service) const;
--- a/include/pistachioloom/Rollout.h
+++ b/include/pistachioloom/Rollout.h
@@ -155,7 +155,7 @@
     const RolloutState& adjust(const RolloutView& view, SteadyTime now);
     /// Whether all that remains is to record that the order is complete.
     bool isReadyToComplete() const { return isReadyToComplete_; }
-    /// To be called once the completion is recorded.
+    /// Sets the phase to complete. To be called once the completion is recorded.
     void complete();
     /// Reverts the order unless it is final, for example on an operator's request.
     void revert(std::string why);
@@ -251,7 +251,7 @@
     };
     /// The versions that a request of \p service on \p route may be sent to; nullopt for any.
     std::optional<VersionRule> assign(const ServiceName& service, RouteKey route, SendKind send, SteadyTime now);
-    /// A request was sent to a backend server of \p service.
+    /// Counts a request that was sent to a backend server of \p service.
     void noteSent(const ServiceName& service, const BackendVersion& version);
     void noteAnswer(const ServiceName& service, const RolloutAnswer& answer);
     /// This node's counts for orders that are not final.
--- a/unittests/Duties/DutiesTest.cpp
+++ b/unittests/Duties/DutiesTest.cpp
@@ -79,8 +79,8 @@
         Participant& node = nodes_[index];
         for (std::size_t other = 0; other < nodes_.size(); ++other) {
             const Participant& peer = nodes_[other];
-            bool isHeard = other != index && peer.frozenUntil_ <= now && peer.partitionedUntil_ <= now && node.partitionedUntil_ <= now;
-            if (isHeard && peer.lease_.isHolder())
+            bool isReceived = other != index && peer.frozenUntil_ <= now && peer.partitionedUntil_ <= now && node.partitionedUntil_ <= now;
+            if (isReceived && peer.lease_.isHolder())
                 node.lease_.noteHolder({ std::to_string(other) }, peer.lease_.token(), now);
         }
         if (node.lease_.shouldClaim(index, now)) {
--- a/unittests/Rollout/RolloutTest.cpp
+++ b/unittests/Rollout/RolloutTest.cpp
@@ -159,7 +159,7 @@
         { "a failure that is withheld from the caller", with(BackendOutcome::Failed, nothing), true },
         { "a corrupt answer", with(BackendOutcome::Broken, nothing), true },
         { "a crash or a cut connection", with(BackendOutcome::Broken, [](AttemptOutcome& o) { o.isCutOff_ = true; }), std::nullopt },
-        { "a full queue", with(BackendOutcome::Full, nothing), std::nullopt },
+        { "no capacity", with(BackendOutcome::Full, nothing), std::nullopt },
         { "another server at its address", with(BackendOutcome::WrongInstance, nothing), std::nullopt },
         { "no connection", with(BackendOutcome::Unreachable, nothing), std::nullopt },
         { "a caller that left", with(BackendOutcome::Abandoned, nothing), std::nullopt },
