--- a/include/pistachioloom/Forward.h
+++ b/include/pistachioloom/Forward.h
@@ -113,7 +113,7 @@
     ServiceRetryBudget& retries_;
     QuarantineTable& quarantine_;
     CrashDetector& crashes_;
-    RolloutBook& rollouts_;
+    RolloutTracker& rollouts_;
     Metrics& metrics_;
     /// Whether connections close after their answer.
     std::atomic<bool> isStopping_ { false };
--- a/lib/Forward/RequestForwarder.cpp
+++ b/lib/Forward/RequestForwarder.cpp
@@ -220,7 +220,7 @@
             break;
         }
         auto choice = takeMoveTarget();
-        shape_.version_ = context_.rollouts_.assign(shape_.service_, routeKeyOf(route_->name_), sendCount_ ? RolloutBook::Send::Again : RolloutBook::Send::First, steadyNow());
+        shape_.version_ = context_.rollouts_.assign(shape_.service_, routeKeyOf(route_->name_), sendCount_ ? RolloutTracker::SendKind::Subsequent : RolloutTracker::SendKind::First, steadyNow());
         if (!choice)
             choice = context_.backends_.choose(shape_, excluded_, steadyNow());
         if (!choice) {
--- /dev/null
+++ b/lib/Rollout/RolloutController.cpp
@@ -0,0 +1,132 @@
+//===- lib/Rollout/RolloutController.cpp - decisions on one order ---------===//
+///
+/// \file
+/// See RolloutController.
+//===----------------------------------------------------------------------===//
+#include "pistachioloom/Rollout.h"
+
+#include <algorithm>
+#include <set>
+
+namespace pistachioloom {
+
+namespace {
+
+    // All nodes receive a share within this time, which covers three reports through relays.
+    constexpr milliseconds sharePropagation { 800 };
+    // Backend servers that do not run the target may be about to register.
+    constexpr milliseconds minTargetOnlyTime { 3000 };
+    // A route on which the other versions have fewer answers has too little traffic to
+    // require evidence on it.
+    constexpr std::uint64_t minRouteAnswers = 200;
+
+} // namespace
+
+RolloutController::RolloutController(RolloutSettings settings, RolloutState state, SteadyTime startedAt, std::uint64_t term, RolloutEvaluator evaluator)
+    : settings_(settings)
+    , state_(std::move(state))
+    , startedAt_(startedAt)
+    , evaluator_(std::move(evaluator))
+{
+    if (isFinal(state_.phase_))
+        return;
+    state_.term_ = term;
+    state_.step_ = 1;
+}
+
+SteadyTime RolloutController::at(double fractionOfPeriod) const
+{
+    return startedAt_ + milliseconds(static_cast<std::int64_t>(fractionOfPeriod * static_cast<double>(state_.order_.period_.count())));
+}
+
+void RolloutController::set(RolloutPhase phase, double share, std::string reason)
+{
+    if (state_.phase_ == phase && state_.share_ == share)
+        return;
+    state_.phase_ = phase;
+    state_.share_ = share;
+    ++state_.step_;
+    reason_ = std::move(reason);
+}
+
+void RolloutController::complete()
+{
+    set(RolloutPhase::Complete, 1, reason_);
+}
+
+void RolloutController::revert(std::string why)
+{
+    if (!isFinal(state_.phase_))
+        set(RolloutPhase::Reverted, 0, std::move(why));
+}
+
+/// Whether the target has enough answers in total, and on each route with traffic.
+bool RolloutController::hasEvidence(const RolloutTally& tally) const
+{
+    std::map<RouteKey, AnswerTally> stable;
+    std::map<RouteKey, AnswerTally> target;
+    for (const auto& [cell, answers] : tally.cells_)
+        (cell.first == stableBackendKey ? stable : target)[cell.second].answers_ += answers.answers_;
+    std::uint64_t answers = 0;
+    for (const auto& [route, counted] : target)
+        answers += counted.answers_;
+    return answers >= settings_.minAnswers_ && std::all_of(stable.begin(), stable.end(), [&](const auto& entry) {
+        return entry.second.answers_ < minRouteAnswers || target[entry.first].answers_ >= settings_.minAnswers_;
+    });
+}
+
+const RolloutState& RolloutController::adjust(const RolloutView& view, SteadyTime now)
+{
+    if (isFinal(state_.phase_))
+        return state_;
+    if (auto degradation = evaluator_(view.tally_, now)) {
+        revert(*degradation);
+        return state_;
+    }
+    // The order is for the version that already runs alone.
+    bool isTargetOnly = !view.stableServers_ && view.targetServers_;
+    if (!isTargetOnly)
+        targetOnlySince_ = SteadyTime {};
+    else if (targetOnlySince_ == SteadyTime {})
+        targetOnlySince_ = now;
+    if (isTargetOnly && now - targetOnlySince_ >= minTargetOnlyTime) {
+        set(RolloutPhase::Shifting, 1, "no other version runs");
+        isReadyToComplete_ = true;
+        return state_;
+    }
+    if (state_.phase_ == RolloutPhase::Trial)
+        adjustTrial(view, now);
+    else
+        adjustShift(view, now);
+    return state_;
+}
+
+void RolloutController::adjustTrial(const RolloutView& view, SteadyTime now)
+{
+    if (now >= at(settings_.decisionFraction_))
+        return revert("not decided within the period");
+    // Half of the constant allowance is kept for counts that are still to be reported.
+    double allowed = settings_.exposedShare_ * static_cast<double>(view.tally_.requests_) + settings_.exposedExtra_ / 2;
+    bool isWithinExposure = static_cast<double>(view.tally_.exposed_) < allowed;
+    if (!view.targetServers_ || !isWithinExposure)
+        return set(RolloutPhase::Trial, 0, view.targetServers_ ? "exposure limit is reached" : "no backend server of the target");
+    if (now >= at(settings_.trialFraction_) && hasEvidence(view.tally_)) {
+        shiftedAt_ = now;
+        return set(RolloutPhase::Shifting, 2 * settings_.trialShare_, "not worse during the trial");
+    }
+    set(RolloutPhase::Trial, settings_.trialShare_, "on trial");
+}
+
+void RolloutController::adjustShift(const RolloutView& view, SteadyTime now)
+{
+    if (state_.share_ < 1 && now - shiftedAt_ >= at(settings_.shiftStepFraction_) - startedAt_) {
+        shiftedAt_ = now;
+        return set(RolloutPhase::Shifting, std::min(1.0, 2 * state_.share_), "remaining requests are shifted");
+    }
+    if (state_.share_ < 1 || now - shiftedAt_ < sharePropagation)
+        return;
+    // Requests that still run at other versions are aborted when those stop.
+    isReadyToComplete_ = !view.stableRunning_ || now >= at(settings_.decisionFraction_);
+}
+
+} // namespace pistachioloom
--- a/unittests/Duties/SeatExplorationTest.cpp
+++ b/unittests/Duties/DutyLeaseExplorationTest.cpp
@@ -1,8 +1,9 @@
-//===- unittests/Duties/SeatExplorationTest.cpp - every schedule of two ----===//
+//===- unittests/Duties/DutyLeaseExplorationTest.cpp - all schedules ------===//
 ///
 /// \file
-/// Two nodes over one log of duties: every way in which they run, freeze, freeze
-/// between a record and its act, or do not hear each other, for five steps.
+/// Explores all schedules of two nodes that share a log, for five steps. In each step each
+/// node runs, runs without receiving the other's reports, is frozen, or freezes between a
+/// record and its act.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Duties.h"
 
@@ -19,7 +20,7 @@
 
 enum class Choice {
     Runs,
-    HearsNobody,
+    Partitioned,
     Frozen,
     FreezesBeforeActing,
 };
@@ -32,36 +33,36 @@
 };
 
 struct Participant {
-    DutySeat seat_;
-    /// The log's end as it knows it.
-    std::uint64_t end_ = 0;
-    /// When a record was begun whose act is still to come.
+    DutyLease lease_;
+    /// The log's end as this node knows it.
+    std::uint64_t knownEnd_ = 0;
+    /// When the node started to append a record whose act is still pending.
     std::optional<SteadyTime> recordedAt_;
 };
 
 struct World {
     std::vector<Participant> nodes_;
-    std::uint64_t log_ = 0;
+    std::uint64_t logEnd_ = 0;
     std::vector<Act> acts_;
 };
 
 World initialWorld()
 {
     DutyTiming timing;
-    timing.holderSilence_ = lease * 85 / 100;
+    timing.holderTimeout_ = lease * 85 / 100;
     timing.actAfterClaim_ = lease / 2 + milliseconds(100);
     timing.recordValidity_ = lease / 3;
     World world;
     for (const char* name : { "0", "1" })
-        world.nodes_.push_back({ DutySeat({ name }, timing, start), 0, std::nullopt });
+        world.nodes_.push_back({ DutyLease({ name }, timing, start), 0, std::nullopt });
     return world;
 }
 
 void act(World& world, int index, SteadyTime now)
 {
     Participant& node = world.nodes_[static_cast<std::size_t>(index)];
-    if (node.recordedAt_ && node.seat_.mayAct(*node.recordedAt_, now))
-        world.acts_.push_back({ index, node.seat_.token(), now });
+    if (node.recordedAt_ && node.lease_.mayAct(*node.recordedAt_, now))
+        world.acts_.push_back({ index, node.lease_.token(), now });
     node.recordedAt_.reset();
 }
 
@@ -71,25 +72,25 @@
         return;
     Participant& node = world.nodes_[static_cast<std::size_t>(index)];
     const Participant& peer = world.nodes_[static_cast<std::size_t>(1 - index)];
-    // What it was about to do when it froze comes first.
+    // An act that was pending when the node froze comes first.
     act(world, index, now);
-    if (choice != Choice::HearsNobody && peer.seat_.isHolder())
-        node.seat_.heardHolder({ std::to_string(1 - index) }, peer.seat_.token(), now);
-    if (node.seat_.shouldClaim(static_cast<std::size_t>(index), now)) {
-        node.end_ = ++world.log_;
-        return node.seat_.claimed({ node.end_ }, now);
+    if (choice != Choice::Partitioned && peer.lease_.isHolder())
+        node.lease_.noteHolder({ std::to_string(1 - index) }, peer.lease_.token(), now);
+    if (node.lease_.shouldClaim(static_cast<std::size_t>(index), now)) {
+        node.knownEnd_ = ++world.logEnd_;
+        return node.lease_.becomeHolder({ node.knownEnd_ }, now);
     }
-    if (!node.seat_.mayBegin(now))
+    if (!node.lease_.mayBegin(now))
         return;
-    if (node.end_ != world.log_)
-        return node.seat_.lost(now);
-    node.end_ = ++world.log_;
+    if (node.knownEnd_ != world.logEnd_)
+        return node.lease_.stepDown(now);
+    node.knownEnd_ = ++world.logEnd_;
     node.recordedAt_ = now;
     if (choice != Choice::FreezesBeforeActing)
         act(world, index, now);
 }
 
-/// Returns what is wrong with the order of acts, or nothing.
+/// Returns what is wrong with the order of acts, or an empty text.
 std::string problemOf(const std::vector<Act>& acts)
 {
     std::map<int, SteadyTime> lastOf;
@@ -98,7 +99,7 @@
         const Act& now = acts[i];
         lastOf[before.node_] = before.at_;
         if (now.token_ < before.token_)
-            return "a token falls";
+            return "the token decreases";
         if (now.node_ == before.node_)
             continue;
         if (now.token_ == before.token_)
@@ -134,7 +135,7 @@
             run(world, 1, static_cast<Choice>(rest % choices), at);
             rest /= choices;
         }
-        // Then both run undisturbed for two leases.
+        // Afterwards both nodes run without faults for two leases.
         for (int i = 0; i < 7; ++i, at += step) {
             run(world, 0, Choice::Runs, at);
             run(world, 1, Choice::Runs, at);
@@ -145,12 +146,12 @@
             FAIL(problem);
         }
         changes += world.acts_.back().node_ != settled.acts_.front().node_;
-        // Somebody holds the duties in the end.
+        // One of the nodes holds the duties at the end.
         if (at - world.acts_.back().at_ > 2 * step) {
             CAPTURE(schedule);
-            FAIL("nobody acts after both run again");
+            FAIL("no node acts after both run again");
         }
     }
-    // Schedules are worth something only if holders change.
+    // The check is vacuous unless the holder changes in enough schedules.
     CHECK(changes > schedules / 50);
 }
--- /dev/null
+++ b/unittests/Rollout/EvaluatorsTest.cpp
@@ -0,0 +1,263 @@
+//===- unittests/Rollout/EvaluatorsTest.cpp - simulated roll-outs ---------===//
+///
+/// \file
+/// Simulates seeded roll-outs of good and bad versions together with faults that affect all
+/// versions: single backend servers that fail, periods in which many answers are slow, and
+/// a varying load. `RolloutEvaluatorsTests [figures]` prints the results of both
+/// evaluators.
+//===----------------------------------------------------------------------===//
+#include "pistachioloom/Rollout.h"
+
+#include <catch2/catch.hpp>
+#include <cmath>
+#include <deque>
+#include <iomanip>
+#include <iostream>
+#include <random>
+
+using namespace pistachioloom;
+
+namespace {
+
+constexpr double period = 14;
+constexpr double tick = 0.15;
+// Delay in seconds until the nodes' counts reach the holder, and its share the nodes.
+constexpr double reportDelay = 0.6;
+constexpr double requestsPerSecond = 600;
+// Share of the requests on the first of two routes.
+constexpr double firstRouteShare = 0.86;
+constexpr std::size_t targetServers = 5;
+constexpr std::size_t stableServerCount = 60;
+// The bounds that the contract sets on a bad version.
+constexpr double exposedShare = 0.1;
+constexpr double exposedExtra = 50;
+constexpr std::uint64_t badTolerated = 50;
+constexpr double rollback = 5;
+
+enum class Fault {
+    None,
+    Immediate,
+    Later,
+    UnderLoad,
+    OneRoute,
+    Slow,
+    WrongBytes,
+};
+
+struct FaultRow {
+    Fault fault_;
+    const char* name_;
+};
+
+constexpr FaultRow faults[] = { { Fault::Immediate, "immediate" }, { Fault::Later, "later" }, { Fault::UnderLoad, "under load" }, { Fault::OneRoute, "one route" }, { Fault::Slow, "slow" }, { Fault::WrongBytes, "wrong bytes" } };
+
+/// One order, and the faults that occur in addition.
+class Simulation {
+public:
+    Simulation(Fault fault, std::uint64_t seed)
+        : random_(seed)
+        , fault_(fault)
+    {
+        badRate_ = draw(0.3, 0.6);
+        badFrom_ = fault == Fault::Later ? draw(1, 0.6 * period) : 0;
+        badRoute_ = draw(0, 1) < 0.5 ? 0 : 1;
+        if (draw(0, 1) < 0.4) {
+            slowFrom_ = draw(0, period);
+            slowUntil_ = slowFrom_ + draw(1, 4);
+            slowRate_ = draw(0.2, 0.6);
+        }
+        failFrom_ = draw(0, 1) < 0.4 ? draw(0, period) : period;
+        for (bool& isFailing : targetFails_)
+            isFailing = draw(0, 1) < 0.15;
+        phase_ = draw(0, 6.3);
+    }
+
+    double load(double now) const { return 1 + 0.4 * std::sin(phase_ + now * 6.28 / 8); }
+
+    /// Adds the requests of a step at the target's \p share to \p tally.
+    void step(double now, double share, RolloutTally& tally)
+    {
+        for (RouteKey route = 0; route < 2; ++route) {
+            double rate = requestsPerSecond * load(now) * tick * (route ? 1 - firstRouteShare : firstRouteShare);
+            std::uint64_t all = poisson(rate);
+            requests_[route] += all;
+            double onRoute = share < 0.1 ? shareOnRoute(share, route, requests_) : share;
+            std::uint64_t toTarget = std::binomial_distribution<std::uint64_t>(all, onRoute)(random_);
+            tally.requests_ += all;
+            tally.exposed_ += toTarget;
+            // 15 in 100 of the stable servers fail as well.
+            double stableBad = baselineBad(now) + (isFailTime(now) ? 0.15 * failRate : 0);
+            count(tally.cells_[{ stableBackendKey, route }], all - toTarget, stableBad);
+            std::uint64_t left = toTarget;
+            for (BackendKey server = 1; server <= targetServers; ++server) {
+                std::uint64_t here = server == targetServers ? left : std::binomial_distribution<std::uint64_t>(left, 1.0 / static_cast<double>(targetServers + 1 - server))(random_);
+                left -= here;
+                double serverRate = baselineBad(now) + (isFailTime(now) && targetFails_[server - 1] ? failRate : 0);
+                double versionRate = versionBad(now, route, share);
+                std::uint64_t bad = count(tally.cells_[{ server, route }], here, 1 - (1 - std::min(1.0, serverRate)) * (1 - versionRate));
+                if (versionRate > 0)
+                    badAnswers_ += bad;
+            }
+        }
+    }
+
+    std::uint64_t badAnswers() const { return badAnswers_; }
+
+private:
+    static constexpr double failRate = 0.4;
+
+    double draw(double low, double high) { return std::uniform_real_distribution<double>(low, high)(random_); }
+    std::uint64_t poisson(double mean) { return std::poisson_distribution<std::uint64_t>(mean)(random_); }
+    bool isFailTime(double now) const { return now >= failFrom_ && now < failFrom_ + 6; }
+    double baselineBad(double now) const { return 0.02 + (now >= slowFrom_ && now < slowUntil_ ? slowRate_ : 0); }
+
+    double versionBad(double now, RouteKey route, double share) const
+    {
+        switch (fault_) {
+        case Fault::None:
+            return 0;
+        case Fault::Immediate:
+        case Fault::Slow:
+        case Fault::WrongBytes:
+            return badRate_;
+        case Fault::Later:
+            return now >= badFrom_ ? badRate_ : 0;
+        case Fault::UnderLoad:
+            return load(now) > 1.15 || share > 0.5 ? badRate_ : 0;
+        case Fault::OneRoute:
+            return route == badRoute_ ? badRate_ : 0;
+        }
+        return 0;
+    }
+
+    std::uint64_t count(AnswerTally& tally, std::uint64_t answers, double badRate)
+    {
+        std::uint64_t bad = std::binomial_distribution<std::uint64_t>(answers, std::min(1.0, badRate))(random_);
+        tally.answers_ += answers;
+        tally.bad_ += bad;
+        return bad;
+    }
+
+    std::mt19937_64 random_;
+    RouteRequests requests_;
+    Fault fault_;
+    double badRate_ = 0;
+    double badFrom_ = 0;
+    RouteKey badRoute_ = 0;
+    double slowFrom_ = period + 1;
+    double slowUntil_ = period + 1;
+    double slowRate_ = 0;
+    double failFrom_ = 0;
+    double phase_ = 0;
+    bool targetFails_[targetServers] {};
+    std::uint64_t badAnswers_ = 0;
+};
+
+struct Outcome {
+    bool isReverted_ = false;
+    double at_ = 0;
+    double exposedOverBound_ = 0;
+    /// Requests to the target that come later after the 50th bad answer than the roll-back
+    /// time allows.
+    std::uint64_t afterRollback_ = 0;
+};
+
+Outcome simulate(Fault fault, std::uint64_t seed, RolloutEvaluator evaluator)
+{
+    Simulation simulation(fault, seed);
+    const SteadyTime start { milliseconds(1000000) };
+    auto at = [&](double seconds) { return start + milliseconds(static_cast<std::int64_t>(seconds * 1000)); };
+    RolloutOrder order { { 1 }, { "s" }, { "v2" }, milliseconds(static_cast<std::int64_t>(period * 1000)) };
+    RolloutController controller({}, { order, RolloutPhase::Trial, 0, 0, 0 }, start, 1, std::move(evaluator));
+    std::deque<RolloutTally> tallies;
+    std::deque<double> shares;
+    RolloutTally tally { { 1 }, 0, 0, {} };
+    Outcome outcome;
+    double fiftiethAt = 1000;
+    const auto delay = static_cast<std::size_t>(reportDelay / tick);
+    for (double now = 0; now < period; now += tick) {
+        shares.push_back(controller.state().share_);
+        double share = shares.size() > delay ? shares[shares.size() - 1 - delay] : 0;
+        std::uint64_t exposedBefore = tally.exposed_;
+        simulation.step(now, share, tally);
+        if (now > fiftiethAt + rollback)
+            outcome.afterRollback_ += tally.exposed_ - exposedBefore;
+        if (simulation.badAnswers() >= badTolerated)
+            fiftiethAt = std::min(fiftiethAt, now);
+        tallies.push_back(tally);
+        if (tallies.size() > delay + 1)
+            tallies.pop_front();
+        controller.adjust({ tallies.front(), targetServers, stableServerCount, share >= 1 ? 0U : 50U }, at(now));
+        bool isOver = isFinal(controller.state().phase_);
+        outcome.isReverted_ |= controller.state().phase_ == RolloutPhase::Reverted;
+        if (controller.isReadyToComplete() && !isOver) {
+            controller.complete();
+            isOver = true;
+        }
+        if (isOver && outcome.at_ == 0)
+            outcome.at_ = now;
+    }
+    outcome.exposedOverBound_ = static_cast<double>(tally.exposed_) - exposedShare * static_cast<double>(tally.requests_) - exposedExtra;
+    return outcome;
+}
+
+struct Summary {
+    int reverted_ = 0;
+    int overBound_ = 0;
+    int afterRollback_ = 0;
+    double meanAt_ = 0;
+};
+
+Summary simulateAll(Fault fault, int orders, const std::function<RolloutEvaluator()>& makeEvaluator)
+{
+    Summary summary;
+    for (int i = 0; i < orders; ++i) {
+        Outcome outcome = simulate(fault, static_cast<std::uint64_t>(i) + 1, makeEvaluator());
+        summary.reverted_ += outcome.isReverted_;
+        summary.overBound_ += outcome.exposedOverBound_ > 0;
+        summary.afterRollback_ += outcome.afterRollback_ > 0;
+        summary.meanAt_ += outcome.at_ / orders;
+    }
+    return summary;
+}
+
+constexpr int orders = 1000;
+
+} // namespace
+
+TEST_CASE("good versions are not reverted for faults that affect all versions", "[rollout]")
+{
+    Summary good = simulateAll(Fault::None, orders, makeSequentialEvaluator);
+    CHECK(good.reverted_ < orders / 100);
+    CHECK(good.meanAt_ < period);
+}
+
+TEST_CASE("bad versions get no more requests than the bound, and none after the roll-back time", "[rollout]")
+{
+    for (const FaultRow& row : faults) {
+        CAPTURE(row.name_);
+        Summary bad = simulateAll(row.fault_, orders, makeSequentialEvaluator);
+        CHECK(bad.reverted_ == orders);
+        CHECK(bad.overBound_ == 0);
+        CHECK(bad.afterRollback_ == 0);
+    }
+}
+
+TEST_CASE("results of both evaluators", "[.figures]")
+{
+    struct Method {
+        const char* name_;
+        RolloutEvaluator (*make_)();
+    };
+    const Method methods[] = { { "sequential", makeSequentialEvaluator }, { "threshold", makeThresholdEvaluator } };
+    std::cout << "evaluator   version      reverted  over the bound  after roll-back  mean time of the decision\n";
+    for (const Method& method : methods) {
+        auto show = [&](const char* name, Fault fault) {
+            Summary summary = simulateAll(fault, orders, method.make_);
+            std::cout << std::left << std::setw(12) << method.name_ << std::setw(13) << name << std::setw(10) << summary.reverted_ << std::setw(16) << summary.overBound_ << std::setw(17) << summary.afterRollback_ << std::setprecision(3) << summary.meanAt_ << " s\n";
+        };
+        show("good", Fault::None);
+        for (const FaultRow& row : faults)
+            show(row.name_, row.fault_);
+    }
+}
