--- a/include/pistachioloom/Catalogue.h
+++ b/include/pistachioloom/Catalogue.h
@@ -35,8 +35,8 @@
     milliseconds latencyTarget_ {};
 
     /// Without a limit the rate is the largest that can be stated.
-    static constexpr std::uint64_t mostTokensPerSecond = 100000000;
-    bool hasTokenLimit() const { return tokensPerSecond_ && tokensPerSecond_ < mostTokensPerSecond; }
+    static constexpr std::uint64_t maxTokensPerSecond = 100000000;
+    bool hasTokenLimit() const { return tokensPerSecond_ && tokensPerSecond_ < maxTokensPerSecond; }
 };
 
 /// A customer's use of the system.
@@ -80,7 +80,7 @@
     /// What the engines are brought to; nullopt leaves them as they are.
     std::optional<EngineConfiguration> configuration_;
     /// Engines of one data centre that may be away for a load at once.
-    std::uint64_t mostLoading_ = 1;
+    std::uint64_t maxLoading_ = 1;
 };
 
 /// One entry: either a workload or a backend.
@@ -151,7 +151,7 @@
 
     LogOffset nextOffset() const { return view_.nextOffset_; }
     /// Where to read the log on: past the records that wait for a snapshot.
-    LogOffset readFrom() const;
+    LogOffset nextReadOffset() const;
     const CatalogueView& view() const { return view_; }
     /// Whether records wait for a snapshot.
     bool hasGap() const { return !pending_.empty(); }
@@ -172,7 +172,7 @@
     void applyEdit(LogOffset offset, const CatalogueEdit& edit);
     void rememberOutcome(const EditId& edit, const EditOutcome& outcome);
     void rememberRecord(LogOffset offset, const std::string& record);
-    bool adopt(const std::string& snapshot, LogOffset leastAsOf);
+    bool adopt(const std::string& snapshot, LogOffset minAsOf);
     void replayPending();
     void rebuildIndex();
 
@@ -180,7 +180,7 @@
     std::map<EditId, EditOutcome> outcomes_;
     std::deque<EditId> outcomeOrder_;
     std::deque<CatalogueChange> history_;
-    std::deque<std::pair<LogOffset, std::string>> recent_;
+    std::deque<std::pair<LogOffset, std::string>> recentRecords_;
     std::deque<Pending> pending_;
     LogOffset lastSnapshot_;
 };
--- a/include/pistachioloom/Ledger.h
+++ b/include/pistachioloom/Ledger.h
@@ -126,7 +126,7 @@
     void logRead(const LedgerShard& shard);
     void logReadFailed(Error error);
     /// Too much time passed since the intent for a dispatch to be wise.
-    void dispatchTooLate();
+    void intentExpired();
     void dispatched(CallOutcome outcome);
     /// `ran_` of \p error tells whether the call may have run.
     void dispatchFailed(Error error);
@@ -134,7 +134,7 @@
     void recordWritten();
 
 private:
-    void giveUp(Error error);
+    void release(Error error);
 
     CallKey key_;
     AttemptId attempt_;
--- a/include/pistachioloom/Membership.h
+++ b/include/pistachioloom/Membership.h
@@ -88,22 +88,22 @@
     std::uint64_t version() const { return version_; }
 
 private:
-    struct Line {
+    struct StoredVm {
         std::string text_;
         Vm vm_;
-        std::uint64_t changedAt_ = 0;
+        std::uint64_t changedVersion_ = 0;
     };
 
     void put(const std::string& text, std::uint64_t version);
     void remove(const VmId& vm, std::uint64_t version);
-    void forgetOldest();
+    void forgetOldestVersion();
 
-    std::map<VmId, Line> lines_;
+    std::map<VmId, StoredVm> storedVms_;
     std::map<VmId, std::uint64_t> removed_;
     std::uint64_t version_ = 0;
     /// Versions at which we had the list. Who is at another one may know of a VM
     /// that came and went without our notice, and needs the whole list.
-    std::set<std::uint64_t> passed_;
+    std::set<std::uint64_t> seenVersions_;
 };
 
 /// The load of one model at one home, as others hear of it.
@@ -112,7 +112,7 @@
     std::uint32_t queued_ = 0;
     milliseconds wait_ {};
     /// Slots held by trials, which yield to paid work.
-    std::uint32_t trials_ = 0;
+    std::uint32_t trialSlots_ = 0;
 };
 
 /// What one node says of itself.
@@ -150,7 +150,7 @@
     /// the same time.
     void expect(const std::vector<VmId>& nodes, SteadyTime now);
     /// Advances our own heartbeat.
-    void beat() { ++self_.heartbeat_; }
+    void advanceHeartbeat() { ++self_.heartbeat_; }
     /// Takes what another node told. \returns whether any of it was news.
     bool merge(const std::vector<NodeDigest>& digests, SteadyTime now);
     /// All that is known, to be told to another node.
@@ -163,14 +163,14 @@
     void forgetOld(SteadyTime now);
 
 private:
-    struct Heard {
+    struct PeerState {
         NodeDigest digest_;
-        SteadyTime at_;
+        SteadyTime updatedAt_;
     };
 
     NodeDigest self_;
     milliseconds suspectAfter_;
-    std::map<VmId, Heard> heard_;
+    std::map<VmId, PeerState> peers_;
 };
 
 /// Which VMs are known to be leaving, whatever the list still says.
@@ -188,8 +188,8 @@
     std::optional<SteadyTime> stopsAt(const VmId& vm) const;
     /// When we first heard that \p vm leaves.
     std::optional<SteadyTime> markedAt(const VmId& vm) const;
-    /// Forgets what was marked longer than \p kept ago.
-    void forgetOld(milliseconds kept, SteadyTime now);
+    /// Forgets what was marked longer than \p retention ago.
+    void forgetOld(milliseconds retention, SteadyTime now);
     const std::map<VmId, Leaving>& all() const { return leaving_; }
 
 private:
@@ -201,7 +201,7 @@
     std::uint64_t version_ = 0;
     std::map<VmId, Vm> vms_;
     /// Backend servers by what they serve.
-    std::map<std::string, std::vector<VmId>, std::less<>> byServed_;
+    std::map<std::string, std::vector<VmId>, std::less<>> serversByName_;
     /// Entry VMs by data centre; its keys are all data centres with any.
     std::map<DataCentreId, std::vector<VmId>> entryVms_;
 };
@@ -231,7 +231,7 @@
 };
 
 /// Where a record lives whose replica is sought.
-struct ReplicaPlace {
+struct RecordLocation {
     VmId node_;
     DataCentreId dataCentre_;
     RegionId region_;
@@ -241,7 +241,7 @@
 /// region, since the copy is waited for; then other regions, since a whole data
 /// centre may go at once; our own data centre last. A list without regions
 /// counts as one region.
-std::vector<VmId> rankReplicas(const MembershipView& view, const ReplicaPlace& place, const std::string& key, const std::set<VmId>& excluded);
+std::vector<VmId> rankReplicas(const MembershipView& view, const RecordLocation& location, const std::string& key, const std::set<VmId>& excluded);
 
 /// Puts the sources together. A node takes roles if it is us, or the list has
 /// it, gossip does not suspect it and nobody says that it leaves.
--- a/include/pistachioloom/Orders.h
+++ b/include/pistachioloom/Orders.h
@@ -90,7 +90,7 @@
     /// Of the claim table, read up to the log's end; nullptr for none.
     const ClaimTable::Holder* holder_ = nullptr;
     std::size_t ahead_ = 0;
-    std::size_t mostLoading_ = 1;
+    std::size_t maxLoading_ = 1;
     /// When the append of our claim began.
     SteadyTime claimedAt_;
     /// When our last order was given, if it asked for `wanted_`.
--- a/lib/Catalogue/Entry.cpp
+++ b/lib/Catalogue/CatalogueEntry.cpp
@@ -1,4 +1,4 @@
-//===- lib/Catalogue/Entry.cpp - parsing of catalogue entries --------------===//
+//===- lib/Catalogue/CatalogueEntry.cpp - parsing of catalogue entries --------------===//
 ///
 /// \file
 /// The one parser of entries, used by the tool before it sends an edit and by
@@ -10,34 +10,34 @@
 
 namespace {
 
-    constexpr std::uint64_t mostRequests = 1000000;
-    constexpr std::uint64_t mostTokensPerSecond = EntryLimits::mostTokensPerSecond;
-    constexpr std::uint64_t mostWeight = 1000;
-    constexpr std::uint64_t mostPriority = 9;
-    constexpr std::uint64_t mostConcurrency = 4096;
-    constexpr std::uint64_t mostLoading = 1000;
-    constexpr std::size_t longestName = 64;
+    constexpr std::uint64_t maxRequests = 1000000;
+    constexpr std::uint64_t maxTokensPerSecond = EntryLimits::maxTokensPerSecond;
+    constexpr std::uint64_t maxWeight = 1000;
+    constexpr std::uint64_t maxPriority = 9;
+    constexpr std::uint64_t maxConcurrency = 4096;
+    constexpr std::uint64_t maxLoading = 1000;
+    constexpr std::size_t maxNameLength = 64;
     constexpr std::size_t hashLength = 64;
-    constexpr milliseconds leastDeadline { 10 };
-    constexpr milliseconds mostDeadline { 24LL * 3600 * 1000 };
+    constexpr milliseconds minDeadline { 10 };
+    constexpr milliseconds maxDeadline { 24LL * 3600 * 1000 };
     constexpr milliseconds defaultDeadline { 600000 };
     constexpr milliseconds defaultLatencyTarget { 720 };
 
     bool isName(const std::string& text)
     {
         constexpr std::string_view allowed = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.";
-        return !text.empty() && text.size() <= longestName && text.find_first_not_of(allowed) == std::string::npos;
+        return !text.empty() && text.size() <= maxNameLength && text.find_first_not_of(allowed) == std::string::npos;
     }
 
     EntryLimits parseLimits(YamlMap map)
     {
         EntryLimits limits;
-        limits.requestsInProgress_ = map.integer("requests_in_progress", 1, mostRequests);
-        limits.tokensPerSecond_ = map.integer("tokens_per_second", 1, mostTokensPerSecond, mostTokensPerSecond);
-        limits.burst_ = map.integer("burst", 1, mostTokensPerSecond, limits.tokensPerSecond_);
-        limits.queueBound_ = map.integer("queue_bound", 0, mostRequests, 0);
-        limits.deadline_ = map.duration("deadline", leastDeadline, mostDeadline, defaultDeadline);
-        limits.latencyTarget_ = map.duration("latency_target", milliseconds(1), mostDeadline, defaultLatencyTarget);
+        limits.requestsInProgress_ = map.integer("requests_in_progress", 1, maxRequests);
+        limits.tokensPerSecond_ = map.integer("tokens_per_second", 1, maxTokensPerSecond, maxTokensPerSecond);
+        limits.burst_ = map.integer("burst", 1, maxTokensPerSecond, limits.tokensPerSecond_);
+        limits.queueBound_ = map.integer("queue_bound", 0, maxRequests, 0);
+        limits.deadline_ = map.duration("deadline", minDeadline, maxDeadline, defaultDeadline);
+        limits.latencyTarget_ = map.duration("latency_target", milliseconds(1), maxDeadline, defaultLatencyTarget);
         map.finish();
         return limits;
     }
@@ -56,18 +56,18 @@
             map.fail("models", "expected at least one model or service");
         if (auto limits = map.map("limits", true))
             workload.limits_ = parseLimits(std::move(*limits));
-        workload.weight_ = map.integer("weight", 1, mostWeight, 1);
-        workload.priority_ = map.integer("priority", 0, mostPriority, 0);
+        workload.weight_ = map.integer("weight", 1, maxWeight, 1);
+        workload.priority_ = map.integer("priority", 0, maxPriority, 0);
         return workload;
     }
 
     void parseEngine(YamlMap& map, Backend& backend)
     {
         backend.honoursFencing_ = map.flag("honours_fencing", false);
-        backend.paidReserve_ = map.integer("paid_reserve", 0, mostConcurrency, 0);
+        backend.paidReserve_ = map.integer("paid_reserve", 0, maxConcurrency, 0);
         if (backend.paidReserve_ && backend.paidReserve_ >= backend.concurrency_)
             map.fail("paid_reserve", "expected less than 'concurrency'");
-        backend.mostLoading_ = map.integer("most_loading", 1, mostLoading, 1);
+        backend.maxLoading_ = map.integer("most_loading", 1, maxLoading, 1);
         EngineConfiguration configuration { map.text("version", ""), map.list("adapters"), map.text("role", "") };
         if (!configuration.version_.empty())
             backend.configuration_ = std::move(configuration);
@@ -79,7 +79,7 @@
     {
         Backend backend;
         backend.kind_ = kind;
-        backend.concurrency_ = map.integer("concurrency", 1, mostConcurrency);
+        backend.concurrency_ = map.integer("concurrency", 1, maxConcurrency);
         if (kind == Backend::Kind::Service)
             backend.isRepeatable_ = map.flag("repeatable");
         else
--- a/lib/Catalogue/CatalogueState.cpp
+++ b/lib/Catalogue/CatalogueState.cpp
@@ -14,10 +14,10 @@
 
 namespace {
 
-    constexpr std::size_t mostOutcomes = 4096;
-    constexpr std::size_t mostOutcomesInSnapshot = 256;
-    constexpr std::size_t mostHistory = 1024;
-    constexpr std::size_t mostRecent = 1024;
+    constexpr std::size_t maxOutcomes = 4096;
+    constexpr std::size_t maxOutcomesInSnapshot = 256;
+    constexpr std::size_t maxHistory = 1024;
+    constexpr std::size_t maxRecentRecords = 1024;
 
     struct Record {
         std::optional<CatalogueEdit> edit_;
@@ -86,7 +86,7 @@
     }
 }
 
-LogOffset CatalogueState::readFrom() const
+LogOffset CatalogueState::nextReadOffset() const
 {
     if (pending_.empty())
         return view_.nextOffset_;
@@ -113,8 +113,8 @@
     LogOffset currentVersion = current ? current->version_ : LogOffset {};
     InputErrors errors;
     auto parsed = edit.body_.empty() ? std::nullopt : parseEntry(edit.body_, "record", errors);
-    bool isReadable = edit.body_.empty() || (parsed && parsed->name_ == edit.entry_);
-    if (edit.baseVersion_ != currentVersion || !isReadable) {
+    bool isValid = edit.body_.empty() || (parsed && parsed->name_ == edit.entry_);
+    if (edit.baseVersion_ != currentVersion || !isValid) {
         rememberOutcome(edit.id_, { false, currentVersion });
         return;
     }
@@ -128,7 +128,7 @@
     }
     rememberOutcome(edit.id_, { true, version });
     history_.push_back({ edit.entry_, { offset.value_ + 1 }, edit.id_, edit.body_.empty() });
-    if (history_.size() > mostHistory)
+    if (history_.size() > maxHistory)
         history_.pop_front();
     rebuildIndex();
 }
@@ -147,7 +147,7 @@
     if (!outcomes_.emplace(edit, outcome).second)
         return;
     outcomeOrder_.push_back(edit);
-    if (outcomeOrder_.size() <= mostOutcomes)
+    if (outcomeOrder_.size() <= maxOutcomes)
         return;
     outcomes_.erase(outcomeOrder_.front());
     outcomeOrder_.pop_front();
@@ -155,9 +155,9 @@
 
 void CatalogueState::rememberRecord(LogOffset offset, const std::string& record)
 {
-    recent_.emplace_back(offset, record);
-    if (recent_.size() > mostRecent)
-        recent_.pop_front();
+    recentRecords_.emplace_back(offset, record);
+    if (recentRecords_.size() > maxRecentRecords)
+        recentRecords_.pop_front();
 }
 
 std::optional<EditOutcome> CatalogueState::outcomeOf(const EditId& edit) const
@@ -171,9 +171,9 @@
     std::vector<std::pair<LogOffset, std::string>> records;
     if (offset >= view_.nextOffset_)
         return records;
-    if (recent_.empty() || recent_.front().first > offset)
+    if (recentRecords_.empty() || recentRecords_.front().first > offset)
         return std::nullopt;
-    for (const auto& item : recent_) {
+    for (const auto& item : recentRecords_) {
         if (item.first >= offset)
             records.push_back(item);
     }
@@ -186,7 +186,7 @@
     for (const auto& [name, entry] : view_.entries_)
         entries.push_back(json::object { { "name", name.value_ }, { "version", entry->version_.value_ }, { "body", entry->text_ } });
     json::array edits;
-    std::size_t skipped = outcomeOrder_.size() > mostOutcomesInSnapshot ? outcomeOrder_.size() - mostOutcomesInSnapshot : 0;
+    std::size_t skipped = outcomeOrder_.size() > maxOutcomesInSnapshot ? outcomeOrder_.size() - maxOutcomesInSnapshot : 0;
     for (std::size_t i = skipped; i < outcomeOrder_.size(); ++i) {
         const EditOutcome& outcome = outcomes_.at(outcomeOrder_[i]);
         edits.push_back(json::object { { "edit", outcomeOrder_[i].value_ }, { "accepted", outcome.isAccepted_ }, { "version", outcome.currentVersion_.value_ } });
@@ -207,13 +207,13 @@
     return true;
 }
 
-bool CatalogueState::adopt(const std::string& snapshot, LogOffset leastAsOf)
+bool CatalogueState::adopt(const std::string& snapshot, LogOffset minAsOf)
 {
     auto object = parseJsonObject(snapshot);
     if (!object)
         return false;
     LogOffset asOf { numberField(*object, "as_of") };
-    if (asOf < leastAsOf || asOf <= view_.nextOffset_ || !arrayField(*object, "entries"))
+    if (asOf < minAsOf || asOf <= view_.nextOffset_ || !arrayField(*object, "entries"))
         return false;
     std::map<EntryName, std::shared_ptr<const CatalogueEntry>> adopted;
     for (const json::object& item : objectsField(*object, "entries")) {
@@ -227,7 +227,7 @@
     }
     view_.entries_ = std::move(adopted);
     view_.nextOffset_ = asOf;
-    recent_.clear();
+    recentRecords_.clear();
     rebuildIndex();
     for (const json::object& edit : objectsField(*object, "edits"))
         rememberOutcome({ textField(edit, "edit") }, { flagField(edit, "accepted"), { numberField(edit, "version") } });
--- a/lib/Ledger/RunOnceCall.cpp
+++ b/lib/Ledger/RunOnceCall.cpp
@@ -54,7 +54,7 @@
     step_ = Step::ReadLog;
 }
 
-void RunOnceCall::giveUp(Error error)
+void RunOnceCall::release(Error error)
 {
     failure_ = std::move(error);
     failure_.ran_ = Ran::No;
@@ -65,13 +65,13 @@
 void RunOnceCall::intentFailed(Error error)
 {
     assert(step_ == Step::AppendIntent && "only an intent can fail here");
-    giveUp(std::move(error));
+    release(std::move(error));
 }
 
 void RunOnceCall::logReadFailed(Error error)
 {
     assert(step_ == Step::ReadLog && "only a read can fail here");
-    giveUp(std::move(error));
+    release(std::move(error));
 }
 
 void RunOnceCall::logRead(const LedgerShard& shard)
@@ -82,7 +82,7 @@
     const CallState* state = shard.find(key_);
     if (!state) {
         // The intent itself was trimmed before it was read.
-        giveUp({ Errc::Unavailable, "read ledger", {}, "the log no longer keeps the intent", Ran::No, {} });
+        release({ Errc::Unavailable, "read ledger", {}, "the log no longer keeps the intent", Ran::No, {} });
         return;
     }
     if (state->holder_ == attempt_) {
@@ -101,10 +101,10 @@
     answer_ = Answer::Replayed;
 }
 
-void RunOnceCall::dispatchTooLate()
+void RunOnceCall::intentExpired()
 {
     assert(step_ == Step::Dispatch && "only a call about to run can be too late");
-    giveUp({ Errc::Timeout, "dispatch", {}, "too long between intent and dispatch", Ran::No, {} });
+    release({ Errc::Timeout, "dispatch", {}, "too long between intent and dispatch", Ran::No, {} });
 }
 
 void RunOnceCall::dispatched(CallOutcome outcome)
@@ -119,7 +119,7 @@
 {
     assert(step_ == Step::Dispatch && "only a dispatch can fail here");
     if (error.ran_ == Ran::No) {
-        giveUp(std::move(error));
+        release(std::move(error));
         return;
     }
     failure_ = std::move(error);
--- a/lib/Membership/Gossip.cpp
+++ b/lib/Membership/Gossip.cpp
@@ -15,8 +15,8 @@
 
     // Silent nodes are told of no more after this many suspicion times, and
     // forgotten after twice as many.
-    constexpr int quietAfter = 2;
-    constexpr int forgetAfter = 20;
+    constexpr int forwardingFactor = 2;
+    constexpr int retentionFactor = 20;
 
 } // namespace
 
@@ -39,43 +39,43 @@
 
 bool GossipTable::merge(const std::vector<NodeDigest>& digests, SteadyTime now)
 {
-    bool isNews = false;
+    bool isUpdate = false;
     for (const NodeDigest& digest : digests) {
         if (digest.node_ == self_.node_)
             continue;
-        auto found = heard_.find(digest.node_);
-        if (found != heard_.end() && !digest.isNewerThan(found->second.digest_))
+        auto found = peers_.find(digest.node_);
+        if (found != peers_.end() && !digest.isNewerThan(found->second.digest_))
             continue;
         NodeDigest merged = digest;
-        if (!digest.isFirstHand_ && found != heard_.end()) {
+        if (!digest.isFirstHand_ && found != peers_.end()) {
             merged.catalogueOffset_ = found->second.digest_.catalogueOffset_;
             merged.vmListVersion_ = found->second.digest_.vmListVersion_;
             merged.loads_ = found->second.digest_.loads_;
         }
-        heard_[digest.node_] = { std::move(merged), now };
-        isNews = true;
+        peers_[digest.node_] = { std::move(merged), now };
+        isUpdate = true;
     }
-    return isNews;
+    return isUpdate;
 }
 
 void GossipTable::expect(const std::vector<VmId>& nodes, SteadyTime now)
 {
     for (const VmId& node : nodes) {
-        if (node == self_.node_ || heard_.contains(node))
+        if (node == self_.node_ || peers_.contains(node))
             continue;
-        NodeDigest unheard;
-        unheard.node_ = node;
-        heard_[node] = { unheard, now };
+        NodeDigest unseen;
+        unseen.node_ = node;
+        peers_[node] = { unseen, now };
     }
 }
 
 std::vector<NodeDigest> GossipTable::digests(SteadyTime now) const
 {
     std::vector<NodeDigest> known { self_ };
-    for (const auto& [node, heard] : heard_) {
-        bool wasHeard = heard.digest_.incarnation_;
-        if (wasHeard && now - heard.at_ < suspectAfter_ * quietAfter)
-            known.push_back(heard.digest_);
+    for (const auto& [node, peer] : peers_) {
+        bool wasReceived = peer.digest_.incarnation_;
+        if (wasReceived && now - peer.updatedAt_ < suspectAfter_ * forwardingFactor)
+            known.push_back(peer.digest_);
     }
     return known;
 }
@@ -83,23 +83,23 @@
 std::vector<NodeDigest> GossipTable::live(SteadyTime now) const
 {
     std::vector<NodeDigest> known;
-    for (const auto& [node, heard] : heard_) {
-        bool wasHeard = heard.digest_.incarnation_;
-        if (wasHeard && now - heard.at_ < suspectAfter_)
-            known.push_back(heard.digest_);
+    for (const auto& [node, peer] : peers_) {
+        bool wasReceived = peer.digest_.incarnation_;
+        if (wasReceived && now - peer.updatedAt_ < suspectAfter_)
+            known.push_back(peer.digest_);
     }
     return known;
 }
 
 bool GossipTable::isSuspected(const VmId& node, SteadyTime now) const
 {
-    auto found = heard_.find(node);
-    return found != heard_.end() && now - found->second.at_ >= suspectAfter_;
+    auto found = peers_.find(node);
+    return found != peers_.end() && now - found->second.updatedAt_ >= suspectAfter_;
 }
 
 void GossipTable::forgetOld(SteadyTime now)
 {
-    std::erase_if(heard_, [&](const auto& item) { return now - item.second.at_ > suspectAfter_ * forgetAfter; });
+    std::erase_if(peers_, [&](const auto& item) { return now - item.second.updatedAt_ > suspectAfter_ * retentionFactor; });
 }
 
 const Vm* MembershipView::find(const VmId& vm) const
@@ -111,8 +111,8 @@
 std::vector<VmId> MembershipView::serversOf(std::string_view name, const DataCentreId& dataCentre) const
 {
     std::vector<VmId> servers;
-    auto found = index_->byServed_.find(name);
-    if (found == index_->byServed_.end())
+    auto found = index_->serversByName_.find(name);
+    if (found == index_->serversByName_.end())
         return servers;
     for (const VmId& id : found->second) {
         if (isLeaving(id) || (!dataCentre.isEmpty() && find(id)->dataCentre_ != dataCentre))
@@ -151,17 +151,17 @@
     return nodes;
 }
 
-std::vector<VmId> rankReplicas(const MembershipView& view, const ReplicaPlace& place, const std::string& key, const std::set<VmId>& excluded)
+std::vector<VmId> rankReplicas(const MembershipView& view, const RecordLocation& location, const std::string& key, const std::set<VmId>& excluded)
 {
     std::vector<VmId> sameRegion;
     std::vector<VmId> otherRegions;
     std::vector<VmId> sameDataCentre;
     for (const VmId& node : view.allNodes()) {
         const Vm* vm = view.find(node);
-        if (!vm || node == place.node_ || excluded.contains(node))
+        if (!vm || node == location.node_ || excluded.contains(node))
             continue;
-        bool isSameRegion = vm->region_.isEmpty() || place.region_.isEmpty() || vm->region_ == place.region_;
-        if (vm->dataCentre_ == place.dataCentre_)
+        bool isSameRegion = vm->region_.isEmpty() || location.region_.isEmpty() || vm->region_ == location.region_;
+        if (vm->dataCentre_ == location.dataCentre_)
             sameDataCentre.push_back(node);
         else
             (isSameRegion ? sameRegion : otherRegions).push_back(node);
--- a/lib/Membership/VmList.cpp
+++ b/lib/Membership/VmList.cpp
@@ -15,7 +15,7 @@
 namespace {
 
     // Changes are known since so many versions.
-    constexpr std::size_t mostPassed = 1024;
+    constexpr std::size_t maxSeenVersions = 1024;
 
     std::optional<Vm::Kind> kindFrom(const std::string& name)
     {
@@ -82,15 +82,15 @@
     if (!vm)
         return;
     removed_.erase(vm->id_);
-    Line& line = lines_[vm->id_];
-    if (line.text_ == text)
+    StoredVm& stored = storedVms_[vm->id_];
+    if (stored.text_ == text)
         return;
-    line = { text, std::move(*vm), version };
+    stored = { text, std::move(*vm), version };
 }
 
 void VmListStore::remove(const VmId& vm, std::uint64_t version)
 {
-    lines_.erase(vm);
+    storedVms_.erase(vm);
     removed_[vm] = version;
 }
 
@@ -102,60 +102,60 @@
     std::uint64_t version = numberField(*object, "version");
     if (version <= version_)
         return false;
-    VmListChanges whole { version, 0, {}, {}, 0 };
+    VmListChanges fullList { version, 0, {}, {}, 0 };
     for (const json::object& item : objectsField(*object, "vms"))
-        whole.changed_.push_back(json::serialize(item));
-    return adoptChanges(whole);
+        fullList.changed_.push_back(json::serialize(item));
+    return adoptChanges(fullList);
 }
 
 bool VmListStore::adoptChanges(const VmListChanges& changes)
 {
     if (changes.version_ <= version_ || (changes.base_ && changes.base_ != version_))
         return false;
-    std::set<VmId> gone;
+    std::set<VmId> removed;
     if (!changes.base_) {
-        for (const auto& [id, line] : lines_)
-            gone.insert(id);
+        for (const auto& [id, stored] : storedVms_)
+            removed.insert(id);
     }
     for (const std::string& text : changes.changed_) {
         put(text, changes.version_);
         if (auto object = parseJsonObject(text))
-            gone.erase({ textField(*object, "id") });
+            removed.erase({ textField(*object, "id") });
     }
-    gone.insert(changes.removed_.begin(), changes.removed_.end());
-    for (const VmId& vm : gone)
+    removed.insert(changes.removed_.begin(), changes.removed_.end());
+    for (const VmId& vm : removed)
         remove(vm, changes.version_);
     if (changes.hash_ && changes.hash_ != hash()) {
         version_ = 0;
-        passed_.clear();
+        seenVersions_.clear();
         return true;
     }
     version_ = changes.version_;
-    passed_.insert(version_);
-    if (passed_.size() > mostPassed)
-        forgetOldest();
+    seenVersions_.insert(version_);
+    if (seenVersions_.size() > maxSeenVersions)
+        forgetOldestVersion();
     return true;
 }
 
-void VmListStore::forgetOldest()
+void VmListStore::forgetOldestVersion()
 {
-    passed_.erase(passed_.begin());
-    std::erase_if(removed_, [&](const auto& item) { return item.second <= *passed_.begin(); });
+    seenVersions_.erase(seenVersions_.begin());
+    std::erase_if(removed_, [&](const auto& item) { return item.second <= *seenVersions_.begin(); });
 }
 
 VmListChanges VmListStore::changesSince(std::uint64_t version) const
 {
     VmListChanges changes { version_, version, {}, {}, hash() };
-    if (!passed_.contains(version))
+    if (!seenVersions_.contains(version))
         changes.base_ = 0;
-    for (const auto& [id, line] : lines_) {
-        if (!changes.base_ || line.changedAt_ > version)
-            changes.changed_.push_back(line.text_);
+    for (const auto& [id, stored] : storedVms_) {
+        if (!changes.base_ || stored.changedVersion_ > version)
+            changes.changed_.push_back(stored.text_);
     }
     if (!changes.base_)
         return changes;
-    for (const auto& [id, removedAt] : removed_) {
-        if (removedAt > version)
+    for (const auto& [id, removedVersion] : removed_) {
+        if (removedVersion > version)
             changes.removed_.push_back(id);
     }
     return changes;
@@ -164,16 +164,16 @@
 std::uint64_t VmListStore::hash() const
 {
     std::uint64_t hash = 0;
-    for (const auto& [id, line] : lines_)
-        hash ^= stableHash(line.text_);
+    for (const auto& [id, stored] : storedVms_)
+        hash ^= stableHash(stored.text_);
     return hash;
 }
 
 VmList VmListStore::list() const
 {
     VmList list { version_, {} };
-    for (const auto& [id, line] : lines_)
-        list.vms_.push_back(line.vm_);
+    for (const auto& [id, stored] : storedVms_)
+        list.vms_.push_back(stored.vm_);
     return list;
 }
 
@@ -186,7 +186,7 @@
         if (vm.kind_ == Vm::Kind::Entry)
             index->entryVms_[vm.dataCentre_].push_back(vm.id_);
         for (const std::string& name : vm.serves_)
-            index->byServed_[name].push_back(vm.id_);
+            index->serversByName_[name].push_back(vm.id_);
     }
     return index;
 }
@@ -196,10 +196,10 @@
     auto [position, isNew] = leaving_.emplace(vm, Leaving { stopsAt, now });
     if (isNew)
         return true;
-    auto& known = position->second.stopsAt_;
-    if (!stopsAt || known)
+    auto& knownStop = position->second.stopsAt_;
+    if (!stopsAt || knownStop)
         return false;
-    known = stopsAt;
+    knownStop = stopsAt;
     return true;
 }
 
@@ -215,9 +215,9 @@
     return found == leaving_.end() ? std::nullopt : std::optional(found->second.markedAt_);
 }
 
-void LeavingTable::forgetOld(milliseconds kept, SteadyTime now)
+void LeavingTable::forgetOld(milliseconds retention, SteadyTime now)
 {
-    std::erase_if(leaving_, [&](const auto& item) { return now - item.second.markedAt_ > kept; });
+    std::erase_if(leaving_, [&](const auto& item) { return now - item.second.markedAt_ > retention; });
 }
 
 } // namespace pistachioloom
--- a/lib/Node/BackendHome.cpp
+++ b/lib/Node/BackendHome.cpp
@@ -324,7 +324,7 @@
 {
     std::vector<VmId> engines;
     auto view = context_.membership();
-    for (const auto& [name, servers] : view->index_->byServed_) {
+    for (const auto& [name, servers] : view->index_->serversByName_) {
         for (const VmId& server : view->serversOf(name, context_.settings_.dataCentre_)) {
             if (view->find(server)->kind_ == Vm::Kind::ModelEngine && isHomeOf(server))
                 engines.push_back(server);
@@ -337,7 +337,7 @@
 {
     std::map<std::string, ModelLoad> loads;
     auto view = context_.membership();
-    for (const auto& [name, servers] : view->index_->byServed_) {
+    for (const auto& [name, servers] : view->index_->serversByName_) {
         std::uint64_t capacity = concurrencyOf(name);
         for (const VmId& server : view->serversOf(name, context_.settings_.dataCentre_)) {
             if (view->find(server)->kind_ != Vm::Kind::ModelEngine || !isHomeOf(server))
@@ -350,7 +350,7 @@
                 continue;
             position->second.freeSlots_ += load.freeSlots_;
             position->second.queued_ += load.queued_;
-            position->second.trials_ += load.trials_;
+            position->second.trialSlots_ += load.trialSlots_;
             position->second.wait_ = std::min(position->second.wait_, load.wait_);
         }
     }
@@ -361,7 +361,7 @@
 {
     std::vector<EngineLoad> loads;
     auto view = context_.membership();
-    for (const auto& [name, servers] : view->index_->byServed_) {
+    for (const auto& [name, servers] : view->index_->serversByName_) {
         for (const VmId& server : view->serversOf(name, context_.settings_.dataCentre_)) {
             if (isHomeOf(server))
                 loads.push_back({ server, slots_.active(server), slots_.load(server, concurrencyOf(name)) });
--- a/lib/Node/ControlPlane.cpp
+++ b/lib/Node/ControlPlane.cpp
@@ -130,7 +130,7 @@
     {
         std::lock_guard lock(mutex_);
         gossip_.self().isLeaving_ = true;
-        gossip_.beat();
+        gossip_.advanceHeartbeat();
     }
     publishMembership();
     gossipEverywhere();
@@ -216,7 +216,7 @@
     LogOffset from;
     {
         std::lock_guard lock(mutex_);
-        from = catalogue_.readFrom();
+        from = catalogue_.nextReadOffset();
     }
     context_.metrics_.add(Counter::LogReads);
     auto read = co_await context_.log_.read_(catalogueStream, from, wait);
--- a/lib/Node/EngineOrders.cpp
+++ b/lib/Node/EngineOrders.cpp
@@ -143,7 +143,7 @@
     situation.state_ = state;
     situation.holder_ = claims_.find(engine);
     situation.ahead_ = claims_.ahead(engine, [&](const VmId& other) { return view->find(other) && !view->isLeaving(other); });
-    situation.mostLoading_ = entry.backend_->mostLoading_;
+    situation.maxLoading_ = entry.backend_->maxLoading_;
     situation.claimedAt_ = managed.claimedAt_;
     situation.orderedAt_ = managed.orderedAt_;
     situation.active_ = home_.active(engine);
--- a/lib/Node/Gossiping.cpp
+++ b/lib/Node/Gossiping.cpp
@@ -123,7 +123,7 @@
         {
             std::lock_guard lock(mutex_);
             gossip_.self().loads_ = std::move(loads);
-            gossip_.beat();
+            gossip_.advanceHeartbeat();
             gossip_.forgetOld(steadyNow());
         }
         publishMembership();
@@ -153,7 +153,7 @@
         encoded.set_free_slots(load.freeSlots_);
         encoded.set_queued(load.queued_);
         encoded.set_wait_ms(static_cast<std::uint32_t>(load.wait_.count()));
-        encoded.set_trials(load.trials_);
+        encoded.set_trials(load.trialSlots_);
     }
     for (const NodeDigest& digest : gossip_.digests(steadyNow()))
         encodeDigest(digest, *gossip.add_digests());
--- a/lib/Node/RecordCopying.cpp
+++ b/lib/Node/RecordCopying.cpp
@@ -39,7 +39,7 @@
 
 std::vector<VmId> GenerationOwner::replicaCandidates(const std::string& requestId, const std::set<VmId>& failed) const
 {
-    ReplicaPlace place { context_.self(), context_.settings_.dataCentre_, context_.settings_.region_ };
+    RecordLocation place { context_.self(), context_.settings_.dataCentre_, context_.settings_.region_ };
     return rankReplicas(*context_.membership(), place, requestId, failed);
 }
 
--- a/lib/Node/RunKeeper.cpp
+++ b/lib/Node/RunKeeper.cpp
@@ -240,7 +240,7 @@
 asio::awaitable<void> RunKeeper::dispatch(RunOnceCall& run, const wire::ServiceCall& call, SteadyTime asked)
 {
     if (steadyNow() - asked > context_.settings_.ledger_.dispatchGuard_) {
-        run.dispatchTooLate();
+        run.intentExpired();
         co_return;
     }
     auto reply = co_await dispatch_(call);
--- a/lib/Node/SlotTable.cpp
+++ b/lib/Node/SlotTable.cpp
@@ -183,7 +183,7 @@
     ModelLoad load;
     load.freeSlots_ = server.active_ < capacity ? static_cast<std::uint32_t>(capacity - server.active_) : 0;
     load.queued_ = static_cast<std::uint32_t>(server.queue_.size());
-    load.trials_ = static_cast<std::uint32_t>(server.trialActive_);
+    load.trialSlots_ = static_cast<std::uint32_t>(server.trialActive_);
     if (!load.freeSlots_)
         load.wait_ = estimateWait(server, capacity, ServiceClass::Trial);
     return load;
--- a/lib/Orders/Steps.cpp
+++ b/lib/Orders/Steps.cpp
@@ -69,7 +69,7 @@
         return OrderStep::End;
     if (isOrderTakingEffect(situation, timing, now))
         return OrderStep::Wait;
-    if (situation.ahead_ >= situation.mostLoading_)
+    if (situation.ahead_ >= situation.maxLoading_)
         return OrderStep::Wait;
     if (situation.active_)
         return OrderStep::Drain;
--- a/lib/Routing/Routing.cpp
+++ b/lib/Routing/Routing.cpp
@@ -32,7 +32,7 @@
     // Our own sends since the report have taken free slots already.
     std::uint32_t free = candidate.load_.freeSlots_ > candidate.sentSince_ ? candidate.load_.freeSlots_ - candidate.sentSince_ : 0;
     milliseconds wait = candidate.load_.wait_;
-    bool canPreempt = cost.isPaid_ && candidate.load_.freeSlots_ + candidate.load_.trials_ > candidate.sentSince_;
+    bool canPreempt = cost.isPaid_ && candidate.load_.freeSlots_ + candidate.load_.trialSlots_ > candidate.sentSince_;
     if (!free && canPreempt)
         wait = cost.yieldTime_;
     else if (!free)
--- a/unittests/Catalogue/CatalogueTest.cpp
+++ b/unittests/Catalogue/CatalogueTest.cpp
@@ -73,7 +73,7 @@
     auto entry = parseEntry(good, "file", errors);
     REQUIRE(entry);
     CHECK(entry->backend_->configuration_ == EngineConfiguration { "v3", { "serra" }, "mixed" });
-    CHECK(entry->backend_->mostLoading_ == 2);
+    CHECK(entry->backend_->maxLoading_ == 2);
     CHECK(entry->backend_->paidReserve_ == 2);
     auto bad = GENERATE(values<BadEntry>({
         { "version", "version: v3\n", "", "file:1: version: expected the version that goes with 'adapters' and 'role'" },
@@ -160,14 +160,14 @@
 
     struct Trim {
         std::size_t first_;
-        bool isReadable_;
+        bool isCovered_;
     };
     auto trim = GENERATE(values<Trim>({ { 0, true }, { 1, true }, { 2, true }, { 3, false }, { 4, false } }));
     CatalogueState reader;
     for (std::size_t i = trim.first_; i < log.size(); ++i)
         reader.apply({ i }, log[i]);
-    CHECK(reader.hasGap() == !trim.isReadable_);
-    if (!trim.isReadable_) {
+    CHECK(reader.hasGap() == !trim.isCovered_);
+    if (!trim.isCovered_) {
         CHECK(reader.view().entries_.empty());
         return;
     }
@@ -180,27 +180,27 @@
 {
     for (std::uint64_t seed = 0; seed < 300; ++seed) {
         std::mt19937_64 generator(seed);
-        CatalogueState first;
+        CatalogueState writer;
         std::vector<std::string> log;
         for (std::uint64_t i = 0; i < 60; ++i) {
             std::string name(1, static_cast<char>('a' + generator() % 4));
-            auto current = first.view().findEntry({ name });
+            auto current = writer.view().findEntry({ name });
             std::uint64_t base = current && generator() % 3 ? current->version_.value_ : generator() % 5;
-            std::string record = generator() % 10 ? edit("e" + std::to_string(generator() % 50), name, base, generator() % 6 ? service(name, 1 + static_cast<int>(generator() % 9)) : "") : first.encodeSnapshot();
-            first.apply({ log.size() }, record);
+            std::string record = generator() % 10 ? edit("e" + std::to_string(generator() % 50), name, base, generator() % 6 ? service(name, 1 + static_cast<int>(generator() % 9)) : "") : writer.encodeSnapshot();
+            writer.apply({ log.size() }, record);
             log.push_back(record);
         }
-        CatalogueState late;
+        CatalogueState lateReader;
         std::size_t begin = generator() % 30;
         for (std::size_t i = begin; i < log.size(); ++i)
-            late.apply({ i }, log[i]);
-        if (late.hasGap())
-            late.adoptSnapshot(first.encodeSnapshot());
-        REQUIRE(late.nextOffset() == first.nextOffset());
-        REQUIRE(late.view().entries_.size() == first.view().entries_.size());
-        for (const auto& [name, entry] : first.view().entries_) {
-            REQUIRE(late.view().findEntry(name)->version_ == entry->version_);
-            REQUIRE(late.view().findEntry(name)->text_ == entry->text_);
+            lateReader.apply({ i }, log[i]);
+        if (lateReader.hasGap())
+            lateReader.adoptSnapshot(writer.encodeSnapshot());
+        REQUIRE(lateReader.nextOffset() == writer.nextOffset());
+        REQUIRE(lateReader.view().entries_.size() == writer.view().entries_.size());
+        for (const auto& [name, entry] : writer.view().entries_) {
+            REQUIRE(lateReader.view().findEntry(name)->version_ == entry->version_);
+            REQUIRE(lateReader.view().findEntry(name)->text_ == entry->text_);
         }
     }
 }
--- a/unittests/Ledger/LedgerTest.cpp
+++ b/unittests/Ledger/LedgerTest.cpp
@@ -117,26 +117,26 @@
 
 namespace {
 
-struct Explored {
-    std::size_t states_ = 0;
-    std::size_t ends_ = 0;
+struct ExplorationResult {
+    std::size_t statesVisited_ = 0;
+    std::size_t finalStates_ = 0;
     std::string violation_;
 };
 
-void explore(const RunOnceModel& model, Explored& explored)
+void explore(const RunOnceModel& model, ExplorationResult& result)
 {
-    ++explored.states_;
+    ++result.statesVisited_;
     auto choices = model.choices();
-    explored.ends_ += choices.empty() ? 1 : 0;
+    result.finalStates_ += choices.empty() ? 1 : 0;
     for (const Choice& choice : choices) {
         RunOnceModel next = model;
         next.apply(choice);
         if (!next.violation().empty()) {
-            explored.violation_ = next.violation();
+            result.violation_ = next.violation();
             return;
         }
-        explore(next, explored);
-        if (!explored.violation_.empty())
+        explore(next, result);
+        if (!result.violation_.empty())
             return;
     }
 }
@@ -146,11 +146,11 @@
 TEST_CASE("no interleaving of faults runs a call twice: exhaustive")
 {
     auto faults = GENERATE(values<FaultBudget>({ { 1, 1, 0, 0 }, { 0, 1, 0, 1 }, { 1, 0, 1, 1 } }));
-    Explored explored;
-    explore(RunOnceModel(2, 1, faults), explored);
-    INFO(explored.states_ << " states, " << explored.ends_ << " ends");
-    CHECK(explored.violation_.empty());
-    CHECK(explored.ends_ > 100);
+    ExplorationResult result;
+    explore(RunOnceModel(2, 1, faults), result);
+    INFO(result.statesVisited_ << " states, " << result.finalStates_ << " ends");
+    CHECK(result.violation_.empty());
+    CHECK(result.finalStates_ > 100);
 }
 
 TEST_CASE("a call that gave up does not burn its key")
@@ -159,6 +159,6 @@
     model.apply({ Choice::Kind::AppendDelayed, 0 });
     model.apply({ Choice::Kind::AppendTakesEffect, 0 });
     model.apply({ Choice::Kind::DelayedArrives, 0 });
-    REQUIRE(model.isQuiet());
-    CHECK(model.canRunNow());
+    REQUIRE(model.isFinished());
+    CHECK(model.canRunNewCall());
 }
--- a/unittests/Ledger/RunOnceModel.cpp
+++ b/unittests/Ledger/RunOnceModel.cpp
@@ -16,13 +16,13 @@
 
 } // namespace
 
-RunOnceModel::RunOnceModel(std::size_t keepers, std::size_t callsPerKeeper, FaultBudget faults)
+RunOnceModel::RunOnceModel(std::size_t coordinators, std::size_t callsPerCoordinator, FaultBudget faults)
     : faults_(faults)
-    , keepers_(keepers)
+    , coordinators_(coordinators)
 {
-    for (std::size_t keeper = 0; keeper < keepers; ++keeper) {
-        for (std::size_t i = 0; i < callsPerKeeper; ++i)
-            calls_.push_back({ RunOnceCall(key, { "attempt" + std::to_string(calls_.size()) }, "body"), keeper });
+    for (std::size_t coordinator = 0; coordinator < coordinators; ++coordinator) {
+        for (std::size_t i = 0; i < callsPerCoordinator; ++i)
+            calls_.push_back({ RunOnceCall(key, { "attempt" + std::to_string(calls_.size()) }, "body"), coordinator });
     }
 }
 
@@ -57,7 +57,7 @@
             choices.push_back({ Choice::Kind::ServiceRuns, i });
             if (faults_.serviceFaults_) {
                 choices.push_back({ Choice::Kind::ServiceRunsAnswerLost, i });
-                choices.push_back({ Choice::Kind::ServiceRefuses, i });
+                choices.push_back({ Choice::Kind::ServiceRejects, i });
             }
             break;
         case Step::Done:
@@ -66,8 +66,8 @@
     }
     for (std::size_t i = 0; i < delayed_.size(); ++i)
         choices.push_back({ Choice::Kind::DelayedArrives, i });
-    for (std::size_t keeper = 0; faults_.crashes_ && keeper < keepers_; ++keeper)
-        choices.push_back({ Choice::Kind::KeeperCrashes, keeper });
+    for (std::size_t coordinator = 0; faults_.crashes_ && coordinator < coordinators_; ++coordinator)
+        choices.push_back({ Choice::Kind::CoordinatorCrashes, coordinator });
     return choices;
 }
 
@@ -93,7 +93,7 @@
         call.call_.recordWritten();
 }
 
-void RunOnceModel::giveUpAppend(Call& call)
+void RunOnceModel::failAppend(Call& call)
 {
     if (call.call_.step() == Step::AppendIntent)
         call.call_.intentFailed({ Errc::Timeout, "append", {}, {}, Ran::Unknown, {} });
@@ -117,17 +117,17 @@
     }
     case Choice::Kind::AppendFails:
         --faults_.appendFaults_;
-        giveUpAppend(calls_[choice.index_]);
+        failAppend(calls_[choice.index_]);
         return;
     case Choice::Kind::AppendAnswerLost:
         --faults_.appendFaults_;
         append(calls_[choice.index_].call_.item());
-        giveUpAppend(calls_[choice.index_]);
+        failAppend(calls_[choice.index_]);
         return;
     case Choice::Kind::AppendDelayed:
         --faults_.appendFaults_;
         delayed_.push_back(calls_[choice.index_].call_.item());
-        giveUpAppend(calls_[choice.index_]);
+        failAppend(calls_[choice.index_]);
         return;
     case Choice::Kind::DelayedArrives:
         append(delayed_[choice.index_]);
@@ -151,14 +151,14 @@
         execute(calls_[choice.index_]);
         calls_[choice.index_].call_.dispatchFailed({ Errc::Reset, "dispatch", {}, {}, Ran::Unknown, {} });
         return;
-    case Choice::Kind::ServiceRefuses:
+    case Choice::Kind::ServiceRejects:
         --faults_.serviceFaults_;
         calls_[choice.index_].call_.dispatchFailed({ Errc::Leaving, "dispatch", {}, {}, Ran::No, {} });
         return;
-    case Choice::Kind::KeeperCrashes:
+    case Choice::Kind::CoordinatorCrashes:
         --faults_.crashes_;
         for (Call& call : calls_)
-            call.isAlive_ &= call.keeper_ != choice.index_;
+            call.isAlive_ &= call.coordinator_ != choice.index_;
         return;
     }
 }
@@ -178,12 +178,12 @@
     return {};
 }
 
-bool RunOnceModel::isQuiet() const
+bool RunOnceModel::isFinished() const
 {
     return choices().empty();
 }
 
-bool RunOnceModel::canRunNow()
+bool RunOnceModel::canRunNewCall()
 {
     RunOnceCall call(key, { "late" }, "body");
     call.intentAppended(append(call.item()));
--- a/unittests/Ledger/RunOnceModel.h
+++ b/unittests/Ledger/RunOnceModel.h
@@ -25,8 +25,8 @@
         ReadFails,
         ServiceRuns,
         ServiceRunsAnswerLost,
-        ServiceRefuses,
-        KeeperCrashes,
+        ServiceRejects,
+        CoordinatorCrashes,
     };
     Kind kind_;
     std::size_t index_ = 0;
@@ -42,28 +42,28 @@
 
 class RunOnceModel {
 public:
-    RunOnceModel(std::size_t keepers, std::size_t callsPerKeeper, FaultBudget faults);
+    RunOnceModel(std::size_t coordinators, std::size_t callsPerCoordinator, FaultBudget faults);
 
     std::vector<Choice> choices() const;
     void apply(const Choice& choice);
     /// What is violated, or an empty string.
     std::string violation() const;
     std::size_t executions() const { return executed_.size(); }
-    bool isQuiet() const;
+    bool isFinished() const;
     /// Whether one more call, with a working log and service, may run.
-    bool canRunNow();
+    bool canRunNewCall();
 
 private:
     struct Call {
         RunOnceCall call_;
-        std::size_t keeper_;
+        std::size_t coordinator_;
         bool isAlive_ = true;
         bool hasExecuted_ = false;
     };
 
     void addAppendChoices(std::vector<Choice>& choices, std::size_t index) const;
     void finishAppend(Call& call, LogOffset offset);
-    void giveUpAppend(Call& call);
+    void failAppend(Call& call);
     void execute(Call& call);
     LogOffset append(const LedgerItem& item);
     LedgerShard readLog() const;
@@ -73,7 +73,7 @@
     std::vector<Call> calls_;
     std::vector<AttemptId> executed_;
     FaultBudget faults_;
-    std::size_t keepers_;
+    std::size_t coordinators_;
 };
 
 } // namespace pistachioloom::test
--- a/unittests/Membership/MembershipTest.cpp
+++ b/unittests/Membership/MembershipTest.cpp
@@ -41,8 +41,8 @@
 }
 
 /// Nodes that gossip in rounds, each round one heartbeat long.
-struct GossipWorld {
-    GossipWorld(std::size_t count, std::uint64_t seed)
+struct GossipSimulation {
+    GossipSimulation(std::size_t count, std::uint64_t seed)
         : generator_(seed)
     {
         for (std::size_t i = 0; i < count; ++i) {
@@ -57,7 +57,7 @@
         for (std::size_t i = 0; i < tables_.size(); ++i) {
             if (isPaused_[i])
                 continue;
-            tables_[i].beat();
+            tables_[i].advanceHeartbeat();
             for (std::size_t k = 0; k < fanout; ++k) {
                 std::size_t peer = generator_() % tables_.size();
                 if (isPaused_[peer])
@@ -109,22 +109,22 @@
 {
     auto count = GENERATE(std::size_t { 3 }, std::size_t { 9 }, std::size_t { 26 }, std::size_t { 52 });
     auto seed = GENERATE(range(0, 5));
-    GossipWorld world(count, static_cast<std::uint64_t>(seed));
+    GossipSimulation simulation(count, static_cast<std::uint64_t>(seed));
     for (int i = 0; i < 12; ++i)
-        world.round(1);
+        simulation.round(1);
     VmId victim { "n0" };
     for (std::size_t i = 1; i < count; ++i)
-        REQUIRE(world.tables_[i].live(world.now_).size() == count - 1);
-    world.isPaused_[0] = true;
+        REQUIRE(simulation.tables_[i].live(simulation.now_).size() == count - 1);
+    simulation.isPaused_[0] = true;
     bool isKnownToAll = false;
     int rounds = 0;
     for (; !isKnownToAll && rounds < 40; ++rounds) {
-        world.round(1);
+        simulation.round(1);
         isKnownToAll = true;
         for (std::size_t i = 1; i < count; ++i) {
-            isKnownToAll &= world.tables_[i].isSuspected(victim, world.now_);
+            isKnownToAll &= simulation.tables_[i].isSuspected(victim, simulation.now_);
             for (std::size_t other = 1; other < count; ++other)
-                REQUIRE_FALSE(world.tables_[i].isSuspected({ "n" + std::to_string(other) }, world.now_));
+                REQUIRE_FALSE(simulation.tables_[i].isSuspected({ "n" + std::to_string(other) }, simulation.now_));
         }
     }
     INFO(count << " nodes, " << rounds << " rounds");
@@ -139,9 +139,9 @@
     GossipTable gossip({ "self" }, 1, suspectAfter);
     gossip.merge({ digest("dead", 1, 1) }, start);
     SteadyTime now = start + milliseconds(5000);
-    NodeDigest goes = digest("goes", 1, 9);
-    goes.isLeaving_ = true;
-    gossip.merge({ digest("peer", 1, 9), goes }, now);
+    NodeDigest leavingNode = digest("goes", 1, 9);
+    leavingNode.isLeaving_ = true;
+    gossip.merge({ digest("peer", 1, 9), leavingNode }, now);
     LeavingTable leaving;
     auto view = buildView(indexVmList(list), gossip, leaving, { "a" }, now);
     CHECK(view.localNodes_ == std::vector<VmId> { { "peer" }, { "self" } });
@@ -198,8 +198,8 @@
 
 TEST_CASE("peers that are told changes only end with the platform's list")
 {
-    std::size_t told = 0;
-    std::size_t whole = 0;
+    std::size_t vmsSent = 0;
+    std::size_t vmsListed = 0;
     for (std::uint64_t seed = 0; seed < 300; ++seed) {
         std::mt19937_64 generator(seed);
         std::map<int, int> platform;
@@ -226,8 +226,8 @@
                 std::uint64_t base = generator() % 4 ? peer.version() : peer.version() / 2;
                 VmListChanges changes = source.changesSince(base);
                 if (generator() % 2 && peer.adoptChanges(changes)) {
-                    told += changes.changed_.size();
-                    whole += source.list().vms_.size();
+                    vmsSent += changes.changed_.size();
+                    vmsListed += source.list().vms_.size();
                 }
                 if (peer.version() == relay.version())
                     REQUIRE(pricesOf(peer) == pricesOf(relay));
@@ -239,7 +239,7 @@
         }
         REQUIRE(relay.list().vms_.size() == platform.size());
     }
-    CHECK(told < whole / 2);
+    CHECK(vmsSent < vmsListed / 2);
 }
 
 TEST_CASE("changes to a version that is not reached, or not newer, are refused")
@@ -275,16 +275,16 @@
     view.index_ = indexVmList(list);
     view.dataCentre_ = { "a" };
     view.localNodes_ = { { "a2" }, { "self" } };
-    ReplicaPlace place { { "self" }, { "a" }, { "south" } };
+    RecordLocation location { { "self" }, { "a" }, { "south" } };
     for (int i = 0; i < 20; ++i) {
-        auto ranked = rankReplicas(view, place, "request " + std::to_string(i), {});
+        auto ranked = rankReplicas(view, location, "request " + std::to_string(i), {});
         REQUIRE(ranked.size() == 4);
         CHECK(ranked[0].value_.front() == 'b');
         CHECK(ranked[1].value_.front() == 'b');
         CHECK(ranked[2] == VmId { "c1" });
         CHECK(ranked[3] == VmId { "a2" });
     }
-    auto ranked = rankReplicas(view, place, "request", { { "b1" }, { "b2" } });
+    auto ranked = rankReplicas(view, location, "request", { { "b1" }, { "b2" } });
     CHECK(ranked.front() == VmId { "c1" });
 }
 
--- a/unittests/Node/SlotTableTest.cpp
+++ b/unittests/Node/SlotTableTest.cpp
@@ -66,7 +66,7 @@
     for (const char* name : { "t1", "t2", "t3" })
         fixture.ask(name, ServiceClass::Trial, false);
     CHECK(fixture.held_.size() == 3);
-    CHECK(fixture.table_.load(server, 3).trials_ == 3);
+    CHECK(fixture.table_.load(server, 3).trialSlots_ == 3);
     fixture.ask("t4", ServiceClass::Trial, true);
     // It need not be allowed to queue: a trial yields to it.
     fixture.ask("p1", ServiceClass::Paid, false);
@@ -83,7 +83,7 @@
     fixture.release("t1");
     fixture.release("t3");
     CHECK(fixture.held_.size() == 3);
-    CHECK(fixture.table_.load(server, 3).trials_ == 0);
+    CHECK(fixture.table_.load(server, 3).trialSlots_ == 0);
     fixture.release("p1");
     CHECK(fixture.held_.contains("t4"));
 }
