--- a/include/pistachioloom/Catalogue.h
+++ b/include/pistachioloom/Catalogue.h
@@ -1,10 +1,10 @@
-//===- pistachioloom/Catalogue.h - entries and the rule that orders edits --===//
+//===- pistachioloom/Catalogue.h - entries and optimistic edits ------------===//
 ///
 /// \file
-/// The catalogue as a pure function of the log: every reader applies the same
-/// records in offset order and reaches the same state. An edit takes effect
-/// only if the version it was based on is still current, so racing operators
-/// get one winner, the same on every node.
+/// The catalogue as a deterministic state machine over the log: every reader
+/// applies the same records in offset order and reaches the same state. An edit
+/// takes effect only if its base version is still current, so exactly one of
+/// several concurrent edits is accepted, and it is the same one on every node.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -25,7 +25,7 @@
 
 std::string_view toString(ServiceClass serviceClass);
 
-/// What one entry may use at a time.
+/// Resource limits of one workload.
 struct EntryLimits {
     std::uint64_t requestsInProgress_ = 0;
     std::uint64_t tokensPerSecond_ = 0;
@@ -34,12 +34,12 @@
     milliseconds deadline_ {};
     milliseconds latencyTarget_ {};
 
-    /// Without a limit the rate is the largest that can be stated.
+    /// Largest rate that an entry can state; it stands for an unlimited rate.
     static constexpr std::uint64_t maxTokensPerSecond = 100000000;
     bool hasTokenLimit() const { return tokensPerSecond_ && tokensPerSecond_ < maxTokensPerSecond; }
 };
 
-/// A customer's use of the system.
+/// What a customer may call, under which API key and limits.
 struct Workload {
     OrganisationId owner_;
     ServiceClass class_ = ServiceClass::Paid;
@@ -51,69 +51,73 @@
     std::uint64_t priority_ = 0;
 };
 
-/// What an engine is to run, or runs.
+/// The configuration that an engine runs or is to load.
 struct EngineConfiguration {
     std::string version_;
     std::vector<std::string> adapters_;
-    /// The engine's word for its part, such as `prefill` or `decode`; may be empty.
+    /// The engine's own name of its role, such as `prefill` or `decode`; may be
+    /// empty.
     std::string role_;
 
     auto operator<=>(const EngineConfiguration&) const = default;
 };
 
-/// How the back ends of one model or service are to be treated.
+/// Scheduling and roll-out settings of the backend servers of one model or
+/// service.
 struct Backend {
     enum class Kind {
         ModelEngine,
         Service,
     };
     Kind kind_ = Kind::ModelEngine;
-    /// Requests one backend server works on at once.
+    /// Requests that one backend server processes concurrently.
     std::uint64_t concurrency_ = 1;
-    /// Slots of each engine that trial work leaves to paid work.
+    /// Slots of each engine that are reserved for requests of the paid class.
     std::uint64_t paidReserve_ = 0;
-    /// Whether a call may be repeated without harm.
+    /// Whether calls are idempotent and may be retried.
     bool isRepeatable_ = true;
-    /// Whether an engine refuses an order whose fencing token is older than one
-    /// it has obeyed.
+    /// Whether an engine rejects an order whose fencing token is older than
+    /// that of an order it has executed.
     bool honoursFencing_ = false;
-    /// What the engines are brought to; nullopt leaves them as they are.
+    /// Target configuration of the engines; nullopt leaves them unchanged.
     std::optional<EngineConfiguration> configuration_;
-    /// Engines of one data centre that may be away for a load at once.
+    /// Engines of one data centre that may be loading, and thus unavailable, at
+    /// the same time.
     std::uint64_t maxLoading_ = 1;
 };
 
-/// One entry: either a workload or a backend.
+/// One entry, which is either a workload or a backend.
 struct CatalogueEntry {
     EntryName name_;
     std::optional<Workload> workload_;
     std::optional<Backend> backend_;
-    /// The text it was parsed from, kept for listings and edits.
+    /// The source text, kept for listings and edits.
     std::string text_;
-    /// Log offset of the accepted record plus one; 0 for no entry.
+    /// Log offset of the accepted record plus one; 0 if there is no entry.
     LogOffset version_;
 };
 
-/// Parses an entry from YAML or JSON, reporting every mistake with its field.
+/// Parses an entry from YAML or JSON. Appends every error, with its field, to
+/// \p errors. \returns nullopt if there is any.
 std::optional<CatalogueEntry> parseEntry(const std::string& text, const std::string& file, InputErrors& errors);
 
-/// A change that an operator asks for.
+/// A change that an operator requests.
 struct CatalogueEdit {
     EditId id_;
     EntryName entry_;
     LogOffset baseVersion_;
-    /// Entry text; empty removes the entry.
+    /// New text of the entry; an empty text removes the entry.
     std::string body_;
 };
 
-/// What became of an edit.
+/// Whether an edit was accepted.
 struct EditOutcome {
     bool isAccepted_ = false;
-    /// The entry's version after the edit was read.
+    /// The entry's version after the edit was applied or rejected.
     LogOffset currentVersion_;
 };
 
-/// An accepted edit, for `catalogue history`.
+/// An accepted edit, as listed by `catalogue history`.
 struct CatalogueChange {
     EntryName entry_;
     LogOffset version_;
@@ -123,43 +127,46 @@
 
 std::string encodeEdit(const CatalogueEdit& edit);
 
-/// Entries at one offset; immutable once published to readers.
+/// Entries at one log offset; immutable once it is published to readers.
 struct CatalogueView {
     std::map<EntryName, std::shared_ptr<const CatalogueEntry>> entries_;
-    /// Hash of the API key to the workload that owns it.
+    /// Maps the hash of an API key to the workload that owns the key.
     std::map<std::string, std::shared_ptr<const CatalogueEntry>> byApiKeyHash_;
-    /// All records below this offset are applied.
+    /// Every record below this offset has been applied.
     LogOffset nextOffset_;
 
     std::shared_ptr<const CatalogueEntry> findEntry(const EntryName& name) const;
     std::shared_ptr<const CatalogueEntry> findByApiKey(std::string_view apiKey) const;
 };
 
-/// The reader of the catalogue's stream.
+/// Applies the catalogue's log to an in-memory view.
 ///
-/// Offsets only go forward: a record below nextOffset() is ignored, and one
-/// that leaves a gap (the log was trimmed) is held until a snapshot that covers
-/// the gap arrives, so nothing is skipped silently.
+/// The offset only increases: a record below nextOffset() is ignored. A record
+/// beyond it, which is read if the log was trimmed, stays pending until a
+/// snapshot that covers the gap arrives, so no record is silently skipped.
 class CatalogueState {
 public:
     /// Applies one record of the log.
     void apply(LogOffset offset, const std::string& record);
-    /// Adopts a peer's snapshot if it is newer. \returns whether it was.
+    /// Adopts a peer's snapshot if it is valid and newer than this state.
+    /// \returns whether it was adopted.
     bool adoptSnapshot(const std::string& snapshot);
-    /// The state as a snapshot record, to be appended before the log trims.
+    /// Encodes the state as a snapshot record, which must be appended before
+    /// the log is trimmed.
     std::string encodeSnapshot() const;
 
     LogOffset nextOffset() const { return view_.nextOffset_; }
-    /// Where to read the log on: past the records that wait for a snapshot.
+    /// The next offset to read from the log, which is past all pending records.
     LogOffset nextReadOffset() const;
     const CatalogueView& view() const { return view_; }
-    /// Whether records wait for a snapshot.
+    /// Whether records are pending because of a gap.
     bool hasGap() const { return !pending_.empty(); }
-    /// Offset of the newest snapshot record seen.
+    /// Offset of the newest snapshot record in the log.
     LogOffset lastSnapshot() const { return lastSnapshot_; }
     std::optional<EditOutcome> outcomeOf(const EditId& edit) const;
     const std::deque<CatalogueChange>& history() const { return history_; }
-    /// Recent records from \p offset on, or nullopt if they are no longer kept.
+    /// \returns the applied records from \p offset on, or nullopt if some of
+    /// them are no longer kept.
     std::optional<std::vector<std::pair<LogOffset, std::string>>> recordsFrom(LogOffset offset) const;
 
 private:
--- a/include/pistachioloom/Ledger.h
+++ b/include/pistachioloom/Ledger.h
@@ -1,10 +1,12 @@
-//===- pistachioloom/Ledger.h - at-most-once by log order ------------------===//
+//===- pistachioloom/Ledger.h - at-most-once execution by log order --------===//
 ///
 /// \file
-/// The pure part of running a call at most once. An intent is appended to the
-/// key's shard of the log before the call is dispatched; the first intent in
-/// log order runs and every other one is told so. No lease or clock guards
-/// safety: a keeper that was frozen finds its intent second and does nothing.
+/// The I/O-free part of at-most-once execution. An intent is appended to the
+/// key's shard of the log before the call is dispatched. The attempt with the
+/// first intent in log order dispatches the call; every other attempt reads
+/// from the log that the key is held. Safety does not depend on leases or
+/// clocks: a coordinator that was suspended meanwhile finds another intent
+/// ahead of its own and does not dispatch.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -16,29 +18,30 @@
 
 namespace pistachioloom {
 
-/// Names a call: organisation, service and the caller's idempotency key.
-/// A digest, so that records and state have a constant size.
+/// Identifies a call by organisation, service and the caller's idempotency key.
+/// It is a digest, so that keys have a constant size in records and in memory.
 using CallKey = Id<struct CallKeyTag>;
 
 CallKey makeCallKey(const OrganisationId& organisation, const ServiceName& service, const IdempotencyKey& key);
-/// The shard of the log that orders \p key.
+/// \returns the index of the log shard that orders the records of \p key.
 std::uint32_t shardOf(const CallKey& key, std::uint32_t shards);
 
-/// The answer of a call that ran.
+/// The response of a call that was executed.
 struct CallOutcome {
     std::uint32_t status_ = 0;
     std::string contentType_;
     std::string body_;
 };
 
-/// One line of a shard's stream.
+/// One item of a shard's log.
 struct LedgerItem {
     enum class Type {
-        /// The attempt will run the call if it is first.
+        /// The attempt dispatches the call if this is the first intent.
         Intent,
-        /// The attempt ran the call and this came of it.
+        /// The attempt executed the call with this outcome.
         Outcome,
-        /// The attempt holds the call and has not run it and never will.
+        /// The attempt has not executed the call and never will; if it holds
+        /// the key, the key becomes free.
         Release,
     };
     Type type_ = Type::Intent;
@@ -48,28 +51,31 @@
     CallOutcome outcome_;
 };
 
-/// A batch of items is one record of the log.
+/// Encodes a batch of items as one record of the log.
 std::string encodeLedgerRecord(const std::vector<LedgerItem>& items);
+/// Decodes a record; malformed items are left out.
 std::vector<LedgerItem> decodeLedgerRecord(const std::string& record);
 
-/// What the log says of one key.
+/// State of one key, derived from the log.
 struct CallState {
     AttemptId holder_;
     std::string bodyHash_;
     std::optional<CallOutcome> outcome_;
-    /// Attempts that gave up; an intent of theirs that arrives late is void.
+    /// Released attempts. An intent of a released attempt that is appended
+    /// later has no effect.
     std::vector<AttemptId> released_;
     LogOffset lastOffset_;
 };
 
-/// One shard, applied in log order.
+/// The calls of one shard, built by applying its records in log order.
 class LedgerShard {
 public:
-    /// Applies a record; offsets below nextOffset() are ignored.
+    /// Applies a record. A record below nextOffset() is ignored.
     void apply(LogOffset offset, const std::vector<LedgerItem>& items);
-    /// Drops what the log no longer keeps: records below \p first are gone.
+    /// Removes the keys whose records were all trimmed from the log, which now
+    /// starts at \p first.
     void trim(LogOffset first);
-    /// \returns nullptr for a key that is free.
+    /// \returns nullptr if no attempt holds \p key.
     const CallState* find(const CallKey& key) const;
     LogOffset nextOffset() const { return nextOffset_; }
     std::size_t size() const { return calls_.size(); }
@@ -80,8 +86,9 @@
     LogOffset nextOffset_;
 };
 
-/// One call at its keeper, from intent to answer. The driver does what step()
-/// names and reports how it went; it never dispatches on any other word.
+/// State machine of one call at its coordinator, from intent to answer. The
+/// driver performs the action that step() names and reports its result. It must
+/// dispatch the call only in the step Dispatch.
 class RunOnceCall {
 public:
     enum class Step {
@@ -95,17 +102,17 @@
     };
     enum class Answer {
         None,
-        /// outcome() came of this attempt.
+        /// This attempt executed the call; see outcome().
         Executed,
-        /// outcome() is what an earlier attempt stored.
+        /// An earlier attempt executed the call and stored outcome().
         Replayed,
-        /// Another attempt holds the call; its outcome is not known.
+        /// Another attempt holds the key; its outcome is not known.
         StartedElsewhere,
-        /// The key was used before with another body.
+        /// The key was already used with a different request body.
         KeyReused,
-        /// Nothing was run; failure() says why.
+        /// The call was not executed; see failure().
         NotRun,
-        /// The call was dispatched and its answer lost.
+        /// The call was dispatched, but its response was lost.
         OutcomeUnknown,
     };
 
@@ -116,21 +123,23 @@
     const CallOutcome& outcome() const { return outcome_; }
     const Error& failure() const { return failure_; }
     LogOffset intentOffset() const { return intentOffset_; }
-    /// The item that the current append step writes.
+    /// The item to append in the current step.
     LedgerItem item() const;
 
     void intentAppended(LogOffset offset);
-    /// The intent may or may not reach the log; this attempt gives up.
+    /// The append failed, though the intent may still reach the log. The
+    /// attempt is released.
     void intentFailed(Error error);
-    /// The shard now covers intentOffset().
+    /// \p shard must have been read past intentOffset().
     void logRead(const LedgerShard& shard);
     void logReadFailed(Error error);
-    /// Too much time passed since the intent for a dispatch to be wise.
+    /// Too much time has passed since the intent to dispatch the call.
     void intentExpired();
     void dispatched(CallOutcome outcome);
-    /// `ran_` of \p error tells whether the call may have run.
+    /// `ran_` of \p error states whether the call may have been executed.
     void dispatchFailed(Error error);
-    /// The outcome or release was appended, or cannot be: the answer stands.
+    /// The outcome or release was appended, or its append failed; the answer is
+    /// final in either case.
     void recordWritten();
 
 private:
--- a/include/pistachioloom/Membership.h
+++ b/include/pistachioloom/Membership.h
@@ -1,9 +1,9 @@
-//===- pistachioloom/Membership.h - who is there and who is leaving --------===//
+//===- pistachioloom/Membership.h - VM list, gossip and leaving VMs --------===//
 ///
 /// \file
-/// The pure part of membership: the platform's VM list (which lags), reclaim
-/// notices, and heartbeats between the nodes of one data centre, spread by
-/// gossip. It relies on nothing but times passed in.
+/// The I/O-free part of cluster membership: the platform's VM list (which may
+/// be out of date), reclaim notices, and heartbeats that the nodes of one data
+/// centre spread by gossip. The current time is always passed in.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -16,7 +16,7 @@
 
 namespace pistachioloom {
 
-/// One line of the platform's VM list.
+/// One VM of the platform's VM list.
 struct Vm {
     enum class Kind {
         Entry,
@@ -34,56 +34,59 @@
     DataCentreId dataCentre_;
     RegionId region_;
     std::string host_;
-    /// The port of peers for an entry VM, else the one that serves.
+    /// Port for peer connections on an entry VM, or the serving port of a
+    /// backend server.
     std::uint16_t port_ = 0;
     std::uint16_t operatorPort_ = 0;
     std::uint16_t callerPort_ = 0;
-    /// Models of an engine or the name of a service.
+    /// Models of an engine, or the name of a service.
     std::vector<std::string> serves_;
     bool isReclaimable_ = false;
-    /// Price of an hour in thousandths of the platform's currency.
+    /// Price per hour in thousandths of the platform's currency unit.
     std::uint64_t pricePerHour_ = 0;
 
     bool isBackendServer() const { return kind_ != Kind::Entry; }
     bool doesServe(std::string_view name) const;
 };
 
-/// The VM list at one version of the platform's.
+/// The platform's VM list at one version.
 struct VmList {
     std::uint64_t version_ = 0;
     std::vector<Vm> vms_;
 };
 
-/// Reads the platform's JSON form; nullopt if it is malformed.
+/// Parses the platform's JSON. \returns nullopt if it is malformed; VMs without
+/// an id or of an unknown kind are left out.
 std::optional<VmList> parseVmList(const std::string& json);
 
-/// What changed on the list since a version.
+/// Differences between two versions of the VM list.
 struct VmListChanges {
     std::uint64_t version_ = 0;
-    /// The version that the changes apply to; 0 for the whole list.
+    /// The version that the changes apply to; 0 if they are the full list.
     std::uint64_t base_ = 0;
-    /// The platform's JSON of each VM that is new or changed.
+    /// The platform's JSON for each VM that is new or changed.
     std::vector<std::string> changed_;
     std::vector<VmId> removed_;
-    /// Of the list that comes of the changes.
+    /// Hash of the list after the changes; 0 if it is not known.
     std::uint64_t hash_ = 0;
 };
 
-/// The VM list kept such that a peer who is a little behind is told only what
-/// it does not know: each VM and each removal has the version that brought it.
+/// Stores the VM list together with the version of each change and removal, so
+/// that a peer with a recent version is sent only the differences.
 class VmListStore {
 public:
-    /// Takes the platform's whole list. \returns whether it was newer.
+    /// Adopts the platform's full list. \returns whether it was newer.
     bool adoptList(const std::string& json);
-    /// Takes what a peer told. \returns false if it is not newer, or applies to
-    /// another version than ours. If the outcome is not the peer's list (the
-    /// platform may give two lists the same version), our version is 0 after it,
-    /// so that the whole list is asked for.
+    /// Applies changes from a peer. \returns false if they are not newer or
+    /// apply to a version other than the current one. If the resulting list
+    /// differs from the peer's (the platform may issue two lists with the same
+    /// version), the version is reset to 0 so that the full list is requested.
     bool adoptChanges(const VmListChanges& changes);
-    /// What a peer at \p version does not know.
+    /// \returns the changes since \p version, or the full list if this store
+    /// never held that version.
     VmListChanges changesSince(std::uint64_t version) const;
     VmList list() const;
-    /// The same for the same lines, in whatever order they came.
+    /// Hash of all VMs, independent of the order in which they were added.
     std::uint64_t hash() const;
     std::uint64_t version() const { return version_; }
 
@@ -101,29 +104,33 @@
     std::map<VmId, StoredVm> storedVms_;
     std::map<VmId, std::uint64_t> removed_;
     std::uint64_t version_ = 0;
-    /// Versions at which we had the list. Who is at another one may know of a VM
-    /// that came and went without our notice, and needs the whole list.
+    /// Versions that this store has held. A peer at any other version may list
+    /// a VM whose addition and removal this store never saw, so it needs the
+    /// full list.
     std::set<std::uint64_t> seenVersions_;
 };
 
-/// The load of one model at one home, as others hear of it.
+/// Load of one model on one dispatcher, as gossiped to other nodes.
 struct ModelLoad {
     std::uint32_t freeSlots_ = 0;
     std::uint32_t queued_ = 0;
+    /// Estimated queueing time of a new trial-class request; 0 if a slot is
+    /// free.
     milliseconds wait_ {};
-    /// Slots held by trials, which yield to paid work.
+    /// Slots held by requests of the trial class, which paid requests preempt.
     std::uint32_t trialSlots_ = 0;
 };
 
-/// What one node says of itself.
+/// The state that one node gossips about itself.
 struct NodeDigest {
     VmId node_;
-    /// Greater after each start of the process.
+    /// Increases with each start of the process.
     std::uint64_t incarnation_ = 0;
-    /// Greater with each heartbeat of an incarnation.
+    /// Increases with each heartbeat of an incarnation.
     std::uint64_t heartbeat_ = 0;
     bool isLeaving_ = false;
-    /// Whether the node itself told us; what follows is passed on by nobody else.
+    /// Whether the digest was received from the node itself. The fields below
+    /// are not forwarded by other nodes.
     bool isFirstHand_ = false;
     LogOffset catalogueOffset_;
     std::uint64_t vmListVersion_ = 0;
@@ -132,13 +139,14 @@
     bool isNewerThan(const NodeDigest& other) const;
 };
 
-/// How long a node may be silent in a data centre of \p nodes before it is
-/// suspected: \p base, and a heartbeat for each doubling, which is how the time
-/// that gossip needs to reach everyone grows.
+/// \returns the time without a heartbeat after which a node is suspected: \p
+/// base plus one \p heartbeat interval per doubling of \p nodes, the size of
+/// the data centre, since gossip reaches all nodes in logarithmic time.
 milliseconds suspicionTime(milliseconds base, milliseconds heartbeat, std::size_t nodes);
 
-/// Heartbeats of one data centre. A node whose heartbeat does not advance for
-/// the suspicion time is taken for dead until it advances again.
+/// Failure detector for the nodes of one data centre. A node whose heartbeat
+/// does not advance for the suspicion time is suspected until it advances
+/// again.
 class GossipTable {
 public:
     GossipTable(VmId self, std::uint64_t incarnation, milliseconds suspectAfter);
@@ -146,20 +154,23 @@
     void setSuspicionTime(milliseconds suspectAfter) { suspectAfter_ = suspectAfter; }
     NodeDigest& self() { return self_; }
     const NodeDigest& self() const { return self_; }
-    /// Nodes that the VM list names: one never heard of is suspected too, after
-    /// the same time.
+    /// Adds the nodes of the VM list. A node that never sends a heartbeat is
+    /// suspected after the same time.
     void expect(const std::vector<VmId>& nodes, SteadyTime now);
-    /// Advances our own heartbeat.
+    /// Advances this node's own heartbeat.
     void advanceHeartbeat() { ++self_.heartbeat_; }
-    /// Takes what another node told. \returns whether any of it was news.
+    /// Merges the digests of another node. \returns whether any of them was
+    /// newer.
     bool merge(const std::vector<NodeDigest>& digests, SteadyTime now);
-    /// All that is known, to be told to another node.
+    /// \returns this node's digest and those of its peers, to be sent to
+    /// another node.
     std::vector<NodeDigest> digests(SteadyTime now) const;
-    /// Others heard of recently, leaving ones included.
+    /// \returns the digests of the peers that are not suspected, including
+    /// those that are leaving.
     std::vector<NodeDigest> live(SteadyTime now) const;
-    /// Whether \p node was heard of and then fell silent.
+    /// Whether \p node is known but its heartbeat has not advanced in time.
     bool isSuspected(const VmId& node, SteadyTime now) const;
-    /// Forgets nodes silent for long.
+    /// Removes nodes that have been unresponsive for long.
     void forgetOld(SteadyTime now);
 
 private:
@@ -173,22 +184,24 @@
     std::map<VmId, PeerState> peers_;
 };
 
-/// Which VMs are known to be leaving, whatever the list still says.
+/// VMs that are known to be leaving, even if the VM list still has them as
+/// live.
 class LeavingTable {
 public:
     struct Leaving {
-        /// When the VM stops, if a notice told.
+        /// When the VM stops, if a notice stated the time.
         std::optional<SteadyTime> stopsAt_;
         SteadyTime markedAt_;
     };
 
-    /// \returns whether this was news.
+    /// \returns whether \p vm was not yet known to be leaving, or its stop time
+    /// was not yet known.
     bool markLeaving(const VmId& vm, std::optional<SteadyTime> stopsAt, SteadyTime now);
     bool isLeaving(const VmId& vm) const { return leaving_.contains(vm); }
     std::optional<SteadyTime> stopsAt(const VmId& vm) const;
-    /// When we first heard that \p vm leaves.
+    /// When \p vm was first marked as leaving.
     std::optional<SteadyTime> markedAt(const VmId& vm) const;
-    /// Forgets what was marked longer than \p retention ago.
+    /// Removes VMs that were marked more than \p retention ago.
     void forgetOld(milliseconds retention, SteadyTime now);
     const std::map<VmId, Leaving>& all() const { return leaving_; }
 
@@ -196,55 +209,57 @@
     std::map<VmId, Leaving> leaving_;
 };
 
-/// The VM list arranged for look-up; rebuilt only when the list changes.
+/// The VM list indexed for lookups; rebuilt only when the list changes.
 struct VmIndex {
     std::uint64_t version_ = 0;
     std::map<VmId, Vm> vms_;
-    /// Backend servers by what they serve.
+    /// Maps a model or service to the backend servers that serve it.
     std::map<std::string, std::vector<VmId>, std::less<>> serversByName_;
-    /// Entry VMs by data centre; its keys are all data centres with any.
+    /// Maps each data centre that has entry VMs to those VMs.
     std::map<DataCentreId, std::vector<VmId>> entryVms_;
 };
 
 std::shared_ptr<const VmIndex> indexVmList(const VmList& list);
 
-/// What the request path reads: one immutable picture of who serves what.
+/// Immutable view of the cluster that the request path reads.
 struct MembershipView {
     std::shared_ptr<const VmIndex> index_ = std::make_shared<const VmIndex>();
     DataCentreId dataCentre_;
-    /// Nodes of our own data centre that take roles, sorted; ourselves included
-    /// unless we are leaving.
+    /// Sorted nodes of the own data centre that are eligible for roles such as
+    /// dispatcher or coordinator; includes this node unless it is leaving.
     std::vector<VmId> localNodes_;
-    /// Live digests of our own data centre.
+    /// Digests of the live nodes of the own data centre.
     std::map<VmId, NodeDigest> digests_;
     std::set<VmId> leaving_;
 
     const Vm* find(const VmId& vm) const;
     bool isLeaving(const VmId& vm) const { return leaving_.contains(vm); }
-    /// Backend servers that serve \p name and are not leaving, of
-    /// \p dataCentre or, if that is empty, of all.
+    /// \returns the backend servers that serve \p name and are not leaving, in
+    /// \p dataCentre or, if that is empty, in all data centres.
     std::vector<VmId> serversOf(std::string_view name, const DataCentreId& dataCentre) const;
-    /// Entry VMs of \p dataCentre that take roles, as far as we know.
+    /// \returns the entry VMs of \p dataCentre that are eligible for roles. In
+    /// a remote data centre these are all that are not known to be leaving.
     std::vector<VmId> nodesOf(const DataCentreId& dataCentre) const;
-    /// Every entry VM that is not leaving, our own data centre's first.
+    /// \returns every entry VM that is not leaving, those of the own data
+    /// centre first.
     std::vector<VmId> allNodes() const;
 };
 
-/// Where a record lives whose replica is sought.
+/// Where the primary copy of a record is held.
 struct RecordLocation {
     VmId node_;
     DataCentreId dataCentre_;
     RegionId region_;
 };
 
-/// Nodes that may keep a replica, best first: another data centre of the same
-/// region, since the copy is waited for; then other regions, since a whole data
-/// centre may go at once; our own data centre last. A list without regions
-/// counts as one region.
+/// \returns the candidate nodes for a replica, best first. Other data centres
+/// of the same region come first, since the writer waits for the copy; other
+/// regions come next, since a data centre may fail as a whole; the own data
+/// centre comes last. VMs without a region count as being in the same region.
 std::vector<VmId> rankReplicas(const MembershipView& view, const RecordLocation& location, const std::string& key, const std::set<VmId>& excluded);
 
-/// Puts the sources together. A node takes roles if it is us, or the list has
-/// it, gossip does not suspect it and nobody says that it leaves.
+/// Combines all sources into a view. A node is eligible for roles if it is not
+/// leaving and it is this node, or it is in the VM list and not suspected.
 MembershipView buildView(std::shared_ptr<const VmIndex> index, const GossipTable& gossip, const LeavingTable& leaving, const DataCentreId& own, SteadyTime now);
 
 } // namespace pistachioloom
--- a/lib/Catalogue/CatalogueEntry.cpp
+++ b/lib/Catalogue/CatalogueEntry.cpp
@@ -1,8 +1,8 @@
-//===- lib/Catalogue/CatalogueEntry.cpp - parsing of catalogue entries --------------===//
+//===- lib/Catalogue/CatalogueEntry.cpp - parsing of catalogue entries -----===//
 ///
 /// \file
-/// The one parser of entries, used by the tool before it sends an edit and by
-/// every node that reads one.
+/// The only parser of entries. The command-line tool uses it to check an edit
+/// before sending it, and every node uses it to apply one.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Catalogue.h"
 
--- a/lib/Catalogue/CatalogueState.cpp
+++ b/lib/Catalogue/CatalogueState.cpp
@@ -1,7 +1,7 @@
 //===- lib/Catalogue/CatalogueState.cpp - edits applied in log order -------===//
 ///
 /// \file
-/// The base-version rule, snapshots, and the handling of gaps.
+/// Application of edits by base version, snapshots, and handling of log gaps.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Catalogue.h"
 
@@ -24,7 +24,8 @@
         std::optional<LogOffset> snapshotAsOf_;
     };
 
-    // A record that is no known record is void: others read it the same way.
+    // An unknown or malformed record has no effect. Every reader treats it the
+    // same way, so the states stay equal.
     Record parseRecord(const std::string& text)
     {
         Record record;
@@ -60,7 +61,8 @@
 
 std::shared_ptr<const CatalogueEntry> CatalogueView::findByApiKey(std::string_view apiKey) const
 {
-    // Keys are looked up by their hash, so the time taken tells nothing of them.
+    // Keys are looked up by their hash, so the time taken reveals nothing about
+    // the stored keys.
     std::string hash = sha256Hex(apiKey);
     auto found = byApiKeyHash_.find(hash);
     if (found == byApiKeyHash_.end() || !equalInConstantTime(found->first, hash))
@@ -106,7 +108,8 @@
 
 void CatalogueState::applyEdit(LogOffset offset, const CatalogueEdit& edit)
 {
-    // The same edit appended twice, after a lost answer: the first one counts.
+    // An edit is appended twice if its sender retried after a lost response;
+    // only the first copy counts.
     if (outcomes_.contains(edit.id_))
         return;
     auto current = view_.findEntry(edit.entry_);
--- a/lib/Ledger/LedgerRecord.cpp
+++ b/lib/Ledger/LedgerRecord.cpp
@@ -1,7 +1,7 @@
 //===- lib/Ledger/LedgerRecord.cpp - keys and records of the ledger --------===//
 ///
 /// \file
-/// The form of ledger records on the log: JSON, a list of items a record.
+/// Call keys, and the encoding of ledger records: each is a JSON list of items.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Ledger.h"
 
@@ -59,7 +59,7 @@
 
 CallKey makeCallKey(const OrganisationId& organisation, const ServiceName& service, const IdempotencyKey& key)
 {
-    // Lengths keep ("a", "bc") apart from ("ab", "c").
+    // The length prefixes distinguish ("a", "bc") from ("ab", "c").
     std::string text = std::to_string(organisation.value_.size()) + ":" + organisation.value_ + std::to_string(service.value_.size()) + ":" + service.value_ + key.value_;
     return { sha256Hex(text).substr(0, keyLength) };
 }
--- a/lib/Ledger/LedgerShard.cpp
+++ b/lib/Ledger/LedgerShard.cpp
@@ -1,7 +1,8 @@
 //===- lib/Ledger/LedgerShard.cpp - one shard in log order -----------------===//
 ///
 /// \file
-/// Which attempt holds a key, as every reader of the shard decides it.
+/// Determines which attempt holds a key, with the same result for every reader
+/// of the shard.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Ledger.h"
 
@@ -19,7 +20,8 @@
         state.bodyHash_ = item.bodyHash_;
         return;
     case LedgerItem::Type::Outcome:
-        // The intent may have been trimmed away; the outcome speaks for itself.
+        // The intent may have been trimmed from the log; the outcome alone
+        // proves that its attempt held the key.
         if (!state.holder_.isEmpty() && state.holder_ != item.attempt_)
             return;
         state.holder_ = item.attempt_;
--- a/lib/Ledger/RunOnceCall.cpp
+++ b/lib/Ledger/RunOnceCall.cpp
@@ -1,7 +1,7 @@
-//===- lib/Ledger/RunOnceCall.cpp - one call at its keeper -----------------===//
+//===- lib/Ledger/RunOnceCall.cpp - one call at its coordinator ------------===//
 ///
 /// \file
-/// The steps of a call that runs at most once.
+/// State machine of a call that is executed at most once.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Ledger.h"
 
@@ -49,7 +49,7 @@
 
 void RunOnceCall::intentAppended(LogOffset offset)
 {
-    assert(step_ == Step::AppendIntent && "an intent is appended once");
+    assert(step_ == Step::AppendIntent && "the intent has already been appended");
     intentOffset_ = offset;
     step_ = Step::ReadLog;
 }
@@ -64,25 +64,26 @@
 
 void RunOnceCall::intentFailed(Error error)
 {
-    assert(step_ == Step::AppendIntent && "only an intent can fail here");
+    assert(step_ == Step::AppendIntent && "no intent is being appended");
     release(std::move(error));
 }
 
 void RunOnceCall::logReadFailed(Error error)
 {
-    assert(step_ == Step::ReadLog && "only a read can fail here");
+    assert(step_ == Step::ReadLog && "the log is not being read");
     release(std::move(error));
 }
 
 void RunOnceCall::logRead(const LedgerShard& shard)
 {
-    assert(step_ == Step::ReadLog && "the log is read after the intent");
+    assert(step_ == Step::ReadLog && "the log is read only after the intent is appended");
     assert(shard.nextOffset() > intentOffset_ && "the shard must cover the intent");
     step_ = Step::Done;
     const CallState* state = shard.find(key_);
     if (!state) {
-        // The intent itself was trimmed before it was read.
-        release({ Errc::Unavailable, "read ledger", {}, "the log no longer keeps the intent", Ran::No, {} });
+        // The intent was trimmed before it was read, so it is unknown whether
+        // it was the first.
+        release({ Errc::Unavailable, "read ledger", {}, "the intent was trimmed from the log before it was read", Ran::No, {} });
         return;
     }
     if (state->holder_ == attempt_) {
@@ -103,13 +104,13 @@
 
 void RunOnceCall::intentExpired()
 {
-    assert(step_ == Step::Dispatch && "only a call about to run can be too late");
-    release({ Errc::Timeout, "dispatch", {}, "too long between intent and dispatch", Ran::No, {} });
+    assert(step_ == Step::Dispatch && "only a call that is ready for dispatch can expire");
+    release({ Errc::Timeout, "dispatch", {}, "the intent is too old to be dispatched", Ran::No, {} });
 }
 
 void RunOnceCall::dispatched(CallOutcome outcome)
 {
-    assert(step_ == Step::Dispatch && "a call is dispatched once");
+    assert(step_ == Step::Dispatch && "the call has already been dispatched or may not be");
     outcome_ = std::move(outcome);
     answer_ = Answer::Executed;
     step_ = Step::AppendOutcome;
@@ -117,7 +118,7 @@
 
 void RunOnceCall::dispatchFailed(Error error)
 {
-    assert(step_ == Step::Dispatch && "only a dispatch can fail here");
+    assert(step_ == Step::Dispatch && "the call is not being dispatched");
     if (error.ran_ == Ran::No) {
         release(std::move(error));
         return;
@@ -129,7 +130,7 @@
 
 void RunOnceCall::recordWritten()
 {
-    assert((step_ == Step::AppendOutcome || step_ == Step::AppendRelease) && "only a closing record ends a call");
+    assert((step_ == Step::AppendOutcome || step_ == Step::AppendRelease) && "no outcome or release is being appended");
     step_ = Step::Done;
 }
 
--- a/lib/Membership/Gossip.cpp
+++ b/lib/Membership/Gossip.cpp
@@ -1,7 +1,7 @@
 //===- lib/Membership/Gossip.cpp - heartbeats spread by gossip -------------===//
 ///
 /// \file
-/// Merging of digests, suspicion, and the picture put together from all
+/// Merging of digests, failure detection, and the view that combines all
 /// sources.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Membership.h"
@@ -13,9 +13,10 @@
 
 namespace {
 
-    // Silent nodes are told of no more after this many suspicion times, and
-    // forgotten after twice as many.
+    // The digest of an unresponsive node is no longer forwarded after this many
+    // suspicion times.
     constexpr int forwardingFactor = 2;
+    // An unresponsive node is removed after this many suspicion times.
     constexpr int retentionFactor = 20;
 
 } // namespace
--- a/lib/Membership/VmList.cpp
+++ b/lib/Membership/VmList.cpp
@@ -1,7 +1,7 @@
 //===- lib/Membership/VmList.cpp - the platform's VM list ------------------===//
 ///
 /// \file
-/// Reading of the list, and VMs known to be leaving.
+/// Parsing, versioning and indexing of the list, and the table of leaving VMs.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Membership.h"
 
@@ -14,7 +14,7 @@
 
 namespace {
 
-    // Changes are known since so many versions.
+    // Peers at any of this many recent versions can be sent differences.
     constexpr std::size_t maxSeenVersions = 1024;
 
     std::optional<Vm::Kind> kindFrom(const std::string& name)
--- a/unittests/Catalogue/CatalogueTest.cpp
+++ b/unittests/Catalogue/CatalogueTest.cpp
@@ -1,7 +1,7 @@
 //===- unittests/Catalogue/CatalogueTest.cpp - entries and edits -----------===//
 ///
 /// \file
-/// The parser's errors, the base-version rule, snapshots and gaps.
+/// Tests of parse errors, the base-version check, snapshots and log gaps.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Catalogue.h"
 
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("a good entry is read with its defaults")
+TEST_CASE("a valid workload entry is parsed")
 {
     InputErrors errors;
     auto entry = parseEntry(goodWorkload, "file", errors);
@@ -44,7 +44,7 @@
     CHECK(entry->workload_->class_ == ServiceClass::Paid);
 }
 
-TEST_CASE("a bad entry is refused with its line and field")
+TEST_CASE("an invalid entry is rejected with its line and field")
 {
     auto bad = GENERATE(values<BadEntry>({
         { "class", "class: paid", "class: gold", "file:4: class: expected one of paid trial, found 'gold'" },
@@ -66,7 +66,7 @@
     CHECK(errors.front().toString().substr(0, bad.expected_.size()) == bad.expected_);
 }
 
-TEST_CASE("an engine's entry states what its engines run and leave free")
+TEST_CASE("an engine entry has a target configuration and a paid reserve")
 {
     const std::string good = "name: planogram\nkind: engine\nconcurrency: 16\npaid_reserve: 2\nhonours_fencing: true\nversion: v3\nadapters: [serra]\nrole: mixed\nmost_loading: 2\n";
     InputErrors errors;
@@ -88,7 +88,7 @@
     CHECK(errors.front().toString() == bad.expected_);
 }
 
-TEST_CASE("of edits on one base the first in the log wins")
+TEST_CASE("of edits with the same base version only the first in the log is accepted")
 {
     CatalogueState state;
     state.apply({ 0 }, edit("e1", "s", 0, service("s", 1)));
@@ -101,7 +101,7 @@
     CHECK(state.history().size() == 2);
 }
 
-TEST_CASE("an edit that arrives twice counts once")
+TEST_CASE("an edit that is appended twice is applied once")
 {
     CatalogueState state;
     state.apply({ 0 }, edit("e1", "s", 0, service("s", 1)));
@@ -110,7 +110,7 @@
     CHECK(state.history().size() == 1);
 }
 
-TEST_CASE("offsets never go back")
+TEST_CASE("offsets never decrease")
 {
     CatalogueState state;
     state.apply({ 0 }, edit("e1", "s", 0, service("s", 1)));
@@ -122,7 +122,7 @@
     CHECK(state.nextOffset() == LogOffset { 2 });
 }
 
-TEST_CASE("a removed entry starts again from version 0")
+TEST_CASE("the base version of a removed entry is 0")
 {
     CatalogueState state;
     state.apply({ 0 }, edit("e1", "s", 0, service("s", 1)));
@@ -134,7 +134,7 @@
     CHECK(state.outcomeOf({ "e4" })->isAccepted_);
 }
 
-TEST_CASE("records of no known form are void for everyone")
+TEST_CASE("unknown and malformed records have no effect")
 {
     CatalogueState state;
     auto record = GENERATE(values<std::string>({ "", "{", "[]", "{\"type\":\"new\"}", edit("e", "s", 0, "name: other\nkind: service\nconcurrency: 1\nrepeatable: true\n"), edit("e", "s", 0, "no entry") }));
@@ -143,7 +143,7 @@
     CHECK(state.nextOffset() == LogOffset { 1 });
 }
 
-TEST_CASE("after a trim a reader waits for a snapshot that covers the gap")
+TEST_CASE("after a trim, a reader waits for a snapshot that covers the gap")
 {
     CatalogueState writer;
     std::vector<std::string> log;
@@ -176,7 +176,7 @@
     CHECK(reader.outcomeOf({ "e1" })->isAccepted_);
 }
 
-TEST_CASE("every reader of one log ends in one state, from wherever it began")
+TEST_CASE("readers of the same log reach the same state from any start offset")
 {
     for (std::uint64_t seed = 0; seed < 300; ++seed) {
         std::mt19937_64 generator(seed);
--- a/unittests/Ledger/LedgerTest.cpp
+++ b/unittests/Ledger/LedgerTest.cpp
@@ -1,8 +1,8 @@
-//===- unittests/Ledger/LedgerTest.cpp - at most once, by log order --------===//
+//===- unittests/Ledger/LedgerTest.cpp - at-most-once execution ------------===//
 ///
 /// \file
-/// Tables for the shard's rules, a random exploration of 120,000 seeded runs
-/// and an exhaustive one of a small world.
+/// Table-driven tests of the shard's rules, a random exploration of 120,000
+/// seeded runs, and an exhaustive exploration of a small model.
 //===----------------------------------------------------------------------===//
 #include "RunOnceModel.h"
 
@@ -30,20 +30,20 @@
 
 } // namespace
 
-TEST_CASE("the log's order decides who holds a key")
+TEST_CASE("the log order determines which attempt holds a key")
 {
     using Type = LedgerItem::Type;
     auto shardCase = GENERATE(values<ShardCase>({
         { "the first intent", { item(Type::Intent, "a"), item(Type::Intent, "b") }, "a", false },
         { "an outcome of the holder", { item(Type::Intent, "a"), item(Type::Outcome, "a") }, "a", true },
-        { "an outcome of another", { item(Type::Intent, "a"), item(Type::Outcome, "b") }, "a", false },
+        { "an outcome of another attempt", { item(Type::Intent, "a"), item(Type::Outcome, "b") }, "a", false },
         { "an outcome whose intent was trimmed", { item(Type::Outcome, "a") }, "a", true },
         { "a release", { item(Type::Intent, "a"), item(Type::Release, "a") }, "", false },
         { "the next intent after a release", { item(Type::Intent, "a"), item(Type::Release, "a"), item(Type::Intent, "b") }, "b", false },
-        { "a release by another", { item(Type::Intent, "a"), item(Type::Release, "b") }, "a", false },
+        { "a release by another attempt", { item(Type::Intent, "a"), item(Type::Release, "b") }, "a", false },
         { "an intent after its own release", { item(Type::Release, "a"), item(Type::Intent, "a"), item(Type::Intent, "b") }, "b", false },
         { "a release after the outcome", { item(Type::Intent, "a"), item(Type::Outcome, "a"), item(Type::Release, "a") }, "a", true },
-        { "an intent that arrived twice", { item(Type::Intent, "a"), item(Type::Intent, "a"), item(Type::Intent, "b") }, "a", false },
+        { "an intent that was appended twice", { item(Type::Intent, "a"), item(Type::Intent, "a"), item(Type::Intent, "b") }, "a", false },
     }));
     INFO(shardCase.name_);
     LedgerShard shard;
@@ -54,7 +54,7 @@
     CHECK((state && state->outcome_.has_value()) == shardCase.hasOutcome_);
 }
 
-TEST_CASE("records come back as they were written")
+TEST_CASE("records are decoded as they were encoded")
 {
     std::vector<LedgerItem> items { item(LedgerItem::Type::Intent, "a"), item(LedgerItem::Type::Outcome, "b"), item(LedgerItem::Type::Release, "c") };
     auto decoded = decodeLedgerRecord(encodeLedgerRecord(items));
@@ -67,7 +67,7 @@
     CHECK(decodeLedgerRecord("no record").empty());
 }
 
-TEST_CASE("a key is forgotten when the log forgets its last record")
+TEST_CASE("a key is removed when its last record is trimmed")
 {
     LedgerShard shard;
     shard.apply({ 0 }, { item(LedgerItem::Type::Intent, "a") });
@@ -79,13 +79,13 @@
     CHECK(shard.size() == 0);
 }
 
-TEST_CASE("keys of different organisations and services differ")
+TEST_CASE("calls of different organisations or services have different keys")
 {
     CHECK(makeCallKey({ "a" }, { "bc" }, { "k" }) != makeCallKey({ "ab" }, { "c" }, { "k" }));
     CHECK(makeCallKey({ "a" }, { "b" }, { "ck" }) != makeCallKey({ "a" }, { "bc" }, { "k" }));
 }
 
-TEST_CASE("another body under a used key is refused")
+TEST_CASE("a used key with a different body is rejected")
 {
     LedgerShard shard;
     shard.apply({ 0 }, { item(LedgerItem::Type::Intent, "a") });
@@ -96,7 +96,7 @@
     CHECK(call.answer() == RunOnceCall::Answer::KeyReused);
 }
 
-TEST_CASE("no interleaving of faults runs a call twice: random")
+TEST_CASE("no interleaving of faults executes a call twice: random")
 {
     constexpr std::uint64_t runs = 120000;
     std::size_t executed = 0;
@@ -111,7 +111,7 @@
         }
         executed += model.executions();
     }
-    // The exploration is worth something only if calls do run in it.
+    // The exploration is meaningful only if calls are executed in it.
     CHECK(executed > runs / 2);
 }
 
@@ -143,17 +143,17 @@
 
 } // namespace
 
-TEST_CASE("no interleaving of faults runs a call twice: exhaustive")
+TEST_CASE("no interleaving of faults executes a call twice: exhaustive")
 {
     auto faults = GENERATE(values<FaultBudget>({ { 1, 1, 0, 0 }, { 0, 1, 0, 1 }, { 1, 0, 1, 1 } }));
     ExplorationResult result;
     explore(RunOnceModel(2, 1, faults), result);
-    INFO(result.statesVisited_ << " states, " << result.finalStates_ << " ends");
+    INFO(result.statesVisited_ << " states, " << result.finalStates_ << " final states");
     CHECK(result.violation_.empty());
     CHECK(result.finalStates_ > 100);
 }
 
-TEST_CASE("a call that gave up does not burn its key")
+TEST_CASE("a released call leaves its key usable")
 {
     RunOnceModel model(1, 1, { 0, 1, 0, 0 });
     model.apply({ Choice::Kind::AppendDelayed, 0 });
--- a/unittests/Ledger/RunOnceModel.cpp
+++ b/unittests/Ledger/RunOnceModel.cpp
@@ -1,7 +1,7 @@
-//===- unittests/Ledger/RunOnceModel.cpp - keepers, a log and a service ----===//
+//===- unittests/Ledger/RunOnceModel.cpp - model of at-most-once execution -===//
 ///
 /// \file
-/// See RunOnceModel.h.
+/// Implementation of the model in RunOnceModel.h.
 //===----------------------------------------------------------------------===//
 #include "RunOnceModel.h"
 
@@ -166,14 +166,14 @@
 std::string RunOnceModel::violation() const
 {
     if (executed_.size() > 1)
-        return "the call ran " + std::to_string(executed_.size()) + " times";
+        return "the call was executed " + std::to_string(executed_.size()) + " times";
     for (const Call& call : calls_) {
         RunOnceCall::Answer answer = call.call_.answer();
         if (answer == RunOnceCall::Answer::NotRun && call.hasExecuted_)
-            return "told not run, but ran";
+            return "a call reported as not run was executed";
         bool hasOutcome = answer == RunOnceCall::Answer::Executed || answer == RunOnceCall::Answer::Replayed;
         if (hasOutcome && (executed_.empty() || call.call_.outcome().body_ != executed_.front().value_))
-            return "an outcome that is not of the one execution";
+            return "the outcome is not that of the only execution";
     }
     return {};
 }
--- a/unittests/Ledger/RunOnceModel.h
+++ b/unittests/Ledger/RunOnceModel.h
@@ -1,9 +1,9 @@
-//===- unittests/Ledger/RunOnceModel.h - keepers, a log and a service ------===//
+//===- unittests/Ledger/RunOnceModel.h - model of at-most-once execution ---===//
 ///
 /// \file
-/// A model in which RunOnceCall's steps are interleaved with every fault of
-/// the log, the service and the keepers. It is copied at each choice by the
-/// exhaustive exploration and driven by draws in the random one.
+/// A model of coordinators, a log and a service that interleaves the steps of
+/// RunOnceCall with faults of each of them. The exhaustive exploration copies
+/// the model at each choice; the random one draws the choices.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -11,14 +11,15 @@
 
 namespace pistachioloom::test {
 
-/// One thing that may happen next.
+/// One possible next transition.
 struct Choice {
     enum class Kind {
         AppendTakesEffect,
         AppendFails,
-        /// The record is in the log, and the keeper does not hear of it.
+        /// The record is in the log, but the coordinator receives no response.
         AppendAnswerLost,
-        /// The keeper hears nothing, and the record comes later or never.
+        /// The coordinator receives no response, and the record reaches the log
+        /// later or never.
         AppendDelayed,
         DelayedArrives,
         ReadLog,
@@ -32,7 +33,7 @@
     std::size_t index_ = 0;
 };
 
-/// How many of each fault a run may still have.
+/// Remaining number of faults of each kind in a run.
 struct FaultBudget {
     int crashes_ = 0;
     int appendFaults_ = 0;
@@ -46,11 +47,12 @@
 
     std::vector<Choice> choices() const;
     void apply(const Choice& choice);
-    /// What is violated, or an empty string.
+    /// \returns the violated property, or an empty string.
     std::string violation() const;
     std::size_t executions() const { return executed_.size(); }
     bool isFinished() const;
-    /// Whether one more call, with a working log and service, may run.
+    /// Appends the intent of a new call without faults. \returns whether that
+    /// call may be dispatched.
     bool canRunNewCall();
 
 private:
--- a/unittests/Membership/MembershipTest.cpp
+++ b/unittests/Membership/MembershipTest.cpp
@@ -1,7 +1,8 @@
-//===- unittests/Membership/MembershipTest.cpp - who is there --------------===//
+//===- unittests/Membership/MembershipTest.cpp - gossip and VM list --------===//
 ///
 /// \file
-/// Gossip with injected time, leaving, and the picture built from them.
+/// Tests of gossip with injected time, leaving VMs, the VM list, and the view
+/// built from them.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Membership.h"
 
@@ -40,7 +41,7 @@
     return result;
 }
 
-/// Nodes that gossip in rounds, each round one heartbeat long.
+/// Simulates nodes that gossip in rounds; a round lasts one heartbeat interval.
 struct GossipSimulation {
     GossipSimulation(std::size_t count, std::uint64_t seed)
         : generator_(seed)
@@ -76,7 +77,7 @@
 
 } // namespace
 
-TEST_CASE("newer heartbeats win, and a restart beats any old heartbeat")
+TEST_CASE("a newer heartbeat wins, and a newer incarnation wins over any heartbeat")
 {
     GossipTable table({ "self" }, 1, suspectAfter);
     CHECK(table.merge({ digest("a", 1, 5) }, start));
@@ -87,7 +88,7 @@
     CHECK_FALSE(table.merge({ digest("self", 9, 9) }, start));
 }
 
-TEST_CASE("a silent node is suspected after the time set, and believed again when it speaks")
+TEST_CASE("a node is suspected after the suspicion time and trusted at its next heartbeat")
 {
     GossipTable table({ "self" }, 1, suspectAfter);
     table.merge({ digest("a", 1, 1) }, start);
@@ -105,7 +106,7 @@
     CHECK_FALSE(table.isSuspected({ "a" }, now));
 }
 
-TEST_CASE("gossip finds a dead node in time and suspects no live one, at any size")
+TEST_CASE("gossip detects a stopped node in time and suspects no live one, at any size")
 {
     auto count = GENERATE(std::size_t { 3 }, std::size_t { 9 }, std::size_t { 26 }, std::size_t { 52 });
     auto seed = GENERATE(range(0, 5));
@@ -132,7 +133,7 @@
     CHECK(rounds <= 16);
 }
 
-TEST_CASE("the picture leaves out who is suspected or leaving, and keeps who merely is far")
+TEST_CASE("the view excludes suspected and leaving VMs but includes remote ones")
 {
     VmList list { 7, { entryVm("self", "a"), entryVm("peer", "a"), entryVm("dead", "a"), entryVm("goes", "a"), entryVm("far", "b"), engineVm("e1", "a"), engineVm("e2", "a"), engineVm("e3", "b") } };
     list.vms_[6].state_ = Vm::State::Leaving;
@@ -155,11 +156,11 @@
     CHECK(view.localNodes_ == std::vector<VmId> { { "peer" } });
 }
 
-TEST_CASE("the first notice counts, and a time once told is kept")
+TEST_CASE("the first notice counts, and a known stop time is kept")
 {
     LeavingTable leaving;
     CHECK(leaving.markLeaving({ "a" }, std::nullopt, start));
-    // A time that was not known before is news as well.
+    // A stop time that was not known before is an update as well.
     CHECK(leaving.markLeaving({ "a" }, start + milliseconds(5), start));
     CHECK(leaving.stopsAt({ "a" }) == start + milliseconds(5));
     CHECK_FALSE(leaving.markLeaving({ "a" }, start + milliseconds(99), start));
@@ -168,7 +169,7 @@
     CHECK_FALSE(leaving.isLeaving({ "a" }));
 }
 
-TEST_CASE("a VM list that is no list is refused, and odd lines are left out")
+TEST_CASE("a malformed VM list is rejected, and malformed VMs are left out")
 {
     CHECK_FALSE(parseVmList("{"));
     CHECK_FALSE(parseVmList("[]"));
@@ -196,7 +197,7 @@
 
 } // namespace
 
-TEST_CASE("peers that are told changes only end with the platform's list")
+TEST_CASE("peers that receive only changes reach the platform's list")
 {
     std::size_t vmsSent = 0;
     std::size_t vmsListed = 0;
@@ -213,7 +214,8 @@
                 else
                     platform.erase(vm);
             }
-            // The relay misses versions, and peers hear of some only, some late.
+            // The relay misses versions, and peers receive only some versions,
+            // partly with a delay.
             bool isLast = version == 60;
             if (generator() % 3 == 0 && !isLast)
                 continue;
@@ -242,7 +244,7 @@
     CHECK(vmsSent < vmsListed / 2);
 }
 
-TEST_CASE("changes to a version that is not reached, or not newer, are refused")
+TEST_CASE("changes that are not newer or have another base version are rejected")
 {
     VmListStore store;
     CHECK_FALSE(store.adoptChanges({ 5, 3, { line(1, 1) }, {}, 0 }));
@@ -251,12 +253,12 @@
     CHECK_FALSE(store.adoptChanges({ 9, 6, {}, {}, 0 }));
     CHECK(store.adoptChanges({ 6, 5, {}, { { "vm-1" } }, 0 }));
     CHECK(store.list().vms_.size() == 1);
-    // It never was at version 4, and knows no removals since.
+    // The store never held version 4 and has no removals since then.
     CHECK(store.changesSince(4).base_ == 0);
     CHECK(store.changesSince(5).removed_.size() == 1);
 }
 
-TEST_CASE("a replica goes to another data centre, of the same region if there is one")
+TEST_CASE("a replica is placed in another data centre, if possible of the same region")
 {
     VmList list { 1, {} };
     auto add = [&](const std::string& id, const std::string& dataCentre, const std::string& region) {
@@ -288,7 +290,7 @@
     CHECK(ranked.front() == VmId { "c1" });
 }
 
-TEST_CASE("a list that differs under the same version is replaced by the whole one")
+TEST_CASE("a list that differs under the same version is replaced by the full list")
 {
     VmListStore relay;
     VmListStore peer;
