--- a/include/pistachioloom/Catalogue.h
+++ b/include/pistachioloom/Catalogue.h
@@ -34,7 +34,8 @@
     milliseconds deadline_ {};
     milliseconds latencyTarget_ {};
 
-    /// Largest rate that an entry can state; it stands for an unlimited rate.
+    /// Largest rate that an entry can state. An entry without a rate limit has
+    /// this rate.
     static constexpr std::uint64_t maxTokensPerSecond = 100000000;
     bool hasTokenLimit() const { return tokensPerSecond_ && tokensPerSecond_ < maxTokensPerSecond; }
 };
--- a/include/pistachioloom/Membership.h
+++ b/include/pistachioloom/Membership.h
@@ -139,8 +139,8 @@
     bool isNewerThan(const NodeDigest& other) const;
 };
 
-/// \returns the time without a heartbeat after which a node is suspected: \p
-/// base plus one \p heartbeat interval per doubling of \p nodes, the size of
+/// \returns the time without a heartbeat after which a node is suspected. It is
+/// \p base plus one \p heartbeat interval per doubling of \p nodes, the size of
 /// the data centre, since gossip reaches all nodes in logarithmic time.
 milliseconds suspicionTime(milliseconds base, milliseconds heartbeat, std::size_t nodes);
 
--- a/lib/Ledger/RunOnceCall.cpp
+++ b/lib/Ledger/RunOnceCall.cpp
@@ -81,8 +81,7 @@
     step_ = Step::Done;
     const CallState* state = shard.find(key_);
     if (!state) {
-        // The intent was trimmed before it was read, so it is unknown whether
-        // it was the first.
+        // The intent was trimmed before it was read.
         release({ Errc::Unavailable, "read ledger", {}, "the intent was trimmed from the log before it was read", Ran::No, {} });
         return;
     }
@@ -110,7 +109,7 @@
 
 void RunOnceCall::dispatched(CallOutcome outcome)
 {
-    assert(step_ == Step::Dispatch && "the call has already been dispatched or may not be");
+    assert(step_ == Step::Dispatch && "the call is not ready for dispatch");
     outcome_ = std::move(outcome);
     answer_ = Answer::Executed;
     step_ = Step::AppendOutcome;
