--- a/unittests/Ledger/RunOnceModel.h
+++ b/unittests/Ledger/RunOnceModel.h
@@ -1,9 +1,9 @@
-//===- unittests/Ledger/RunOnceModel.h - keepers, a log and a service ------===//
+//===- unittests/Ledger/RunOnceModel.h - model of at-most-once execution ---===//
 ///
 /// \file
-/// A model in which RunOnceCall's steps are interleaved with every fault of
-/// the log, the service and the keepers. It is copied at each choice by the
-/// exhaustive exploration and driven by draws in the random one.
+/// A model of coordinators, a log and a service that interleaves the steps of
+/// RunOnceCall with faults of each of them. The exhaustive exploration copies
+/// the model at each choice; the random one draws the choices.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -11,28 +11,29 @@
 
 namespace pistachioloom::test {
 
-/// One thing that may happen next.
+/// One possible next transition.
 struct Choice {
     enum class Kind {
         AppendTakesEffect,
         AppendFails,
-        /// The record is in the log, and the keeper does not hear of it.
+        /// The record is in the log, but the coordinator receives no response.
         AppendAnswerLost,
-        /// The keeper hears nothing, and the record comes later or never.
+        /// The coordinator receives no response, and the record reaches the log
+        /// later or never.
         AppendDelayed,
         DelayedArrives,
         ReadLog,
         ReadFails,
         ServiceRuns,
         ServiceRunsAnswerLost,
-        ServiceRefuses,
-        KeeperCrashes,
+        ServiceRejects,
+        CoordinatorCrashes,
     };
     Kind kind_;
     std::size_t index_ = 0;
 };
 
-/// How many of each fault a run may still have.
+/// Remaining number of faults of each kind in a run.
 struct FaultBudget {
     int crashes_ = 0;
     int appendFaults_ = 0;
@@ -42,28 +43,29 @@
 
 class RunOnceModel {
 public:
-    RunOnceModel(std::size_t keepers, std::size_t callsPerKeeper, FaultBudget faults);
+    RunOnceModel(std::size_t coordinators, std::size_t callsPerCoordinator, FaultBudget faults);
 
     std::vector<Choice> choices() const;
     void apply(const Choice& choice);
-    /// What is violated, or an empty string.
+    /// \returns the violated property, or an empty string.
     std::string violation() const;
     std::size_t executions() const { return executed_.size(); }
-    bool isQuiet() const;
-    /// Whether one more call, with a working log and service, may run.
-    bool canRunNow();
+    bool isFinished() const;
+    /// Appends the intent of a new call without faults. \returns whether that
+    /// call may be dispatched.
+    bool canRunNewCall();
 
 private:
     struct Call {
         RunOnceCall call_;
-        std::size_t keeper_;
+        std::size_t coordinator_;
         bool isAlive_ = true;
         bool hasExecuted_ = false;
     };
 
     void addAppendChoices(std::vector<Choice>& choices, std::size_t index) const;
     void finishAppend(Call& call, LogOffset offset);
-    void giveUpAppend(Call& call);
+    void failAppend(Call& call);
     void execute(Call& call);
     LogOffset append(const LedgerItem& item);
     LedgerShard readLog() const;
@@ -73,7 +75,7 @@
     std::vector<Call> calls_;
     std::vector<AttemptId> executed_;
     FaultBudget faults_;
-    std::size_t keepers_;
+    std::size_t coordinators_;
 };
 
 } // namespace pistachioloom::test
