--- a/benchmarks/ConfigurationBenchmark.cpp
+++ b/benchmarks/ConfigurationBenchmark.cpp
@@ -6,7 +6,7 @@
 /// runs that does them itself, or leaves them to a thread beside it. The machine may be
 /// shared: the least of the runs says most, and only steps of one run compare.
 //===----------------------------------------------------------------------===//
-#include "Background.h"
+#include "BackgroundExecutor.h"
 #include "Percentile.h"
 #include "platform/Platform.h"
 
@@ -81,7 +81,7 @@
     BesideLoop,
 };
 
-asio::awaitable<void> takeInAt(Place place, Background& background, const std::string& text, bool& isDone)
+asio::awaitable<void> takeInAt(Place place, BackgroundExecutor& background, const std::string& text, bool& isDone)
 {
     co_await sleepFor(milliseconds(5));
     std::function<void()> work = [&text] { takeIn(text); };
@@ -108,7 +108,7 @@
     std::vector<double> latest;
     for (int i = 0; i < runs; ++i) {
         asio::io_context io(1);
-        Background background;
+        BackgroundExecutor background;
         bool isDone = false;
         latest.push_back(0);
         asio::co_spawn(io, takeInAt(place, background, text, isDone), asio::detached);
--- a/benchmarks/RelayBenchmark.cpp
+++ b/benchmarks/RelayBenchmark.cpp
@@ -5,7 +5,7 @@
 /// choice of an engine among 21, 112 and 2,100, and bounds on how a node's part
 /// may grow.
 //===----------------------------------------------------------------------===//
-#include "RelayBook.h"
+#include "ReportAggregator.h"
 #include "pistachioloom/Backends.h"
 
 #include <algorithm>
@@ -96,19 +96,19 @@
 
 Figures measure(const Size& size)
 {
-    RelayBook book(milliseconds(5000));
+    ReportAggregator book(milliseconds(5000));
     for (int i = 0; i < size.nodesOfEach_; ++i)
-        book.takeReport(reportOf(i, size), start);
+        book.applyReport(reportOf(i, size), start);
     // Another data centre's sums hold as many engines as its nodes use.
     for (int dataCentre = 1; dataCentre < size.dataCentres_; ++dataCentre) {
-        RelayBook other(milliseconds(5000));
+        ReportAggregator other(milliseconds(5000));
         for (int i = 0; i < size.nodesOfEach_; ++i)
-            other.takeReport(reportOf(dataCentre * size.nodesOfEach_ + i, size), start);
+            other.applyReport(reportOf(dataCentre * size.nodesOfEach_ + i, size), start);
         wire::RelayReport summary;
         summary.set_vm("relay");
         summary.set_data_centre("dc-" + std::to_string(dataCentre));
         *summary.mutable_sums() = other.summaryFor({ "a" }, start);
-        book.takeSummary(summary, start);
+        book.applySummary(summary, start);
     }
     Figures figures;
     wire::NodeReport report = reportOf(0, size);
@@ -116,7 +116,7 @@
     ReportTotals totals = book.totals(start);
     figures.digestBytes_ = book.digestFor({ "node-0" }, totals, start).ByteSizeLong();
     figures.summaryBytes_ = book.summaryFor({ "dc-1" }, start).ByteSizeLong();
-    figures.takeReportUs_ = timeOf(50, [&] { book.takeReport(report, start); });
+    figures.takeReportUs_ = timeOf(50, [&] { book.applyReport(report, start); });
     figures.digestUs_ = timeOf(20, [&] { (void)book.digestFor({ "node-0" }, totals, start); });
     figures.chooseUs_ = chooseTime(size.engines_);
     return figures;
--- a/lib/Gateway/Background.cpp
+++ b/lib/Gateway/BackgroundExecutor.cpp
@@ -1,9 +1,9 @@
-//===- lib/Gateway/Background.cpp - work beside the event loops ------------===//
+//===- lib/Gateway/BackgroundExecutor.cpp - work beside the event loops ------------===//
 ///
 /// \file
-/// See Background.h.
+/// See BackgroundExecutor.h.
 //===----------------------------------------------------------------------===//
-#include "Background.h"
+#include "BackgroundExecutor.h"
 
 namespace pistachioloom {
 
@@ -13,7 +13,7 @@
     co_return;
 }
 
-Background::Background()
+BackgroundExecutor::BackgroundExecutor()
     : io_(1)
     , guard_(asio::make_work_guard(io_))
     , thread_([this] {
@@ -23,13 +23,13 @@
 {
 }
 
-Background::~Background()
+BackgroundExecutor::~BackgroundExecutor()
 {
     io_.stop();
     thread_.join();
 }
 
-asio::awaitable<void> Background::run(std::function<void()> work)
+asio::awaitable<void> BackgroundExecutor::run(std::function<void()> work)
 {
     co_await asio::co_spawn(io_, doWork(std::move(work)), asio::use_awaitable);
 }
--- a/lib/Gateway/Background.h
+++ b/lib/Gateway/BackgroundExecutor.h
@@ -1,4 +1,4 @@
-//===- lib/Gateway/Background.h - work beside the event loops --------------===//
+//===- lib/Gateway/BackgroundExecutor.h - work beside the event loops --------------===//
 ///
 /// \file
 /// One thread for work that takes longer than a caller should wait for: decoding,
@@ -20,12 +20,12 @@
 ///
 /// It must end before the io_contexts whose coroutines it resumes. Its end waits for
 /// the work that runs and drops what waits: those coroutines are not resumed.
-class Background {
+class BackgroundExecutor {
 public:
-    Background();
-    ~Background();
-    Background(const Background&) = delete;
-    Background& operator=(const Background&) = delete;
+    BackgroundExecutor();
+    ~BackgroundExecutor();
+    BackgroundExecutor(const BackgroundExecutor&) = delete;
+    BackgroundExecutor& operator=(const BackgroundExecutor&) = delete;
 
     /// Suspends the calling coroutine, which resumes on its own executor, until \p work
     /// was done on the thread of this object. It may read from RcuCell. Exceptions of
--- a/lib/Gateway/Transfers.cpp
+++ b/lib/Gateway/ConfigurationTransfer.cpp
@@ -1,10 +1,10 @@
-//===- lib/Gateway/Transfers.cpp - configurations from node to node --------===//
+//===- lib/Gateway/ConfigurationTransfer.cpp - configurations from node to node --------===//
 ///
 /// \file
 /// How a node that is behind gets the configuration from a peer, and how one that has
-/// it gives it on. What the platform tells and the registry are in Feed.cpp.
+/// it gives it on. What the platform tells and the registry are in PlatformFeed.cpp.
 //===----------------------------------------------------------------------===//
-#include "Feed.h"
+#include "PlatformFeed.h"
 
 #include "generated/Peer.pb.h"
 
@@ -21,7 +21,7 @@
 
 } // namespace
 
-std::optional<KnownPeer> Feed::peerAhead() const
+std::optional<KnownPeer> PlatformFeed::peerAhead() const
 {
     auto table = context_.table();
     std::uint64_t own = table ? table->version() : 0;
@@ -37,23 +37,23 @@
     return ahead[randomBits() % ahead.size()];
 }
 
-asio::awaitable<void> Feed::askForConfiguration()
+asio::awaitable<void> PlatformFeed::askForConfiguration()
 {
     for (;;) {
-        co_await sleepFor(askPeriod);
+        co_await sleepFor(peerCheckPeriod);
         auto ahead = peerAhead();
         if (ahead)
             co_await askConfiguration(ahead->first, ahead->second);
     }
 }
 
-asio::awaitable<Result<wire::Frame>> Feed::fetch(Peer peer, wire::Frame request)
+asio::awaitable<Result<wire::Frame>> PlatformFeed::fetch(Peer peer, wire::Frame request)
 {
-    auto opened = co_await peers_.open(peer.peers_, request, peerPatience);
+    auto opened = co_await peers_.open(peer.peers_, request, peerTimeout);
     if (!opened)
         co_return opened.error();
     auto stream = opened.value();
-    auto reply = co_await stream->receiveWithin(peerPatience, transferTimeout);
+    auto reply = co_await stream->receiveWithin(peerTimeout, transferTimeout);
     // The peer may give it to another one now.
     wire::Frame acknowledgement;
     acknowledgement.mutable_ack();
@@ -66,7 +66,7 @@
     co_return reply;
 }
 
-asio::awaitable<void> Feed::askConfiguration(VmId vm, Peer peer)
+asio::awaitable<void> PlatformFeed::askConfiguration(VmId vm, Peer peer)
 {
     auto table = context_.table();
     wire::Frame request;
@@ -79,13 +79,13 @@
         co_return;
     }
     bool isBusy = !reply && reply.error().code_ == Errc::Overloaded;
-    busyPeers_.note(vm, steadyNow() + (isBusy ? reply.error().retryAfter_ : busyPause));
+    busyPeers_.note(vm, steadyNow() + (isBusy ? reply.error().retryAfter_ : busyRetryDelay));
     // The busy one logs that itself.
     if (!isBusy)
         logger_.warn("Peer " + vm.value_ + " gave no configuration: " + (reply ? "other frame" : describe(reply.error())));
 }
 
-asio::awaitable<void> Feed::takeIn(std::string bytes, VmId vm)
+asio::awaitable<void> PlatformFeed::takeIn(std::string bytes, VmId vm)
 {
     if (bytes.empty())
         co_return;
@@ -93,24 +93,24 @@
     co_await background_.run(std::move(work));
 }
 
-bool Feed::hasNewerThan(const wire::ConfigurationFetch& fetch) const
+bool PlatformFeed::hasNewerThan(const wire::ConfigurationFetch& fetch) const
 {
     auto table = context_.table();
     return table && fetch.wants_configuration() && table->version() > fetch.known_version();
 }
 
 /// A Failure, which nodes of all versions understand.
-wire::Frame Feed::busyAnswer()
+wire::Frame PlatformFeed::busyAnswer()
 {
     SteadyTime now = steadyNow();
     if (transfers_.isBusyLogDue(now))
-        logger_.info(LogLine("Peers are told to ask others for the configuration.").add("busy_answers", static_cast<std::int64_t>(transfers_.takeBusyAnswers(now))).add("under_way", static_cast<std::int64_t>(transfers_.underWay())));
+        logger_.info(LogLine("Peers are told to ask others for the configuration.").add("busy_answers", static_cast<std::int64_t>(transfers_.takeBusyAnswerCount(now))).add("under_way", static_cast<std::int64_t>(transfers_.activeTransfers())));
     wire::Frame frame;
-    *frame.mutable_failure() = toWire({ Errc::Overloaded, "give configuration", context_.settings_.vm_.value_, "other peers are being given it", Ran::No, busyPause });
+    *frame.mutable_failure() = toWire({ Errc::Overloaded, "give configuration", context_.settings_.vm_.value_, "other peers are being given it", Ran::No, busyRetryDelay });
     return frame;
 }
 
-asio::awaitable<void> Feed::serve(std::shared_ptr<PeerStream> stream, wire::Frame request)
+asio::awaitable<void> PlatformFeed::serve(std::shared_ptr<PeerStream> stream, wire::Frame request)
 {
     if (!hasNewerThan(request.configuration_fetch())) {
         (void)co_await stream->send(answer(request));
@@ -127,10 +127,10 @@
 
 /// That the frame was sent says little: the system takes 100 KB at once, and the link
 /// is full until the peer has them.
-asio::awaitable<void> Feed::handOver(std::shared_ptr<PeerStream> stream, wire::Frame request)
+asio::awaitable<void> PlatformFeed::handOver(std::shared_ptr<PeerStream> stream, wire::Frame request)
 {
     SteadyTime begunAt = steadyNow();
-    auto underWay = static_cast<std::int64_t>(transfers_.underWay());
+    auto activeTransfers = static_cast<std::int64_t>(transfers_.activeTransfers());
     wire::Frame frame = answer(request);
     (void)co_await stream->send(frame);
     auto acknowledged = co_await stream->receiveWithin(transferTimeout);
@@ -141,8 +141,8 @@
     const wire::ConfigurationUpdate& update = frame.configuration_update();
     LogLine line(acknowledged || isOfOlderVersion ? "Configuration was handed on." : "Configuration was not handed on.");
     line.add("peer", stream->peer()).add("configuration", static_cast<std::int64_t>(update.version())).add("bytes", static_cast<std::int64_t>(update.compressed_source().size()));
-    line.add("took_ms", std::chrono::duration_cast<milliseconds>(now - begunAt).count()).add("under_way", underWay);
-    line.add("busy_answers", static_cast<std::int64_t>(transfers_.takeBusyAnswers(now)));
+    line.add("took_ms", std::chrono::duration_cast<milliseconds>(now - begunAt).count()).add("under_way", activeTransfers);
+    line.add("busy_answers", static_cast<std::int64_t>(transfers_.takeBusyAnswerCount(now)));
     if (!acknowledged && !isOfOlderVersion)
         line.add("why", describe(acknowledged.error()));
     logger_.info(line);
--- a/lib/Gateway/Discovery.cpp
+++ b/lib/Gateway/Discovery.cpp
@@ -39,7 +39,7 @@
 {
 }
 
-void Discovery::noteNew(const VmId& vm)
+void Discovery::queueAnswer(const VmId& vm)
 {
     if (std::find(unanswered_.begin(), unanswered_.end(), vm) == unanswered_.end())
         unanswered_.push_back(vm);
@@ -49,7 +49,7 @@
 {
     std::vector<Endpoint> receivers;
     for (std::size_t i = 0; i < answers && !unanswered_.empty(); ++i) {
-        if (auto address = table_.gossipOf(unanswered_.front()))
+        if (auto address = table_.gossipEndpointOf(unanswered_.front()))
             receivers.push_back(*address);
         unanswered_.pop_front();
     }
@@ -60,7 +60,7 @@
 {
     std::vector<Endpoint> unheard;
     for (const auto& [vm, peer] : peers) {
-        if (peer.heardAt_ == SteadyTime {})
+        if (peer.receivedAt_ == SteadyTime {})
             unheard.push_back(peer.gossip_);
     }
     std::vector<Endpoint> next;
@@ -69,11 +69,11 @@
     return next;
 }
 
-Discovery::Receivers Discovery::receivers(const std::vector<Endpoint>& unheardSeeds)
+Discovery::Receivers Discovery::receivers(const std::vector<Endpoint>& unseenSeeds)
 {
     std::vector<KnownPeer> peers = table_.all();
     Receivers receivers { nextUnheard(peers), takeUnanswered() };
-    std::vector<Endpoint> all = unheardSeeds;
+    std::vector<Endpoint> all = unseenSeeds;
     for (const auto& [vm, peer] : peers)
         all.push_back(peer.gossip_);
     for (std::size_t i = 0; i < std::min(introductions, all.size()); ++i)
@@ -89,7 +89,7 @@
     }
 }
 
-std::vector<KnownPeer> Discovery::relaysToName(SteadyTime now) const
+std::vector<KnownPeer> Discovery::relaysToAdvertise(SteadyTime now) const
 {
     std::vector<KnownPeer> relays;
     addRelays(own_, relays, now);
@@ -98,7 +98,7 @@
     return relays;
 }
 
-std::vector<KnownPeer> Discovery::membersToName(SteadyTime now)
+std::vector<KnownPeer> Discovery::membersToAdvertise(SteadyTime now)
 {
     // Readers are named in every other digest: their silence bound is four.
     bool namesReaders = ++digestTurn_ % 2;
@@ -106,7 +106,7 @@
     addRelays(own_, named, now);
     auto isNamed = [&](const VmId& vm) { return std::any_of(named.begin(), named.end(), [&](const KnownPeer& known) { return known.first == vm; }); };
     std::vector<KnownPeer> others;
-    for (const KnownPeer& known : table_.heardWithin(settings_.silence_, now)) {
+    for (const KnownPeer& known : table_.reportedWithin(settings_.silence_, now)) {
         if (isNamed(known.first))
             continue;
         if (known.second.isReader_ && namesReaders)
@@ -119,10 +119,10 @@
     return named;
 }
 
-std::vector<KnownPeer> Discovery::peersToName(NamesTold names, std::size_t turn, SteadyTime now) const
+std::vector<KnownPeer> Discovery::peersToAdvertise(AdvertisedPeers names, std::size_t turn, SteadyTime now) const
 {
-    std::vector<KnownPeer> known = table_.heardWithin(settings_.silence_, now);
-    std::size_t count = std::min(names == NamesTold::Few ? fewNames : manyNames, known.size());
+    std::vector<KnownPeer> known = table_.reportedWithin(settings_.silence_, now);
+    std::size_t count = std::min(names == AdvertisedPeers::Few ? fewNames : manyNames, known.size());
     std::vector<KnownPeer> named;
     for (std::size_t i = 0; i < count; ++i)
         named.push_back(known[(turn + i) % known.size()]);
--- a/lib/Gateway/Discovery.h
+++ b/lib/Gateway/Discovery.h
@@ -16,7 +16,7 @@
 namespace pistachioloom {
 
 /// How many other nodes a report names.
-enum class NamesTold {
+enum class AdvertisedPeers {
     Few,
     Many,
 };
@@ -29,26 +29,26 @@
     /// \p vm is to be answered: it was heard for the first time since its start or
     /// this node's, or took this node for a relay. It then knows this node and the
     /// relays here.
-    void noteNew(const VmId& vm);
+    void queueAnswer(const VmId& vm);
     struct Receivers {
         /// They are told of this node.
         std::vector<Endpoint> introduced_;
-        /// They are told of it and of relaysToName().
+        /// They are told of it and of relaysToAdvertise().
         std::vector<Endpoint> answered_;
     };
-    /// Whom to tell of this node in this period. \p unheardSeeds were given by the
+    /// Whom to tell of this node in this period. \p unseenSeeds were given by the
     /// settings and not heard yet.
-    Receivers receivers(const std::vector<Endpoint>& unheardSeeds);
+    Receivers receivers(const std::vector<Endpoint>& unseenSeeds);
     /// The relays of all data centres, as far as this node knows: a node that is new
     /// finds its own among them, whomever it asks.
-    std::vector<KnownPeer> relaysToName(SteadyTime now) const;
+    std::vector<KnownPeer> relaysToAdvertise(SteadyTime now) const;
     /// Nodes to name in a digest: all that read from the platform, the relays of this
     /// data centre, and others of it in turn. Who asks a node that is no relay learns
     /// from its answer which ones are.
-    std::vector<KnownPeer> membersToName(SteadyTime now);
+    std::vector<KnownPeer> membersToAdvertise(SteadyTime now);
     /// Nodes to name in a report, in turn as \p turn grows, so that nodes which know
     /// different ones find each other.
-    std::vector<KnownPeer> peersToName(NamesTold names, std::size_t turn, SteadyTime now) const;
+    std::vector<KnownPeer> peersToAdvertise(AdvertisedPeers names, std::size_t turn, SteadyTime now) const;
     /// Whom a relay tells its sums in \p dataCentre. \p telling told theirs lately:
     /// they are relays there, or were a moment ago.
     std::set<VmId> summaryReceivers(const DataCentreId& dataCentre, const std::vector<VmId>& telling, SteadyTime now) const;
--- a/lib/Gateway/DutyRunner.cpp
+++ b/lib/Gateway/DutyRunner.cpp
@@ -291,7 +291,7 @@
 asio::awaitable<void> DutyRunner::reportUsage()
 {
     const UsageTiming& timing = context_.settings_.usageTiming_;
-    auto haveAllTold = [&](milliseconds time) { return reports_->haveAllToldWithin(time, timing.longest_); };
+    auto haveAllTold = [&](milliseconds time) { return reports_->haveAllReportedWithin(time, timing.longest_); };
     auto newest = dueWindow(context_.agreedWallMs(), context_.settings_.usageWindow_, timing, haveAllTold);
     if (!newest || reported_.contains(*newest))
         co_return;
@@ -356,7 +356,7 @@
     BackendTable::Occupancy occupancy = context_.backends_.occupancy(service.name_);
     view.slots_ = occupancy.slots_;
     view.slotsTaken_ = occupancy.taken_;
-    view.isComplete_ = reports_->coverage(now).isWhole();
+    view.isComplete_ = reports_->coverage(now).isComplete();
     bool hasApart = std::any_of(view.dataCentres_.begin(), view.dataCentres_.end(), [](const DataCentreFleet& place) { return place.onDemandExcluded_ > 0; });
     view.isRollingOut_ = rollout && (!isFinal(rollout->phase_) || (rollout->phase_ == RolloutPhase::Reverted && hasApart));
     return view;
--- a/lib/Gateway/Gateway.cpp
+++ b/lib/Gateway/Gateway.cpp
@@ -4,11 +4,11 @@
 /// Wires the parts together; starts, reloads and drains them.
 //===----------------------------------------------------------------------===//
 #include "DutyRunner.h"
-#include "Feed.h"
+#include "PlatformFeed.h"
 #include "LoopLag.h"
 #include "QuarantineKeeper.h"
 #include "QuarantinePage.h"
-#include "ReachProbe.h"
+#include "ReachabilityProbe.h"
 #include "RolloutPage.h"
 #include "generated/Peer.pb.h"
 
@@ -45,12 +45,12 @@
     GatewayContext context_;
     std::vector<std::unique_ptr<asio::io_context>> ios_;
     // Ends before the loops it resumes coroutines on, and the context it works on.
-    Background background_;
+    BackgroundExecutor background_;
     PeerPool peerPool_;
     PeerReports reports_;
     DutyRunner duties_;
-    ReachProbe probe_;
-    Feed feed_;
+    ReachabilityProbe probe_;
+    PlatformFeed feed_;
     QuarantineKeeper quarantines_;
     PeerServer peerServer_;
     HttpServer readinessServer_;
@@ -73,7 +73,7 @@
     , context_(std::move(settings), std::move(platform))
     , ios_(makeContexts(context_.settings_.threads_))
     , peerPool_(ios_[0]->get_executor(), context_.settings_.peerCredential_, [this](const Error& error) { logger_.warn("Peer link: " + describe(error)); })
-    , reports_(*ios_[0], context_, { [this] { return duties_.toldToken(); }, [this] { return duties_.releasedToken(); }, [this](const VmId& vm, DutyToken token, SteadyTime heardAt) { duties_.noteHolder(vm, token, heardAt); }, [this](DutyToken token) { duties_.noteReleased(token); }, [this](const VmId& vm) { duties_.noteStopping(vm); }, [this] { return feed_.isReader(); }, [this] { return feed_.isPlatformLost(); } })
+    , reports_(*ios_[0], context_, { [this] { return duties_.toldToken(); }, [this] { return duties_.releasedToken(); }, [this](const VmId& vm, DutyToken token, SteadyTime heardAt) { duties_.noteHolder(vm, token, heardAt); }, [this](DutyToken token) { duties_.noteReleased(token); }, [this](const VmId& vm) { duties_.noteStopping(vm); }, [this] { return feed_.isReader(); }, [this] { return feed_.isPlatformUnavailable(); } })
     , duties_(*ios_[0], context_)
     , probe_(context_)
     , feed_(*ios_[0], context_, reports_, peerPool_, background_)
@@ -117,7 +117,7 @@
         { "configuration_version", table ? static_cast<double>(table->version()) : 0 },
         { "backend_servers", static_cast<double>(context_.backends_.records().size()) },
         { "peers_live", static_cast<double>(reports_.live().size()) },
-        { "nodes_known_of", static_cast<double>(reports_.nodesKnownOf()) },
+        { "nodes_known_of", static_cast<double>(reports_.nodesCovered()) },
         { "log_lines_dropped", static_cast<double>(droppedLogLines()) },
         { "requests_suspected", static_cast<double>(context_.quarantine_.suspects(steadyNow()).size()) },
         { "requests_in_quarantine", static_cast<double>(context_.quarantine_.quarantined(steadyNow())) },
--- a/lib/Gateway/LoopLag.cpp
+++ b/lib/Gateway/LoopLag.cpp
@@ -7,9 +7,9 @@
 
 namespace pistachioloom {
 
-bool LoopLagLines::isDue(milliseconds late, SteadyTime now)
+bool LoopLagLogLimiter::isDue(milliseconds late, SteadyTime now)
 {
-    if (late <= loopLagOfNote || (last_ && now - *last_ < loopLagLinePeriod))
+    if (late <= loopLagLogThreshold || (last_ && now - *last_ < minLoopLagLogPeriod))
         return false;
     last_ = now;
     return true;
@@ -18,7 +18,7 @@
 asio::awaitable<void> watchLoopLag(Metrics& metrics)
 {
     const Logger logger("loop");
-    LoopLagLines lines;
+    LoopLagLogLimiter lines;
     for (;;) {
         SteadyTime dueAt = steadyNow() + loopLagPeriod;
         milliseconds suspendedBefore = suspendedTime();
@@ -28,7 +28,7 @@
         metrics.observe(Histogram::LoopLag, late);
         auto lateMs = std::chrono::duration_cast<milliseconds>(late);
         milliseconds suspended = suspendedTime() - suspendedBefore;
-        if (suspended > loopLagOfNote)
+        if (suspended > loopLagLogThreshold)
             logger.warn(LogLine("VM was suspended.").add("suspended_ms", suspended.count()));
         if (lines.isDue(lateMs, now))
             logger.warn(LogLine("Event loop is late.").add("late_ms", lateMs.count()));
--- a/lib/Gateway/LoopLag.h
+++ b/lib/Gateway/LoopLag.h
@@ -17,12 +17,12 @@
 constexpr milliseconds loopLagPeriod { 100 };
 /// A loop later than this is told of in the log: callers' first bytes are late by as
 /// much, and the objectives of urgent routes are some hundred ms.
-constexpr milliseconds loopLagOfNote { 200 };
+constexpr milliseconds loopLagLogThreshold { 200 };
 /// Least time between two such lines.
-constexpr milliseconds loopLagLinePeriod { 1000 };
+constexpr milliseconds minLoopLagLogPeriod { 1000 };
 
 /// Which times late are worth a line in the log.
-class LoopLagLines {
+class LoopLagLogLimiter {
 public:
     /// Whether to tell at \p now that the loop was \p late.
     bool isDue(milliseconds late, SteadyTime now);
--- a/lib/Gateway/SumGroup.cpp
+++ b/lib/Gateway/NodeGroupSums.cpp
@@ -1,9 +1,9 @@
-//===- lib/Gateway/SumGroup.cpp - what a group of nodes told, from relays --===//
+//===- lib/Gateway/NodeGroupSums.cpp - what a group of nodes told, from relays --===//
 ///
 /// \file
-/// See SumGroup.h.
+/// See NodeGroupSums.h.
 //===----------------------------------------------------------------------===//
-#include "SumGroup.h"
+#include "NodeGroupSums.h"
 
 #include <algorithm>
 
@@ -47,12 +47,12 @@
     return countedMs && milliseconds(countedMs) <= freshCounts;
 }
 
-bool SumGroup::isLive(const Source& source, SteadyTime now) const
+bool NodeGroupSums::isLive(const Source& source, SteadyTime now) const
 {
-    return now - source.heardAt_ <= sourceSilence;
+    return now - source.receivedAt_ <= sourceSilence;
 }
 
-void SumGroup::chooseCounting(SteadyTime now)
+void NodeGroupSums::chooseCounting(SteadyTime now)
 {
     auto counting = sources_.find(counting_);
     bool hasOne = counting != sources_.end() && isLive(counting->second, now);
@@ -66,22 +66,22 @@
     }
 }
 
-bool SumGroup::take(const VmId& vm, std::uint64_t incarnation, const wire::NodeSums& sums, SteadyTime now)
+bool NodeGroupSums::take(const VmId& vm, std::uint64_t incarnation, const wire::NodeSums& sums, SteadyTime now)
 {
     std::erase_if(sources_, [&](const auto& entry) { return !isLive(entry.second, now) && entry.first != vm; });
     Source& source = sources_[vm];
     // The counts of a source that has just been heard cannot be compared yet.
-    bool isFollowed = source.heardAt_ != SteadyTime {} && source.incarnation_ == incarnation;
+    bool isFollowed = source.receivedAt_ != SteadyTime {} && source.incarnation_ == incarnation;
     // What a node counted since its start is new where none of its group was heard
     // before, or the node itself as it was before its restart.
-    bool isNew = isFresh(sums.counted_ms()) && (lastHeardAt_ == SteadyTime {} || (source.heardAt_ != SteadyTime {} && counting_ == vm));
+    bool isNew = isFresh(sums.counted_ms()) && (lastReceivedAt_ == SteadyTime {} || (source.receivedAt_ != SteadyTime {} && counting_ == vm));
     Source before = std::move(source);
     source = { incarnation, now, sums };
     chooseCounting(now);
     if (counting_ != vm)
         return false;
     lastNodes_ = sums.nodes();
-    lastHeardAt_ = now;
+    lastReceivedAt_ = now;
     if (isFollowed)
         addGrowth(admitted_, admittedOf(before.sums_), admittedOf(sums));
     else if (isNew)
@@ -89,13 +89,13 @@
     return true;
 }
 
-void SumGroup::keepOnly(const std::vector<VmId>& asked, SteadyTime now)
+void NodeGroupSums::keepOnly(const std::vector<VmId>& asked, SteadyTime now)
 {
     std::erase_if(sources_, [&](const auto& entry) { return std::find(asked.begin(), asked.end(), entry.first) == asked.end(); });
     chooseCounting(now);
 }
 
-const wire::NodeSums* SumGroup::current(SteadyTime now) const
+const wire::NodeSums* NodeGroupSums::current(SteadyTime now) const
 {
     auto counting = sources_.find(counting_);
     if (counting == sources_.end() || !isLive(counting->second, now))
@@ -103,20 +103,20 @@
     return &counting->second.sums_;
 }
 
-SteadyTime SumGroup::currentHeardAt() const
+SteadyTime NodeGroupSums::currentReceivedAt() const
 {
     auto counting = sources_.find(counting_);
-    return counting == sources_.end() ? SteadyTime {} : counting->second.heardAt_;
+    return counting == sources_.end() ? SteadyTime {} : counting->second.receivedAt_;
 }
 
-std::uint64_t SumGroup::silentNodes(SteadyTime now) const
+std::uint64_t NodeGroupSums::unresponsiveNodes(SteadyTime now) const
 {
     if (const wire::NodeSums* sums = current(now))
         return sums->silent_nodes();
-    return now - lastHeardAt_ <= silenceCounted ? lastNodes_ : 0;
+    return now - lastReceivedAt_ <= silenceCounted ? lastNodes_ : 0;
 }
 
-std::vector<VmId> SumGroup::liveSources(SteadyTime now) const
+std::vector<VmId> NodeGroupSums::liveSources(SteadyTime now) const
 {
     std::vector<VmId> live;
     for (const auto& [vm, source] : sources_) {
--- a/lib/Gateway/SumGroup.h
+++ b/lib/Gateway/NodeGroupSums.h
@@ -1,4 +1,4 @@
-//===- lib/Gateway/SumGroup.h - what a group of nodes told, from relays ----===//
+//===- lib/Gateway/NodeGroupSums.h - what a group of nodes told, from relays ----===//
 ///
 /// \file
 /// Several relays may tell the sums of the same nodes. One of them counts at a
@@ -22,7 +22,7 @@
 /// all of them are of the last seconds.
 bool isFresh(std::uint64_t countedMs);
 
-class SumGroup {
+class NodeGroupSums {
 public:
     /// Takes what \p source told; \p incarnation changes with its restart.
     /// \returns whether it is the source that counts now.
@@ -32,9 +32,9 @@
     /// The newest sums of the source that counts; nullptr if it is silent.
     const wire::NodeSums* current(SteadyTime now) const;
     /// When those sums were heard.
-    SteadyTime currentHeardAt() const;
+    SteadyTime currentReceivedAt() const;
     /// Nodes of the group that are heard no more, though they were a moment ago.
-    std::uint64_t silentNodes(SteadyTime now) const;
+    std::uint64_t unresponsiveNodes(SteadyTime now) const;
     /// Sources heard lately.
     std::vector<VmId> liveSources(SteadyTime now) const;
     /// What was admitted of each organisation's quota since this group was first
@@ -44,7 +44,7 @@
 private:
     struct Source {
         std::uint64_t incarnation_ = 0;
-        SteadyTime heardAt_ {};
+        SteadyTime receivedAt_ {};
         wire::NodeSums sums_;
     };
 
@@ -54,7 +54,7 @@
     std::map<VmId, Source> sources_;
     VmId counting_;
     std::uint64_t lastNodes_ = 0;
-    SteadyTime lastHeardAt_ {};
+    SteadyTime lastReceivedAt_ {};
     NamedCounts admitted_;
 };
 
--- a/lib/Gateway/PeerReports.cpp
+++ b/lib/Gateway/PeerReports.cpp
@@ -43,7 +43,7 @@
     , socket_(io)
     , table_(context.settings_.vm_, context.settings_.dataCentre_, context.settings_.cores_, context.settings_.gossiping_)
     , discovery_(table_, context.settings_.vm_, context.settings_.dataCentre_, context.settings_.gossiping_)
-    , relayBook_(context.settings_.usageWindow_)
+    , aggregator_(context.settings_.usageWindow_)
 {
 }
 
@@ -65,10 +65,10 @@
 
 std::vector<KnownPeer> PeerReports::live() const
 {
-    return heardWithin(context_.settings_.gossiping_.silence_);
+    return reportedWithin(context_.settings_.gossiping_.silence_);
 }
 
-std::uint64_t PeerReports::nodesKnownOf() const
+std::uint64_t PeerReports::nodesCovered() const
 {
     return wasLarge_ ? nodesSummed_.load() : live().size();
 }
@@ -87,15 +87,15 @@
 std::size_t PeerReports::rankFor(const std::string& key) const
 {
     SteadyTime now = steadyNow();
-    return table_.rankFor(key, now) + (coverage(now).hasMost() ? 0 : ranksBehind);
+    return table_.rankFor(key, now) + (coverage(now).hasMajority() ? 0 : ranksBehind);
 }
 
-bool PeerReports::haveAllToldWithin(milliseconds time, milliseconds longest) const
+bool PeerReports::haveAllReportedWithin(milliseconds time, milliseconds longest) const
 {
     if (wasLarge_)
-        return !nodesMissed_ && coverage(steadyNow()).isWhole();
+        return !nodesMissed_ && coverage(steadyNow()).isComplete();
     // One that is gone for longer is not waited for: its counts came or never come.
-    return heardWithin(time).size() >= heardWithin(longest).size();
+    return reportedWithin(time).size() >= reportedWithin(longest).size();
 }
 
 void PeerReports::addKnown(const VmId& vm, const Endpoint& gossip)
@@ -152,7 +152,7 @@
 {
     for (;;) {
         SteadyTime now = steadyNow();
-        forgetSilent(now);
+        removeUnresponsive(now);
         std::uint64_t known = table_.size() + 1;
         shareAmong(known, now);
         bool isLarge = table_.isLarge();
@@ -179,7 +179,7 @@
 void PeerReports::tellAll()
 {
     wire::Datagram datagram;
-    composeIntroduction(*datagram.mutable_report(), NamesTold::Many);
+    composeIntroduction(*datagram.mutable_report(), AdvertisedPeers::Many);
     composeState(*datagram.mutable_report());
     send(datagram, addressesKnown());
 }
@@ -189,7 +189,7 @@
     introduce(now);
     wire::Datagram datagram;
     wire::NodeReport& report = *datagram.mutable_report();
-    composeIntroduction(report, NamesTold::Few);
+    composeIntroduction(report, AdvertisedPeers::Few);
     composeState(report);
     report.set_wants_digest(true);
     std::vector<Endpoint> relays;
@@ -197,10 +197,10 @@
     std::vector<VmId> chosen = table_.chooseRelays(now);
     others_.keepOnly(chosen, now);
     for (const VmId& vm : chosen) {
-        auto address = table_.gossipOf(vm);
+        auto address = table_.gossipEndpointOf(vm);
         if (vm == context_.settings_.vm_) {
             isRelay_ = true;
-            relayBook_.takeReport(report, now);
+            aggregator_.applyReport(report, now);
         } else if (address)
             relays.push_back(*address);
     }
@@ -210,18 +210,18 @@
 
 void PeerReports::introduce(SteadyTime now)
 {
-    Discovery::Receivers receivers = discovery_.receivers(unheardSeeds());
+    Discovery::Receivers receivers = discovery_.receivers(unseenSeeds());
     wire::Datagram datagram;
     wire::NodeReport& report = *datagram.mutable_report();
-    composeIntroduction(report, NamesTold::Few);
+    composeIntroduction(report, AdvertisedPeers::Few);
     report.set_is_brief(true);
     send(datagram, receivers.introduced_);
     if (receivers.answered_.empty())
         return;
     report.Clear();
-    composeIntroduction(report, NamesTold::Many);
+    composeIntroduction(report, AdvertisedPeers::Many);
     report.set_is_brief(true);
-    composeMembers(*report.mutable_relays(), discovery_.relaysToName(now), now);
+    composeMembers(*report.mutable_relays(), discovery_.relaysToAdvertise(now), now);
     send(datagram, receivers.answered_);
 }
 
@@ -234,7 +234,7 @@
 /// other data centres what this one's nodes told.
 void PeerReports::tellSums(SteadyTime now)
 {
-    std::vector<VmId> receivers = relayBook_.receivers(now);
+    std::vector<VmId> receivers = aggregator_.receivers(now);
     if (receivers.empty())
         return;
     wire::Datagram datagram;
@@ -243,16 +243,16 @@
     report.set_data_centre(context_.settings_.dataCentre_.value_);
     report.set_incarnation(context_.incarnation_);
     report.set_is_digest(true);
-    composeMembers(*report.mutable_members(), discovery_.membersToName(now), now);
-    ReportTotals totals = relayBook_.totals(now);
+    composeMembers(*report.mutable_members(), discovery_.membersToAdvertise(now), now);
+    ReportTotals totals = aggregator_.totals(now);
     std::vector<Suspect> suspects = context_.quarantine_.told(now, randomBits());
     for (const VmId& vm : receivers) {
-        *report.mutable_sums() = relayBook_.digestFor(vm, totals, now);
+        *report.mutable_sums() = aggregator_.digestFor(vm, totals, now);
         putSuspects(suspects, *report.mutable_sums()->mutable_suspects(), now);
         report.mutable_sums()->set_counted_ms(countedMs(now));
         if (vm == context_.settings_.vm_)
             takeDigest(vm, context_.incarnation_, report.sums(), now);
-        else if (auto address = table_.gossipOf(vm)) {
+        else if (auto address = table_.gossipEndpointOf(vm)) {
             std::vector<Endpoint> receiver { *address };
             send(datagram, receiver);
         }
@@ -261,11 +261,11 @@
         return;
     report.set_is_digest(false);
     for (const DataCentreId& dataCentre : table_.otherDataCentres()) {
-        *report.mutable_sums() = relayBook_.summaryFor(dataCentre, now);
+        *report.mutable_sums() = aggregator_.summaryFor(dataCentre, now);
         putSuspects(suspects, *report.mutable_sums()->mutable_suspects(), now);
         report.mutable_sums()->set_counted_ms(countedMs(now));
-        for (const VmId& vm : discovery_.summaryReceivers(dataCentre, relayBook_.relaysOf(dataCentre, now), now)) {
-            if (auto address = table_.gossipOf(vm))
+        for (const VmId& vm : discovery_.summaryReceivers(dataCentre, aggregator_.relaysOf(dataCentre, now), now)) {
+            if (auto address = table_.gossipEndpointOf(vm))
                 send(datagram, { *address });
         }
     }
@@ -303,9 +303,9 @@
     context_.rollouts_.forgetPeer(vm);
 }
 
-void PeerReports::forgetSilent(SteadyTime now)
+void PeerReports::removeUnresponsive(SteadyTime now)
 {
-    for (const VmId& vm : table_.forgetSilent(now)) {
+    for (const VmId& vm : table_.removeUnresponsive(now)) {
         forgetCounts(vm);
         logger_.info(LogLine("Peer is forgotten.").add("peer", vm.value_).add("silent_ms", context_.settings_.gossiping_.forget_.count()));
     }
@@ -368,16 +368,16 @@
     }
     bool beginsToStop = report.is_stopping() && !table_.isStopping(vm);
     Peer peer { *gossip, *peers, { report.data_centre() }, report.incarnation(), report.sequence(), report.configuration_version(), report.is_stopping(), report.is_platform_lost(), report.is_reader(), report.registry_fingerprint(), report.cores(), now };
-    PeerTable::Heard heard = table_.take(vm, std::move(peer));
-    if (heard == PeerTable::Heard::Old)
+    PeerTable::ReportKind heard = table_.take(vm, std::move(peer));
+    if (heard == PeerTable::ReportKind::Old)
         return;
-    if (heard == PeerTable::Heard::Restarted)
-        discovery_.noteNew(vm);
+    if (heard == PeerTable::ReportKind::Restarted)
+        discovery_.queueAnswer(vm);
     // In a large fleet a node introduces itself to each other one in turn, once in
     // some seconds, which is no news.
-    bool isNews = heard != PeerTable::Heard::Again && !(wasLarge_ && heard == PeerTable::Heard::AfterSilence);
+    bool isNews = heard != PeerTable::ReportKind::Again && !(wasLarge_ && heard == PeerTable::ReportKind::AfterSilence);
     if (isNews)
-        logger_.info(LogLine(heard == PeerTable::Heard::AfterSilence ? "Peer is heard again." : "Peer is heard.").add("peer", vm.value_).add("address", report.address()).add("configuration", static_cast<std::int64_t>(report.configuration_version())));
+        logger_.info(LogLine(heard == PeerTable::ReportKind::AfterSilence ? "Peer is heard again." : "Peer is heard.").add("peer", vm.value_).add("address", report.address()).add("configuration", static_cast<std::int64_t>(report.configuration_version())));
     takeMembers(report.relays(), now);
     for (const wire::KnownNode& known : report.nodes()) {
         if (auto address = parseEndpoint(known.address()))
@@ -395,7 +395,7 @@
     if (beginsToStop)
         hooks_.onStopping_(vm);
     if (report.wants_digest())
-        relayBook_.takeReport(report, now);
+        aggregator_.applyReport(report, now);
     // In a large fleet the relays' sums hold what each node told.
     if (!report.is_brief() && !wasLarge_)
         takeState(report, now);
@@ -425,7 +425,7 @@
         if (!gossip)
             continue;
         Peer peer { *gossip, endpointOr(member.peers_address(), {}), { member.data_centre() }, member.incarnation(), 0, member.configuration_version(), member.is_stopping(), member.is_platform_lost(), member.is_reader(), member.registry_fingerprint(), member.cores(), now - milliseconds(member.age_ms()) };
-        table_.takeHearsay({ member.vm() }, peer);
+        table_.applyRelayedState({ member.vm() }, peer);
     }
 }
 
@@ -443,12 +443,12 @@
     }
     // Its sender does not know the relays of this data centre yet.
     if (!isRelay_)
-        discovery_.noteNew(relay);
+        discovery_.queueAnswer(relay);
     takeLeaving(report.sums().leaving(), relay);
     takeEnded(report.sums().ended(), relay, now);
     takeRollouts(report.sums().rollouts(), relay, now);
     takeSuspects(report.sums().suspects(), now);
-    relayBook_.takeSummary(report, now);
+    aggregator_.applySummary(report, now);
 }
 
 void PeerReports::takeDigest(const VmId& relay, std::uint64_t incarnation, const wire::NodeSums& sums, SteadyTime now)
--- a/lib/Gateway/PeerReports.h
+++ b/lib/Gateway/PeerReports.h
@@ -4,13 +4,13 @@
 /// A datagram every fraction of a second tells a node's whole state; the next
 /// one replaces it, so a lost one costs nothing but time. In a small fleet every
 /// node tells every other one. In a large one it tells the relays of its data
-/// centre (RelayBook.h), and introduces itself to a few others in turn.
+/// centre (ReportAggregator.h), and introduces itself to a few others in turn.
 //===----------------------------------------------------------------------===//
 #pragma once
 
 #include "Discovery.h"
 #include "GatewayContext.h"
-#include "RelayBook.h"
+#include "ReportAggregator.h"
 
 #include <boost/asio.hpp>
 #include <deque>
@@ -33,7 +33,7 @@
         std::function<void(const VmId&)> onStopping_;
         /// Whether this node reads from the platform, and whether that fails.
         std::function<bool()> isReader_;
-        std::function<bool()> isPlatformLost_;
+        std::function<bool()> isPlatformUnavailable_;
     };
 
     PeerReports(asio::io_context& io, GatewayContext& context, Hooks hooks);
@@ -42,12 +42,12 @@
     /// Peers heard within the silence bound.
     std::vector<KnownPeer> live() const;
     /// Peers heard within \p silence.
-    std::vector<KnownPeer> heardWithin(milliseconds silence) const { return table_.heardWithin(silence, steadyNow()); }
+    std::vector<KnownPeer> reportedWithin(milliseconds silence) const { return table_.reportedWithin(silence, steadyNow()); }
     /// Whether all other nodes that were heard in \p longest told their counts within
     /// \p time; in a large fleet, whether relays miss none.
-    bool haveAllToldWithin(milliseconds time, milliseconds longest) const;
+    bool haveAllReportedWithin(milliseconds time, milliseconds longest) const;
     /// Nodes that this one knows the work of, itself left out.
-    std::uint64_t nodesKnownOf() const;
+    std::uint64_t nodesCovered() const;
     /// How much of the fleet's work is told here. Called on the event loop.
     Coverage coverage(SteadyTime now) const;
     /// Whether \p vm said that it is stopping.
@@ -76,12 +76,12 @@
     void introduce(SteadyTime now);
     void send(const wire::Datagram& datagram, const std::vector<Endpoint>& receivers);
 
-    void composeIntroduction(wire::NodeReport& report, NamesTold names);
+    void composeIntroduction(wire::NodeReport& report, AdvertisedPeers names);
     void composeState(wire::NodeReport& report);
     static void composeMembers(google::protobuf::RepeatedPtrField<wire::MemberEntry>& entries, const std::vector<KnownPeer>& members, SteadyTime now);
     /// Of peers, and of seeds that were not heard yet.
     std::vector<Endpoint> addressesKnown();
-    std::vector<Endpoint> unheardSeeds();
+    std::vector<Endpoint> unseenSeeds();
 
     void take(const wire::NodeReport& report, SteadyTime now);
     void takeState(const wire::NodeReport& report, SteadyTime now);
@@ -93,7 +93,7 @@
     void takeEnded(const google::protobuf::RepeatedPtrField<std::string>& ended, const VmId& from, SteadyTime now);
     void takeLeaving(const google::protobuf::RepeatedPtrField<std::string>& leaving, const VmId& from);
     void forgetCounts(const VmId& vm);
-    void forgetSilent(SteadyTime now);
+    void removeUnresponsive(SteadyTime now);
     /// Tells the books how many nodes share what all are granted.
     void shareAmong(std::uint64_t known, SteadyTime now);
 
@@ -104,9 +104,9 @@
     Discovery discovery_;
     /// Whether this node sums the reports of its data centre.
     bool isRelay_ = false;
-    RelayBook relayBook_;
+    ReportAggregator aggregator_;
     /// All other nodes, as relays sum them.
-    SumGroup others_;
+    NodeGroupSums others_;
     VmId countingRelay_;
     std::atomic<std::uint64_t> nodesSummed_ { 0 };
     /// Nodes that fell silent lately, as relays tell.
--- a/lib/Gateway/PeerTable.cpp
+++ b/lib/Gateway/PeerTable.cpp
@@ -30,12 +30,12 @@
 
 } // namespace
 
-bool Coverage::isWhole() const
+bool Coverage::isComplete() const
 {
     return static_cast<double>(heard_) >= wholePart * static_cast<double>(known_);
 }
 
-bool Coverage::hasMost() const
+bool Coverage::hasMajority() const
 {
     return 2 * heard_ > known_;
 }
@@ -55,31 +55,31 @@
     std::lock_guard lock(mutex_);
     auto [found, isNew] = peers_.try_emplace(vm);
     // What a node says of itself goes before what others say of it.
-    if (isNew || found->second.heardAt_ == SteadyTime {})
+    if (isNew || found->second.receivedAt_ == SteadyTime {})
         found->second.gossip_ = gossip;
 }
 
-PeerTable::Heard PeerTable::take(const VmId& vm, Peer peer)
+PeerTable::ReportKind PeerTable::take(const VmId& vm, Peer peer)
 {
     std::lock_guard lock(mutex_);
     Peer& known = peers_[vm];
     bool isSame = known.incarnation_ == peer.incarnation_;
     if (isSame && peer.sequence_ <= known.sequence_)
-        return Heard::Old;
-    bool wasSilent = peer.heardAt_ - known.heardAt_ > settings_.silence_;
+        return ReportKind::Old;
+    bool wasSilent = peer.receivedAt_ - known.receivedAt_ > settings_.silence_;
     known = std::move(peer);
     if (!isSame)
-        return Heard::Restarted;
-    return wasSilent ? Heard::AfterSilence : Heard::Again;
+        return ReportKind::Restarted;
+    return wasSilent ? ReportKind::AfterSilence : ReportKind::Again;
 }
 
-void PeerTable::takeHearsay(const VmId& vm, const Peer& peer)
+void PeerTable::applyRelayedState(const VmId& vm, const Peer& peer)
 {
     if (vm == self_)
         return;
     std::lock_guard lock(mutex_);
     Peer& known = peers_[vm];
-    if (peer.heardAt_ <= known.heardAt_)
+    if (peer.receivedAt_ <= known.receivedAt_)
         return;
     // Its own reports are told apart by number, which a relay does not tell.
     std::uint64_t sequence = known.incarnation_ == peer.incarnation_ ? known.sequence_ : 0;
@@ -93,13 +93,13 @@
     asked_[relay].digestAt_ = now;
 }
 
-std::vector<VmId> PeerTable::forgetSilent(SteadyTime now)
+std::vector<VmId> PeerTable::removeUnresponsive(SteadyTime now)
 {
     std::lock_guard lock(mutex_);
     std::vector<VmId> forgotten;
     std::erase_if(peers_, [&](const auto& entry) {
         const Peer& peer = entry.second;
-        bool isGone = peer.heardAt_ != SteadyTime {} && now - peer.heardAt_ > settings_.forget_;
+        bool isGone = peer.receivedAt_ != SteadyTime {} && now - peer.receivedAt_ > settings_.forget_;
         if (isGone)
             forgotten.push_back(entry.first);
         return isGone;
@@ -126,16 +126,16 @@
     std::lock_guard lock(mutex_);
     Census census;
     for (const auto& [vm, peer] : peers_)
-        ++(peer.heardAt_ == SteadyTime {} ? census.named_ : census.heard_);
+        ++(peer.receivedAt_ == SteadyTime {} ? census.named_ : census.heard_);
     return census;
 }
 
-std::vector<KnownPeer> PeerTable::heardWithin(milliseconds silence, SteadyTime now) const
+std::vector<KnownPeer> PeerTable::reportedWithin(milliseconds silence, SteadyTime now) const
 {
     std::lock_guard lock(mutex_);
     std::vector<KnownPeer> heard;
     for (const auto& [vm, peer] : peers_) {
-        if (peer.heardAt_ != SteadyTime {} && now - peer.heardAt_ <= silence)
+        if (peer.receivedAt_ != SteadyTime {} && now - peer.receivedAt_ <= silence)
             heard.emplace_back(vm, peer);
     }
     return heard;
@@ -150,7 +150,7 @@
 std::size_t PeerTable::rankFor(const std::string& key, SteadyTime now) const
 {
     std::vector<VmId> candidates { self_ };
-    for (const auto& [vm, peer] : heardWithin(settings_.silence_, now)) {
+    for (const auto& [vm, peer] : reportedWithin(settings_.silence_, now)) {
         if (!peer.isStopping_)
             candidates.push_back(vm);
     }
@@ -171,7 +171,7 @@
     std::lock_guard lock(mutex_);
     std::vector<VmId> candidates { self_ };
     for (const auto& [vm, peer] : peers_) {
-        bool isNear = peer.dataCentre_ == own_ && !peer.isStopping_ && now - peer.heardAt_ <= relayMemory;
+        bool isNear = peer.dataCentre_ == own_ && !peer.isStopping_ && now - peer.receivedAt_ <= relayMemory;
         auto asked = asked_.find(vm);
         if (isNear && (asked == asked_.end() || asked->second.avoidedUntil_ <= now))
             candidates.push_back(vm);
@@ -202,7 +202,7 @@
     std::lock_guard lock(mutex_);
     std::vector<VmId> candidates;
     for (const auto& [vm, peer] : peers_) {
-        if (peer.dataCentre_ == dataCentre && now - peer.heardAt_ <= relayMemory)
+        if (peer.dataCentre_ == dataCentre && now - peer.receivedAt_ <= relayMemory)
             candidates.push_back(vm);
     }
     std::vector<VmId> likely = rankRelays(dataCentre, candidates);
@@ -234,7 +234,7 @@
     return found != peers_.end() && found->second.isStopping_;
 }
 
-std::optional<Endpoint> PeerTable::gossipOf(const VmId& vm) const
+std::optional<Endpoint> PeerTable::gossipEndpointOf(const VmId& vm) const
 {
     std::lock_guard lock(mutex_);
     auto found = peers_.find(vm);
--- a/lib/Gateway/PeerTable.h
+++ b/lib/Gateway/PeerTable.h
@@ -21,12 +21,12 @@
     std::uint64_t sequence_ = 0;
     std::uint64_t configurationVersion_ = 0;
     bool isStopping_ = false;
-    bool isPlatformLost_ = false;
+    bool isPlatformUnavailable_ = false;
     bool isReader_ = false;
     std::uint64_t registryFingerprint_ = 0;
     /// Processor cores of its VM.
     double cores_ = 0;
-    SteadyTime heardAt_ {};
+    SteadyTime receivedAt_ {};
 };
 
 using KnownPeer = std::pair<VmId, Peer>;
@@ -39,15 +39,15 @@
     std::uint64_t known_ = 1;
 
     /// Nearly all are heard; the rest may be starting or gone.
-    bool isWhole() const;
+    bool isComplete() const;
     /// More than half of them are heard: at most one part of a fleet that is cut in
     /// several has them.
-    bool hasMost() const;
+    bool hasMajority() const;
 };
 
 class PeerTable {
 public:
-    enum class Heard {
+    enum class ReportKind {
         /// Older than what is known.
         Old,
         Again,
@@ -62,13 +62,13 @@
     /// A node that was named; nothing else is known of it.
     void addKnown(const VmId& vm, const Endpoint& gossip);
     /// A node told of itself; \p peer holds when.
-    Heard take(const VmId& vm, Peer peer);
+    ReportKind take(const VmId& vm, Peer peer);
     /// A relay told of a node.
-    void takeHearsay(const VmId& vm, const Peer& peer);
+    void applyRelayedState(const VmId& vm, const Peer& peer);
     /// A relay told sums, to this node or to its data centre.
     void noteDigest(const VmId& relay, SteadyTime now);
     /// Drops nodes that were silent for too long. \returns them.
-    std::vector<VmId> forgetSilent(SteadyTime now);
+    std::vector<VmId> removeUnresponsive(SteadyTime now);
 
     /// Whether the fleet is too large for everyone to hear everyone.
     bool isLarge() const;
@@ -80,7 +80,7 @@
     };
     Census census() const;
     /// Nodes heard within \p silence.
-    std::vector<KnownPeer> heardWithin(milliseconds silence, SteadyTime now) const;
+    std::vector<KnownPeer> reportedWithin(milliseconds silence, SteadyTime now) const;
     std::vector<KnownPeer> all() const;
     /// This node's place among live nodes in the order for \p key.
     std::size_t rankFor(const std::string& key, SteadyTime now) const;
@@ -94,7 +94,7 @@
     std::vector<DataCentreId> otherDataCentres() const;
     /// Whether a node is known to be stopping.
     bool isStopping(const VmId& vm) const;
-    std::optional<Endpoint> gossipOf(const VmId& vm) const;
+    std::optional<Endpoint> gossipEndpointOf(const VmId& vm) const;
     std::optional<Peer> find(const VmId& vm) const;
 
 private:
--- a/lib/Gateway/Feed.cpp
+++ b/lib/Gateway/PlatformFeed.cpp
@@ -1,9 +1,9 @@
-//===- lib/Gateway/Feed.cpp - configuration and registry, kept up to date --===//
+//===- lib/Gateway/PlatformFeed.cpp - configuration and registry, kept up to date --===//
 ///
 /// \file
-/// See Feed.h.
+/// See PlatformFeed.h.
 //===----------------------------------------------------------------------===//
-#include "Feed.h"
+#include "PlatformFeed.h"
 
 #include "generated/Peer.pb.h"
 #include "pistachioloom/Settings.h"
@@ -21,7 +21,7 @@
 
 } // namespace
 
-Feed::Feed(asio::io_context& io, GatewayContext& context, PeerReports& reports, PeerPool& peers, Background& background)
+PlatformFeed::PlatformFeed(asio::io_context& io, GatewayContext& context, PeerReports& reports, PeerPool& peers, BackgroundExecutor& background)
     : io_(io)
     , context_(context)
     , reports_(reports)
@@ -30,7 +30,7 @@
 {
 }
 
-void Feed::start()
+void PlatformFeed::start()
 {
     asio::co_spawn(io_, followConfiguration(), asio::detached);
     asio::co_spawn(io_, followRegistry(), asio::detached);
@@ -39,24 +39,24 @@
     asio::co_spawn(io_, askForBackends(), asio::detached);
 }
 
-std::vector<ReaderView> Feed::readerViews() const
+std::vector<ReaderState> PlatformFeed::readerViews() const
 {
-    std::vector<ReaderView> views;
-    for (const auto& [vm, peer] : reports_.heardWithin(context_.settings_.feed_.readerSilence_))
-        views.push_back({ vm, peer.dataCentre_, peer.isStopping_, peer.isPlatformLost_, peer.isReader_, peer.cores_ });
+    std::vector<ReaderState> views;
+    for (const auto& [vm, peer] : reports_.reportedWithin(context_.settings_.feed_.readerSilence_))
+        views.push_back({ vm, peer.dataCentre_, peer.isStopping_, peer.isPlatformUnavailable_, peer.isReader_, peer.cores_ });
     return views;
 }
 
-bool Feed::isReader() const
+bool PlatformFeed::isReader() const
 {
     const GatewaySettings& settings = context_.settings_;
-    ReaderView self { settings.vm_, settings.dataCentre_, false, false, false, settings.cores_ };
-    return isPlatformLost() || shouldRead(self, readerViews(), settings.feed_.readers_);
+    ReaderState self { settings.vm_, settings.dataCentre_, false, false, false, settings.cores_ };
+    return isPlatformUnavailable() || shouldRead(self, readerViews(), settings.feed_.readers_);
 }
 
 /// Suspends while other nodes read. What was read before is then too old to read
 /// on from: \p from is forgotten.
-asio::awaitable<void> Feed::waitForTurn(std::string reading, std::optional<LogOffset>& from)
+asio::awaitable<void> PlatformFeed::waitForTurn(std::string reading, std::optional<LogOffset>& from)
 {
     if (!context_.table() || isReader())
         co_return;
@@ -67,7 +67,7 @@
     logger_.info(LogLine("This node reads.").add("reading", reading));
 }
 
-asio::awaitable<void> Feed::followConfiguration()
+asio::awaitable<void> PlatformFeed::followConfiguration()
 {
     std::optional<LogOffset> from;
     const std::string reading = "configuration";
@@ -96,7 +96,7 @@
     }
 }
 
-void Feed::logReachable(const std::string& what, const Error* error) const
+void PlatformFeed::logReachable(const std::string& what, const Error* error) const
 {
     LogLine line(error ? "Platform is lost." : "Platform is back.");
     line.add("reading", what);
@@ -105,7 +105,7 @@
     logger_.info(line);
 }
 
-void Feed::removeGone(const BackendName& name, const std::string& source)
+void PlatformFeed::removeGone(const BackendName& name, const std::string& source)
 {
     auto known = context_.backends_.findNewest(name);
     if (!known)
@@ -127,7 +127,7 @@
 /// Heartbeats repeat a registration that cannot be used; it is told of once. The
 /// backend server that had the name is not said to leave: its next heartbeat may
 /// bring it back.
-void Feed::refuse(const RegistryChange& change, const std::string& source)
+void PlatformFeed::refuse(const RegistryChange& change, const std::string& source)
 {
     std::string& before = complaints_[change.name_];
     if (before != change.complaint_) {
@@ -140,7 +140,7 @@
         context_.backends_.remove(known->id_, steadyNow());
 }
 
-void Feed::applyChange(const RegistryChange& change, const std::string& source)
+void PlatformFeed::applyChange(const RegistryChange& change, const std::string& source)
 {
     if (!change.complaint_.empty())
         return refuse(change, source);
@@ -165,7 +165,7 @@
     }
 }
 
-void Feed::removeMissing(const RegistryRead& whole, const std::string& source)
+void PlatformFeed::removeMissing(const RegistryRead& whole, const std::string& source)
 {
     std::set<BackendName> present;
     for (const RegistryChange& change : whole.changes_)
@@ -178,7 +178,7 @@
         std::erase_if(complaints_, [&](const auto& entry) { return !present.contains(entry.first); });
 }
 
-void Feed::applyDueRemovals()
+void PlatformFeed::applyDueRemovals()
 {
     if (missing_.empty() || steadyNow() < graceUntil_)
         return;
@@ -186,7 +186,7 @@
         removeGone(name, platformSource);
 }
 
-void Feed::apply(const RegistryRead& read, const std::string& source)
+void PlatformFeed::apply(const RegistryRead& read, const std::string& source)
 {
     for (const RegistryChange& change : read.changes_)
         applyChange(change, source);
@@ -195,7 +195,7 @@
     applyDueRemovals();
 }
 
-asio::awaitable<void> Feed::followRegistry()
+asio::awaitable<void> PlatformFeed::followRegistry()
 {
     const FeedSettings& settings = context_.settings_.feed_;
     std::optional<LogOffset> from;
@@ -207,7 +207,7 @@
         if (wasLost == read.has_value())
             logReachable("registry", read ? nullptr : &read.error());
         // Registrations that lapsed in an outage are written again soon after it.
-        bool endsOutage = wasLost || (isRegistryOld() && haveAllReadersLost(readerViews()));
+        bool endsOutage = wasLost || (isRegistryOld() && haveAllReadersFailed(readerViews()));
         if (read && endsOutage && !context_.backends_.records().empty())
             graceUntil_ = steadyNow() + settings.lapseGrace_;
         if (!read && read.error().code_ == Errc::NotFound)
@@ -222,17 +222,17 @@
     }
 }
 
-bool Feed::isRegistryOld() const
+bool PlatformFeed::isRegistryOld() const
 {
     return steadyNow() - registryReadAt_.load() > context_.settings_.feed_.askPeersAfter_;
 }
 
-std::optional<KnownPeer> Feed::differingReader() const
+std::optional<KnownPeer> PlatformFeed::differingReader() const
 {
     std::optional<KnownPeer> chosen;
-    for (const auto& entry : reports_.heardWithin(context_.settings_.feed_.readerSilence_)) {
+    for (const auto& entry : reports_.reportedWithin(context_.settings_.feed_.readerSilence_)) {
         const Peer& peer = entry.second;
-        if (!peer.isReader_ || peer.isPlatformLost_)
+        if (!peer.isReader_ || peer.isPlatformUnavailable_)
             continue;
         // The near one, or any if there is none.
         if (!chosen || peer.dataCentre_ == context_.settings_.dataCentre_)
@@ -243,17 +243,17 @@
     return chosen;
 }
 
-asio::awaitable<void> Feed::askForBackends()
+asio::awaitable<void> PlatformFeed::askForBackends()
 {
     for (;;) {
-        co_await sleepFor(askPeriod);
+        co_await sleepFor(peerCheckPeriod);
         auto source = backendsSource();
         if (source)
             co_await askBackends(source->first, source->second);
     }
 }
 
-std::optional<KnownPeer> Feed::backendsSource() const
+std::optional<KnownPeer> PlatformFeed::backendsSource() const
 {
     if (!isRegistryOld() && isReader())
         return std::nullopt;
@@ -270,16 +270,16 @@
     return live[randomBits() % live.size()];
 }
 
-asio::awaitable<std::optional<wire::ConfigurationUpdate>> Feed::ask(VmId vm, Peer peer, wire::Frame request)
+asio::awaitable<std::optional<wire::ConfigurationUpdate>> PlatformFeed::ask(VmId vm, Peer peer, wire::Frame request)
 {
-    auto reply = co_await peers_.call(peer.peers_, request, peerPatience);
+    auto reply = co_await peers_.call(peer.peers_, request, peerTimeout);
     if (reply && reply.value().has_configuration_update())
         co_return reply.value().configuration_update();
     logger_.warn("Peer " + vm.value_ + " gave nothing: " + (reply ? "other frame" : describe(reply.error())));
     co_return std::nullopt;
 }
 
-asio::awaitable<void> Feed::askBackends(VmId vm, Peer peer)
+asio::awaitable<void> PlatformFeed::askBackends(VmId vm, Peer peer)
 {
     wire::Frame request;
     request.mutable_configuration_fetch()->set_wants_backends(true);
@@ -309,7 +309,7 @@
     apply(read, vm.value_);
 }
 
-wire::Frame Feed::answer(const wire::Frame& request)
+wire::Frame PlatformFeed::answer(const wire::Frame& request)
 {
     const wire::ConfigurationFetch& fetch = request.configuration_fetch();
     wire::Frame frame;
--- a/lib/Gateway/Feed.h
+++ b/lib/Gateway/PlatformFeed.h
@@ -1,4 +1,4 @@
-//===- lib/Gateway/Feed.h - configuration and registry, kept up to date ----===//
+//===- lib/Gateway/PlatformFeed.h - configuration and registry, kept up to date ----===//
 ///
 /// \file
 /// Reads what the platform publishes, and what peers know while the platform
@@ -6,28 +6,28 @@
 //===----------------------------------------------------------------------===//
 #pragma once
 
-#include "Background.h"
+#include "BackgroundExecutor.h"
 #include "PeerReports.h"
 #include "Readers.h"
-#include "TransferLimit.h"
+#include "TransferLimiter.h"
 
 namespace pistachioloom {
 
 /// A peer's answer is awaited for so long; it comes from memory. Of a configuration, so
 /// much time passes at most between its parts.
-inline constexpr milliseconds peerPatience { 500 };
+inline constexpr milliseconds peerTimeout { 500 };
 /// How often a node looks whether it has to ask peers.
-inline constexpr milliseconds askPeriod { 150 };
+inline constexpr milliseconds peerCheckPeriod { 150 };
 
-class Feed {
+class PlatformFeed {
 public:
-    Feed(asio::io_context& io, GatewayContext& context, PeerReports& reports, PeerPool& peers, Background& background);
+    PlatformFeed(asio::io_context& io, GatewayContext& context, PeerReports& reports, PeerPool& peers, BackgroundExecutor& background);
 
     void start();
     /// Whether this node reads from the platform now: the first of its data
     /// centre, or one of the first of all, among nodes that reach the platform.
     bool isReader() const;
-    bool isPlatformLost() const { return isRegistryLost_ || isConfigurationLost_; }
+    bool isPlatformUnavailable() const { return isRegistryLost_ || isConfigurationLost_; }
     /// Answers a peer that asks for what the platform told this node. A peer that asks
     /// for the configuration while others are being given it is told to come later.
     asio::awaitable<void> serve(std::shared_ptr<PeerStream> stream, wire::Frame request);
@@ -65,7 +65,7 @@
     /// there is one.
     std::optional<KnownPeer> peerAhead() const;
     bool isRegistryOld() const;
-    std::vector<ReaderView> readerViews() const;
+    std::vector<ReaderState> readerViews() const;
     /// A reader whose list of backend servers differs from this node's.
     std::optional<KnownPeer> differingReader() const;
     asio::awaitable<void> waitForTurn(std::string reading, std::optional<LogOffset>& from);
@@ -74,7 +74,7 @@
     GatewayContext& context_;
     PeerReports& reports_;
     PeerPool& peers_;
-    Background& background_;
+    BackgroundExecutor& background_;
     std::atomic<SteadyTime> registryReadAt_ { SteadyTime {} };
     /// When the list in use was read, by this node or a peer.
     SteadyTime listReadAt_ {};
@@ -82,7 +82,7 @@
     std::atomic<bool> isConfigurationLost_ { false };
     /// Until when registrations that vanish are kept, after an outage.
     SteadyTime graceUntil_ {};
-    TransferLimit transfers_;
+    TransferLimiter transfers_;
     BusyPeers busyPeers_;
     std::set<BackendName> missing_;
     /// What was last wrong with registrations that cannot be used.
--- a/lib/Gateway/ReachProbe.cpp
+++ b/lib/Gateway/ReachabilityProbe.cpp
@@ -1,9 +1,9 @@
-//===- lib/Gateway/ReachProbe.cpp - data centres that are not reached ------===//
+//===- lib/Gateway/ReachabilityProbe.cpp - data centres that are not reached ------===//
 ///
 /// \file
-/// See ReachProbe.h.
+/// See ReachabilityProbe.h.
 //===----------------------------------------------------------------------===//
-#include "ReachProbe.h"
+#include "ReachabilityProbe.h"
 
 namespace pistachioloom {
 
@@ -16,7 +16,7 @@
 
 } // namespace
 
-void ReachProbe::logChanges(const std::vector<BackendRecord>& unreachableSample)
+void ReachabilityProbe::logChanges(const std::vector<BackendRecord>& unreachableSample)
 {
     std::set<DataCentreId> lost;
     for (const BackendRecord& backend : unreachableSample)
@@ -32,7 +32,7 @@
     lost_ = std::move(lost);
 }
 
-asio::awaitable<void> ReachProbe::probe(BackendRecord backend)
+asio::awaitable<void> ReachabilityProbe::probe(BackendRecord backend)
 {
     auto failed = co_await tryConnection(backend.endpoint_, probePatience);
     if (!failed)
@@ -41,7 +41,7 @@
         logger_.warn("Address of backend server " + backend.id_.value_ + " cannot be read: " + backend.endpoint_.host_);
 }
 
-asio::awaitable<void> ReachProbe::run()
+asio::awaitable<void> ReachabilityProbe::run()
 {
     for (;;) {
         co_await sleepFor(probePeriod);
--- a/lib/Gateway/ReachProbe.h
+++ b/lib/Gateway/ReachabilityProbe.h
@@ -1,4 +1,4 @@
-//===- lib/Gateway/ReachProbe.h - data centres that are not reached --------===//
+//===- lib/Gateway/ReachabilityProbe.h - data centres that are not reached --------===//
 ///
 /// \file
 /// Connects now and then to a backend server of each data centre that requests
@@ -10,9 +10,9 @@
 
 namespace pistachioloom {
 
-class ReachProbe {
+class ReachabilityProbe {
 public:
-    explicit ReachProbe(GatewayContext& context)
+    explicit ReachabilityProbe(GatewayContext& context)
         : context_(context)
     {
     }
--- a/lib/Gateway/Readers.cpp
+++ b/lib/Gateway/Readers.cpp
@@ -16,7 +16,7 @@
 // one tries, or all nodes of a large fleet would call a platform that is overloaded.
 static constexpr std::size_t mostTurnedAway = 6;
 
-static std::vector<VmId> drawReaders(const std::map<VmId, ReaderView>& candidates)
+static std::vector<VmId> drawReaders(const std::map<VmId, ReaderState>& candidates)
 {
     std::vector<VmId> vms;
     for (const auto& entry : candidates)
@@ -25,7 +25,7 @@
 }
 
 /// The nodes of \p candidates, best first.
-static std::vector<VmId> rankReaders(const std::map<VmId, ReaderView>& candidates)
+static std::vector<VmId> rankReaders(const std::map<VmId, ReaderState>& candidates)
 {
     std::vector<VmId> ranked = drawReaders(candidates);
     std::stable_sort(ranked.begin(), ranked.end(), [&](const VmId& left, const VmId& right) { return candidates.at(left).cores_ > candidates.at(right).cores_; });
@@ -35,23 +35,23 @@
 /// Whether \p self reads for its data centre. A node of an older version goes by the
 /// draw alone, so that the best may not know that it is: then the first drawn reads.
 /// Without this a fleet of both versions could be without a reader.
-static bool isFirst(const VmId& self, const std::map<VmId, ReaderView>& near)
+static bool isFirst(const VmId& self, const std::map<VmId, ReaderState>& near)
 {
     VmId best = rankReaders(near).front();
     return best == self || (!near.at(best).isReader_ && drawReaders(near).front() == self);
 }
 
-bool shouldRead(const ReaderView& self, const std::vector<ReaderView>& peers, std::uint64_t readers)
+bool shouldRead(const ReaderState& self, const std::vector<ReaderState>& peers, std::uint64_t readers)
 {
-    std::map<VmId, ReaderView> all { { self.vm_, self } };
-    std::map<VmId, ReaderView> near = all;
+    std::map<VmId, ReaderState> all { { self.vm_, self } };
+    std::map<VmId, ReaderState> near = all;
     std::size_t turnedAway = 0;
     std::size_t turnedAwayNear = 0;
-    for (const ReaderView& peer : peers) {
+    for (const ReaderState& peer : peers) {
         bool isNear = peer.dataCentre_ == self.dataCentre_;
-        turnedAway += peer.isPlatformLost_;
-        turnedAwayNear += isNear && peer.isPlatformLost_;
-        if (peer.isStopping_ || peer.isPlatformLost_)
+        turnedAway += peer.isPlatformUnavailable_;
+        turnedAwayNear += isNear && peer.isPlatformUnavailable_;
+        if (peer.isStopping_ || peer.isPlatformUnavailable_)
             continue;
         all[peer.vm_] = peer;
         if (isNear)
@@ -66,13 +66,13 @@
     return std::find(ranked.begin(), last, self.vm_) != last;
 }
 
-bool haveAllReadersLost(const std::vector<ReaderView>& peers)
+bool haveAllReadersFailed(const std::vector<ReaderState>& peers)
 {
     bool hasLost = false;
-    for (const ReaderView& peer : peers) {
-        if (peer.isReader_ && !peer.isPlatformLost_)
+    for (const ReaderState& peer : peers) {
+        if (peer.isReader_ && !peer.isPlatformUnavailable_)
             return false;
-        hasLost |= peer.isPlatformLost_;
+        hasLost |= peer.isPlatformUnavailable_;
     }
     return hasLost;
 }
--- a/lib/Gateway/Readers.h
+++ b/lib/Gateway/Readers.h
@@ -11,12 +11,12 @@
 namespace pistachioloom {
 
 /// What a peer says of its part in reading.
-struct ReaderView {
+struct ReaderState {
     VmId vm_;
     DataCentreId dataCentre_;
     bool isStopping_ = false;
     /// Its last read failed.
-    bool isPlatformLost_ = false;
+    bool isPlatformUnavailable_ = false;
     bool isReader_ = false;
     /// Processor cores of its VM.
     double cores_ = 0;
@@ -27,10 +27,10 @@
 /// processor cores come first, since all others ask readers for what they read and
 /// the links of larger VMs are wider; then as drawn. Nodes that the platform turned
 /// away go on trying, and are succeeded until there are many of them.
-bool shouldRead(const ReaderView& self, const std::vector<ReaderView>& peers, std::uint64_t readers);
+bool shouldRead(const ReaderState& self, const std::vector<ReaderState>& peers, std::uint64_t readers);
 
 /// Whether the platform serves none of the readers that are heard. One that is
 /// turned away alone says nothing of registrations.
-bool haveAllReadersLost(const std::vector<ReaderView>& peers);
+bool haveAllReadersFailed(const std::vector<ReaderState>& peers);
 
 } // namespace pistachioloom
--- a/lib/Gateway/RelayBook.cpp
+++ b/lib/Gateway/ReportAggregator.cpp
@@ -1,9 +1,9 @@
-//===- lib/Gateway/RelayBook.cpp - reports summed by relays ----------------===//
+//===- lib/Gateway/ReportAggregator.cpp - reports summed by relays ----------------===//
 ///
 /// \file
-/// See RelayBook.h.
+/// See ReportAggregator.h.
 //===----------------------------------------------------------------------===//
-#include "RelayBook.h"
+#include "ReportAggregator.h"
 
 #include "RolloutMessages.h"
 
@@ -149,15 +149,15 @@
         tallies_[service].add(tally);
 }
 
-void ReportTotals::add(const SumGroup& group, SteadyTime now)
+void ReportTotals::add(const NodeGroupSums& group, SteadyTime now)
 {
     addCounts(admitted_, group.admitted());
     if (const wire::NodeSums* current = group.current(now))
-        addCurrent(*current, std::chrono::duration_cast<milliseconds>(now - group.currentHeardAt()));
-    silentNodes_ += group.silentNodes(now);
+        addCurrent(*current, std::chrono::duration_cast<milliseconds>(now - group.currentReceivedAt()));
+    unresponsiveNodes_ += group.unresponsiveNodes(now);
 }
 
-void ReportTotals::remove(const wire::NodeSums& sums, const SumGroup& counted)
+void ReportTotals::remove(const wire::NodeSums& sums, const NodeGroupSums& counted)
 {
     nodes_ -= std::min(nodes_, sums.nodes());
     for (const auto& [backend, load] : loadsOf(sums.loads())) {
@@ -208,21 +208,21 @@
     sums.set_duty_token(dutyToken_.value_);
     sums.set_holder_age_ms(static_cast<std::uint64_t>(holderAge_.count()));
     sums.set_released_token(releasedToken_.value_);
-    sums.set_silent_nodes(silentNodes_);
+    sums.set_silent_nodes(unresponsiveNodes_);
     return sums;
 }
 
-RelayBook::RelayBook(milliseconds usageWindow)
+ReportAggregator::ReportAggregator(milliseconds usageWindow)
     : ownUsage_(usageWindow)
     , othersUsage_(usageWindow)
 {
 }
 
-void RelayBook::forgetSilent(SteadyTime now)
+void ReportAggregator::removeUnresponsive(SteadyTime now)
 {
     std::erase_if(nodes_, [&](const auto& entry) {
         const Node& node = entry.second;
-        if (now - node.heardAt_ <= nodeMemory)
+        if (now - node.receivedAt_ <= nodeMemory)
             return false;
         // Its counts stay in the totals, which never fall.
         addCounts(goneAdmitted_, node.group_.admitted());
@@ -231,24 +231,24 @@
     });
 }
 
-void RelayBook::takeReport(const wire::NodeReport& report, SteadyTime now)
+void ReportAggregator::applyReport(const wire::NodeReport& report, SteadyTime now)
 {
-    forgetSilent(now);
+    removeUnresponsive(now);
     VmId vm { report.vm() };
     Node& node = nodes_[vm];
     node.incarnation_ = report.incarnation();
-    node.heardAt_ = now;
+    node.receivedAt_ = now;
     (void)node.group_.take(vm, report.incarnation(), sumsOf(report), now);
     ownUsage_.setPeer(vm, report.incarnation(), usageOf(report.usage()));
 }
 
-void RelayBook::takeSummary(const wire::RelayReport& summary, SteadyTime now)
+void ReportAggregator::applySummary(const wire::RelayReport& summary, SteadyTime now)
 {
     (void)others_[{ summary.data_centre() }].take({ summary.vm() }, summary.incarnation(), summary.sums(), now);
     othersUsage_.setPeer({ summary.data_centre() }, anyIncarnation, usageOf(summary.sums().usage()));
 }
 
-std::vector<VmId> RelayBook::receivers(SteadyTime now) const
+std::vector<VmId> ReportAggregator::receivers(SteadyTime now) const
 {
     std::vector<VmId> receivers;
     for (const auto& [vm, node] : nodes_) {
@@ -258,13 +258,13 @@
     return receivers;
 }
 
-std::vector<VmId> RelayBook::relaysOf(const DataCentreId& dataCentre, SteadyTime now) const
+std::vector<VmId> ReportAggregator::relaysOf(const DataCentreId& dataCentre, SteadyTime now) const
 {
     auto found = others_.find(dataCentre);
     return found == others_.end() ? std::vector<VmId> {} : found->second.liveSources(now);
 }
 
-ReportTotals RelayBook::ownTotals(SteadyTime now) const
+ReportTotals ReportAggregator::ownTotals(SteadyTime now) const
 {
     ReportTotals totals;
     for (const auto& [vm, node] : nodes_)
@@ -273,7 +273,7 @@
     return totals;
 }
 
-wire::NodeSums RelayBook::summaryFor(const DataCentreId& receiver, SteadyTime now) const
+wire::NodeSums ReportAggregator::summaryFor(const DataCentreId& receiver, SteadyTime now) const
 {
     wire::NodeSums sums = ownTotals(now).toMessage();
     auto found = others_.find(receiver);
@@ -285,7 +285,7 @@
     return sums;
 }
 
-ReportTotals RelayBook::totals(SteadyTime now) const
+ReportTotals ReportAggregator::totals(SteadyTime now) const
 {
     ReportTotals totals = ownTotals(now);
     for (const auto& [dataCentre, group] : others_)
@@ -293,7 +293,7 @@
     return totals;
 }
 
-wire::NodeSums RelayBook::digestFor(const VmId& receiver, const ReportTotals& totals, SteadyTime now) const
+wire::NodeSums ReportAggregator::digestFor(const VmId& receiver, const ReportTotals& totals, SteadyTime now) const
 {
     auto found = nodes_.find(receiver);
     const wire::NodeSums* own = found == nodes_.end() ? nullptr : found->second.group_.current(now);
--- a/lib/Gateway/RelayBook.h
+++ b/lib/Gateway/ReportAggregator.h
@@ -1,4 +1,4 @@
-//===- lib/Gateway/RelayBook.h - reports summed by a data centre's relays --===//
+//===- lib/Gateway/ReportAggregator.h - reports summed by a data centre's relays --===//
 ///
 /// \file
 /// In a large fleet a node does not hear every other one: it reports to relays of
@@ -9,7 +9,7 @@
 //===----------------------------------------------------------------------===//
 #pragma once
 
-#include "SumGroup.h"
+#include "NodeGroupSums.h"
 #include "pistachioloom/Backends.h"
 #include "pistachioloom/Duties.h"
 #include "pistachioloom/Rollout.h"
@@ -30,9 +30,9 @@
     };
 
     /// Adds a group: what it told now, and what it counted even if it is silent.
-    void add(const SumGroup& group, SteadyTime now);
+    void add(const NodeGroupSums& group, SteadyTime now);
     /// Takes out what one of the nodes told.
-    void remove(const wire::NodeSums& sums, const SumGroup& counted);
+    void remove(const wire::NodeSums& sums, const NodeGroupSums& counted);
     wire::NodeSums toMessage() const;
 
     /// Adds what holds now: loads, levels, rates, what is leaving, the holder. It was
@@ -42,7 +42,7 @@
     void addRollouts(const wire::NodeSums& sums, milliseconds age);
 
     std::uint64_t nodes_ = 0;
-    std::uint64_t silentNodes_ = 0;
+    std::uint64_t unresponsiveNodes_ = 0;
     LoadTable loads_;
     NamedCounts admitted_;
     NamedCounts levels_;
@@ -62,14 +62,14 @@
     DutyToken releasedToken_ {};
 };
 
-class RelayBook {
+class ReportAggregator {
 public:
-    explicit RelayBook(milliseconds usageWindow);
+    explicit ReportAggregator(milliseconds usageWindow);
 
     /// A report of a node of this data centre.
-    void takeReport(const wire::NodeReport& report, SteadyTime now);
+    void applyReport(const wire::NodeReport& report, SteadyTime now);
     /// What a relay of another data centre told of its nodes.
-    void takeSummary(const wire::RelayReport& summary, SteadyTime now);
+    void applySummary(const wire::RelayReport& summary, SteadyTime now);
     /// Nodes that report here and get digests.
     std::vector<VmId> receivers(SteadyTime now) const;
     /// Relays of another data centre that told of it lately.
@@ -86,15 +86,15 @@
 private:
     struct Node {
         std::uint64_t incarnation_ = 0;
-        SteadyTime heardAt_ {};
-        SumGroup group_;
+        SteadyTime receivedAt_ {};
+        NodeGroupSums group_;
     };
 
     ReportTotals ownTotals(SteadyTime now) const;
-    void forgetSilent(SteadyTime now);
+    void removeUnresponsive(SteadyTime now);
 
     std::map<VmId, Node> nodes_;
-    std::map<DataCentreId, SumGroup> others_;
+    std::map<DataCentreId, NodeGroupSums> others_;
     UsageTracker ownUsage_;
     UsageTracker othersUsage_;
     /// Counts of nodes that were forgotten.
--- a/lib/Gateway/ReportMessages.cpp
+++ b/lib/Gateway/ReportMessages.cpp
@@ -22,7 +22,7 @@
 } // namespace
 
 /// What any node may hear: who this is, and what presses.
-void PeerReports::composeIntroduction(wire::NodeReport& report, NamesTold names)
+void PeerReports::composeIntroduction(wire::NodeReport& report, AdvertisedPeers names)
 {
     const GatewaySettings& settings = context_.settings_;
     SteadyTime now = steadyNow();
@@ -39,7 +39,7 @@
     report.set_released_token(hooks_.releasedToken_().value_);
     report.set_counted_ms(countedMs(now));
     report.set_is_stopping(context_.isStopping_);
-    report.set_is_platform_lost(hooks_.isPlatformLost_());
+    report.set_is_platform_lost(hooks_.isPlatformUnavailable_());
     report.set_is_reader(hooks_.isReader_());
     report.set_cores(settings.cores_);
     report.set_registry_fingerprint(context_.backends_.fingerprint());
@@ -56,7 +56,7 @@
     }
     putSuspects(context_.quarantine_.told(now, randomBits()), *report.mutable_suspects(), now);
     putRollouts(context_.rollouts_.states(), *report.mutable_rollouts(), now);
-    for (const auto& [vm, peer] : discovery_.peersToName(names, sequence_, now)) {
+    for (const auto& [vm, peer] : discovery_.peersToAdvertise(names, sequence_, now)) {
         wire::KnownNode& named = *report.add_nodes();
         named.set_vm(vm.value_);
         named.set_address(peer.gossip_.toString());
@@ -96,24 +96,24 @@
         entry.set_incarnation(peer.incarnation_);
         entry.set_configuration_version(peer.configurationVersion_);
         entry.set_is_stopping(peer.isStopping_);
-        entry.set_is_platform_lost(peer.isPlatformLost_);
+        entry.set_is_platform_lost(peer.isPlatformUnavailable_);
         entry.set_is_reader(peer.isReader_);
         entry.set_cores(peer.cores_);
         entry.set_registry_fingerprint(peer.registryFingerprint_);
-        entry.set_age_ms(static_cast<std::uint64_t>(std::max<std::int64_t>(0, std::chrono::duration_cast<milliseconds>(now - peer.heardAt_).count())));
+        entry.set_age_ms(static_cast<std::uint64_t>(std::max<std::int64_t>(0, std::chrono::duration_cast<milliseconds>(now - peer.receivedAt_).count())));
     }
 }
 
 /// In a small fleet these are all; seeds are told until they are heard.
 std::vector<Endpoint> PeerReports::addressesKnown()
 {
-    std::vector<Endpoint> all = unheardSeeds();
+    std::vector<Endpoint> all = unseenSeeds();
     for (const auto& [vm, peer] : table_.all())
         all.push_back(peer.gossip_);
     return all;
 }
 
-std::vector<Endpoint> PeerReports::unheardSeeds()
+std::vector<Endpoint> PeerReports::unseenSeeds()
 {
     std::set<std::string> hosts { context_.settings_.gossip_.host_ };
     for (const auto& [vm, peer] : table_.all())
--- a/lib/Gateway/TransferLimit.cpp
+++ b/lib/Gateway/TransferLimiter.cpp
@@ -1,16 +1,16 @@
-//===- lib/Gateway/TransferLimit.cpp - who is given a configuration now ----===//
+//===- lib/Gateway/TransferLimiter.cpp - who is given a configuration now ----===//
 ///
 /// \file
-/// See TransferLimit.h.
+/// See TransferLimiter.h.
 //===----------------------------------------------------------------------===//
-#include "TransferLimit.h"
+#include "TransferLimiter.h"
 
 namespace pistachioloom {
 
-std::optional<TransferId> TransferLimit::begin(SteadyTime now)
+std::optional<TransferId> TransferLimiter::begin(SteadyTime now)
 {
     std::erase_if(begun_, [&](const auto& entry) { return now - entry.second >= transferTimeout; });
-    if (begun_.size() >= mostTransfers) {
+    if (begun_.size() >= maxTransfers) {
         ++busyAnswers_;
         return std::nullopt;
     }
@@ -19,17 +19,17 @@
     return last_;
 }
 
-void TransferLimit::end(TransferId transfer)
+void TransferLimiter::end(TransferId transfer)
 {
     begun_.erase(transfer);
 }
 
-bool TransferLimit::isBusyLogDue(SteadyTime now) const
+bool TransferLimiter::isBusyLogDue(SteadyTime now) const
 {
     return busyAnswers_ && (!loggedAt_ || now - *loggedAt_ >= busyLogPeriod);
 }
 
-std::uint64_t TransferLimit::takeBusyAnswers(SteadyTime now)
+std::uint64_t TransferLimiter::takeBusyAnswerCount(SteadyTime now)
 {
     loggedAt_ = now;
     return std::exchange(busyAnswers_, 0);
--- a/lib/Gateway/TransferLimit.h
+++ b/lib/Gateway/TransferLimiter.h
@@ -1,4 +1,4 @@
-//===- lib/Gateway/TransferLimit.h - who is given a configuration now ------===//
+//===- lib/Gateway/TransferLimiter.h - who is given a configuration now ------===//
 ///
 /// \file
 /// A configuration of thousands of routes is long, and all nodes want it from the
@@ -17,31 +17,31 @@
 /// Transfers that a node has under way at most. 100 KB take 80 ms on a link of
 /// 10 Mbit/s, so two hold up what callers are sent by 160 ms. With one, a single
 /// peer that hangs would keep all others waiting.
-inline constexpr std::size_t mostTransfers = 2;
+inline constexpr std::size_t maxTransfers = 2;
 /// A transfer that takes longer is given up, by both sides: twelve times the 160 ms
 /// that two of 100 KB take on an idle link of 10 Mbit/s.
 inline constexpr milliseconds transferTimeout { 2000 };
 /// A node that is busy is asked again after this time: by then two transfers of
 /// 100 KB are over on a link of 10 Mbit/s (160 ms), and those that have it have told
 /// so (each 200 ms).
-inline constexpr milliseconds busyPause { 250 };
+inline constexpr milliseconds busyRetryDelay { 250 };
 /// Busy answers are logged this often at most, with their count.
 inline constexpr milliseconds busyLogPeriod { 1000 };
 
 using TransferId = Quantity<struct TransferIdTag>;
 
 /// The transfers of the node that has the configuration.
-class TransferLimit {
+class TransferLimiter {
 public:
     /// A peer asks. nullopt if it is to ask elsewhere, which is counted.
     std::optional<TransferId> begin(SteadyTime now);
     /// The peer has the whole, or wants it no more. One that was given up is ignored.
     void end(TransferId transfer);
-    std::size_t underWay() const { return begun_.size(); }
+    std::size_t activeTransfers() const { return begun_.size(); }
     /// Whether busy answers are to be logged now.
     bool isBusyLogDue(SteadyTime now) const;
     /// Busy answers that were not logged yet; they count as logged now.
-    std::uint64_t takeBusyAnswers(SteadyTime now);
+    std::uint64_t takeBusyAnswerCount(SteadyTime now);
 
 private:
     std::map<TransferId, SteadyTime> begun_;
--- a/test/ConfigurationSpreadTest.cpp
+++ b/test/ConfigurationSpreadTest.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 // How many a gateway gives the configuration at once, and how long one may take.
-constexpr std::size_t mostTransfers = 2;
+constexpr std::size_t maxTransfers = 2;
 constexpr milliseconds transferTimeout { 2000 };
 // A connection lost or a stream reset is noticed within this time.
 constexpr milliseconds slack { 1000 };
@@ -186,7 +186,7 @@
         INFO(ending.name_);
         Asker first(gateway);
         Asker second(gateway);
-        for (std::size_t i = 0; i < mostTransfers; ++i)
+        for (std::size_t i = 0; i < maxTransfers; ++i)
             CHECK(first.ask() == Answer::Given);
         auto begunAt = steadyNow();
         for (int i = 0; i < 5; ++i)
@@ -198,11 +198,11 @@
             CHECK(steadyNow() - begunAt > transferTimeout - slack);
         second.cancelAll();
         first.cancelAll();
-        REQUIRE(waitUntil([&] { return !linesOf(deployment, deployment.gateways()[0], "handed on").empty(); }));
+        REQUIRE(waitUntil([&] { return !linesOf(deployment, deployment.gateways()[0], "sent to a peer").empty(); }));
         std::this_thread::sleep_for(milliseconds(100));
     }
     // Refusals are logged with their count, not one by one.
-    auto busyLines = linesOf(deployment, deployment.gateways()[0], "told to ask others");
+    auto busyLines = linesOf(deployment, deployment.gateways()[0], "rejected while other transfers run");
     CHECK_FALSE(busyLines.empty());
     CHECK(busyLines.size() <= 2 * endings.size() + 2);
 }
@@ -214,12 +214,12 @@
     Asker old({ deployment.gateways()[0].callers_.host_, 7003 });
     std::size_t given = 0;
     std::size_t busy = 0;
-    for (std::size_t i = 0; i < mostTransfers + 1; ++i) {
+    for (std::size_t i = 0; i < maxTransfers + 1; ++i) {
         Answer answer = old.call();
         given += answer == Answer::Given;
         busy += answer == Answer::Busy;
     }
-    CHECK(given == mostTransfers);
+    CHECK(given == maxTransfers);
     CHECK(busy == 1);
     CHECK(waitUntil([&] { return old.call() == Answer::Given; }, slack));
 }
@@ -243,7 +243,7 @@
     for (const auto& gateway : deployment.gateways()) {
         for (const auto& line : linesOf(deployment, gateway, "Configuration is in force"))
             fromPlatform += textField(line, "configuration") == "2" && textField(line, "from") == "platform";
-        for (const auto& line : linesOf(deployment, gateway, "was handed on")) {
+        for (const auto& line : linesOf(deployment, gateway, "was sent to a peer")) {
             if (textField(line, "configuration") != "2")
                 continue;
             ++handedOn;
@@ -253,5 +253,5 @@
     }
     CHECK(fromPlatform + handedOn >= count);
     CHECK(handedOn > 0);
-    CHECK(mostUnderWay <= mostTransfers);
+    CHECK(mostUnderWay <= maxTransfers);
 }
--- a/unittests/Fuzz/FuzzTest.cpp
+++ b/unittests/Fuzz/FuzzTest.cpp
@@ -7,7 +7,7 @@
 //===----------------------------------------------------------------------===//
 #include "EventSplitter.h"
 #include "Mutator.h"
-#include "RelayBook.h"
+#include "ReportAggregator.h"
 #include "RequestReader.h"
 #include "SuspectMessages.h"
 #include "platform/Platform.h"
@@ -190,7 +190,7 @@
     relayed.mutable_relayed()->set_data_centre("far");
     *relayed.mutable_relayed()->mutable_sums() = sumsOf(report.report());
     Mutator mutator(seed(), { report.SerializeAsString(), relayed.SerializeAsString() });
-    RelayBook book(milliseconds(5000));
+    ReportAggregator book(milliseconds(5000));
     QuarantineTable quarantine({});
     SteadyTime now { std::chrono::hours(1) };
     for (std::uint64_t run = 0; run < runs(); ++run) {
@@ -200,12 +200,12 @@
         if (!datagram.ParseFromString(bytes))
             continue;
         if (datagram.has_report()) {
-            book.takeReport(datagram.report(), now);
+            book.applyReport(datagram.report(), now);
             quarantine.take(suspectsOf(datagram.report().suspects(), now), now);
             REQUIRE(quarantine.told(now, run).size() <= 24);
         }
         if (datagram.has_relayed())
-            book.takeSummary(datagram.relayed(), now);
+            book.applySummary(datagram.relayed(), now);
         // All that is told may be told on.
         REQUIRE(book.digestFor({ "a" }, book.totals(now), now).IsInitialized());
     }
--- a/unittests/Gateway/BackgroundTest.cpp
+++ b/unittests/Gateway/BackgroundExecutorTest.cpp
@@ -1,9 +1,9 @@
-//===- unittests/Gateway/BackgroundTest.cpp - work beside event loops ------===//
+//===- unittests/Gateway/BackgroundExecutorTest.cpp - work beside event loops ------===//
 ///
 /// \file
 /// Where work runs and where its caller goes on, order, exceptions, and the end.
 //===----------------------------------------------------------------------===//
-#include "Background.h"
+#include "BackgroundExecutor.h"
 
 #include <catch2/catch.hpp>
 
@@ -27,7 +27,7 @@
     std::atomic<int>& destroyed_;
 };
 
-asio::awaitable<void> runWith(Background& background, std::function<void()> work, std::atomic<int>& destroyed, std::atomic<int>& resumed)
+asio::awaitable<void> runWith(BackgroundExecutor& background, std::function<void()> work, std::atomic<int>& destroyed, std::atomic<int>& resumed)
 {
     Witness witness(destroyed);
     co_await background.run(std::move(work));
@@ -39,7 +39,7 @@
 TEST_CASE("work runs beside the loop, and its caller goes on there", "[background]")
 {
     asio::io_context io(1);
-    Background background;
+    BackgroundExecutor background;
     std::thread::id loop = std::this_thread::get_id();
     std::thread::id worker;
     std::thread::id after;
@@ -63,7 +63,7 @@
 TEST_CASE("the loop goes on while work runs", "[background]")
 {
     asio::io_context io(1);
-    Background background;
+    BackgroundExecutor background;
     std::promise<void> release;
     bool isDone = false;
     auto caller = [&]() -> asio::awaitable<void> {
@@ -85,7 +85,7 @@
 TEST_CASE("work is done one after the other, in order", "[background]")
 {
     asio::io_context io(1);
-    Background background;
+    BackgroundExecutor background;
     constexpr int pieces = 200;
     std::atomic<int> running { 0 };
     bool hasOverlapped = false;
@@ -108,7 +108,7 @@
 TEST_CASE("what work throws is thrown on in its caller, and the next work runs", "[background]")
 {
     asio::io_context io(1);
-    Background background;
+    BackgroundExecutor background;
     std::string thrown;
     bool hasRun = false;
     auto caller = [&]() -> asio::awaitable<void> {
@@ -135,7 +135,7 @@
     std::atomic<bool> hasRunNext { false };
     {
         asio::io_context io(1);
-        Background background;
+        BackgroundExecutor background;
         std::promise<void> started;
         auto first = [&] {
             started.set_value();
--- a/unittests/Gateway/TakeInTest.cpp
+++ b/unittests/Gateway/ConfigurationApplyTest.cpp
@@ -1,4 +1,4 @@
-//===- unittests/Gateway/TakeInTest.cpp - configurations taken in ----------===//
+//===- unittests/Gateway/ConfigurationApplyTest.cpp - configurations taken in ----------===//
 ///
 /// \file
 /// Which of the texts read becomes the table, and what is passed on to peers.
--- a/unittests/Gateway/DiscoveryTest.cpp
+++ b/unittests/Gateway/DiscoveryTest.cpp
@@ -6,7 +6,7 @@
 /// work for that of all: it orders engines for them, and claims duties that are held.
 //===----------------------------------------------------------------------===//
 #include "Discovery.h"
-#include "RelayBook.h"
+#include "ReportAggregator.h"
 
 #include "pistachioloom/Duties.h"
 #include "pistachioloom/Quota.h"
@@ -56,8 +56,8 @@
     Endpoint address_;
     PeerTable table_;
     Discovery discovery_;
-    RelayBook relays_;
-    SumGroup others_;
+    ReportAggregator relays_;
+    NodeGroupSums others_;
     std::uint64_t sequence_ = 0;
     bool isRelay_ = false;
 };
@@ -127,17 +127,17 @@
         }
     }
 
-    std::vector<Endpoint> unheardSeeds(const Node& node) const
+    std::vector<Endpoint> unseenSeeds(const Node& node) const
     {
         std::vector<Endpoint> unheard;
         for (std::size_t i = 0; i < shape_.seeds_; ++i) {
-            if (nodes_[i].get() != &node && !node.table_.gossipOf(nodes_[i]->vm_))
+            if (nodes_[i].get() != &node && !node.table_.gossipEndpointOf(nodes_[i]->vm_))
                 unheard.push_back(nodes_[i]->address_);
         }
         return unheard;
     }
 
-    static void introduceIn(wire::NodeReport& report, Node& node, NamesTold names, SteadyTime now)
+    static void introduceIn(wire::NodeReport& report, Node& node, AdvertisedPeers names, SteadyTime now)
     {
         report.set_vm(node.vm_.value_);
         report.set_data_centre(node.dataCentre_.value_);
@@ -145,7 +145,7 @@
         report.set_sequence(++node.sequence_);
         report.set_address(node.address_.toString());
         report.set_cores(node.cores_);
-        for (const auto& [vm, peer] : node.discovery_.peersToName(names, node.sequence_, now)) {
+        for (const auto& [vm, peer] : node.discovery_.peersToAdvertise(names, node.sequence_, now)) {
             wire::KnownNode& entry = *report.add_nodes();
             entry.set_vm(vm.value_);
             entry.set_address(peer.gossip_.toString());
@@ -155,16 +155,16 @@
     void tell(Node& node, std::vector<Message>& messages, SteadyTime now)
     {
         wire::Datagram introduction;
-        introduceIn(*introduction.mutable_report(), node, NamesTold::Few, now);
+        introduceIn(*introduction.mutable_report(), node, AdvertisedPeers::Few, now);
         wire::Datagram answer;
-        introduceIn(*answer.mutable_report(), node, NamesTold::Many, now);
-        Discovery::Receivers receivers = node.discovery_.receivers(unheardSeeds(node));
+        introduceIn(*answer.mutable_report(), node, AdvertisedPeers::Many, now);
+        Discovery::Receivers receivers = node.discovery_.receivers(unseenSeeds(node));
         for (const Endpoint& receiver : receivers.introduced_)
             messages.push_back({ node.address_, receiver, introduction, {} });
         for (const Endpoint& receiver : receivers.answered_)
-            messages.push_back({ node.address_, receiver, answer, node.discovery_.relaysToName(now) });
+            messages.push_back({ node.address_, receiver, answer, node.discovery_.relaysToAdvertise(now) });
         wire::Datagram report;
-        introduceIn(*report.mutable_report(), node, NamesTold::Few, now);
+        introduceIn(*report.mutable_report(), node, AdvertisedPeers::Few, now);
         report.mutable_report()->set_wants_digest(true);
         node.isRelay_ = false;
         std::vector<VmId> chosen = node.table_.chooseRelays(now);
@@ -172,9 +172,9 @@
         for (const VmId& relay : chosen) {
             if (relay == node.vm_) {
                 node.isRelay_ = true;
-                node.relays_.takeReport(report.report(), now);
+                node.relays_.applyReport(report.report(), now);
             } else
-                messages.push_back({ node.address_, *node.table_.gossipOf(relay), report, {} });
+                messages.push_back({ node.address_, *node.table_.gossipEndpointOf(relay), report, {} });
         }
         tellSums(node, messages, now);
     }
@@ -190,13 +190,13 @@
         relayed.set_data_centre(node.dataCentre_.value_);
         relayed.set_incarnation(1);
         relayed.set_is_digest(true);
-        std::vector<KnownPeer> members = node.discovery_.membersToName(now);
+        std::vector<KnownPeer> members = node.discovery_.membersToAdvertise(now);
         ReportTotals totals = node.relays_.totals(now);
         for (const VmId& vm : receivers) {
             *relayed.mutable_sums() = node.relays_.digestFor(vm, totals, now);
             if (vm == node.vm_)
                 (void)node.others_.take(vm, 1, relayed.sums(), now);
-            else if (auto address = node.table_.gossipOf(vm))
+            else if (auto address = node.table_.gossipEndpointOf(vm))
                 messages.push_back({ node.address_, *address, datagram, members });
         }
         if (!node.isRelay_)
@@ -205,7 +205,7 @@
         for (const DataCentreId& dataCentre : node.table_.otherDataCentres()) {
             *relayed.mutable_sums() = node.relays_.summaryFor(dataCentre, now);
             for (const VmId& vm : node.discovery_.summaryReceivers(dataCentre, node.relays_.relaysOf(dataCentre, now), now)) {
-                if (auto address = node.table_.gossipOf(vm))
+                if (auto address = node.table_.gossipEndpointOf(vm))
                     messages.push_back({ node.address_, *address, datagram, members });
             }
         }
@@ -214,15 +214,15 @@
     void hear(Node& node, const Message& message, SteadyTime now)
     {
         for (const auto& [vm, peer] : message.members_)
-            node.table_.takeHearsay(vm, peer);
+            node.table_.applyRelayedState(vm, peer);
         if (message.datagram_.has_report())
             return hearReport(node, message.datagram_.report(), now);
         const wire::RelayReport& relayed = message.datagram_.relayed();
         node.table_.addKnown({ relayed.vm() }, message.from_);
         if (!relayed.is_digest()) {
             if (!node.isRelay_)
-                node.discovery_.noteNew({ relayed.vm() });
-            return node.relays_.takeSummary(relayed, now);
+                node.discovery_.queueAnswer({ relayed.vm() });
+            return node.relays_.applySummary(relayed, now);
         }
         node.table_.noteDigest({ relayed.vm() }, now);
         (void)node.others_.take({ relayed.vm() }, 1, relayed.sums(), now);
@@ -236,16 +236,16 @@
         peer.incarnation_ = report.incarnation();
         peer.sequence_ = report.sequence();
         peer.cores_ = report.cores();
-        peer.heardAt_ = now;
-        PeerTable::Heard heard = node.table_.take({ report.vm() }, peer);
-        if (heard == PeerTable::Heard::Old)
+        peer.receivedAt_ = now;
+        PeerTable::ReportKind heard = node.table_.take({ report.vm() }, peer);
+        if (heard == PeerTable::ReportKind::Old)
             return;
-        if (heard == PeerTable::Heard::Restarted)
-            node.discovery_.noteNew({ report.vm() });
+        if (heard == PeerTable::ReportKind::Restarted)
+            node.discovery_.queueAnswer({ report.vm() });
         for (const wire::KnownNode& known : report.nodes())
             node.table_.addKnown({ known.vm() }, *parseEndpoint(known.address()));
         if (report.wants_digest())
-            node.relays_.takeReport(report, now);
+            node.relays_.applyReport(report, now);
     }
 
     Shape shape_;
--- a/unittests/Gateway/LoopLagTest.cpp
+++ b/unittests/Gateway/LoopLagTest.cpp
@@ -52,7 +52,7 @@
         { 9000, 200, false },
         { 9001, 201, true },
     };
-    LoopLagLines lines;
+    LoopLagLogLimiter lines;
     for (const Row& row : rows) {
         CAPTURE(row.atMs_, row.lateMs_);
         CHECK(lines.isDue(milliseconds(row.lateMs_), SteadyTime(milliseconds(row.atMs_))) == row.isDue_);
--- a/unittests/Gateway/PeerTableTest.cpp
+++ b/unittests/Gateway/PeerTableTest.cpp
@@ -31,7 +31,7 @@
     peer.incarnation_ = 1;
     peer.sequence_ = sequence;
     peer.cores_ = cores;
-    peer.heardAt_ = heardAt;
+    peer.receivedAt_ = heardAt;
     return peer;
 }
 
@@ -114,17 +114,17 @@
     PeerTable table(vmOf(0), near, 1, {});
     Peer told = peerAt(near, 1, start, 5);
     told.configurationVersion_ = 8;
-    CHECK(table.take(vmOf(1), told) == PeerTable::Heard::Restarted);
+    CHECK(table.take(vmOf(1), told) == PeerTable::ReportKind::Restarted);
     Peer hearsay = peerAt(near, 1, start - milliseconds(100), 0);
     hearsay.configurationVersion_ = 7;
-    table.takeHearsay(vmOf(1), hearsay);
-    CHECK(table.heardWithin(milliseconds(1), start).front().second.configurationVersion_ == 8);
-    hearsay.heardAt_ = start + milliseconds(100);
-    table.takeHearsay(vmOf(1), hearsay);
-    CHECK(table.heardWithin(milliseconds(1), start + milliseconds(100)).front().second.configurationVersion_ == 7);
+    table.applyRelayedState(vmOf(1), hearsay);
+    CHECK(table.reportedWithin(milliseconds(1), start).front().second.configurationVersion_ == 8);
+    hearsay.receivedAt_ = start + milliseconds(100);
+    table.applyRelayedState(vmOf(1), hearsay);
+    CHECK(table.reportedWithin(milliseconds(1), start + milliseconds(100)).front().second.configurationVersion_ == 7);
     // Its numbers go on where they were.
-    CHECK(table.take(vmOf(1), peerAt(near, 1, start + milliseconds(200), 5)) == PeerTable::Heard::Old);
-    CHECK(table.take(vmOf(1), peerAt(near, 1, start + milliseconds(200), 6)) == PeerTable::Heard::Again);
+    CHECK(table.take(vmOf(1), peerAt(near, 1, start + milliseconds(200), 5)) == PeerTable::ReportKind::Old);
+    CHECK(table.take(vmOf(1), peerAt(near, 1, start + milliseconds(200), 6)) == PeerTable::ReportKind::Again);
 }
 
 TEST_CASE("nodes that are silent for long are forgotten", "[peers]")
@@ -132,8 +132,8 @@
     PeerTable table(vmOf(0), near, 1, {});
     table.addKnown(vmOf(9), { "10.0.0.9", 7500 });
     (void)table.take(vmOf(1), peerAt(near, 1, start, 1));
-    CHECK(table.forgetSilent(start + milliseconds(29000)).empty());
-    CHECK(table.forgetSilent(start + milliseconds(31000)) == std::vector<VmId> { vmOf(1) });
+    CHECK(table.removeUnresponsive(start + milliseconds(29000)).empty());
+    CHECK(table.removeUnresponsive(start + milliseconds(31000)) == std::vector<VmId> { vmOf(1) });
     // One that was named but never heard is told on.
     CHECK(table.size() == 1);
 }
@@ -156,6 +156,6 @@
         { 1, 2, false, false },
     }));
     CAPTURE(row.heard_, row.known_);
-    CHECK(Coverage { row.heard_, row.known_ }.isWhole() == row.isWhole_);
-    CHECK(Coverage { row.heard_, row.known_ }.hasMost() == row.hasMost_);
+    CHECK(Coverage { row.heard_, row.known_ }.isComplete() == row.isWhole_);
+    CHECK(Coverage { row.heard_, row.known_ }.hasMajority() == row.hasMost_);
 }
--- a/unittests/Gateway/ReadersTest.cpp
+++ b/unittests/Gateway/ReadersTest.cpp
@@ -16,17 +16,17 @@
 
 constexpr std::uint64_t readers = 3;
 
-std::vector<ReaderView> nodes(std::size_t count)
+std::vector<ReaderState> nodes(std::size_t count)
 {
-    std::vector<ReaderView> nodes;
+    std::vector<ReaderState> nodes;
     for (std::size_t i = 0; i < count; ++i)
         nodes.push_back({ { "node-" + std::to_string(i) }, { std::string(1, static_cast<char>('a' + i % 3)) }, false, false, false });
     return nodes;
 }
 
-bool reads(const std::vector<ReaderView>& all, std::size_t index)
+bool reads(const std::vector<ReaderState>& all, std::size_t index)
 {
-    std::vector<ReaderView> peers = all;
+    std::vector<ReaderState> peers = all;
     peers.erase(peers.begin() + static_cast<std::ptrdiff_t>(index));
     return shouldRead(all[index], peers, readers);
 }
@@ -57,7 +57,7 @@
     while (!reads(all, first))
         ++first;
     bool isStopping = GENERATE(true, false);
-    (isStopping ? all[first].isStopping_ : all[first].isPlatformLost_) = true;
+    (isStopping ? all[first].isStopping_ : all[first].isPlatformUnavailable_) = true;
     std::size_t reading = 0;
     std::set<DataCentreId> places;
     for (std::size_t i = 0; i < all.size(); ++i) {
@@ -73,20 +73,20 @@
 TEST_CASE("one reader that is turned away is no outage", "[readers]")
 {
     auto all = nodes(4);
-    CHECK_FALSE(haveAllReadersLost(all));
+    CHECK_FALSE(haveAllReadersFailed(all));
     all[0].isReader_ = all[1].isReader_ = true;
-    all[0].isPlatformLost_ = true;
-    CHECK_FALSE(haveAllReadersLost(all));
-    all[1].isPlatformLost_ = true;
-    CHECK(haveAllReadersLost(all));
-    CHECK_FALSE(haveAllReadersLost({}));
+    all[0].isPlatformUnavailable_ = true;
+    CHECK_FALSE(haveAllReadersFailed(all));
+    all[1].isPlatformUnavailable_ = true;
+    CHECK(haveAllReadersFailed(all));
+    CHECK_FALSE(haveAllReadersFailed({}));
 }
 
 TEST_CASE("nodes with more processor cores read first", "[readers]")
 {
     auto count = GENERATE(9U, 63U);
     auto all = nodes(count);
-    for (ReaderView& node : all)
+    for (ReaderState& node : all)
         node.cores_ = 0.12;
     // The last ones of data centre `a`, and one of `b`.
     for (std::size_t large : { count - 3, count - 6, count - 2 })
@@ -113,7 +113,7 @@
     auto cores = GENERATE(0.0, 0.12, 8.0);
     auto all = nodes(26);
     std::vector<VmId> drawn;
-    for (ReaderView& node : all) {
+    for (ReaderState& node : all) {
         node.cores_ = cores;
         drawn.push_back(node.vm_);
     }
@@ -140,7 +140,7 @@
         for (std::size_t i = 0; i < count; ++i) {
             auto seen = all;
             if (!isNewer(i)) {
-                for (ReaderView& node : seen)
+                for (ReaderState& node : seen)
                     node.cores_ = 0;
             }
             told.push_back(reads(seen, i));
@@ -159,7 +159,7 @@
 
 /// Nodes that read find out whether the platform serves them, round by round, as they
 /// hear it of each other. \returns the most that tried at once.
-std::size_t playTurns(std::vector<ReaderView>& all, const std::function<bool(std::size_t)>& isServed)
+std::size_t playTurns(std::vector<ReaderState>& all, const std::function<bool(std::size_t)>& isServed)
 {
     // One node of a data centre finds out in each: more than may be turned away.
     constexpr int rounds = 16;
@@ -167,10 +167,10 @@
     for (int round = 0; round < rounds; ++round) {
         std::vector<bool> told;
         for (std::size_t i = 0; i < all.size(); ++i)
-            told.push_back(all[i].isPlatformLost_ || reads(all, i));
+            told.push_back(all[i].isPlatformUnavailable_ || reads(all, i));
         for (std::size_t i = 0; i < all.size(); ++i) {
             all[i].isReader_ = told[i];
-            all[i].isPlatformLost_ = told[i] && !isServed(i);
+            all[i].isPlatformUnavailable_ = told[i] && !isServed(i);
         }
         most = std::max(most, static_cast<std::size_t>(std::count(told.begin(), told.end(), true)));
     }
--- a/unittests/Gateway/RelayBookTest.cpp
+++ b/unittests/Gateway/ReportAggregatorTest.cpp
@@ -1,10 +1,10 @@
-//===- unittests/Gateway/RelayBookTest.cpp - sums by relays ----------------===//
+//===- unittests/Gateway/ReportAggregatorTest.cpp - sums by relays ----------------===//
 ///
 /// \file
 /// What a node hears of all others through relays equals what they told, whoever
 /// relays it, and nothing counts twice when relays change.
 //===----------------------------------------------------------------------===//
-#include "RelayBook.h"
+#include "ReportAggregator.h"
 
 #include <catch2/catch.hpp>
 
@@ -83,13 +83,13 @@
 
 TEST_CASE("a digest holds what all others told, and not what its receiver did", "[relay]")
 {
-    RelayBook book(window);
+    ReportAggregator book(window);
     for (int round = 0; round < 3; ++round) {
         SteadyTime now = start + round * milliseconds(200);
         double factor = round;
-        book.takeReport(report("a", { 10 * factor, 100, 4, 1 }, 1, 5), now);
-        book.takeReport(report("b", { 20 * factor, 200, 5, 2 }), now);
-        book.takeReport(report("c", { 40 * factor, 400, 6, 3 }), now);
+        book.applyReport(report("a", { 10 * factor, 100, 4, 1 }, 1, 5), now);
+        book.applyReport(report("b", { 20 * factor, 200, 5, 2 }), now);
+        book.applyReport(report("c", { 40 * factor, 400, 6, 3 }), now);
     }
     SteadyTime now = start + milliseconds(400);
     ReportTotals totals = book.totals(now);
@@ -109,12 +109,12 @@
 
 TEST_CASE("what a node counted stays in the sums after it stops", "[relay]")
 {
-    RelayBook book(window);
-    book.takeReport(report("a", {}), start);
-    book.takeReport(report("b", {}), start);
-    book.takeReport(report("b", { 30, 300, 2, 4 }), start + milliseconds(200));
+    ReportAggregator book(window);
+    book.applyReport(report("a", {}), start);
+    book.applyReport(report("b", {}), start);
+    book.applyReport(report("b", { 30, 300, 2, 4 }), start + milliseconds(200));
     SteadyTime later = start + milliseconds(1300);
-    book.takeReport(report("a", {}), later);
+    book.applyReport(report("a", {}), later);
     wire::NodeSums digest = book.digestFor({ "a" }, book.totals(later), later);
     CHECK(digest.nodes() == 0);
     CHECK(loadsOf(digest.loads()).empty());
@@ -122,19 +122,19 @@
     // Its callers are elsewhere now.
     CHECK(demandIn(digest) == 0);
     SteadyTime muchLater = start + std::chrono::minutes(3);
-    book.takeReport(report("a", {}), muchLater);
+    book.applyReport(report("a", {}), muchLater);
     CHECK(admittedIn(book.digestFor({ "a" }, book.totals(muchLater), muchLater)) == 30);
 }
 
 TEST_CASE("a restarted node's counts begin anew and take nothing back", "[relay]")
 {
-    RelayBook book(window);
-    book.takeReport(report("a", {}), start);
-    book.takeReport(report("b", { 100, 0, 3, 0 }, 1), start);
-    book.takeReport(report("b", { 130, 0, 4, 0 }, 1), start + milliseconds(200));
-    book.takeReport(report("b", { 2, 0, 1, 0 }, 2), start + milliseconds(400));
-    book.takeReport(report("b", { 7, 0, 2, 0 }, 2), start + milliseconds(600));
-    book.takeReport(report("a", {}, 1, 9), start + milliseconds(600));
+    ReportAggregator book(window);
+    book.applyReport(report("a", {}), start);
+    book.applyReport(report("b", { 100, 0, 3, 0 }, 1), start);
+    book.applyReport(report("b", { 130, 0, 4, 0 }, 1), start + milliseconds(200));
+    book.applyReport(report("b", { 2, 0, 1, 0 }, 2), start + milliseconds(400));
+    book.applyReport(report("b", { 7, 0, 2, 0 }, 2), start + milliseconds(600));
+    book.applyReport(report("a", {}, 1, 9), start + milliseconds(600));
     SteadyTime now = start + milliseconds(600);
     wire::NodeSums digest = book.digestFor({ "a" }, book.totals(now), now);
     CHECK(admittedIn(digest) == 35);
@@ -144,7 +144,7 @@
 
 TEST_CASE("a data centre counts once, though two relays tell of it", "[relay]")
 {
-    RelayBook book(window);
+    ReportAggregator book(window);
     // The second relay tells the same later, and goes on after the first stops.
     auto secondLag = GENERATE(0, 100, 200);
     auto stopsAfter = GENERATE(3, 6, 50);
@@ -152,11 +152,11 @@
     for (int round = 0; round < 40; ++round) {
         SteadyTime now = start + round * milliseconds(200);
         last = round * 10;
-        book.takeReport(report("near", {}, 1), now);
+        book.applyReport(report("near", {}, 1), now);
         wire::NodeSums sums = sumsOf(report("far", { last, 0, 1, 2 }));
         if (round < stopsAfter)
-            book.takeSummary(summaryOf("relay-1", "far", sums), now);
-        book.takeSummary(summaryOf("relay-2", "far", sums), now + milliseconds(secondLag));
+            book.applySummary(summaryOf("relay-1", "far", sums), now);
+        book.applySummary(summaryOf("relay-2", "far", sums), now + milliseconds(secondLag));
     }
     SteadyTime now = start + 39 * milliseconds(200) + milliseconds(200);
     wire::NodeSums digest = book.digestFor({ "near" }, book.totals(now), now);
@@ -170,13 +170,13 @@
 
 TEST_CASE("nodes that fall silent are told of for as long as they may be cut off", "[relay]")
 {
-    RelayBook book(window);
-    book.takeReport(report("near", {}), start);
-    book.takeReport(report("gone", {}), start);
+    ReportAggregator book(window);
+    book.applyReport(report("near", {}), start);
+    book.applyReport(report("gone", {}), start);
     wire::NodeSums sums = sumsOf(report("far", {}));
     sums.set_nodes(20);
     sums.set_silent_nodes(3);
-    book.takeSummary(summaryOf("relay", "far", sums), start);
+    book.applySummary(summaryOf("relay", "far", sums), start);
     CHECK(book.digestFor({ "near" }, book.totals(start), start).silent_nodes() == 3);
     struct Row {
         milliseconds later_;
@@ -184,23 +184,23 @@
     };
     auto row = GENERATE(values<Row>({ { milliseconds(1500), 21 }, { milliseconds(9000), 21 }, { milliseconds(11000), 0 } }));
     SteadyTime now = start + row.later_;
-    book.takeReport(report("near", {}), now);
+    book.applyReport(report("near", {}), now);
     CHECK(book.digestFor({ "near" }, book.totals(now), now).silent_nodes() == row.silent_);
 }
 
 TEST_CASE("usage crosses data centres only to the one that reports it", "[relay]")
 {
-    RelayBook book(window);
-    book.takeReport(report("near", { 0, 0, 8, 0 }), start);
+    ReportAggregator book(window);
+    book.applyReport(report("near", { 0, 0, 8, 0 }), start);
     CHECK(usageIn(book.summaryFor({ "far" }, start)) == 0);
-    book.takeSummary(summaryOf("relay", "far", sumsOf(report("holder", {}, 1, 12))), start);
+    book.applySummary(summaryOf("relay", "far", sumsOf(report("holder", {}, 1, 12))), start);
     CHECK(usageIn(book.summaryFor({ "far" }, start)) == 8);
     CHECK(usageIn(book.summaryFor({ "third" }, start)) == 0);
 }
 
 TEST_CASE("a relay that hears more of the nodes takes the place of one that hears few", "[relay]")
 {
-    SumGroup group;
+    NodeGroupSums group;
     wire::NodeSums few;
     few.set_nodes(3);
     wire::NodeSums many;
@@ -214,16 +214,16 @@
 
 TEST_CASE("word of the holder ages on its way through relays", "[relays]")
 {
-    RelayBook near(window);
-    RelayBook far(window);
+    ReportAggregator near(window);
+    ReportAggregator far(window);
     wire::NodeReport holder = report("a1", {}, 1, 5);
-    near.takeReport(holder, start);
-    near.takeReport(report("a2", {}), start);
+    near.applyReport(holder, start);
+    near.applyReport(report("a2", {}), start);
     SteadyTime told = start + milliseconds(700);
     wire::NodeSums summary = near.summaryFor({ "b" }, told);
     CHECK(summary.holder_age_ms() == 700);
-    far.takeSummary(summaryOf("a-relay", "a", summary), told);
-    far.takeReport(report("b1", {}), told);
+    far.applySummary(summaryOf("a-relay", "a", summary), told);
+    far.applyReport(report("b1", {}), told);
     SteadyTime later = told + milliseconds(800);
     wire::NodeSums digest = far.digestFor({ "b1" }, far.totals(later), later);
     CHECK(digest.duty_token() == 5);
@@ -231,7 +231,7 @@
     // It gave up: that is told beside what others still tell of it.
     holder.set_duty_token(0);
     holder.set_released_token(5);
-    near.takeReport(holder, told);
+    near.applyReport(holder, told);
     CHECK(near.summaryFor({ "b" }, told).duty_token() == 0);
     CHECK(near.summaryFor({ "b" }, told).released_token() == 5);
 }
@@ -245,17 +245,17 @@
     };
     auto row = GENERATE(values<Row>({ { "just started", 400, 100 }, { "running for long", 60000, 0 }, { "of a version that does not tell", 0, 0 } }));
     CAPTURE(row.name_);
-    RelayBook near(window);
-    RelayBook far(window);
+    ReportAggregator near(window);
+    ReportAggregator far(window);
     wire::NodeReport first = report("a1", { 100, 0, 0, 0 });
     first.set_counted_ms(row.countedMs_);
-    near.takeReport(first, start);
-    far.takeReport(report("b1", {}), start);
+    near.applyReport(first, start);
+    far.applyReport(report("b1", {}), start);
     wire::NodeSums summary = near.summaryFor({ "b" }, start);
     summary.set_counted_ms(row.countedMs_);
-    far.takeSummary(summaryOf("a-relay", "a", summary), start);
+    far.applySummary(summaryOf("a-relay", "a", summary), start);
     CHECK(admittedIn(far.digestFor({ "b1" }, far.totals(start), start)) == row.admitted_);
     // A second relay of the same nodes adds nothing when it is first heard.
-    far.takeSummary(summaryOf("a-other", "a", summary), start + milliseconds(100));
+    far.applySummary(summaryOf("a-other", "a", summary), start + milliseconds(100));
     CHECK(admittedIn(far.digestFor({ "b1" }, far.totals(start), start)) == row.admitted_);
 }
--- a/unittests/Gateway/RolloutMessagesTest.cpp
+++ b/unittests/Gateway/RolloutMessagesTest.cpp
@@ -4,7 +4,7 @@
 /// What one node tells of an order is what another one reads, also through relays.
 //===----------------------------------------------------------------------===//
 #include "RolloutMessages.h"
-#include "RelayBook.h"
+#include "ReportAggregator.h"
 
 #include <catch2/catch.hpp>
 
@@ -74,10 +74,10 @@
 
 TEST_CASE("relays tell counts of orders to the holder alone, and states to all", "[gateway]")
 {
-    RelayBook book(milliseconds(5000));
-    book.takeReport(reportOf("holder", 10, 9), now);
-    book.takeReport(reportOf("other", 20, 0), now);
-    book.takeReport(reportOf("third", 30, 0), now);
+    ReportAggregator book(milliseconds(5000));
+    book.applyReport(reportOf("holder", 10, 9), now);
+    book.applyReport(reportOf("other", 20, 0), now);
+    book.applyReport(reportOf("third", 30, 0), now);
     wire::NodeSums toHolder = book.digestFor({ "holder" }, book.totals(now), now);
     CHECK(talliesOf(toHolder.rollout_counts())[service].exposed_ == 50);
     CHECK(talliesOf(toHolder.rollout_counts())[service].cells_[{ 5, 6 }].answers_ == 50);
