--- a/lib/Gateway/ConfigurationTransfer.cpp
+++ b/lib/Gateway/ConfigurationTransfer.cpp
@@ -14,40 +14,40 @@
 
     // How long a peer is given that does not acknowledge a configuration, as older
     // versions do not: two transfers of 100 KB take 160 ms at 10 Mbit/s.
-    constexpr milliseconds unacknowledgedTransfer { 200 };
+    constexpr milliseconds assumedTransferTime { 200 };
     // Reading a configuration of 780 KB occupies the thread of the links, for tenths of a
     // second on a small VM; the acknowledgement leaves before.
-    constexpr milliseconds acknowledgementPause { 2 };
+    constexpr milliseconds acknowledgementDelay { 2 };
 
 } // namespace
 
-std::optional<KnownPeer> PlatformFeed::peerAhead() const
+std::optional<KnownPeer> PlatformFeed::peerWithNewerConfiguration() const
 {
     auto table = context_.table();
     std::uint64_t own = table ? table->version() : 0;
-    std::vector<KnownPeer> near;
-    std::vector<KnownPeer> far;
+    std::vector<KnownPeer> local;
+    std::vector<KnownPeer> remote;
     for (const KnownPeer& known : reports_.live()) {
         if (known.second.configurationVersion_ > own && !busyPeers_.isBusy(known.first, steadyNow()))
-            (known.second.dataCentre_ == context_.settings_.dataCentre_ ? near : far).push_back(known);
+            (known.second.dataCentre_ == context_.settings_.dataCentre_ ? local : remote).push_back(known);
     }
-    const std::vector<KnownPeer>& ahead = near.empty() ? far : near;
-    if (ahead.empty())
+    const std::vector<KnownPeer>& candidates = local.empty() ? remote : local;
+    if (candidates.empty())
         return std::nullopt;
-    return ahead[randomBits() % ahead.size()];
+    return candidates[randomBits() % candidates.size()];
 }
 
-asio::awaitable<void> PlatformFeed::askForConfiguration()
+asio::awaitable<void> PlatformFeed::fetchConfigurationFromPeers()
 {
     for (;;) {
         co_await sleepFor(peerCheckPeriod);
-        auto ahead = peerAhead();
-        if (ahead)
-            co_await askConfiguration(ahead->first, ahead->second);
+        auto source = peerWithNewerConfiguration();
+        if (source)
+            co_await fetchConfiguration(source->first, source->second);
     }
 }
 
-asio::awaitable<Result<wire::Frame>> PlatformFeed::fetch(Peer peer, wire::Frame request)
+asio::awaitable<Result<wire::Frame>> PlatformFeed::requestConfiguration(Peer peer, wire::Frame request)
 {
     auto opened = co_await peers_.open(peer.peers_, request, peerTimeout);
     if (!opened)
@@ -60,22 +60,22 @@
     if (reply)
         (void)co_await stream->send(acknowledgement);
     stream->finish();
-    co_await sleepFor(acknowledgementPause);
+    co_await sleepFor(acknowledgementDelay);
     if (reply && reply.value().has_failure())
         co_return fromWire(reply.value().failure());
     co_return reply;
 }
 
-asio::awaitable<void> PlatformFeed::askConfiguration(VmId vm, Peer peer)
+asio::awaitable<void> PlatformFeed::fetchConfiguration(VmId vm, Peer peer)
 {
     auto table = context_.table();
     wire::Frame request;
     request.mutable_configuration_fetch()->set_known_version(table ? table->version() : 0);
     request.mutable_configuration_fetch()->set_wants_configuration(true);
-    auto reply = co_await fetch(peer, request);
+    auto reply = co_await requestConfiguration(peer, request);
     if (reply && reply.value().has_configuration_update()) {
         std::string bytes = reply.value().configuration_update().compressed_source();
-        co_await takeIn(std::move(bytes), vm);
+        co_await applyConfiguration(std::move(bytes), vm);
         co_return;
     }
     bool isBusy = !reply && reply.error().code_ == Errc::Overloaded;
@@ -85,7 +85,7 @@
         logger_.warn("Peer " + vm.value_ + " gave no configuration: " + (reply ? "other frame" : describe(reply.error())));
 }
 
-asio::awaitable<void> PlatformFeed::takeIn(std::string bytes, VmId vm)
+asio::awaitable<void> PlatformFeed::applyConfiguration(std::string bytes, VmId vm)
 {
     if (bytes.empty())
         co_return;
@@ -93,7 +93,7 @@
     co_await background_.run(std::move(work));
 }
 
-bool PlatformFeed::hasNewerThan(const wire::ConfigurationFetch& fetch) const
+bool PlatformFeed::hasNewerConfiguration(const wire::ConfigurationFetch& fetch) const
 {
     auto table = context_.table();
     return table && fetch.wants_configuration() && table->version() > fetch.known_version();
@@ -112,7 +112,7 @@
 
 asio::awaitable<void> PlatformFeed::serve(std::shared_ptr<PeerStream> stream, wire::Frame request)
 {
-    if (!hasNewerThan(request.configuration_fetch())) {
+    if (!hasNewerConfiguration(request.configuration_fetch())) {
         (void)co_await stream->send(answer(request));
         co_return;
     }
@@ -121,27 +121,27 @@
         (void)co_await stream->send(busyAnswer());
         co_return;
     }
-    co_await handOver(stream, request);
+    co_await sendConfiguration(stream, request);
     transfers_.end(*transfer);
 }
 
 /// That the frame was sent says little: the system takes 100 KB at once, and the link
 /// is full until the peer has them.
-asio::awaitable<void> PlatformFeed::handOver(std::shared_ptr<PeerStream> stream, wire::Frame request)
+asio::awaitable<void> PlatformFeed::sendConfiguration(std::shared_ptr<PeerStream> stream, wire::Frame request)
 {
-    SteadyTime begunAt = steadyNow();
+    SteadyTime startedAt = steadyNow();
     auto activeTransfers = static_cast<std::int64_t>(transfers_.activeTransfers());
     wire::Frame frame = answer(request);
     (void)co_await stream->send(frame);
     auto acknowledged = co_await stream->receiveWithin(transferTimeout);
     bool isOfOlderVersion = !acknowledged && acknowledged.error().code_ == Errc::NotFound;
     if (isOfOlderVersion)
-        co_await sleepFor(unacknowledgedTransfer);
+        co_await sleepFor(assumedTransferTime);
     SteadyTime now = steadyNow();
     const wire::ConfigurationUpdate& update = frame.configuration_update();
     LogLine line(acknowledged || isOfOlderVersion ? "Configuration was handed on." : "Configuration was not handed on.");
     line.add("peer", stream->peer()).add("configuration", static_cast<std::int64_t>(update.version())).add("bytes", static_cast<std::int64_t>(update.compressed_source().size()));
-    line.add("took_ms", std::chrono::duration_cast<milliseconds>(now - begunAt).count()).add("under_way", activeTransfers);
+    line.add("took_ms", std::chrono::duration_cast<milliseconds>(now - startedAt).count()).add("under_way", activeTransfers);
     line.add("busy_answers", static_cast<std::int64_t>(transfers_.takeBusyAnswerCount(now)));
     if (!acknowledged && !isOfOlderVersion)
         line.add("why", describe(acknowledged.error()));
--- a/lib/Gateway/Discovery.cpp
+++ b/lib/Gateway/Discovery.cpp
@@ -13,20 +13,20 @@
 
     // Nodes that hear of this one again in a period: each of 370 within 25 s, and what
     // presses comes by digests.
-    constexpr std::size_t introductions = 3;
+    constexpr std::size_t introductionsPerPeriod = 3;
     // Nodes never heard before that are told of this one in a period: each of 200
     // within 1.7 s.
-    constexpr std::size_t firstIntroductions = 24;
+    constexpr std::size_t firstIntroductionsPerPeriod = 24;
     // Nodes answered in a period, 2 to 4 KB each: a seed that hundreds of nodes turn to
     // when all start at once fills a third of a link of 20 Mbit/s with them.
-    constexpr std::size_t answers = 48;
+    constexpr std::size_t answersPerPeriod = 48;
     // Members of the own data centre that a digest tells of, in turn: 26 of them
     // are told of within seven periods, 1.4 s.
-    constexpr std::size_t membersNamed = 4;
+    constexpr std::size_t membersPerDigest = 4;
     // Nodes named in a report: many in a small fleet and to a node that is new, few in
     // what a large fleet sends each period.
-    constexpr std::size_t manyNames = 24;
-    constexpr std::size_t fewNames = 3;
+    constexpr std::size_t manyPeers = 24;
+    constexpr std::size_t fewPeers = 3;
 
 } // namespace
 
@@ -34,8 +34,8 @@
     : table_(table)
     , own_(std::move(own))
     , settings_(settings)
-    , receiverTurn_(stableHash(self.value_))
-    , unheardTurn_(receiverTurn_)
+    , receiverCursor_(stableHash(self.value_))
+    , unseenCursor_(receiverCursor_)
 {
 }
 
@@ -48,7 +48,7 @@
 std::vector<Endpoint> Discovery::takeUnanswered()
 {
     std::vector<Endpoint> receivers;
-    for (std::size_t i = 0; i < answers && !unanswered_.empty(); ++i) {
+    for (std::size_t i = 0; i < answersPerPeriod && !unanswered_.empty(); ++i) {
         if (auto address = table_.gossipEndpointOf(unanswered_.front()))
             receivers.push_back(*address);
         unanswered_.pop_front();
@@ -56,34 +56,34 @@
     return receivers;
 }
 
-std::vector<Endpoint> Discovery::nextUnheard(const std::vector<KnownPeer>& peers)
+std::vector<Endpoint> Discovery::nextUnseen(const std::vector<KnownPeer>& peers)
 {
-    std::vector<Endpoint> unheard;
+    std::vector<Endpoint> unseen;
     for (const auto& [vm, peer] : peers) {
         if (peer.receivedAt_ == SteadyTime {})
-            unheard.push_back(peer.gossip_);
+            unseen.push_back(peer.gossip_);
     }
     std::vector<Endpoint> next;
-    for (std::size_t i = 0; i < std::min(firstIntroductions, unheard.size()); ++i)
-        next.push_back(unheard[unheardTurn_++ % unheard.size()]);
+    for (std::size_t i = 0; i < std::min(firstIntroductionsPerPeriod, unseen.size()); ++i)
+        next.push_back(unseen[unseenCursor_++ % unseen.size()]);
     return next;
 }
 
 Discovery::Receivers Discovery::receivers(const std::vector<Endpoint>& unseenSeeds)
 {
     std::vector<KnownPeer> peers = table_.all();
-    Receivers receivers { nextUnheard(peers), takeUnanswered() };
+    Receivers receivers { nextUnseen(peers), takeUnanswered() };
     std::vector<Endpoint> all = unseenSeeds;
     for (const auto& [vm, peer] : peers)
         all.push_back(peer.gossip_);
-    for (std::size_t i = 0; i < std::min(introductions, all.size()); ++i)
-        receivers.introduced_.push_back(all[receiverTurn_++ % all.size()]);
+    for (std::size_t i = 0; i < std::min(introductionsPerPeriod, all.size()); ++i)
+        receivers.introduced_.push_back(all[receiverCursor_++ % all.size()]);
     return receivers;
 }
 
 void Discovery::addRelays(const DataCentreId& dataCentre, std::vector<KnownPeer>& relays, SteadyTime now) const
 {
-    for (const VmId& vm : table_.likelyRelays(dataCentre, digestTurn_, now)) {
+    for (const VmId& vm : table_.likelyRelays(dataCentre, digestCount_, now)) {
         if (auto peer = table_.find(vm))
             relays.emplace_back(vm, *peer);
     }
@@ -101,41 +101,41 @@
 std::vector<KnownPeer> Discovery::membersToAdvertise(SteadyTime now)
 {
     // Readers are named in every other digest: their silence bound is four.
-    bool namesReaders = ++digestTurn_ % 2;
-    std::vector<KnownPeer> named;
-    addRelays(own_, named, now);
-    auto isNamed = [&](const VmId& vm) { return std::any_of(named.begin(), named.end(), [&](const KnownPeer& known) { return known.first == vm; }); };
+    bool advertisesReaders = ++digestCount_ % 2;
+    std::vector<KnownPeer> advertised;
+    addRelays(own_, advertised, now);
+    auto isAdvertised = [&](const VmId& vm) { return std::any_of(advertised.begin(), advertised.end(), [&](const KnownPeer& known) { return known.first == vm; }); };
     std::vector<KnownPeer> others;
     for (const KnownPeer& known : table_.reportedWithin(settings_.silence_, now)) {
-        if (isNamed(known.first))
+        if (isAdvertised(known.first))
             continue;
-        if (known.second.isReader_ && namesReaders)
-            named.push_back(known);
+        if (known.second.isReader_ && advertisesReaders)
+            advertised.push_back(known);
         else if (!known.second.isReader_ && known.second.dataCentre_ == own_)
             others.push_back(known);
     }
-    for (std::size_t i = 0; i < std::min(membersNamed, others.size()); ++i)
-        named.push_back(others[memberTurn_++ % others.size()]);
-    return named;
+    for (std::size_t i = 0; i < std::min(membersPerDigest, others.size()); ++i)
+        advertised.push_back(others[memberCursor_++ % others.size()]);
+    return advertised;
 }
 
-std::vector<KnownPeer> Discovery::peersToAdvertise(AdvertisedPeers names, std::size_t turn, SteadyTime now) const
+std::vector<KnownPeer> Discovery::peersToAdvertise(AdvertisedPeers amount, std::size_t cursor, SteadyTime now) const
 {
     std::vector<KnownPeer> known = table_.reportedWithin(settings_.silence_, now);
-    std::size_t count = std::min(names == AdvertisedPeers::Few ? fewNames : manyNames, known.size());
-    std::vector<KnownPeer> named;
+    std::size_t count = std::min(amount == AdvertisedPeers::Few ? fewPeers : manyPeers, known.size());
+    std::vector<KnownPeer> advertised;
     for (std::size_t i = 0; i < count; ++i)
-        named.push_back(known[(turn + i) % known.size()]);
-    return named;
+        advertised.push_back(known[(cursor + i) % known.size()]);
+    return advertised;
 }
 
-std::set<VmId> Discovery::summaryReceivers(const DataCentreId& dataCentre, const std::vector<VmId>& telling, SteadyTime now) const
+std::set<VmId> Discovery::summaryReceivers(const DataCentreId& dataCentre, const std::vector<VmId>& reporting, SteadyTime now) const
 {
-    std::vector<VmId> likely = table_.likelyRelays(dataCentre, digestTurn_, now);
+    std::vector<VmId> likely = table_.likelyRelays(dataCentre, digestCount_, now);
     // Others are tried in turn only while no relay is known.
-    if (!telling.empty())
+    if (!reporting.empty())
         likely.resize(std::min<std::size_t>(likely.size(), settings_.relays_));
-    std::set<VmId> receivers(telling.begin(), telling.end());
+    std::set<VmId> receivers(reporting.begin(), reporting.end());
     receivers.insert(likely.begin(), likely.end());
     return receivers;
 }
--- a/lib/Gateway/Discovery.h
+++ b/lib/Gateway/Discovery.h
@@ -46,17 +46,17 @@
     /// data centre, and others of it in turn. Who asks a node that is no relay learns
     /// from its answer which ones are.
     std::vector<KnownPeer> membersToAdvertise(SteadyTime now);
-    /// Nodes to name in a report, in turn as \p turn grows, so that nodes which know
+    /// Nodes to name in a report, in turn as \p cursor grows, so that nodes which know
     /// different ones find each other.
-    std::vector<KnownPeer> peersToAdvertise(AdvertisedPeers names, std::size_t turn, SteadyTime now) const;
-    /// Whom a relay tells its sums in \p dataCentre. \p telling told theirs lately:
+    std::vector<KnownPeer> peersToAdvertise(AdvertisedPeers amount, std::size_t cursor, SteadyTime now) const;
+    /// Whom a relay tells its sums in \p dataCentre. \p reporting told theirs lately:
     /// they are relays there, or were a moment ago.
-    std::set<VmId> summaryReceivers(const DataCentreId& dataCentre, const std::vector<VmId>& telling, SteadyTime now) const;
+    std::set<VmId> summaryReceivers(const DataCentreId& dataCentre, const std::vector<VmId>& reporting, SteadyTime now) const;
 
 private:
     void addRelays(const DataCentreId& dataCentre, std::vector<KnownPeer>& relays, SteadyTime now) const;
     std::vector<Endpoint> takeUnanswered();
-    std::vector<Endpoint> nextUnheard(const std::vector<KnownPeer>& peers);
+    std::vector<Endpoint> nextUnseen(const std::vector<KnownPeer>& peers);
 
     const PeerTable& table_;
     const DataCentreId own_;
@@ -65,10 +65,10 @@
     std::deque<VmId> unanswered_;
     /// Where this node begins in lists that are alike on all nodes: if all began with
     /// the same nodes, the last ones were heard by nobody for long.
-    std::size_t receiverTurn_;
-    std::size_t unheardTurn_;
-    std::size_t memberTurn_ = 0;
-    std::size_t digestTurn_ = 0;
+    std::size_t receiverCursor_;
+    std::size_t unseenCursor_;
+    std::size_t memberCursor_ = 0;
+    std::size_t digestCount_ = 0;
 };
 
 } // namespace pistachioloom
--- a/lib/Gateway/LoopLag.cpp
+++ b/lib/Gateway/LoopLag.cpp
@@ -7,31 +7,31 @@
 
 namespace pistachioloom {
 
-bool LoopLagLogLimiter::isDue(milliseconds late, SteadyTime now)
+bool LoopLagLogLimiter::isDue(milliseconds lag, SteadyTime now)
 {
-    if (late <= loopLagLogThreshold || (last_ && now - *last_ < minLoopLagLogPeriod))
+    if (lag <= loopLagLogThreshold || (lastLoggedAt_ && now - *lastLoggedAt_ < minLoopLagLogPeriod))
         return false;
-    last_ = now;
+    lastLoggedAt_ = now;
     return true;
 }
 
 asio::awaitable<void> watchLoopLag(Metrics& metrics)
 {
     const Logger logger("loop");
-    LoopLagLogLimiter lines;
+    LoopLagLogLimiter logLimiter;
     for (;;) {
         SteadyTime dueAt = steadyNow() + loopLagPeriod;
         milliseconds suspendedBefore = suspendedTime();
         co_await sleepFor(loopLagPeriod);
         SteadyTime now = steadyNow();
-        auto late = std::max(now - dueAt, SteadyTime::duration::zero());
-        metrics.observe(Histogram::LoopLag, late);
-        auto lateMs = std::chrono::duration_cast<milliseconds>(late);
+        auto lag = std::max(now - dueAt, SteadyTime::duration::zero());
+        metrics.observe(Histogram::LoopLag, lag);
+        auto lagMs = std::chrono::duration_cast<milliseconds>(lag);
         milliseconds suspended = suspendedTime() - suspendedBefore;
         if (suspended > loopLagLogThreshold)
             logger.warn(LogLine("VM was suspended.").add("suspended_ms", suspended.count()));
-        if (lines.isDue(lateMs, now))
-            logger.warn(LogLine("Event loop is late.").add("late_ms", lateMs.count()));
+        if (logLimiter.isDue(lagMs, now))
+            logger.warn(LogLine("Event loop is late.").add("late_ms", lagMs.count()));
     }
 }
 
--- a/lib/Gateway/LoopLag.h
+++ b/lib/Gateway/LoopLag.h
@@ -24,11 +24,11 @@
 /// Which times late are worth a line in the log.
 class LoopLagLogLimiter {
 public:
-    /// Whether to tell at \p now that the loop was \p late.
-    bool isDue(milliseconds late, SteadyTime now);
+    /// Whether to tell at \p now that the loop was \p lag.
+    bool isDue(milliseconds lag, SteadyTime now);
 
 private:
-    std::optional<SteadyTime> last_;
+    std::optional<SteadyTime> lastLoggedAt_;
 };
 
 /// Observes without end how late the loop that it runs on is, into \p metrics.
--- a/lib/Gateway/NodeGroupSums.h
+++ b/lib/Gateway/NodeGroupSums.h
@@ -26,9 +26,9 @@
 public:
     /// Takes what \p source told; \p incarnation changes with its restart.
     /// \returns whether it is the source that counts now.
-    bool take(const VmId& source, std::uint64_t incarnation, const wire::NodeSums& sums, SteadyTime now);
-    /// Forgets sources that are not among \p asked: what they tell no longer grows.
-    void keepOnly(const std::vector<VmId>& asked, SteadyTime now);
+    bool applySums(const VmId& source, std::uint64_t incarnation, const wire::NodeSums& sums, SteadyTime now);
+    /// Forgets sources that are not among \p requested: what they tell no longer grows.
+    void keepOnly(const std::vector<VmId>& requested, SteadyTime now);
     /// The newest sums of the source that counts; nullptr if it is silent.
     const wire::NodeSums* current(SteadyTime now) const;
     /// When those sums were heard.
@@ -49,10 +49,10 @@
     };
 
     bool isLive(const Source& source, SteadyTime now) const;
-    void chooseCounting(SteadyTime now);
+    void chooseActiveSource(SteadyTime now);
 
     std::map<VmId, Source> sources_;
-    VmId counting_;
+    VmId activeSource_;
     std::uint64_t lastNodes_ = 0;
     SteadyTime lastReceivedAt_ {};
     NamedCounts admitted_;
--- a/lib/Gateway/PeerReports.cpp
+++ b/lib/Gateway/PeerReports.cpp
@@ -17,10 +17,10 @@
 namespace {
 
     // The largest datagram that UDP carries.
-    constexpr std::size_t longestDatagram = 64UL * 1024;
+    constexpr std::size_t maxDatagramSize = 64UL * 1024;
     // A node that hears few others waits for so many places more before it claims
     // duties, longer than a lease: they may be held by one that it does not hear.
-    constexpr std::size_t ranksBehind = 8;
+    constexpr std::size_t rankPenalty = 8;
 
     /// The peer that stands for all others in the books of a large fleet.
     const VmId& allOthers()
@@ -58,8 +58,8 @@
         socket_.bind(address, code);
     if (code)
         return Error { Errc::Unavailable, "bind datagrams", own.toString(), code.message(), Ran::No, {} };
-    asio::co_spawn(socket_.get_executor(), hear(), asio::detached);
-    asio::co_spawn(socket_.get_executor(), tell(), asio::detached);
+    asio::co_spawn(socket_.get_executor(), receiveDatagrams(), asio::detached);
+    asio::co_spawn(socket_.get_executor(), sendReports(), asio::detached);
     return boost::outcome_v2::success();
 }
 
@@ -70,7 +70,7 @@
 
 std::uint64_t PeerReports::nodesCovered() const
 {
-    return wasLarge_ ? nodesSummed_.load() : live().size();
+    return usesRelays_ ? relayedNodes_.load() : live().size();
 }
 
 Coverage PeerReports::coverage(SteadyTime now) const
@@ -78,24 +78,24 @@
     PeerTable::Census census = table_.census();
     // What was named and never heard may be long gone, but for a while after a start.
     bool hasJustStarted = now - startedAt_ < context_.settings_.gossiping_.forget_;
-    std::uint64_t known = census.heard_ + (hasJustStarted ? census.named_ : 0);
+    std::uint64_t known = census.reported_ + (hasJustStarted ? census.advertised_ : 0);
     const wire::NodeSums* sums = others_.current(now);
-    std::uint64_t heard = wasLarge_ ? (sums ? sums->nodes() : 0) : live().size();
-    return { heard + 1, std::max(known, heard) + 1 };
+    std::uint64_t reported = usesRelays_ ? (sums ? sums->nodes() : 0) : live().size();
+    return { reported + 1, std::max(known, reported) + 1 };
 }
 
 std::size_t PeerReports::rankFor(const std::string& key) const
 {
     SteadyTime now = steadyNow();
-    return table_.rankFor(key, now) + (coverage(now).hasMajority() ? 0 : ranksBehind);
+    return table_.rankFor(key, now) + (coverage(now).hasMajority() ? 0 : rankPenalty);
 }
 
-bool PeerReports::haveAllReportedWithin(milliseconds time, milliseconds longest) const
+bool PeerReports::haveAllReportedWithin(milliseconds time, milliseconds maxSilence) const
 {
-    if (wasLarge_)
-        return !nodesMissed_ && coverage(steadyNow()).isComplete();
+    if (usesRelays_)
+        return !unresponsiveNodes_ && coverage(steadyNow()).isComplete();
     // One that is gone for longer is not waited for: its counts came or never come.
-    return reportedWithin(time).size() >= reportedWithin(longest).size();
+    return reportedWithin(time).size() >= reportedWithin(maxSilence).size();
 }
 
 void PeerReports::addKnown(const VmId& vm, const Endpoint& gossip)
@@ -107,10 +107,10 @@
 void PeerReports::noteFleetKnown()
 {
     isFleetKnown_ = true;
-    shareAmong(table_.size() + 1, steadyNow());
+    setNodeCount(table_.size() + 1, steadyNow());
 }
 
-void PeerReports::shareAmong(std::uint64_t known, SteadyTime now)
+void PeerReports::setNodeCount(std::uint64_t known, SteadyTime now)
 {
     // All nodes known share, also those cut off.
     std::uint64_t assumed = std::max(leastNodesAssumed, known);
@@ -148,45 +148,45 @@
     }
 }
 
-asio::awaitable<void> PeerReports::tell()
+asio::awaitable<void> PeerReports::sendReports()
 {
     for (;;) {
         SteadyTime now = steadyNow();
         removeUnresponsive(now);
         std::uint64_t known = table_.size() + 1;
-        shareAmong(known, now);
+        setNodeCount(known, now);
         bool isLarge = table_.isLarge();
-        if (isLarge != wasLarge_)
+        if (isLarge != usesRelays_)
             logger_.info(LogLine(isLarge ? "Fleet is large: relays sum the reports." : "Fleet is small: every node hears every other.").add("nodes", static_cast<std::int64_t>(known)));
-        if (!isLarge && wasLarge_) {
+        if (!isLarge && usesRelays_) {
             forgetCounts(allOthers());
             context_.quotas_.setUnresponsiveNodes(0, 0, now);
         }
-        if (isLarge && !wasLarge_) {
-            // What single nodes told is in the relays' sums from now on.
+        if (isLarge && !usesRelays_) {
+            // What single nodes reported is in the relays' sums from now on.
             for (const auto& [vm, peer] : table_.all())
                 forgetCounts(vm);
         }
-        wasLarge_ = isLarge;
+        usesRelays_ = isLarge;
         if (isLarge)
-            tellRelays(now);
+            reportToRelays(now);
         else
-            tellAll();
+            reportToAll();
         co_await sleepFor(context_.settings_.gossiping_.period_);
     }
 }
 
-void PeerReports::tellAll()
+void PeerReports::reportToAll()
 {
     wire::Datagram datagram;
     composeIntroduction(*datagram.mutable_report(), AdvertisedPeers::Many);
     composeState(*datagram.mutable_report());
-    send(datagram, addressesKnown());
+    send(datagram, knownAddresses());
 }
 
-void PeerReports::tellRelays(SteadyTime now)
+void PeerReports::reportToRelays(SteadyTime now)
 {
-    introduce(now);
+    sendIntroductions(now);
     wire::Datagram datagram;
     wire::NodeReport& report = *datagram.mutable_report();
     composeIntroduction(report, AdvertisedPeers::Few);
@@ -205,10 +205,10 @@
             relays.push_back(*address);
     }
     send(datagram, relays);
-    tellSums(now);
+    sendSums(now);
 }
 
-void PeerReports::introduce(SteadyTime now)
+void PeerReports::sendIntroductions(SteadyTime now)
 {
     Discovery::Receivers receivers = discovery_.receivers(unseenSeeds());
     wire::Datagram datagram;
@@ -230,9 +230,9 @@
     return static_cast<std::uint64_t>(std::max<std::int64_t>(1, std::chrono::duration_cast<milliseconds>(now - startedAt_).count()));
 }
 
-/// Tells each node that reports here what all others told, and the relays of
-/// other data centres what this one's nodes told.
-void PeerReports::tellSums(SteadyTime now)
+/// Tells each node that reports here what all others reported, and the relays of
+/// other data centres what this one's nodes reported.
+void PeerReports::sendSums(SteadyTime now)
 {
     std::vector<VmId> receivers = aggregator_.receivers(now);
     if (receivers.empty())
@@ -251,7 +251,7 @@
         putSuspects(suspects, *report.mutable_sums()->mutable_suspects(), now);
         report.mutable_sums()->set_counted_ms(countedMs(now));
         if (vm == context_.settings_.vm_)
-            takeDigest(vm, context_.incarnation_, report.sums(), now);
+            applyDigest(vm, context_.incarnation_, report.sums(), now);
         else if (auto address = table_.gossipEndpointOf(vm)) {
             std::vector<Endpoint> receiver { *address };
             send(datagram, receiver);
@@ -271,9 +271,9 @@
     }
 }
 
-asio::awaitable<void> PeerReports::hear()
+asio::awaitable<void> PeerReports::receiveDatagrams()
 {
-    std::string buffer(longestDatagram, '\0');
+    std::string buffer(maxDatagramSize, '\0');
     for (;;) {
         udp::endpoint sender;
         auto [code, count] = co_await socket_.async_receive_from(asio::buffer(buffer), sender, asio::as_tuple(asio::use_awaitable));
@@ -282,11 +282,11 @@
         if (code)
             continue;
         wire::Datagram datagram;
-        bool isGood = datagram.ParseFromArray(buffer.data(), static_cast<int>(count));
-        if (isGood && datagram.has_report() && !datagram.report().vm().empty())
-            take(datagram.report(), steadyNow());
-        else if (isGood && datagram.has_relayed() && !datagram.relayed().vm().empty())
-            takeRelayed(datagram.relayed(), { sender.address().to_string(), sender.port() }, steadyNow());
+        bool isParsed = datagram.ParseFromArray(buffer.data(), static_cast<int>(count));
+        if (isParsed && datagram.has_report() && !datagram.report().vm().empty())
+            applyReport(datagram.report(), steadyNow());
+        else if (isParsed && datagram.has_relayed() && !datagram.relayed().vm().empty())
+            applyRelayReport(datagram.relayed(), { sender.address().to_string(), sender.port() }, steadyNow());
         else {
             context_.metrics_.add(Counter::PeerErrors);
             logger_.warn("Datagram from " + sender.address().to_string() + " is no report.");
@@ -311,13 +311,13 @@
     }
 }
 
-void PeerReports::takeSuspects(const google::protobuf::RepeatedPtrField<wire::SuspectReport>& suspects, SteadyTime now)
+void PeerReports::applySuspects(const google::protobuf::RepeatedPtrField<wire::SuspectReport>& suspects, SteadyTime now)
 {
     if (!suspects.empty())
         context_.quarantine_.take(suspectsOf(suspects, now), now);
 }
 
-void PeerReports::takeRollouts(const google::protobuf::RepeatedPtrField<wire::RolloutReport>& reports, const VmId& from, SteadyTime now)
+void PeerReports::applyRollouts(const google::protobuf::RepeatedPtrField<wire::RolloutReport>& reports, const VmId& from, SteadyTime now)
 {
     for (const wire::RolloutReport& report : reports) {
         auto state = fromWire(report);
@@ -330,7 +330,7 @@
     }
 }
 
-void PeerReports::takeEnded(const google::protobuf::RepeatedPtrField<std::string>& ended, const VmId& from, SteadyTime now)
+void PeerReports::applyEnded(const google::protobuf::RepeatedPtrField<std::string>& ended, const VmId& from, SteadyTime now)
 {
     for (const std::string& id : ended) {
         {
@@ -345,7 +345,7 @@
     }
 }
 
-void PeerReports::takeLeaving(const google::protobuf::RepeatedPtrField<std::string>& leaving, const VmId& from)
+void PeerReports::applyLeaving(const google::protobuf::RepeatedPtrField<std::string>& leaving, const VmId& from)
 {
     for (const std::string& id : leaving) {
         if (!context_.backends_.setLeaving({ id }, steadyNow()))
@@ -355,7 +355,7 @@
     }
 }
 
-void PeerReports::take(const wire::NodeReport& report, SteadyTime now)
+void PeerReports::applyReport(const wire::NodeReport& report, SteadyTime now)
 {
     VmId vm { report.vm() };
     if (vm == context_.settings_.vm_)
@@ -366,59 +366,59 @@
         logger_.warn("Report of " + vm.value_ + " has no address.");
         return;
     }
-    bool beginsToStop = report.is_stopping() && !table_.isStopping(vm);
+    bool hasStartedStopping = report.is_stopping() && !table_.isStopping(vm);
     Peer peer { *gossip, *peers, { report.data_centre() }, report.incarnation(), report.sequence(), report.configuration_version(), report.is_stopping(), report.is_platform_lost(), report.is_reader(), report.registry_fingerprint(), report.cores(), now };
-    PeerTable::ReportKind heard = table_.take(vm, std::move(peer));
-    if (heard == PeerTable::ReportKind::Old)
+    PeerTable::ReportKind kind = table_.applyReport(vm, std::move(peer));
+    if (kind == PeerTable::ReportKind::Outdated)
         return;
-    if (heard == PeerTable::ReportKind::Restarted)
+    if (kind == PeerTable::ReportKind::Restarted)
         discovery_.queueAnswer(vm);
     // In a large fleet a node introduces itself to each other one in turn, once in
     // some seconds, which is no news.
-    bool isNews = heard != PeerTable::ReportKind::Again && !(wasLarge_ && heard == PeerTable::ReportKind::AfterSilence);
-    if (isNews)
-        logger_.info(LogLine(heard == PeerTable::ReportKind::AfterSilence ? "Peer is heard again." : "Peer is heard.").add("peer", vm.value_).add("address", report.address()).add("configuration", static_cast<std::int64_t>(report.configuration_version())));
-    takeMembers(report.relays(), now);
+    bool isUpdate = kind != PeerTable::ReportKind::Regular && !(usesRelays_ && kind == PeerTable::ReportKind::AfterSilence);
+    if (isUpdate)
+        logger_.info(LogLine(kind == PeerTable::ReportKind::AfterSilence ? "Peer is heard again." : "Peer is heard.").add("peer", vm.value_).add("address", report.address()).add("configuration", static_cast<std::int64_t>(report.configuration_version())));
+    applyMembers(report.relays(), now);
     for (const wire::KnownNode& known : report.nodes()) {
         if (auto address = parseEndpoint(known.address()))
             addKnown({ known.vm() }, *address);
     }
     context_.clocks_.setPeer(vm, report.wall_ms() - context_.ownWallMs(), now);
-    takeLeaving(report.leaving(), vm);
-    takeEnded(report.ended(), vm, now);
-    takeRollouts(report.rollouts(), vm, now);
-    takeSuspects(report.suspects(), now);
+    applyLeaving(report.leaving(), vm);
+    applyEnded(report.ended(), vm, now);
+    applyRollouts(report.rollouts(), vm, now);
+    applySuspects(report.suspects(), now);
     if (report.duty_token())
         hooks_.onHolder_(vm, { report.duty_token() }, now);
     if (report.released_token())
         hooks_.onReleased_({ report.released_token() });
-    if (beginsToStop)
+    if (hasStartedStopping)
         hooks_.onStopping_(vm);
     if (report.wants_digest())
         aggregator_.applyReport(report, now);
-    // In a large fleet the relays' sums hold what each node told.
-    if (!report.is_brief() && !wasLarge_)
-        takeState(report, now);
+    // In a large fleet the relays' sums hold what each node reported.
+    if (!report.is_brief() && !usesRelays_)
+        applyState(report, now);
 }
 
-void PeerReports::takeState(const wire::NodeReport& report, SteadyTime now)
+void PeerReports::applyState(const wire::NodeReport& report, SteadyTime now)
 {
     VmId vm { report.vm() };
     context_.backends_.setPeerLoads(vm, loadsOf(report.loads()), now);
     AdmittedCounts admitted;
     std::map<OrganisationId, double> levels;
-    for (const wire::QuotaReport& told : report.quotas()) {
-        admitted[{ told.organisation() }] = told.admitted();
-        levels[{ told.organisation() }] = told.level();
+    for (const wire::QuotaReport& reported : report.quotas()) {
+        admitted[{ reported.organisation() }] = reported.admitted();
+        levels[{ reported.organisation() }] = reported.level();
     }
     context_.quotas_.setPeer(vm, report.incarnation(), admitted, levels, now, 1, isFresh(report.counted_ms()));
-    for (const wire::DemandReport& told : report.demand())
-        context_.demand_.setSource(vm, { told.service() }, { told.tokens_per_second(), told.prefill_per_ms(), told.observations() }, now);
+    for (const wire::DemandReport& reported : report.demand())
+        context_.demand_.setSource(vm, { reported.service() }, { reported.tokens_per_second(), reported.prefill_per_ms(), reported.observations() }, now);
     context_.usage_.setPeer(vm, report.incarnation(), usageOf(report.usage()));
     context_.rollouts_.setPeer(vm, talliesOf(report.rollout_counts()));
 }
 
-void PeerReports::takeMembers(const google::protobuf::RepeatedPtrField<wire::MemberEntry>& members, SteadyTime now)
+void PeerReports::applyMembers(const google::protobuf::RepeatedPtrField<wire::MemberEntry>& members, SteadyTime now)
 {
     for (const wire::MemberEntry& member : members) {
         auto gossip = parseEndpoint(member.address());
@@ -429,58 +429,58 @@
     }
 }
 
-void PeerReports::takeRelayed(const wire::RelayReport& report, const Endpoint& sender, SteadyTime now)
+void PeerReports::applyRelayReport(const wire::RelayReport& report, const Endpoint& sender, SteadyTime now)
 {
     VmId relay { report.vm() };
     if (relay == context_.settings_.vm_)
         return;
-    takeMembers(report.members(), now);
+    applyMembers(report.members(), now);
     addKnown(relay, sender);
     if (report.is_digest()) {
         table_.noteDigest(relay, now);
-        takeDigest(relay, report.incarnation(), report.sums(), now);
+        applyDigest(relay, report.incarnation(), report.sums(), now);
         return;
     }
     // Its sender does not know the relays of this data centre yet.
     if (!isRelay_)
         discovery_.queueAnswer(relay);
-    takeLeaving(report.sums().leaving(), relay);
-    takeEnded(report.sums().ended(), relay, now);
-    takeRollouts(report.sums().rollouts(), relay, now);
-    takeSuspects(report.sums().suspects(), now);
+    applyLeaving(report.sums().leaving(), relay);
+    applyEnded(report.sums().ended(), relay, now);
+    applyRollouts(report.sums().rollouts(), relay, now);
+    applySuspects(report.sums().suspects(), now);
     aggregator_.applySummary(report, now);
 }
 
-void PeerReports::takeDigest(const VmId& relay, std::uint64_t incarnation, const wire::NodeSums& sums, SteadyTime now)
+void PeerReports::applyDigest(const VmId& relay, std::uint64_t incarnation, const wire::NodeSums& sums, SteadyTime now)
 {
-    takeLeaving(sums.leaving(), relay);
-    takeEnded(sums.ended(), relay, now);
-    takeRollouts(sums.rollouts(), relay, now);
-    takeSuspects(sums.suspects(), now);
+    applyLeaving(sums.leaving(), relay);
+    applyEnded(sums.ended(), relay, now);
+    applyRollouts(sums.rollouts(), relay, now);
+    applySuspects(sums.suspects(), now);
     if (sums.duty_token() && VmId { sums.holder() } != context_.settings_.vm_)
         hooks_.onHolder_({ sums.holder() }, { sums.duty_token() }, now - milliseconds(sums.holder_age_ms()));
     if (sums.released_token())
         hooks_.onReleased_({ sums.released_token() });
     context_.usage_.setPeer(allOthers(), 0, usageOf(sums.usage()));
-    if (!wasLarge_ || !others_.take(relay, incarnation, sums, now))
+    if (!usesRelays_ || !others_.applySums(relay, incarnation, sums, now))
         return;
-    if (relay != countingRelay_ || sums.nodes() != nodesSummed_)
-        logger_.info(LogLine("Relay sums other nodes.").add("relay", relay.value_).add("before", countingRelay_.value_).add("nodes", static_cast<std::int64_t>(sums.nodes())).add("nodes_before", static_cast<std::int64_t>(nodesSummed_.load())));
-    countingRelay_ = relay;
-    nodesSummed_ = sums.nodes();
-    nodesMissed_ = sums.silent_nodes();
+    if (relay != activeRelay_ || sums.nodes() != relayedNodes_)
+        logger_.info(LogLine("Relay sums other nodes.").add("relay", relay.value_).add("before", activeRelay_.value_).add("nodes", static_cast<std::int64_t>(sums.nodes())).add("nodes_before", static_cast<std::int64_t>(relayedNodes_.load())));
+    activeRelay_ = relay;
+    relayedNodes_ = sums.nodes();
+    unresponsiveNodes_ = sums.silent_nodes();
     context_.backends_.setPeerLoads(allOthers(), loadsOf(sums.loads()), now);
     context_.rollouts_.setPeer(allOthers(), talliesOf(sums.rollout_counts()));
     AdmittedCounts admitted;
     for (const auto& [organisation, count] : others_.admitted())
         admitted[{ organisation }] = count;
     std::map<OrganisationId, double> levels;
-    for (const wire::QuotaReport& told : sums.quotas())
-        levels[{ told.organisation() }] = told.level();
+    for (const wire::QuotaReport& reported : sums.quotas())
+        levels[{ reported.organisation() }] = reported.level();
     context_.quotas_.setPeer(allOthers(), context_.incarnation_, admitted, levels, now, sums.nodes(), isFresh(sums.counted_ms()));
     context_.quotas_.setUnresponsiveNodes(sums.silent_nodes(), sums.nodes(), now);
-    for (const wire::DemandReport& told : sums.demand())
-        context_.demand_.setSource(allOthers(), { told.service() }, { told.tokens_per_second(), told.prefill_per_ms(), told.observations() }, now);
+    for (const wire::DemandReport& reported : sums.demand())
+        context_.demand_.setSource(allOthers(), { reported.service() }, { reported.tokens_per_second(), reported.prefill_per_ms(), reported.observations() }, now);
 }
 
 } // namespace pistachioloom
--- a/lib/Gateway/PeerReports.h
+++ b/lib/Gateway/PeerReports.h
@@ -43,9 +43,9 @@
     std::vector<KnownPeer> live() const;
     /// Peers heard within \p silence.
     std::vector<KnownPeer> reportedWithin(milliseconds silence) const { return table_.reportedWithin(silence, steadyNow()); }
-    /// Whether all other nodes that were heard in \p longest told their counts within
+    /// Whether all other nodes that were heard in \p maxSilence told their counts within
     /// \p time; in a large fleet, whether relays miss none.
-    bool haveAllReportedWithin(milliseconds time, milliseconds longest) const;
+    bool haveAllReportedWithin(milliseconds time, milliseconds maxSilence) const;
     /// Nodes that this one knows the work of, itself left out.
     std::uint64_t nodesCovered() const;
     /// How much of the fleet's work is told here. Called on the event loop.
@@ -66,36 +66,36 @@
     std::size_t rankFor(const std::string& key) const;
 
 private:
-    asio::awaitable<void> tell();
-    asio::awaitable<void> hear();
+    asio::awaitable<void> sendReports();
+    asio::awaitable<void> receiveDatagrams();
     /// Time since this node's counts began, in ms.
     std::uint64_t countedMs(SteadyTime now) const;
-    void tellAll();
-    void tellRelays(SteadyTime now);
-    void tellSums(SteadyTime now);
-    void introduce(SteadyTime now);
+    void reportToAll();
+    void reportToRelays(SteadyTime now);
+    void sendSums(SteadyTime now);
+    void sendIntroductions(SteadyTime now);
     void send(const wire::Datagram& datagram, const std::vector<Endpoint>& receivers);
 
-    void composeIntroduction(wire::NodeReport& report, AdvertisedPeers names);
+    void composeIntroduction(wire::NodeReport& report, AdvertisedPeers amount);
     void composeState(wire::NodeReport& report);
     static void composeMembers(google::protobuf::RepeatedPtrField<wire::MemberEntry>& entries, const std::vector<KnownPeer>& members, SteadyTime now);
     /// Of peers, and of seeds that were not heard yet.
-    std::vector<Endpoint> addressesKnown();
+    std::vector<Endpoint> knownAddresses();
     std::vector<Endpoint> unseenSeeds();
 
-    void take(const wire::NodeReport& report, SteadyTime now);
-    void takeState(const wire::NodeReport& report, SteadyTime now);
-    void takeMembers(const google::protobuf::RepeatedPtrField<wire::MemberEntry>& members, SteadyTime now);
-    void takeRelayed(const wire::RelayReport& report, const Endpoint& sender, SteadyTime now);
-    void takeDigest(const VmId& relay, std::uint64_t incarnation, const wire::NodeSums& sums, SteadyTime now);
-    void takeSuspects(const google::protobuf::RepeatedPtrField<wire::SuspectReport>& suspects, SteadyTime now);
-    void takeRollouts(const google::protobuf::RepeatedPtrField<wire::RolloutReport>& reports, const VmId& from, SteadyTime now);
-    void takeEnded(const google::protobuf::RepeatedPtrField<std::string>& ended, const VmId& from, SteadyTime now);
-    void takeLeaving(const google::protobuf::RepeatedPtrField<std::string>& leaving, const VmId& from);
+    void applyReport(const wire::NodeReport& report, SteadyTime now);
+    void applyState(const wire::NodeReport& report, SteadyTime now);
+    void applyMembers(const google::protobuf::RepeatedPtrField<wire::MemberEntry>& members, SteadyTime now);
+    void applyRelayReport(const wire::RelayReport& report, const Endpoint& sender, SteadyTime now);
+    void applyDigest(const VmId& relay, std::uint64_t incarnation, const wire::NodeSums& sums, SteadyTime now);
+    void applySuspects(const google::protobuf::RepeatedPtrField<wire::SuspectReport>& suspects, SteadyTime now);
+    void applyRollouts(const google::protobuf::RepeatedPtrField<wire::RolloutReport>& reports, const VmId& from, SteadyTime now);
+    void applyEnded(const google::protobuf::RepeatedPtrField<std::string>& ended, const VmId& from, SteadyTime now);
+    void applyLeaving(const google::protobuf::RepeatedPtrField<std::string>& leaving, const VmId& from);
     void forgetCounts(const VmId& vm);
     void removeUnresponsive(SteadyTime now);
     /// Tells the books how many nodes share what all are granted.
-    void shareAmong(std::uint64_t known, SteadyTime now);
+    void setNodeCount(std::uint64_t known, SteadyTime now);
 
     GatewayContext& context_;
     Hooks hooks_;
@@ -107,16 +107,16 @@
     ReportAggregator aggregator_;
     /// All other nodes, as relays sum them.
     NodeGroupSums others_;
-    VmId countingRelay_;
-    std::atomic<std::uint64_t> nodesSummed_ { 0 };
+    VmId activeRelay_;
+    std::atomic<std::uint64_t> relayedNodes_ { 0 };
     /// Nodes that fell silent lately, as relays tell.
-    std::atomic<std::uint64_t> nodesMissed_ { 0 };
+    std::atomic<std::uint64_t> unresponsiveNodes_ { 0 };
     std::mutex leavingMutex_;
     std::deque<std::pair<SteadyTime, BackendId>> leaving_;
     /// Guarded by the same mutex; each once.
     std::deque<std::pair<SteadyTime, BackendId>> ended_;
     std::uint64_t sequence_ = 0;
-    std::atomic<bool> wasLarge_ { false };
+    std::atomic<bool> usesRelays_ { false };
     const SteadyTime startedAt_ = steadyNow();
     std::atomic<bool> isFleetKnown_ { false };
     Logger logger_ { "peers" };
--- a/lib/Gateway/PeerTable.cpp
+++ b/lib/Gateway/PeerTable.cpp
@@ -14,14 +14,14 @@
 
     // A node that was heard within this time may be chosen as a relay: if all
     // relays of a data centre go at once, nobody is heard for a while.
-    constexpr milliseconds relayMemory { 10000 };
+    constexpr milliseconds maxRelayCandidateAge { 10000 };
     // A relay that was asked tells its sums in each period of 200 ms; three
     // missing ones are no lost datagram.
-    constexpr milliseconds relaySilence { 600 };
+    constexpr milliseconds relayTimeout { 600 };
     // A relay that fell silent is asked again after this time.
-    constexpr milliseconds relayAvoided { 2000 };
+    constexpr milliseconds relayRetryDelay { 2000 };
     // Part of the nodes that are heard when knowledge counts as whole.
-    constexpr double wholePart = 0.9;
+    constexpr double completeShare = 0.9;
 
     std::string relayKey(const DataCentreId& dataCentre)
     {
@@ -32,12 +32,12 @@
 
 bool Coverage::isComplete() const
 {
-    return static_cast<double>(heard_) >= wholePart * static_cast<double>(known_);
+    return static_cast<double>(reported_) >= completeShare * static_cast<double>(known_);
 }
 
 bool Coverage::hasMajority() const
 {
-    return 2 * heard_ > known_;
+    return 2 * reported_ > known_;
 }
 
 PeerTable::PeerTable(VmId self, DataCentreId own, double cores, GossipSettings settings)
@@ -59,18 +59,18 @@
         found->second.gossip_ = gossip;
 }
 
-PeerTable::ReportKind PeerTable::take(const VmId& vm, Peer peer)
+PeerTable::ReportKind PeerTable::applyReport(const VmId& vm, Peer peer)
 {
     std::lock_guard lock(mutex_);
     Peer& known = peers_[vm];
     bool isSame = known.incarnation_ == peer.incarnation_;
     if (isSame && peer.sequence_ <= known.sequence_)
-        return ReportKind::Old;
-    bool wasSilent = peer.receivedAt_ - known.receivedAt_ > settings_.silence_;
+        return ReportKind::Outdated;
+    bool wasUnresponsive = peer.receivedAt_ - known.receivedAt_ > settings_.silence_;
     known = std::move(peer);
     if (!isSame)
         return ReportKind::Restarted;
-    return wasSilent ? ReportKind::AfterSilence : ReportKind::Again;
+    return wasUnresponsive ? ReportKind::AfterSilence : ReportKind::Regular;
 }
 
 void PeerTable::applyRelayedState(const VmId& vm, const Peer& peer)
@@ -90,23 +90,23 @@
 void PeerTable::noteDigest(const VmId& relay, SteadyTime now)
 {
     std::lock_guard lock(mutex_);
-    asked_[relay].digestAt_ = now;
+    relayRequests_[relay].digestReceivedAt_ = now;
 }
 
 std::vector<VmId> PeerTable::removeUnresponsive(SteadyTime now)
 {
     std::lock_guard lock(mutex_);
-    std::vector<VmId> forgotten;
+    std::vector<VmId> removed;
     std::erase_if(peers_, [&](const auto& entry) {
         const Peer& peer = entry.second;
-        bool isGone = peer.receivedAt_ != SteadyTime {} && now - peer.receivedAt_ > settings_.forget_;
-        if (isGone)
-            forgotten.push_back(entry.first);
-        return isGone;
+        bool hasExpired = peer.receivedAt_ != SteadyTime {} && now - peer.receivedAt_ > settings_.forget_;
+        if (hasExpired)
+            removed.push_back(entry.first);
+        return hasExpired;
     });
-    for (const VmId& vm : forgotten)
-        asked_.erase(vm);
-    return forgotten;
+    for (const VmId& vm : removed)
+        relayRequests_.erase(vm);
+    return removed;
 }
 
 bool PeerTable::isLarge() const
@@ -126,19 +126,19 @@
     std::lock_guard lock(mutex_);
     Census census;
     for (const auto& [vm, peer] : peers_)
-        ++(peer.receivedAt_ == SteadyTime {} ? census.named_ : census.heard_);
+        ++(peer.receivedAt_ == SteadyTime {} ? census.advertised_ : census.reported_);
     return census;
 }
 
 std::vector<KnownPeer> PeerTable::reportedWithin(milliseconds silence, SteadyTime now) const
 {
     std::lock_guard lock(mutex_);
-    std::vector<KnownPeer> heard;
+    std::vector<KnownPeer> peers;
     for (const auto& [vm, peer] : peers_) {
         if (peer.receivedAt_ != SteadyTime {} && now - peer.receivedAt_ <= silence)
-            heard.emplace_back(vm, peer);
+            peers.emplace_back(vm, peer);
     }
-    return heard;
+    return peers;
 }
 
 std::vector<KnownPeer> PeerTable::all() const
@@ -171,38 +171,38 @@
     std::lock_guard lock(mutex_);
     std::vector<VmId> candidates { self_ };
     for (const auto& [vm, peer] : peers_) {
-        bool isNear = peer.dataCentre_ == own_ && !peer.isStopping_ && now - peer.receivedAt_ <= relayMemory;
-        auto asked = asked_.find(vm);
-        if (isNear && (asked == asked_.end() || asked->second.avoidedUntil_ <= now))
+        bool isLocal = peer.dataCentre_ == own_ && !peer.isStopping_ && now - peer.receivedAt_ <= maxRelayCandidateAge;
+        auto request = relayRequests_.find(vm);
+        if (isLocal && (request == relayRequests_.end() || request->second.skippedUntil_ <= now))
             candidates.push_back(vm);
     }
     std::vector<VmId> chosen;
     for (const VmId& vm : rankRelays(own_, candidates)) {
         if (chosen.size() >= settings_.relays_)
             break;
-        Asked& asked = asked_[vm];
-        if (asked.since_ == SteadyTime {})
-            asked.since_ = now;
-        if (vm != self_ && now - std::max(asked.since_, asked.digestAt_) > relaySilence) {
-            asked = { {}, asked.digestAt_, now + relayAvoided };
+        RelayRequest& request = relayRequests_[vm];
+        if (request.requestedSince_ == SteadyTime {})
+            request.requestedSince_ = now;
+        if (vm != self_ && now - std::max(request.requestedSince_, request.digestReceivedAt_) > relayTimeout) {
+            request = { {}, request.digestReceivedAt_, now + relayRetryDelay };
             continue;
         }
         chosen.push_back(vm);
     }
     // One that is no longer asked starts anew when it is asked again.
-    for (auto& [vm, asked] : asked_) {
+    for (auto& [vm, request] : relayRequests_) {
         if (std::find(chosen.begin(), chosen.end(), vm) == chosen.end())
-            asked.since_ = {};
+            request.requestedSince_ = {};
     }
     return chosen;
 }
 
-std::vector<VmId> PeerTable::likelyRelays(const DataCentreId& dataCentre, std::size_t turn, SteadyTime now) const
+std::vector<VmId> PeerTable::likelyRelays(const DataCentreId& dataCentre, std::size_t cursor, SteadyTime now) const
 {
     std::lock_guard lock(mutex_);
     std::vector<VmId> candidates;
     for (const auto& [vm, peer] : peers_) {
-        if (peer.dataCentre_ == dataCentre && now - peer.receivedAt_ <= relayMemory)
+        if (peer.dataCentre_ == dataCentre && now - peer.receivedAt_ <= maxRelayCandidateAge)
             candidates.push_back(vm);
     }
     std::vector<VmId> likely = rankRelays(dataCentre, candidates);
@@ -210,9 +210,9 @@
         return likely;
     // The first ones are asked each time, since they are relays as soon as all there
     // know them; another one in turn, in case these have gone.
-    VmId inTurn = likely[settings_.relays_ + turn % (likely.size() - settings_.relays_)];
+    VmId rotated = likely[settings_.relays_ + cursor % (likely.size() - settings_.relays_)];
     likely.resize(settings_.relays_);
-    likely.push_back(inTurn);
+    likely.push_back(rotated);
     return likely;
 }
 
--- a/lib/Gateway/PeerTable.h
+++ b/lib/Gateway/PeerTable.h
@@ -34,7 +34,7 @@
 /// How much of the fleet a node's knowledge covers, itself included.
 struct Coverage {
     /// Nodes whose work is told here now.
-    std::uint64_t heard_ = 1;
+    std::uint64_t reported_ = 1;
     /// Nodes that are there as far as this one knows.
     std::uint64_t known_ = 1;
 
@@ -49,8 +49,8 @@
 public:
     enum class ReportKind {
         /// Older than what is known.
-        Old,
-        Again,
+        Outdated,
+        Regular,
         /// For the first time, or after a silence.
         AfterSilence,
         /// Since its restart.
@@ -62,7 +62,7 @@
     /// A node that was named; nothing else is known of it.
     void addKnown(const VmId& vm, const Endpoint& gossip);
     /// A node told of itself; \p peer holds when.
-    ReportKind take(const VmId& vm, Peer peer);
+    ReportKind applyReport(const VmId& vm, Peer peer);
     /// A relay told of a node.
     void applyRelayedState(const VmId& vm, const Peer& peer);
     /// A relay told sums, to this node or to its data centre.
@@ -75,8 +75,8 @@
     std::size_t size() const;
     /// Nodes that were heard and not forgotten, and those that were only named.
     struct Census {
-        std::size_t heard_ = 0;
-        std::size_t named_ = 0;
+        std::size_t reported_ = 0;
+        std::size_t advertised_ = 0;
     };
     Census census() const;
     /// Nodes heard within \p silence.
@@ -88,8 +88,8 @@
     /// One that has told nothing for a while after it was asked is passed over.
     std::vector<VmId> chooseRelays(SteadyTime now);
     /// Nodes of a data centre that may be relays there: the first in the order in
-    /// which its own nodes choose, and one of the others, which \p turn moves along.
-    std::vector<VmId> likelyRelays(const DataCentreId& dataCentre, std::size_t turn, SteadyTime now) const;
+    /// which its own nodes choose, and one of the others, which \p cursor moves along.
+    std::vector<VmId> likelyRelays(const DataCentreId& dataCentre, std::size_t cursor, SteadyTime now) const;
     /// Data centres of known nodes but the own one.
     std::vector<DataCentreId> otherDataCentres() const;
     /// Whether a node is known to be stopping.
@@ -103,10 +103,10 @@
     std::vector<VmId> rankRelays(const DataCentreId& dataCentre, const std::vector<VmId>& candidates) const;
 
     /// What has come of asking a node to be a relay.
-    struct Asked {
-        SteadyTime since_ {};
-        SteadyTime digestAt_ {};
-        SteadyTime avoidedUntil_ {};
+    struct RelayRequest {
+        SteadyTime requestedSince_ {};
+        SteadyTime digestReceivedAt_ {};
+        SteadyTime skippedUntil_ {};
     };
 
     const VmId self_;
@@ -115,7 +115,7 @@
     const GossipSettings settings_;
     mutable std::mutex mutex_;
     std::map<VmId, Peer> peers_;
-    std::map<VmId, Asked> asked_;
+    std::map<VmId, RelayRequest> relayRequests_;
 };
 
 } // namespace pistachioloom
--- a/lib/Gateway/PlatformFeed.cpp
+++ b/lib/Gateway/PlatformFeed.cpp
@@ -13,11 +13,11 @@
 namespace {
 
     // How often a node looks whether it is its turn to read.
-    constexpr milliseconds turnPeriod { 150 };
+    constexpr milliseconds readerCheckPeriod { 150 };
     // Where what the platform itself told comes from, in logs.
     const std::string platformSource = "platform";
     // A peer's list of backend servers is used only while it is this fresh.
-    constexpr std::uint64_t freshEnoughMs = 1500;
+    constexpr std::uint64_t maxListAgeMs = 1500;
 
 } // namespace
 
@@ -35,34 +35,34 @@
     asio::co_spawn(io_, followConfiguration(), asio::detached);
     asio::co_spawn(io_, followRegistry(), asio::detached);
     // Apart, since a configuration may take seconds.
-    asio::co_spawn(io_, askForConfiguration(), asio::detached);
-    asio::co_spawn(io_, askForBackends(), asio::detached);
+    asio::co_spawn(io_, fetchConfigurationFromPeers(), asio::detached);
+    asio::co_spawn(io_, fetchBackendsFromPeers(), asio::detached);
 }
 
-std::vector<ReaderState> PlatformFeed::readerViews() const
+std::vector<ReaderState> PlatformFeed::readerStates() const
 {
-    std::vector<ReaderState> views;
+    std::vector<ReaderState> states;
     for (const auto& [vm, peer] : reports_.reportedWithin(context_.settings_.feed_.readerSilence_))
-        views.push_back({ vm, peer.dataCentre_, peer.isStopping_, peer.isPlatformUnavailable_, peer.isReader_, peer.cores_ });
-    return views;
+        states.push_back({ vm, peer.dataCentre_, peer.isStopping_, peer.isPlatformUnavailable_, peer.isReader_, peer.cores_ });
+    return states;
 }
 
 bool PlatformFeed::isReader() const
 {
     const GatewaySettings& settings = context_.settings_;
     ReaderState self { settings.vm_, settings.dataCentre_, false, false, false, settings.cores_ };
-    return isPlatformUnavailable() || shouldRead(self, readerViews(), settings.feed_.readers_);
+    return isPlatformUnavailable() || shouldRead(self, readerStates(), settings.feed_.readers_);
 }
 
 /// Suspends while other nodes read. What was read before is then too old to read
 /// on from: \p from is forgotten.
-asio::awaitable<void> PlatformFeed::waitForTurn(std::string reading, std::optional<LogOffset>& from)
+asio::awaitable<void> PlatformFeed::waitUntilReader(std::string reading, std::optional<LogOffset>& from)
 {
     if (!context_.table() || isReader())
         co_return;
     logger_.info(LogLine("Other nodes read.").add("reading", reading));
     while (!isReader())
-        co_await sleepFor(turnPeriod);
+        co_await sleepFor(readerCheckPeriod);
     from.reset();
     logger_.info(LogLine("This node reads.").add("reading", reading));
 }
@@ -72,10 +72,10 @@
     std::optional<LogOffset> from;
     const std::string reading = "configuration";
     for (;;) {
-        co_await waitForTurn(reading, from);
+        co_await waitUntilReader(reading, from);
         auto read = co_await context_.platform_.readConfiguration_(from, context_.settings_.feed_.configurationWait_);
-        if (isConfigurationLost_.exchange(!read) == read.has_value())
-            logReachable("configuration", read ? nullptr : &read.error());
+        if (isConfigurationUnavailable_.exchange(!read) == read.has_value())
+            logAvailability("configuration", read ? nullptr : &read.error());
         if (!read) {
             if (read.error().code_ == Errc::NotFound)
                 from.reset();
@@ -88,15 +88,15 @@
                 logger_.info(LogLine("Roll-out is ordered.").add("service", order.service_.value_).add("target", order.target_.value_).add("number", static_cast<std::int64_t>(order.number_.value_)).add("period_ms", order.period_.count()));
         }
         if (!read.value().sources_.empty()) {
-            std::function<void()> takeIn = [&context = context_, sources = std::move(read.value().sources_)] { context.takeIn(sources, platformSource); };
-            co_await background_.run(std::move(takeIn));
+            std::function<void()> work = [&context = context_, sources = std::move(read.value().sources_)] { context.takeIn(sources, platformSource); };
+            co_await background_.run(std::move(work));
         }
         if (!context_.table())
             co_await sleepFor(context_.settings_.feed_.retryPause_);
     }
 }
 
-void PlatformFeed::logReachable(const std::string& what, const Error* error) const
+void PlatformFeed::logAvailability(const std::string& what, const Error* error) const
 {
     LogLine line(error ? "Platform is lost." : "Platform is back.");
     line.add("reading", what);
@@ -105,13 +105,13 @@
     logger_.info(line);
 }
 
-void PlatformFeed::removeGone(const BackendName& name, const std::string& source)
+void PlatformFeed::removeBackend(const BackendName& name, const std::string& source)
 {
     auto known = context_.backends_.findNewest(name);
     if (!known)
         return;
-    if (steadyNow() < graceUntil_) {
-        missing_.insert(name);
+    if (steadyNow() < removalGraceEnd_) {
+        pendingRemovals_.insert(name);
         return;
     }
     // A backend server that crashes never says that it leaves.
@@ -127,15 +127,15 @@
 /// Heartbeats repeat a registration that cannot be used; it is told of once. The
 /// backend server that had the name is not said to leave: its next heartbeat may
 /// bring it back.
-void PlatformFeed::refuse(const RegistryChange& change, const std::string& source)
+void PlatformFeed::rejectRegistration(const RegistryChange& change, const std::string& source)
 {
-    std::string& before = complaints_[change.name_];
+    std::string& before = registrationErrors_[change.name_];
     if (before != change.complaint_) {
         context_.metrics_.add(Counter::RegistrationsRefused);
         logger_.warn(LogLine("Registration cannot be used.").add("backend", change.name_.value_).add("why", change.complaint_).add("from", source));
     }
     before = change.complaint_;
-    missing_.erase(change.name_);
+    pendingRemovals_.erase(change.name_);
     if (auto known = context_.backends_.findNewest(change.name_))
         context_.backends_.remove(known->id_, steadyNow());
 }
@@ -143,47 +143,47 @@
 void PlatformFeed::applyChange(const RegistryChange& change, const std::string& source)
 {
     if (!change.complaint_.empty())
-        return refuse(change, source);
+        return rejectRegistration(change, source);
     if (source == platformSource)
-        complaints_.erase(change.name_);
+        registrationErrors_.erase(change.name_);
     if (!change.record_)
-        return removeGone(change.name_, source);
-    missing_.erase(change.name_);
+        return removeBackend(change.name_, source);
+    pendingRemovals_.erase(change.name_);
     const BackendRecord& record = *change.record_;
     auto before = context_.backends_.find(record.id_);
     auto newest = context_.backends_.findNewest(record.name_);
-    BackendTable::PutResult registered = context_.backends_.put(record);
-    if (registered == BackendTable::PutResult::Outdated)
+    BackendTable::PutResult result = context_.backends_.put(record);
+    if (result == BackendTable::PutResult::Outdated)
         return;
-    if (registered == BackendTable::PutResult::Restarted && newest && !newest->isLeaving_)
+    if (result == BackendTable::PutResult::Restarted && newest && !newest->isLeaving_)
         noteBackendEnded(context_.forward_, newest->id_);
     if (!before)
-        logger_.info(LogLine(registered == BackendTable::PutResult::Restarted ? "Backend server started anew." : "Backend server is there.").add("backend", record.id_.value_).add("service", record.service_.value_).add("address", record.endpoint_.toString()).add("data_centre", record.dataCentre_.value_).add("version", record.version_.value_).add("reclaimable", record.isReclaimable_).add("leaving", record.isLeaving_));
+        logger_.info(LogLine(result == BackendTable::PutResult::Restarted ? "Backend server started anew." : "Backend server is there.").add("backend", record.id_.value_).add("service", record.service_.value_).add("address", record.endpoint_.toString()).add("data_centre", record.dataCentre_.value_).add("version", record.version_.value_).add("reclaimable", record.isReclaimable_).add("leaving", record.isLeaving_));
     if (record.isLeaving_ && (!before || !before->isLeaving_)) {
         logger_.info(LogLine("Backend server is leaving.").add("backend", record.id_.value_).add("from", source));
         reports_.noteLeaving(record.id_);
     }
 }
 
-void PlatformFeed::removeMissing(const RegistryRead& whole, const std::string& source)
+void PlatformFeed::removeUnlisted(const RegistryRead& fullRead, const std::string& source)
 {
     std::set<BackendName> present;
-    for (const RegistryChange& change : whole.changes_)
+    for (const RegistryChange& change : fullRead.changes_)
         present.insert(change.name_);
     for (const BackendRecord& record : context_.backends_.records()) {
         if (!present.contains(record.name_))
-            removeGone(record.name_, source);
+            removeBackend(record.name_, source);
     }
     if (source == platformSource)
-        std::erase_if(complaints_, [&](const auto& entry) { return !present.contains(entry.first); });
+        std::erase_if(registrationErrors_, [&](const auto& entry) { return !present.contains(entry.first); });
 }
 
 void PlatformFeed::applyDueRemovals()
 {
-    if (missing_.empty() || steadyNow() < graceUntil_)
+    if (pendingRemovals_.empty() || steadyNow() < removalGraceEnd_)
         return;
-    for (const BackendName& name : std::exchange(missing_, {}))
-        removeGone(name, platformSource);
+    for (const BackendName& name : std::exchange(pendingRemovals_, {}))
+        removeBackend(name, platformSource);
 }
 
 void PlatformFeed::apply(const RegistryRead& read, const std::string& source)
@@ -191,7 +191,7 @@
     for (const RegistryChange& change : read.changes_)
         applyChange(change, source);
     if (read.isWhole_)
-        removeMissing(read, source);
+        removeUnlisted(read, source);
     applyDueRemovals();
 }
 
@@ -201,15 +201,15 @@
     std::optional<LogOffset> from;
     const std::string reading = "registry";
     for (;;) {
-        co_await waitForTurn(reading, from);
+        co_await waitUntilReader(reading, from);
         auto read = co_await context_.platform_.readRegistry_(from);
-        bool wasLost = isRegistryLost_.exchange(!read);
-        if (wasLost == read.has_value())
-            logReachable("registry", read ? nullptr : &read.error());
+        bool wasUnavailable = isRegistryUnavailable_.exchange(!read);
+        if (wasUnavailable == read.has_value())
+            logAvailability("registry", read ? nullptr : &read.error());
         // Registrations that lapsed in an outage are written again soon after it.
-        bool endsOutage = wasLost || (isRegistryOld() && haveAllReadersFailed(readerViews()));
+        bool endsOutage = wasUnavailable || (isRegistryStale() && haveAllReadersFailed(readerStates()));
         if (read && endsOutage && !context_.backends_.records().empty())
-            graceUntil_ = steadyNow() + settings.lapseGrace_;
+            removalGraceEnd_ = steadyNow() + settings.lapseGrace_;
         if (!read && read.error().code_ == Errc::NotFound)
             from.reset();
         if (read) {
@@ -222,12 +222,12 @@
     }
 }
 
-bool PlatformFeed::isRegistryOld() const
+bool PlatformFeed::isRegistryStale() const
 {
     return steadyNow() - registryReadAt_.load() > context_.settings_.feed_.askPeersAfter_;
 }
 
-std::optional<KnownPeer> PlatformFeed::differingReader() const
+std::optional<KnownPeer> PlatformFeed::readerWithDifferentList() const
 {
     std::optional<KnownPeer> chosen;
     for (const auto& entry : reports_.reportedWithin(context_.settings_.feed_.readerSilence_)) {
@@ -243,21 +243,21 @@
     return chosen;
 }
 
-asio::awaitable<void> PlatformFeed::askForBackends()
+asio::awaitable<void> PlatformFeed::fetchBackendsFromPeers()
 {
     for (;;) {
         co_await sleepFor(peerCheckPeriod);
         auto source = backendsSource();
         if (source)
-            co_await askBackends(source->first, source->second);
+            co_await fetchBackends(source->first, source->second);
     }
 }
 
 std::optional<KnownPeer> PlatformFeed::backendsSource() const
 {
-    if (!isRegistryOld() && isReader())
+    if (!isRegistryStale() && isReader())
         return std::nullopt;
-    auto reader = differingReader();
+    auto reader = readerWithDifferentList();
     bool hasList = listReadAt_ != SteadyTime {};
     if (reader || hasList)
         return reader;
@@ -270,7 +270,7 @@
     return live[randomBits() % live.size()];
 }
 
-asio::awaitable<std::optional<wire::ConfigurationUpdate>> PlatformFeed::ask(VmId vm, Peer peer, wire::Frame request)
+asio::awaitable<std::optional<wire::ConfigurationUpdate>> PlatformFeed::callPeer(VmId vm, Peer peer, wire::Frame request)
 {
     auto reply = co_await peers_.call(peer.peers_, request, peerTimeout);
     if (reply && reply.value().has_configuration_update())
@@ -279,19 +279,19 @@
     co_return std::nullopt;
 }
 
-asio::awaitable<void> PlatformFeed::askBackends(VmId vm, Peer peer)
+asio::awaitable<void> PlatformFeed::fetchBackends(VmId vm, Peer peer)
 {
     wire::Frame request;
     request.mutable_configuration_fetch()->set_wants_backends(true);
     SteadyTime askedAt = steadyNow();
-    auto answered = co_await ask(vm, peer, request);
+    auto answered = co_await callPeer(vm, peer, request);
     if (!answered)
         co_return;
     const wire::ConfigurationUpdate& update = *answered;
     // A reader's list is used by others; readers that cannot read use it too.
-    bool mayUse = !isReader() || isRegistryOld();
+    bool mayUse = !isReader() || isRegistryStale();
     bool isFirst = listReadAt_ == SteadyTime {} && update.backends_size();
-    if (!mayUse || (update.backends_age_ms() > freshEnoughMs && !isFirst))
+    if (!mayUse || (update.backends_age_ms() > maxListAgeMs && !isFirst))
         co_return;
     // Its age was taken after the question was sent. A list that was read before
     // this node's may lack what has registered since.
--- a/lib/Gateway/PlatformFeed.h
+++ b/lib/Gateway/PlatformFeed.h
@@ -27,7 +27,7 @@
     /// Whether this node reads from the platform now: the first of its data
     /// centre, or one of the first of all, among nodes that reach the platform.
     bool isReader() const;
-    bool isPlatformUnavailable() const { return isRegistryLost_ || isConfigurationLost_; }
+    bool isPlatformUnavailable() const { return isRegistryUnavailable_ || isConfigurationUnavailable_; }
     /// Answers a peer that asks for what the platform told this node. A peer that asks
     /// for the configuration while others are being given it is told to come later.
     asio::awaitable<void> serve(std::shared_ptr<PeerStream> stream, wire::Frame request);
@@ -35,40 +35,40 @@
 private:
     asio::awaitable<void> followConfiguration();
     asio::awaitable<void> followRegistry();
-    asio::awaitable<void> askForConfiguration();
-    asio::awaitable<void> askForBackends();
-    asio::awaitable<void> askConfiguration(VmId vm, Peer peer);
+    asio::awaitable<void> fetchConfigurationFromPeers();
+    asio::awaitable<void> fetchBackendsFromPeers();
+    asio::awaitable<void> fetchConfiguration(VmId vm, Peer peer);
     /// The answer of \p peer, which has the configuration or a part of it on its way
     /// for longer than other answers take.
-    asio::awaitable<Result<wire::Frame>> fetch(Peer peer, wire::Frame request);
+    asio::awaitable<Result<wire::Frame>> requestConfiguration(Peer peer, wire::Frame request);
     /// Puts the configuration that peer \p vm gave, compressed, in force.
-    asio::awaitable<void> takeIn(std::string bytes, VmId vm);
+    asio::awaitable<void> applyConfiguration(std::string bytes, VmId vm);
     wire::Frame answer(const wire::Frame& request);
-    bool hasNewerThan(const wire::ConfigurationFetch& fetch) const;
+    bool hasNewerConfiguration(const wire::ConfigurationFetch& fetch) const;
     /// Gives the configuration to a peer. Ends once the peer has the whole of it.
-    asio::awaitable<void> handOver(std::shared_ptr<PeerStream> stream, wire::Frame request);
+    asio::awaitable<void> sendConfiguration(std::shared_ptr<PeerStream> stream, wire::Frame request);
     wire::Frame busyAnswer();
-    asio::awaitable<void> askBackends(VmId vm, Peer peer);
+    asio::awaitable<void> fetchBackends(VmId vm, Peer peer);
     /// Whom to ask for the backend servers, if they are needed.
     std::optional<KnownPeer> backendsSource() const;
-    asio::awaitable<std::optional<wire::ConfigurationUpdate>> ask(VmId vm, Peer peer, wire::Frame request);
-    void logReachable(const std::string& what, const Error* error) const;
+    asio::awaitable<std::optional<wire::ConfigurationUpdate>> callPeer(VmId vm, Peer peer, wire::Frame request);
+    void logAvailability(const std::string& what, const Error* error) const;
     /// \p source is the platform or the peer that told.
     void apply(const RegistryRead& read, const std::string& source);
     void applyChange(const RegistryChange& change, const std::string& source);
     /// The registration of \p change cannot be used.
-    void refuse(const RegistryChange& change, const std::string& source);
-    void removeGone(const BackendName& name, const std::string& source);
-    void removeMissing(const RegistryRead& whole, const std::string& source);
+    void rejectRegistration(const RegistryChange& change, const std::string& source);
+    void removeBackend(const BackendName& name, const std::string& source);
+    void removeUnlisted(const RegistryRead& fullRead, const std::string& source);
     void applyDueRemovals();
     /// A peer that has a newer configuration and is not busy, of this data centre if
     /// there is one.
-    std::optional<KnownPeer> peerAhead() const;
-    bool isRegistryOld() const;
-    std::vector<ReaderState> readerViews() const;
+    std::optional<KnownPeer> peerWithNewerConfiguration() const;
+    bool isRegistryStale() const;
+    std::vector<ReaderState> readerStates() const;
     /// A reader whose list of backend servers differs from this node's.
-    std::optional<KnownPeer> differingReader() const;
-    asio::awaitable<void> waitForTurn(std::string reading, std::optional<LogOffset>& from);
+    std::optional<KnownPeer> readerWithDifferentList() const;
+    asio::awaitable<void> waitUntilReader(std::string reading, std::optional<LogOffset>& from);
 
     asio::io_context& io_;
     GatewayContext& context_;
@@ -78,15 +78,15 @@
     std::atomic<SteadyTime> registryReadAt_ { SteadyTime {} };
     /// When the list in use was read, by this node or a peer.
     SteadyTime listReadAt_ {};
-    std::atomic<bool> isRegistryLost_ { false };
-    std::atomic<bool> isConfigurationLost_ { false };
+    std::atomic<bool> isRegistryUnavailable_ { false };
+    std::atomic<bool> isConfigurationUnavailable_ { false };
     /// Until when registrations that vanish are kept, after an outage.
-    SteadyTime graceUntil_ {};
+    SteadyTime removalGraceEnd_ {};
     TransferLimiter transfers_;
     BusyPeers busyPeers_;
-    std::set<BackendName> missing_;
+    std::set<BackendName> pendingRemovals_;
     /// What was last wrong with registrations that cannot be used.
-    std::map<BackendName, std::string> complaints_;
+    std::map<BackendName, std::string> registrationErrors_;
     Logger logger_ { "feed" };
 };
 
--- a/lib/Gateway/ReachabilityProbe.cpp
+++ b/lib/Gateway/ReachabilityProbe.cpp
@@ -12,29 +12,29 @@
     // A data centre that is back gets requests within this and a round trip.
     constexpr milliseconds probePeriod { 250 };
     // A connection inside a region is there within 10 ms.
-    constexpr milliseconds probePatience { 200 };
+    constexpr milliseconds probeTimeout { 200 };
 
 } // namespace
 
 void ReachabilityProbe::logChanges(const std::vector<BackendRecord>& unreachableSample)
 {
-    std::set<DataCentreId> lost;
+    std::set<DataCentreId> unreachable;
     for (const BackendRecord& backend : unreachableSample)
-        lost.insert(backend.dataCentre_);
-    for (const DataCentreId& dataCentre : lost) {
-        if (!lost_.contains(dataCentre))
+        unreachable.insert(backend.dataCentre_);
+    for (const DataCentreId& dataCentre : unreachable) {
+        if (!unreachable_.contains(dataCentre))
             logger_.info(LogLine("Data centre is not reached.").add("data_centre", dataCentre.value_));
     }
-    for (const DataCentreId& dataCentre : lost_) {
-        if (!lost.contains(dataCentre))
+    for (const DataCentreId& dataCentre : unreachable_) {
+        if (!unreachable.contains(dataCentre))
             logger_.info(LogLine("Data centre is reached again.").add("data_centre", dataCentre.value_));
     }
-    lost_ = std::move(lost);
+    unreachable_ = std::move(unreachable);
 }
 
 asio::awaitable<void> ReachabilityProbe::probe(BackendRecord backend)
 {
-    auto failed = co_await tryConnection(backend.endpoint_, probePatience);
+    auto failed = co_await tryConnection(backend.endpoint_, probeTimeout);
     if (!failed)
         context_.backends_.noteReachable(backend.id_);
     if (failed == asio::error::invalid_argument)
--- a/lib/Gateway/ReachabilityProbe.h
+++ b/lib/Gateway/ReachabilityProbe.h
@@ -25,7 +25,7 @@
     void logChanges(const std::vector<BackendRecord>& unreachableSample);
 
     GatewayContext& context_;
-    std::set<DataCentreId> lost_;
+    std::set<DataCentreId> unreachable_;
     Logger logger_ { "reach" };
 };
 
--- a/lib/Gateway/ReportAggregator.cpp
+++ b/lib/Gateway/ReportAggregator.cpp
@@ -15,17 +15,17 @@
 
     // A node that stopped is forgotten after this time; its usage is reported
     // within four windows of 5 s.
-    constexpr milliseconds nodeMemory { 60000 };
+    constexpr milliseconds nodeRetention { 60000 };
     // The source under which the usage of another data centre is kept: its
     // relays tell the same sums, and the higher ones count.
     constexpr std::uint64_t anyIncarnation = 0;
 
     // Windows told; the one that is reported next is the third newest.
-    constexpr std::size_t windowsTold = 6;
+    constexpr std::size_t maxReportedWindows = 6;
 
     std::map<WindowNumber, UsageCounts> newest(std::map<WindowNumber, UsageCounts> windows)
     {
-        while (windows.size() > windowsTold)
+        while (windows.size() > maxReportedWindows)
             windows.erase(windows.begin());
         return windows;
     }
@@ -41,9 +41,9 @@
 std::map<WindowNumber, UsageCounts> usageOf(const google::protobuf::RepeatedPtrField<wire::UsageWindow>& message)
 {
     std::map<WindowNumber, UsageCounts> windows;
-    for (const wire::UsageWindow& told : message) {
-        UsageCounts& counts = windows[{ told.number() }];
-        for (const auto& [organisation, count] : told.counts())
+    for (const wire::UsageWindow& reported : message) {
+        UsageCounts& counts = windows[{ reported.number() }];
+        for (const auto& [organisation, count] : reported.counts())
             counts[{ organisation }] = count;
     }
     return windows;
@@ -52,10 +52,10 @@
 void putUsage(const std::map<WindowNumber, UsageCounts>& windows, google::protobuf::RepeatedPtrField<wire::UsageWindow>& message)
 {
     for (const auto& [window, counts] : windows) {
-        wire::UsageWindow& told = *message.Add();
-        told.set_number(window.value_);
+        wire::UsageWindow& reported = *message.Add();
+        reported.set_number(window.value_);
         for (const auto& [organisation, count] : counts)
-            (*told.mutable_counts())[organisation.value_] = count;
+            (*reported.mutable_counts())[organisation.value_] = count;
     }
 }
 
@@ -138,12 +138,12 @@
         auto state = fromWire(report);
         if (!state)
             continue;
-        milliseconds said = age + milliseconds(static_cast<std::int64_t>(report.age_ms()));
-        auto [found, isNew] = rollouts_.try_emplace(report.service(), Rollout { *state, said });
+        milliseconds reportAge = age + milliseconds(static_cast<std::int64_t>(report.age_ms()));
+        auto [found, isNew] = rollouts_.try_emplace(report.service(), Rollout { *state, reportAge });
         if (found->second.state_ == *state)
-            found->second.age_ = std::min(found->second.age_, said);
+            found->second.age_ = std::min(found->second.age_, reportAge);
         else if (!isNew && supersedes(*state, found->second.state_))
-            found->second = { *state, said };
+            found->second = { *state, reportAge };
     }
     for (const auto& [service, tally] : talliesOf(sums.rollout_counts()))
         tallies_[service].add(tally);
@@ -157,7 +157,7 @@
     unresponsiveNodes_ += group.unresponsiveNodes(now);
 }
 
-void ReportTotals::remove(const wire::NodeSums& sums, const NodeGroupSums& counted)
+void ReportTotals::remove(const wire::NodeSums& sums, const NodeGroupSums& group)
 {
     nodes_ -= std::min(nodes_, sums.nodes());
     for (const auto& [backend, load] : loadsOf(sums.loads())) {
@@ -167,7 +167,7 @@
     }
     for (const auto& [service, tally] : talliesOf(sums.rollout_counts()))
         tallies_[service].remove(tally);
-    addCounts(admitted_, counted.admitted(), -1);
+    addCounts(admitted_, group.admitted(), -1);
     for (const wire::DemandReport& demand : sums.demand())
         demand_[demand.service()].tokensPerSecond_ -= demand.tokens_per_second();
 }
@@ -181,18 +181,18 @@
     for (const auto& [organisation, level] : levels_)
         admitted.try_emplace(organisation, 0);
     for (const auto& [organisation, count] : admitted) {
-        wire::QuotaReport& told = *sums.add_quotas();
-        told.set_organisation(organisation);
-        told.set_admitted(count);
+        wire::QuotaReport& reported = *sums.add_quotas();
+        reported.set_organisation(organisation);
+        reported.set_admitted(count);
         auto level = levels_.find(organisation);
-        told.set_level(level == levels_.end() ? 0 : level->second);
+        reported.set_level(level == levels_.end() ? 0 : level->second);
     }
     for (const auto& [service, demand] : demand_) {
-        wire::DemandReport& told = *sums.add_demand();
-        told.set_service(service);
-        told.set_tokens_per_second(std::max(0.0, demand.tokensPerSecond_));
-        told.set_observations(demand.observations_);
-        told.set_prefill_per_ms(demand.observations_ ? demand.weightedRate_ / static_cast<double>(demand.observations_) : 0);
+        wire::DemandReport& reported = *sums.add_demand();
+        reported.set_service(service);
+        reported.set_tokens_per_second(std::max(0.0, demand.tokensPerSecond_));
+        reported.set_observations(demand.observations_);
+        reported.set_prefill_per_ms(demand.observations_ ? demand.weightedRate_ / static_cast<double>(demand.observations_) : 0);
     }
     for (const std::string& id : leaving_)
         sums.add_leaving(id);
@@ -222,10 +222,10 @@
 {
     std::erase_if(nodes_, [&](const auto& entry) {
         const Node& node = entry.second;
-        if (now - node.receivedAt_ <= nodeMemory)
+        if (now - node.receivedAt_ <= nodeRetention)
             return false;
         // Its counts stay in the totals, which never fall.
-        addCounts(goneAdmitted_, node.group_.admitted());
+        addCounts(removedNodesAdmitted_, node.group_.admitted());
         ownUsage_.forgetPeer(entry.first);
         return true;
     });
@@ -238,13 +238,13 @@
     Node& node = nodes_[vm];
     node.incarnation_ = report.incarnation();
     node.receivedAt_ = now;
-    (void)node.group_.take(vm, report.incarnation(), sumsOf(report), now);
+    (void)node.group_.applySums(vm, report.incarnation(), sumsOf(report), now);
     ownUsage_.setPeer(vm, report.incarnation(), usageOf(report.usage()));
 }
 
 void ReportAggregator::applySummary(const wire::RelayReport& summary, SteadyTime now)
 {
-    (void)others_[{ summary.data_centre() }].take({ summary.vm() }, summary.incarnation(), summary.sums(), now);
+    (void)others_[{ summary.data_centre() }].applySums({ summary.vm() }, summary.incarnation(), summary.sums(), now);
     othersUsage_.setPeer({ summary.data_centre() }, anyIncarnation, usageOf(summary.sums().usage()));
 }
 
@@ -269,7 +269,7 @@
     ReportTotals totals;
     for (const auto& [vm, node] : nodes_)
         totals.add(node.group_, now);
-    addCounts(totals.admitted_, goneAdmitted_);
+    addCounts(totals.admitted_, removedNodesAdmitted_);
     return totals;
 }
 
--- a/lib/Gateway/ReportAggregator.h
+++ b/lib/Gateway/ReportAggregator.h
@@ -32,7 +32,7 @@
     /// Adds a group: what it told now, and what it counted even if it is silent.
     void add(const NodeGroupSums& group, SteadyTime now);
     /// Takes out what one of the nodes told.
-    void remove(const wire::NodeSums& sums, const NodeGroupSums& counted);
+    void remove(const wire::NodeSums& sums, const NodeGroupSums& group);
     wire::NodeSums toMessage() const;
 
     /// Adds what holds now: loads, levels, rates, what is leaving, the holder. It was
@@ -98,7 +98,7 @@
     UsageTracker ownUsage_;
     UsageTracker othersUsage_;
     /// Counts of nodes that were forgotten.
-    NamedCounts goneAdmitted_;
+    NamedCounts removedNodesAdmitted_;
 };
 
 /// What one node told, as the sum over itself.
--- a/lib/Gateway/ReportMessages.cpp
+++ b/lib/Gateway/ReportMessages.cpp
@@ -15,14 +15,14 @@
 namespace {
 
     // Peers hear of a leaving backend server for this long.
-    constexpr milliseconds leavingTold { 10000 };
+    constexpr milliseconds leavingReportDuration { 10000 };
     // And of one that has ended for this long: its registration expires soon after.
-    constexpr milliseconds endedTold { 3000 };
+    constexpr milliseconds endedReportDuration { 3000 };
 
 } // namespace
 
 /// What any node may hear: who this is, and what presses.
-void PeerReports::composeIntroduction(wire::NodeReport& report, AdvertisedPeers names)
+void PeerReports::composeIntroduction(wire::NodeReport& report, AdvertisedPeers amount)
 {
     const GatewaySettings& settings = context_.settings_;
     SteadyTime now = steadyNow();
@@ -45,21 +45,21 @@
     report.set_registry_fingerprint(context_.backends_.fingerprint());
     {
         std::lock_guard lock(leavingMutex_);
-        while (!leaving_.empty() && now - leaving_.front().first > leavingTold)
+        while (!leaving_.empty() && now - leaving_.front().first > leavingReportDuration)
             leaving_.pop_front();
         for (const auto& [at, id] : leaving_)
             report.add_leaving(id.value_);
-        while (!ended_.empty() && now - ended_.front().first > endedTold)
+        while (!ended_.empty() && now - ended_.front().first > endedReportDuration)
             ended_.pop_front();
         for (const auto& [at, id] : ended_)
             report.add_ended(id.value_);
     }
     putSuspects(context_.quarantine_.told(now, randomBits()), *report.mutable_suspects(), now);
     putRollouts(context_.rollouts_.states(), *report.mutable_rollouts(), now);
-    for (const auto& [vm, peer] : discovery_.peersToAdvertise(names, sequence_, now)) {
-        wire::KnownNode& named = *report.add_nodes();
-        named.set_vm(vm.value_);
-        named.set_address(peer.gossip_.toString());
+    for (const auto& [vm, peer] : discovery_.peersToAdvertise(amount, sequence_, now)) {
+        wire::KnownNode& entry = *report.add_nodes();
+        entry.set_vm(vm.value_);
+        entry.set_address(peer.gossip_.toString());
     }
 }
 
@@ -69,19 +69,19 @@
     putLoads(context_.backends_.ownLoads(), *report.mutable_loads());
     auto levels = context_.quotas_.levels();
     for (const auto& [organisation, admitted] : context_.quotas_.admitted()) {
-        wire::QuotaReport& told = *report.add_quotas();
-        told.set_organisation(organisation.value_);
-        told.set_admitted(admitted);
-        told.set_level(levels[organisation]);
+        wire::QuotaReport& reported = *report.add_quotas();
+        reported.set_organisation(organisation.value_);
+        reported.set_admitted(admitted);
+        reported.set_level(levels[organisation]);
     }
     putUsage(context_.usage_.recent(), *report.mutable_usage());
     putTallies(context_.rollouts_.tallies(), *report.mutable_rollout_counts());
     for (const auto& [service, view] : context_.backends_.services()) {
-        wire::DemandReport& told = *report.add_demand();
-        told.set_service(service.value_);
-        told.set_tokens_per_second(context_.demand_.localRate(service));
-        told.set_prefill_per_ms(view.prefillPerMs_);
-        told.set_observations(view.observations_);
+        wire::DemandReport& reported = *report.add_demand();
+        reported.set_service(service.value_);
+        reported.set_tokens_per_second(context_.demand_.localRate(service));
+        reported.set_prefill_per_ms(view.prefillPerMs_);
+        reported.set_observations(view.observations_);
     }
 }
 
@@ -104,8 +104,8 @@
     }
 }
 
-/// In a small fleet these are all; seeds are told until they are heard.
-std::vector<Endpoint> PeerReports::addressesKnown()
+/// In a small fleet these are all; seeds are reported until they are heard.
+std::vector<Endpoint> PeerReports::knownAddresses()
 {
     std::vector<Endpoint> all = unseenSeeds();
     for (const auto& [vm, peer] : table_.all())
@@ -118,12 +118,12 @@
     std::set<std::string> hosts { context_.settings_.gossip_.host_ };
     for (const auto& [vm, peer] : table_.all())
         hosts.insert(peer.gossip_.host_);
-    std::vector<Endpoint> unheard;
+    std::vector<Endpoint> unseen;
     for (const Endpoint& seed : context_.settings_.seeds_) {
         if (!hosts.contains(seed.host_))
-            unheard.push_back({ seed.host_, context_.settings_.gossip_.port_ });
+            unseen.push_back({ seed.host_, context_.settings_.gossip_.port_ });
     }
-    return unheard;
+    return unseen;
 }
 
 } // namespace pistachioloom
--- a/lib/Gateway/TransferLimiter.cpp
+++ b/lib/Gateway/TransferLimiter.cpp
@@ -9,19 +9,19 @@
 
 std::optional<TransferId> TransferLimiter::begin(SteadyTime now)
 {
-    std::erase_if(begun_, [&](const auto& entry) { return now - entry.second >= transferTimeout; });
-    if (begun_.size() >= maxTransfers) {
+    std::erase_if(startTimes_, [&](const auto& entry) { return now - entry.second >= transferTimeout; });
+    if (startTimes_.size() >= maxTransfers) {
         ++busyAnswers_;
         return std::nullopt;
     }
     ++last_.value_;
-    begun_.emplace(last_, now);
+    startTimes_.emplace(last_, now);
     return last_;
 }
 
 void TransferLimiter::end(TransferId transfer)
 {
-    begun_.erase(transfer);
+    startTimes_.erase(transfer);
 }
 
 bool TransferLimiter::isBusyLogDue(SteadyTime now) const
@@ -37,13 +37,13 @@
 
 void BusyPeers::note(const VmId& peer, SteadyTime until)
 {
-    until_[peer] = until;
+    busyUntil_[peer] = until;
 }
 
 bool BusyPeers::isBusy(const VmId& peer, SteadyTime now) const
 {
-    auto found = until_.find(peer);
-    return found != until_.end() && now < found->second;
+    auto found = busyUntil_.find(peer);
+    return found != busyUntil_.end() && now < found->second;
 }
 
 } // namespace pistachioloom
--- a/lib/Gateway/TransferLimiter.h
+++ b/lib/Gateway/TransferLimiter.h
@@ -37,14 +37,14 @@
     std::optional<TransferId> begin(SteadyTime now);
     /// The peer has the whole, or wants it no more. One that was given up is ignored.
     void end(TransferId transfer);
-    std::size_t activeTransfers() const { return begun_.size(); }
+    std::size_t activeTransfers() const { return startTimes_.size(); }
     /// Whether busy answers are to be logged now.
     bool isBusyLogDue(SteadyTime now) const;
     /// Busy answers that were not logged yet; they count as logged now.
     std::uint64_t takeBusyAnswerCount(SteadyTime now);
 
 private:
-    std::map<TransferId, SteadyTime> begun_;
+    std::map<TransferId, SteadyTime> startTimes_;
     TransferId last_ {};
     std::uint64_t busyAnswers_ = 0;
     std::optional<SteadyTime> loggedAt_;
@@ -58,7 +58,7 @@
     bool isBusy(const VmId& peer, SteadyTime now) const;
 
 private:
-    std::map<VmId, SteadyTime> until_;
+    std::map<VmId, SteadyTime> busyUntil_;
 };
 
 } // namespace pistachioloom
--- a/unittests/Gateway/BackgroundExecutorTest.cpp
+++ b/unittests/Gateway/BackgroundExecutorTest.cpp
@@ -15,21 +15,21 @@
 namespace {
 
 /// Notes that it was destroyed.
-struct Witness {
-    explicit Witness(std::atomic<int>& destroyed)
+struct DestructionCounter {
+    explicit DestructionCounter(std::atomic<int>& destroyed)
         : destroyed_(destroyed)
     {
     }
-    ~Witness() { ++destroyed_; }
-    Witness(const Witness&) = delete;
-    Witness& operator=(const Witness&) = delete;
+    ~DestructionCounter() { ++destroyed_; }
+    DestructionCounter(const DestructionCounter&) = delete;
+    DestructionCounter& operator=(const DestructionCounter&) = delete;
 
     std::atomic<int>& destroyed_;
 };
 
 asio::awaitable<void> runWith(BackgroundExecutor& background, std::function<void()> work, std::atomic<int>& destroyed, std::atomic<int>& resumed)
 {
-    Witness witness(destroyed);
+    DestructionCounter counter(destroyed);
     co_await background.run(std::move(work));
     ++resumed;
 }
--- a/unittests/Gateway/DiscoveryTest.cpp
+++ b/unittests/Gateway/DiscoveryTest.cpp
@@ -76,12 +76,12 @@
         : shape_(shape)
     {
         for (std::size_t i = 0; i < shape.nodes_; ++i) {
-            std::size_t place = i % shape.dataCentres_;
+            std::size_t dataCentreIndex = i % shape.dataCentres_;
             std::size_t number = i / shape.dataCentres_;
-            DataCentreId dataCentre { "dc-" + std::to_string(place) };
+            DataCentreId dataCentre { "dc-" + std::to_string(dataCentreIndex) };
             Endpoint address { "10.0." + std::to_string(i / 200) + "." + std::to_string(1 + i % 200), 7500 };
             nodes_.push_back(std::make_unique<Node>(VmId { dataCentre.value_ + "-" + std::to_string(number) }, dataCentre, number < largeVms ? 0.5 : 0.12, address));
-            byAddress_[address.host_] = nodes_.back().get();
+            nodesByAddress_[address.host_] = nodes_.back().get();
         }
         for (auto& node : nodes_) {
             for (std::size_t i = 0; shape.areAnnounced_ && i < nodes_.size(); ++i)
@@ -90,54 +90,54 @@
     }
 
     /// Plays until all nodes are informed. \returns the time it took.
-    milliseconds play(milliseconds longest)
+    milliseconds run(milliseconds limit)
     {
-        for (milliseconds passed {}; passed < longest; passed += period) {
-            step(start + passed);
-            if (informed(start + passed) == nodes_.size())
-                return passed + period;
+        for (milliseconds elapsed {}; elapsed < limit; elapsed += period) {
+            step(start + elapsed);
+            if (informedNodes(start + elapsed) == nodes_.size())
+                return elapsed + period;
         }
-        return longest;
+        return limit;
     }
 
     /// Nodes that hear the sum of nearly all others, and nothing twice.
-    std::size_t informed(SteadyTime now) const
+    std::size_t informedNodes(SteadyTime now) const
     {
         auto others = static_cast<double>(nodes_.size() - 1);
         return static_cast<std::size_t>(std::count_if(nodes_.begin(), nodes_.end(), [&](const auto& node) {
             const wire::NodeSums* sums = node->others_.current(now);
-            double heard = sums ? static_cast<double>(sums->nodes()) : 0;
-            return heard >= informedShare * others && heard <= others;
+            double covered = sums ? static_cast<double>(sums->nodes()) : 0;
+            return covered >= informedShare * others && covered <= others;
         }));
     }
 
     /// Datagrams that the node which gets most of them got in one period.
-    std::size_t mostReceived() const { return mostReceived_; }
+    std::size_t maxReceived() const { return maxReceived_; }
 
 private:
     void step(SteadyTime now)
     {
         std::vector<Message> messages;
         for (auto& node : nodes_)
-            tell(*node, messages, now);
+            sendReports(*node, messages, now);
         std::map<std::string, std::size_t> received;
         for (const Message& message : messages) {
-            mostReceived_ = std::max(mostReceived_, ++received[message.to_.host_]);
-            hear(*byAddress_.at(message.to_.host_), message, now);
+            maxReceived_ = std::max(maxReceived_, ++received[message.to_.host_]);
+            receive(*nodesByAddress_.at(message.to_.host_), message, now);
         }
     }
 
     std::vector<Endpoint> unseenSeeds(const Node& node) const
     {
-        std::vector<Endpoint> unheard;
+        std::vector<Endpoint> unseen;
         for (std::size_t i = 0; i < shape_.seeds_; ++i) {
             if (nodes_[i].get() != &node && !node.table_.gossipEndpointOf(nodes_[i]->vm_))
-                unheard.push_back(nodes_[i]->address_);
+                unseen.push_back(nodes_[i]->address_);
         }
-        return unheard;
+        return unseen;
     }
 
-    static void introduceIn(wire::NodeReport& report, Node& node, AdvertisedPeers names, SteadyTime now)
+    static void composeIntroduction(wire::NodeReport& report, Node& node, AdvertisedPeers amount, SteadyTime now)
     {
         report.set_vm(node.vm_.value_);
         report.set_data_centre(node.dataCentre_.value_);
@@ -145,26 +145,26 @@
         report.set_sequence(++node.sequence_);
         report.set_address(node.address_.toString());
         report.set_cores(node.cores_);
-        for (const auto& [vm, peer] : node.discovery_.peersToAdvertise(names, node.sequence_, now)) {
+        for (const auto& [vm, peer] : node.discovery_.peersToAdvertise(amount, node.sequence_, now)) {
             wire::KnownNode& entry = *report.add_nodes();
             entry.set_vm(vm.value_);
             entry.set_address(peer.gossip_.toString());
         }
     }
 
-    void tell(Node& node, std::vector<Message>& messages, SteadyTime now)
+    void sendReports(Node& node, std::vector<Message>& messages, SteadyTime now)
     {
         wire::Datagram introduction;
-        introduceIn(*introduction.mutable_report(), node, AdvertisedPeers::Few, now);
+        composeIntroduction(*introduction.mutable_report(), node, AdvertisedPeers::Few, now);
         wire::Datagram answer;
-        introduceIn(*answer.mutable_report(), node, AdvertisedPeers::Many, now);
+        composeIntroduction(*answer.mutable_report(), node, AdvertisedPeers::Many, now);
         Discovery::Receivers receivers = node.discovery_.receivers(unseenSeeds(node));
         for (const Endpoint& receiver : receivers.introduced_)
             messages.push_back({ node.address_, receiver, introduction, {} });
         for (const Endpoint& receiver : receivers.answered_)
             messages.push_back({ node.address_, receiver, answer, node.discovery_.relaysToAdvertise(now) });
         wire::Datagram report;
-        introduceIn(*report.mutable_report(), node, AdvertisedPeers::Few, now);
+        composeIntroduction(*report.mutable_report(), node, AdvertisedPeers::Few, now);
         report.mutable_report()->set_wants_digest(true);
         node.isRelay_ = false;
         std::vector<VmId> chosen = node.table_.chooseRelays(now);
@@ -176,10 +176,10 @@
             } else
                 messages.push_back({ node.address_, *node.table_.gossipEndpointOf(relay), report, {} });
         }
-        tellSums(node, messages, now);
+        sendSums(node, messages, now);
     }
 
-    void tellSums(Node& node, std::vector<Message>& messages, SteadyTime now)
+    void sendSums(Node& node, std::vector<Message>& messages, SteadyTime now)
     {
         std::vector<VmId> receivers = node.relays_.receivers(now);
         if (receivers.empty())
@@ -195,7 +195,7 @@
         for (const VmId& vm : receivers) {
             *relayed.mutable_sums() = node.relays_.digestFor(vm, totals, now);
             if (vm == node.vm_)
-                (void)node.others_.take(vm, 1, relayed.sums(), now);
+                (void)node.others_.applySums(vm, 1, relayed.sums(), now);
             else if (auto address = node.table_.gossipEndpointOf(vm))
                 messages.push_back({ node.address_, *address, datagram, members });
         }
@@ -211,12 +211,12 @@
         }
     }
 
-    void hear(Node& node, const Message& message, SteadyTime now)
+    void receive(Node& node, const Message& message, SteadyTime now)
     {
         for (const auto& [vm, peer] : message.members_)
             node.table_.applyRelayedState(vm, peer);
         if (message.datagram_.has_report())
-            return hearReport(node, message.datagram_.report(), now);
+            return receiveReport(node, message.datagram_.report(), now);
         const wire::RelayReport& relayed = message.datagram_.relayed();
         node.table_.addKnown({ relayed.vm() }, message.from_);
         if (!relayed.is_digest()) {
@@ -225,10 +225,10 @@
             return node.relays_.applySummary(relayed, now);
         }
         node.table_.noteDigest({ relayed.vm() }, now);
-        (void)node.others_.take({ relayed.vm() }, 1, relayed.sums(), now);
+        (void)node.others_.applySums({ relayed.vm() }, 1, relayed.sums(), now);
     }
 
-    static void hearReport(Node& node, const wire::NodeReport& report, SteadyTime now)
+    static void receiveReport(Node& node, const wire::NodeReport& report, SteadyTime now)
     {
         Peer peer;
         peer.gossip_ = *parseEndpoint(report.address());
@@ -237,10 +237,10 @@
         peer.sequence_ = report.sequence();
         peer.cores_ = report.cores();
         peer.receivedAt_ = now;
-        PeerTable::ReportKind heard = node.table_.take({ report.vm() }, peer);
-        if (heard == PeerTable::ReportKind::Old)
+        PeerTable::ReportKind kind = node.table_.applyReport({ report.vm() }, peer);
+        if (kind == PeerTable::ReportKind::Outdated)
             return;
-        if (heard == PeerTable::ReportKind::Restarted)
+        if (kind == PeerTable::ReportKind::Restarted)
             node.discovery_.queueAnswer({ report.vm() });
         for (const wire::KnownNode& known : report.nodes())
             node.table_.addKnown({ known.vm() }, *parseEndpoint(known.address()));
@@ -250,8 +250,8 @@
 
     Shape shape_;
     std::vector<std::unique_ptr<Node>> nodes_;
-    std::map<std::string, Node*> byAddress_;
-    std::size_t mostReceived_ = 0;
+    std::map<std::string, Node*> nodesByAddress_;
+    std::size_t maxReceived_ = 0;
 };
 
 } // namespace
@@ -261,17 +261,17 @@
     // Duties are claimed then. Without the platform nobody claims them, but quotas are
     // divided equally for no longer than this.
     milliseconds firstClaim = DutyTiming {}.firstClaimAfter_;
-    milliseconds divided = QuotaSettings {}.startup_;
+    milliseconds equalDivision = QuotaSettings {}.startup_;
     auto shape = GENERATE_COPY(values<Shape>({
         { "a data centre's worth", 30, 2, 3, true, firstClaim },
         { "hundreds, announced", 195, 5, 3, true, firstClaim },
-        { "hundreds, the platform is silent", 195, 5, 3, false, divided },
+        { "hundreds, the platform is silent", 195, 5, 3, false, equalDivision },
         { "the largest fleet, announced", 370, 14, 3, true, firstClaim },
-        { "the largest fleet, the platform is silent", 370, 14, 3, false, divided },
+        { "the largest fleet, the platform is silent", 370, 14, 3, false, equalDivision },
     }));
     CAPTURE(shape.name_);
     StartingFleet fleet(shape);
-    CHECK(fleet.play(milliseconds(6000)).count() <= shape.bound_.count());
+    CHECK(fleet.run(milliseconds(6000)).count() <= shape.bound_.count());
     // Each other node turns to a seed once in a period at most; the rest is spread.
-    CHECK(fleet.mostReceived() <= shape.nodes_ + 64);
+    CHECK(fleet.maxReceived() <= shape.nodes_ + 64);
 }
--- a/unittests/Gateway/LoopLagTest.cpp
+++ b/unittests/Gateway/LoopLagTest.cpp
@@ -38,7 +38,7 @@
 {
     struct Row {
         int atMs_;
-        int lateMs_;
+        int lagMs_;
         bool isDue_;
     };
     const Row rows[] = {
@@ -52,9 +52,9 @@
         { 9000, 200, false },
         { 9001, 201, true },
     };
-    LoopLagLogLimiter lines;
+    LoopLagLogLimiter logLimiter;
     for (const Row& row : rows) {
-        CAPTURE(row.atMs_, row.lateMs_);
-        CHECK(lines.isDue(milliseconds(row.lateMs_), SteadyTime(milliseconds(row.atMs_))) == row.isDue_);
+        CAPTURE(row.atMs_, row.lagMs_);
+        CHECK(logLimiter.isDue(milliseconds(row.lagMs_), SteadyTime(milliseconds(row.atMs_))) == row.isDue_);
     }
 }
--- a/unittests/Gateway/PeerTableTest.cpp
+++ b/unittests/Gateway/PeerTableTest.cpp
@@ -36,11 +36,11 @@
 }
 
 /// Lets node \p self hear all others of \p count nodes.
-void hearAll(PeerTable& table, int self, int count)
+void reportAll(PeerTable& table, int self, int count)
 {
     for (int i = 0; i < count; ++i) {
         if (i != self)
-            (void)table.take(vmOf(i), peerAt(near, 1, start, 1));
+            (void)table.applyReport(vmOf(i), peerAt(near, 1, start, 1));
     }
 }
 
@@ -52,7 +52,7 @@
     std::set<std::vector<VmId>> choices;
     for (int self = 0; self < count; ++self) {
         PeerTable table(vmOf(self), near, 1, {});
-        hearAll(table, self, count);
+        reportAll(table, self, count);
         choices.insert(table.chooseRelays(start));
     }
     CHECK(choices.size() == 1);
@@ -62,10 +62,10 @@
 TEST_CASE("nodes with more processor cores are chosen first", "[peers]")
 {
     PeerTable table(vmOf(0), near, 0.25, {});
-    hearAll(table, 0, 26);
-    (void)table.take(vmOf(40), peerAt(near, 8, start, 1));
-    (void)table.take(vmOf(41), peerAt(near, 4, start, 1));
-    (void)table.take(vmOf(42), peerAt(far, 64, start, 1));
+    reportAll(table, 0, 26);
+    (void)table.applyReport(vmOf(40), peerAt(near, 8, start, 1));
+    (void)table.applyReport(vmOf(41), peerAt(near, 4, start, 1));
+    (void)table.applyReport(vmOf(42), peerAt(far, 64, start, 1));
     CHECK(table.chooseRelays(start) == std::vector<VmId> { vmOf(40), vmOf(41) });
     CHECK(table.likelyRelays(far, 0, start) == std::vector<VmId> { vmOf(42) });
     CHECK(table.otherDataCentres() == std::vector<DataCentreId> { far });
@@ -74,9 +74,9 @@
 TEST_CASE("a relay that tells nothing is passed over, and asked again later", "[peers]")
 {
     PeerTable table(vmOf(0), near, 0.1, {});
-    (void)table.take(vmOf(1), peerAt(near, 8, start, 1));
-    (void)table.take(vmOf(2), peerAt(near, 4, start, 1));
-    (void)table.take(vmOf(3), peerAt(near, 2, start, 1));
+    (void)table.applyReport(vmOf(1), peerAt(near, 8, start, 1));
+    (void)table.applyReport(vmOf(2), peerAt(near, 4, start, 1));
+    (void)table.applyReport(vmOf(3), peerAt(near, 2, start, 1));
     SteadyTime now = start;
     for (; now <= start + 3 * period; now += period) {
         CHECK(table.chooseRelays(now) == std::vector<VmId> { vmOf(1), vmOf(2) });
@@ -95,7 +95,7 @@
 {
     PeerTable table(vmOf(0), near, 0.1, {});
     for (int i = 1; i <= 4; ++i)
-        (void)table.take(vmOf(i), peerAt(near, 10 - i, start, 1));
+        (void)table.applyReport(vmOf(i), peerAt(near, 10 - i, start, 1));
     // 3 and 4 live on; nobody is heard directly.
     SteadyTime now = start;
     std::vector<VmId> chosen;
@@ -112,26 +112,26 @@
 TEST_CASE("what a relay tells of a node is older than what the node tells itself", "[peers]")
 {
     PeerTable table(vmOf(0), near, 1, {});
-    Peer told = peerAt(near, 1, start, 5);
-    told.configurationVersion_ = 8;
-    CHECK(table.take(vmOf(1), told) == PeerTable::ReportKind::Restarted);
-    Peer hearsay = peerAt(near, 1, start - milliseconds(100), 0);
-    hearsay.configurationVersion_ = 7;
-    table.applyRelayedState(vmOf(1), hearsay);
+    Peer reported = peerAt(near, 1, start, 5);
+    reported.configurationVersion_ = 8;
+    CHECK(table.applyReport(vmOf(1), reported) == PeerTable::ReportKind::Restarted);
+    Peer relayed = peerAt(near, 1, start - milliseconds(100), 0);
+    relayed.configurationVersion_ = 7;
+    table.applyRelayedState(vmOf(1), relayed);
     CHECK(table.reportedWithin(milliseconds(1), start).front().second.configurationVersion_ == 8);
-    hearsay.receivedAt_ = start + milliseconds(100);
-    table.applyRelayedState(vmOf(1), hearsay);
+    relayed.receivedAt_ = start + milliseconds(100);
+    table.applyRelayedState(vmOf(1), relayed);
     CHECK(table.reportedWithin(milliseconds(1), start + milliseconds(100)).front().second.configurationVersion_ == 7);
     // Its numbers go on where they were.
-    CHECK(table.take(vmOf(1), peerAt(near, 1, start + milliseconds(200), 5)) == PeerTable::ReportKind::Old);
-    CHECK(table.take(vmOf(1), peerAt(near, 1, start + milliseconds(200), 6)) == PeerTable::ReportKind::Again);
+    CHECK(table.applyReport(vmOf(1), peerAt(near, 1, start + milliseconds(200), 5)) == PeerTable::ReportKind::Outdated);
+    CHECK(table.applyReport(vmOf(1), peerAt(near, 1, start + milliseconds(200), 6)) == PeerTable::ReportKind::Regular);
 }
 
 TEST_CASE("nodes that are silent for long are forgotten", "[peers]")
 {
     PeerTable table(vmOf(0), near, 1, {});
     table.addKnown(vmOf(9), { "10.0.0.9", 7500 });
-    (void)table.take(vmOf(1), peerAt(near, 1, start, 1));
+    (void)table.applyReport(vmOf(1), peerAt(near, 1, start, 1));
     CHECK(table.removeUnresponsive(start + milliseconds(29000)).empty());
     CHECK(table.removeUnresponsive(start + milliseconds(31000)) == std::vector<VmId> { vmOf(1) });
     // One that was named but never heard is told on.
@@ -141,10 +141,10 @@
 TEST_CASE("knowledge of a few nodes is told from that of all", "[peers]")
 {
     struct Row {
-        std::uint64_t heard_;
+        std::uint64_t reported_;
         std::uint64_t known_;
-        bool isWhole_;
-        bool hasMost_;
+        bool isComplete_;
+        bool hasMajority_;
     };
     auto row = GENERATE(values<Row>({
         { 1, 1, true, true },
@@ -155,7 +155,7 @@
         { 195, 195, true, true },
         { 1, 2, false, false },
     }));
-    CAPTURE(row.heard_, row.known_);
-    CHECK(Coverage { row.heard_, row.known_ }.isComplete() == row.isWhole_);
-    CHECK(Coverage { row.heard_, row.known_ }.hasMajority() == row.hasMost_);
+    CAPTURE(row.reported_, row.known_);
+    CHECK(Coverage { row.reported_, row.known_ }.isComplete() == row.isComplete_);
+    CHECK(Coverage { row.reported_, row.known_ }.hasMajority() == row.hasMajority_);
 }
--- a/unittests/Gateway/ReadersTest.cpp
+++ b/unittests/Gateway/ReadersTest.cpp
@@ -38,14 +38,14 @@
     auto count = GENERATE(1U, 3U, 9U, 63U);
     auto all = nodes(count);
     std::size_t reading = 0;
-    std::set<DataCentreId> places;
+    std::set<DataCentreId> dataCentres;
     for (std::size_t i = 0; i < count; ++i) {
         if (!reads(all, i))
             continue;
         ++reading;
-        places.insert(all[i].dataCentre_);
+        dataCentres.insert(all[i].dataCentre_);
     }
-    CHECK(places.size() == std::min<std::size_t>(3, count));
+    CHECK(dataCentres.size() == std::min<std::size_t>(3, count));
     CHECK(reading >= std::min<std::size_t>(count, readers));
     CHECK(reading <= readers + 3);
 }
@@ -59,14 +59,14 @@
     bool isStopping = GENERATE(true, false);
     (isStopping ? all[first].isStopping_ : all[first].isPlatformUnavailable_) = true;
     std::size_t reading = 0;
-    std::set<DataCentreId> places;
+    std::set<DataCentreId> dataCentres;
     for (std::size_t i = 0; i < all.size(); ++i) {
         if (i == first || !reads(all, i))
             continue;
         ++reading;
-        places.insert(all[i].dataCentre_);
+        dataCentres.insert(all[i].dataCentre_);
     }
-    CHECK(places.size() == 3);
+    CHECK(dataCentres.size() == 3);
     CHECK(reading >= readers);
 }
 
@@ -92,11 +92,11 @@
     for (std::size_t large : { count - 3, count - 6, count - 2 })
         all[large].cores_ = 4;
     // As they tell, once those that are to read do.
-    std::vector<bool> told;
+    std::vector<bool> willRead;
     for (std::size_t i = 0; i < count; ++i)
-        told.push_back(reads(all, i));
+        willRead.push_back(reads(all, i));
     for (std::size_t i = 0; i < count; ++i)
-        all[i].isReader_ = told[i];
+        all[i].isReader_ = willRead[i];
     std::set<std::size_t> reading;
     for (std::size_t i = 0; i < count; ++i) {
         if (reads(all, i))
@@ -112,14 +112,14 @@
 {
     auto cores = GENERATE(0.0, 0.12, 8.0);
     auto all = nodes(26);
-    std::vector<VmId> drawn;
+    std::vector<VmId> ranked;
     for (ReaderState& node : all) {
         node.cores_ = cores;
-        drawn.push_back(node.vm_);
+        ranked.push_back(node.vm_);
     }
-    drawn = rankByRendezvous("readers", drawn);
+    ranked = rankByRendezvous("readers", ranked);
     for (std::size_t i = 0; i < all.size(); ++i) {
-        if (std::find(drawn.begin(), drawn.begin() + readers, all[i].vm_) != drawn.begin() + readers)
+        if (std::find(ranked.begin(), ranked.begin() + readers, all[i].vm_) != ranked.begin() + readers)
             CHECK(reads(all, i));
     }
 }
@@ -136,22 +136,22 @@
     auto isNewer = [&](std::size_t i) { return stableHash(all[i].vm_.value_ + "version", seed) % count < newer; };
     // Each hears what all told in the round before.
     for (int round = 0; round < rounds; ++round) {
-        std::vector<bool> told;
+        std::vector<bool> willRead;
         for (std::size_t i = 0; i < count; ++i) {
             auto seen = all;
             if (!isNewer(i)) {
                 for (ReaderState& node : seen)
                     node.cores_ = 0;
             }
-            told.push_back(reads(seen, i));
+            willRead.push_back(reads(seen, i));
         }
-        std::set<DataCentreId> places;
+        std::set<DataCentreId> dataCentres;
         for (std::size_t i = 0; i < count; ++i) {
-            all[i].isReader_ = told[i];
-            if (told[i])
-                places.insert(all[i].dataCentre_);
+            all[i].isReader_ = willRead[i];
+            if (willRead[i])
+                dataCentres.insert(all[i].dataCentre_);
         }
-        CHECK(places.size() == 3);
+        CHECK(dataCentres.size() == 3);
     }
 }
 
@@ -159,22 +159,22 @@
 
 /// Nodes that read find out whether the platform serves them, round by round, as they
 /// hear it of each other. \returns the most that tried at once.
-std::size_t playTurns(std::vector<ReaderState>& all, const std::function<bool(std::size_t)>& isServed)
+std::size_t simulateRounds(std::vector<ReaderState>& all, const std::function<bool(std::size_t)>& isServed)
 {
     // One node of a data centre finds out in each: more than may be turned away.
     constexpr int rounds = 16;
-    std::size_t most = 0;
+    std::size_t maxReading = 0;
     for (int round = 0; round < rounds; ++round) {
-        std::vector<bool> told;
+        std::vector<bool> willRead;
         for (std::size_t i = 0; i < all.size(); ++i)
-            told.push_back(all[i].isPlatformUnavailable_ || reads(all, i));
+            willRead.push_back(all[i].isPlatformUnavailable_ || reads(all, i));
         for (std::size_t i = 0; i < all.size(); ++i) {
-            all[i].isReader_ = told[i];
-            all[i].isPlatformUnavailable_ = told[i] && !isServed(i);
+            all[i].isReader_ = willRead[i];
+            all[i].isPlatformUnavailable_ = willRead[i] && !isServed(i);
         }
-        most = std::max(most, static_cast<std::size_t>(std::count(told.begin(), told.end(), true)));
+        maxReading = std::max(maxReading, static_cast<std::size_t>(std::count(willRead.begin(), willRead.end(), true)));
     }
-    return most;
+    return maxReading;
 }
 
 } // namespace
@@ -183,11 +183,11 @@
 {
     auto count = GENERATE(9U, 63U, 195U, 370U);
     auto all = nodes(count);
-    std::size_t most = playTurns(all, [](std::size_t) { return false; });
+    std::size_t maxReading = simulateRounds(all, [](std::size_t) { return false; });
     // Eight of each of three data centres, whatever the size of the fleet.
-    constexpr std::size_t mostTrying = 24;
-    CHECK(most <= mostTrying);
-    CHECK(most >= readers);
+    constexpr std::size_t maxExpected = 24;
+    CHECK(maxReading <= maxExpected);
+    CHECK(maxReading >= readers);
 }
 
 TEST_CASE("where many nodes are turned away others are found that are served", "[readers]")
@@ -197,7 +197,7 @@
     auto all = nodes(count);
     // A third of them, as drawn.
     auto isServed = [&](std::size_t i) { return stableHash(all[i].vm_.value_, seed) % 3 != 0; };
-    (void)playTurns(all, isServed);
+    (void)simulateRounds(all, isServed);
     std::size_t served = 0;
     for (std::size_t i = 0; i < count; ++i)
         served += all[i].isReader_ && isServed(i);
--- a/unittests/Gateway/ReportAggregatorTest.cpp
+++ b/unittests/Gateway/ReportAggregatorTest.cpp
@@ -17,14 +17,14 @@
 const std::string organisation = "north";
 const std::string service = "drafts";
 
-struct Told {
+struct Counts {
     double admitted_ = 0;
     double tokensPerSecond_ = 0;
-    std::uint64_t begun_ = 0;
+    std::uint64_t started_ = 0;
     std::uint32_t running_ = 0;
 };
 
-wire::NodeReport report(const std::string& vm, const Told& told, std::uint64_t incarnation = 1, std::uint64_t duty = 0)
+wire::NodeReport report(const std::string& vm, const Counts& counts, std::uint64_t incarnation = 1, std::uint64_t duty = 0)
 {
     wire::NodeReport report;
     report.set_vm(vm);
@@ -32,14 +32,14 @@
     report.set_duty_token(duty);
     wire::QuotaReport& quota = *report.add_quotas();
     quota.set_organisation(organisation);
-    quota.set_admitted(told.admitted_);
+    quota.set_admitted(counts.admitted_);
     wire::DemandReport& demand = *report.add_demand();
     demand.set_service(service);
-    demand.set_tokens_per_second(told.tokensPerSecond_);
+    demand.set_tokens_per_second(counts.tokensPerSecond_);
     demand.set_prefill_per_ms(50);
     demand.set_observations(100);
-    putLoads({ { 7, { told.running_, 1000 } } }, *report.mutable_loads());
-    putUsage({ { { 3 }, { { { organisation }, told.begun_ } } } }, *report.mutable_usage());
+    putLoads({ { 7, { counts.running_, 1000 } } }, *report.mutable_loads());
+    putUsage({ { { 3 }, { { { organisation }, counts.started_ } } } }, *report.mutable_usage());
     return report;
 }
 
@@ -83,17 +83,17 @@
 
 TEST_CASE("a digest holds what all others told, and not what its receiver did", "[relay]")
 {
-    ReportAggregator book(window);
+    ReportAggregator aggregator(window);
     for (int round = 0; round < 3; ++round) {
         SteadyTime now = start + round * milliseconds(200);
         double factor = round;
-        book.applyReport(report("a", { 10 * factor, 100, 4, 1 }, 1, 5), now);
-        book.applyReport(report("b", { 20 * factor, 200, 5, 2 }), now);
-        book.applyReport(report("c", { 40 * factor, 400, 6, 3 }), now);
+        aggregator.applyReport(report("a", { 10 * factor, 100, 4, 1 }, 1, 5), now);
+        aggregator.applyReport(report("b", { 20 * factor, 200, 5, 2 }), now);
+        aggregator.applyReport(report("c", { 40 * factor, 400, 6, 3 }), now);
     }
     SteadyTime now = start + milliseconds(400);
-    ReportTotals totals = book.totals(now);
-    wire::NodeSums digest = book.digestFor({ "a" }, totals, now);
+    ReportTotals totals = aggregator.totals(now);
+    wire::NodeSums digest = aggregator.digestFor({ "a" }, totals, now);
     CHECK(digest.nodes() == 2);
     // Counted since it was first heard.
     CHECK(admittedIn(digest) == 120);
@@ -102,41 +102,41 @@
     CHECK(demandIn(digest) == 600);
     // The holder of the duties alone is told usage.
     CHECK(usageIn(digest) == 11);
-    CHECK(usageIn(book.digestFor({ "b" }, totals, now)) == 0);
-    CHECK(book.digestFor({ "b" }, totals, now).holder() == "a");
-    CHECK(book.receivers(now).size() == 3);
+    CHECK(usageIn(aggregator.digestFor({ "b" }, totals, now)) == 0);
+    CHECK(aggregator.digestFor({ "b" }, totals, now).holder() == "a");
+    CHECK(aggregator.receivers(now).size() == 3);
 }
 
 TEST_CASE("what a node counted stays in the sums after it stops", "[relay]")
 {
-    ReportAggregator book(window);
-    book.applyReport(report("a", {}), start);
-    book.applyReport(report("b", {}), start);
-    book.applyReport(report("b", { 30, 300, 2, 4 }), start + milliseconds(200));
+    ReportAggregator aggregator(window);
+    aggregator.applyReport(report("a", {}), start);
+    aggregator.applyReport(report("b", {}), start);
+    aggregator.applyReport(report("b", { 30, 300, 2, 4 }), start + milliseconds(200));
     SteadyTime later = start + milliseconds(1300);
-    book.applyReport(report("a", {}), later);
-    wire::NodeSums digest = book.digestFor({ "a" }, book.totals(later), later);
+    aggregator.applyReport(report("a", {}), later);
+    wire::NodeSums digest = aggregator.digestFor({ "a" }, aggregator.totals(later), later);
     CHECK(digest.nodes() == 0);
     CHECK(loadsOf(digest.loads()).empty());
     CHECK(admittedIn(digest) == 30);
     // Its callers are elsewhere now.
     CHECK(demandIn(digest) == 0);
     SteadyTime muchLater = start + std::chrono::minutes(3);
-    book.applyReport(report("a", {}), muchLater);
-    CHECK(admittedIn(book.digestFor({ "a" }, book.totals(muchLater), muchLater)) == 30);
+    aggregator.applyReport(report("a", {}), muchLater);
+    CHECK(admittedIn(aggregator.digestFor({ "a" }, aggregator.totals(muchLater), muchLater)) == 30);
 }
 
 TEST_CASE("a restarted node's counts begin anew and take nothing back", "[relay]")
 {
-    ReportAggregator book(window);
-    book.applyReport(report("a", {}), start);
-    book.applyReport(report("b", { 100, 0, 3, 0 }, 1), start);
-    book.applyReport(report("b", { 130, 0, 4, 0 }, 1), start + milliseconds(200));
-    book.applyReport(report("b", { 2, 0, 1, 0 }, 2), start + milliseconds(400));
-    book.applyReport(report("b", { 7, 0, 2, 0 }, 2), start + milliseconds(600));
-    book.applyReport(report("a", {}, 1, 9), start + milliseconds(600));
+    ReportAggregator aggregator(window);
+    aggregator.applyReport(report("a", {}), start);
+    aggregator.applyReport(report("b", { 100, 0, 3, 0 }, 1), start);
+    aggregator.applyReport(report("b", { 130, 0, 4, 0 }, 1), start + milliseconds(200));
+    aggregator.applyReport(report("b", { 2, 0, 1, 0 }, 2), start + milliseconds(400));
+    aggregator.applyReport(report("b", { 7, 0, 2, 0 }, 2), start + milliseconds(600));
+    aggregator.applyReport(report("a", {}, 1, 9), start + milliseconds(600));
     SteadyTime now = start + milliseconds(600);
-    wire::NodeSums digest = book.digestFor({ "a" }, book.totals(now), now);
+    wire::NodeSums digest = aggregator.digestFor({ "a" }, aggregator.totals(now), now);
     CHECK(admittedIn(digest) == 35);
     // The usage of both of its starts counts.
     CHECK(usageIn(digest) == 6);
@@ -144,7 +144,7 @@
 
 TEST_CASE("a data centre counts once, though two relays tell of it", "[relay]")
 {
-    ReportAggregator book(window);
+    ReportAggregator aggregator(window);
     // The second relay tells the same later, and goes on after the first stops.
     auto secondLag = GENERATE(0, 100, 200);
     auto stopsAfter = GENERATE(3, 6, 50);
@@ -152,14 +152,14 @@
     for (int round = 0; round < 40; ++round) {
         SteadyTime now = start + round * milliseconds(200);
         last = round * 10;
-        book.applyReport(report("near", {}, 1), now);
+        aggregator.applyReport(report("near", {}, 1), now);
         wire::NodeSums sums = sumsOf(report("far", { last, 0, 1, 2 }));
         if (round < stopsAfter)
-            book.applySummary(summaryOf("relay-1", "far", sums), now);
-        book.applySummary(summaryOf("relay-2", "far", sums), now + milliseconds(secondLag));
+            aggregator.applySummary(summaryOf("relay-1", "far", sums), now);
+        aggregator.applySummary(summaryOf("relay-2", "far", sums), now + milliseconds(secondLag));
     }
     SteadyTime now = start + 39 * milliseconds(200) + milliseconds(200);
-    wire::NodeSums digest = book.digestFor({ "near" }, book.totals(now), now);
+    wire::NodeSums digest = aggregator.digestFor({ "near" }, aggregator.totals(now), now);
     CHECK(digest.nodes() == 1);
     CHECK(loadsOf(digest.loads()).at(7).running_ == 2);
     // What went by before the second was found to count is all that may lack:
@@ -170,32 +170,32 @@
 
 TEST_CASE("nodes that fall silent are told of for as long as they may be cut off", "[relay]")
 {
-    ReportAggregator book(window);
-    book.applyReport(report("near", {}), start);
-    book.applyReport(report("gone", {}), start);
+    ReportAggregator aggregator(window);
+    aggregator.applyReport(report("near", {}), start);
+    aggregator.applyReport(report("gone", {}), start);
     wire::NodeSums sums = sumsOf(report("far", {}));
     sums.set_nodes(20);
     sums.set_silent_nodes(3);
-    book.applySummary(summaryOf("relay", "far", sums), start);
-    CHECK(book.digestFor({ "near" }, book.totals(start), start).silent_nodes() == 3);
+    aggregator.applySummary(summaryOf("relay", "far", sums), start);
+    CHECK(aggregator.digestFor({ "near" }, aggregator.totals(start), start).silent_nodes() == 3);
     struct Row {
         milliseconds later_;
         std::uint64_t silent_;
     };
     auto row = GENERATE(values<Row>({ { milliseconds(1500), 21 }, { milliseconds(9000), 21 }, { milliseconds(11000), 0 } }));
     SteadyTime now = start + row.later_;
-    book.applyReport(report("near", {}), now);
-    CHECK(book.digestFor({ "near" }, book.totals(now), now).silent_nodes() == row.silent_);
+    aggregator.applyReport(report("near", {}), now);
+    CHECK(aggregator.digestFor({ "near" }, aggregator.totals(now), now).silent_nodes() == row.silent_);
 }
 
 TEST_CASE("usage crosses data centres only to the one that reports it", "[relay]")
 {
-    ReportAggregator book(window);
-    book.applyReport(report("near", { 0, 0, 8, 0 }), start);
-    CHECK(usageIn(book.summaryFor({ "far" }, start)) == 0);
-    book.applySummary(summaryOf("relay", "far", sumsOf(report("holder", {}, 1, 12))), start);
-    CHECK(usageIn(book.summaryFor({ "far" }, start)) == 8);
-    CHECK(usageIn(book.summaryFor({ "third" }, start)) == 0);
+    ReportAggregator aggregator(window);
+    aggregator.applyReport(report("near", { 0, 0, 8, 0 }), start);
+    CHECK(usageIn(aggregator.summaryFor({ "far" }, start)) == 0);
+    aggregator.applySummary(summaryOf("relay", "far", sumsOf(report("holder", {}, 1, 12))), start);
+    CHECK(usageIn(aggregator.summaryFor({ "far" }, start)) == 8);
+    CHECK(usageIn(aggregator.summaryFor({ "third" }, start)) == 0);
 }
 
 TEST_CASE("a relay that hears more of the nodes takes the place of one that hears few", "[relay]")
@@ -205,9 +205,9 @@
     few.set_nodes(3);
     wire::NodeSums many;
     many.set_nodes(20);
-    CHECK(group.take({ "few" }, 1, few, start));
-    CHECK(group.take({ "many" }, 1, many, start));
-    CHECK_FALSE(group.take({ "few" }, 1, few, start + milliseconds(200)));
+    CHECK(group.applySums({ "few" }, 1, few, start));
+    CHECK(group.applySums({ "many" }, 1, many, start));
+    CHECK_FALSE(group.applySums({ "few" }, 1, few, start + milliseconds(200)));
     CHECK(group.current(start + milliseconds(200))->nodes() == 20);
     CHECK(group.current(start + milliseconds(1500)) == nullptr);
 }
@@ -219,21 +219,21 @@
     wire::NodeReport holder = report("a1", {}, 1, 5);
     near.applyReport(holder, start);
     near.applyReport(report("a2", {}), start);
-    SteadyTime told = start + milliseconds(700);
-    wire::NodeSums summary = near.summaryFor({ "b" }, told);
+    SteadyTime reportedAt = start + milliseconds(700);
+    wire::NodeSums summary = near.summaryFor({ "b" }, reportedAt);
     CHECK(summary.holder_age_ms() == 700);
-    far.applySummary(summaryOf("a-relay", "a", summary), told);
-    far.applyReport(report("b1", {}), told);
-    SteadyTime later = told + milliseconds(800);
+    far.applySummary(summaryOf("a-relay", "a", summary), reportedAt);
+    far.applyReport(report("b1", {}), reportedAt);
+    SteadyTime later = reportedAt + milliseconds(800);
     wire::NodeSums digest = far.digestFor({ "b1" }, far.totals(later), later);
     CHECK(digest.duty_token() == 5);
     CHECK(digest.holder_age_ms() == 1500);
     // It gave up: that is told beside what others still tell of it.
     holder.set_duty_token(0);
     holder.set_released_token(5);
-    near.applyReport(holder, told);
-    CHECK(near.summaryFor({ "b" }, told).duty_token() == 0);
-    CHECK(near.summaryFor({ "b" }, told).released_token() == 5);
+    near.applyReport(holder, reportedAt);
+    CHECK(near.summaryFor({ "b" }, reportedAt).duty_token() == 0);
+    CHECK(near.summaryFor({ "b" }, reportedAt).released_token() == 5);
 }
 
 TEST_CASE("counts of nodes that have just started are told whole", "[relay]")
