--- a/lib/Gateway/BackgroundExecutor.cpp
+++ b/lib/Gateway/BackgroundExecutor.cpp
@@ -1,4 +1,4 @@
-//===- lib/Gateway/BackgroundExecutor.cpp - work beside the event loops ------------===//
+//===- lib/Gateway/BackgroundExecutor.cpp - work off the event loops ------===//
 ///
 /// \file
 /// See BackgroundExecutor.h.
--- a/lib/Gateway/BackgroundExecutor.h
+++ b/lib/Gateway/BackgroundExecutor.h
@@ -1,11 +1,12 @@
-//===- lib/Gateway/BackgroundExecutor.h - work beside the event loops --------------===//
+//===- lib/Gateway/BackgroundExecutor.h - work off the event loops --------===//
 ///
 /// \file
-/// One thread for work that takes longer than a caller should wait for: decoding,
-/// indexing and compressing a configuration. On an event loop, whatever arrives
-/// meanwhile waits for all of it; beside it, for a time slice of the scheduler. Where a
-/// quota of processor time bounds the process, both use it up: work beyond what is left
-/// of a period's quota holds the loop until the next period.
+/// Runs work that would block an event loop for too long, such as decoding, indexing and
+/// compressing a configuration, on a thread of its own. On an event loop, everything that
+/// arrives meanwhile waits until the work is done; on its own thread, the work delays the
+/// loop by a scheduler time slice at most. Where a CPU quota limits the process, both
+/// threads consume it: work that uses up the quota of a period blocks the loop until the
+/// next period.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -16,10 +17,11 @@
 
 namespace pistachioloom {
 
-/// Runs one piece of work after the other, in the order they were given.
+/// Runs work items one after another, in the order of their submission.
 ///
-/// It must end before the io_contexts whose coroutines it resumes. Its end waits for
-/// the work that runs and drops what waits: those coroutines are not resumed.
+/// The executor must be destroyed before the io_contexts whose coroutines it resumes. The
+/// destructor waits for the running work item and drops the queued ones, whose coroutines
+/// are not resumed.
 class BackgroundExecutor {
 public:
     BackgroundExecutor();
@@ -27,9 +29,9 @@
     BackgroundExecutor(const BackgroundExecutor&) = delete;
     BackgroundExecutor& operator=(const BackgroundExecutor&) = delete;
 
-    /// Suspends the calling coroutine, which resumes on its own executor, until \p work
-    /// was done on the thread of this object. It may read from RcuCell. Exceptions of
-    /// \p work are thrown on in the calling coroutine.
+    /// Suspends the calling coroutine until \p work has run on the executor's thread. The
+    /// coroutine resumes on its own executor. \p work may read from RcuCell. Exceptions
+    /// of \p work are rethrown in the calling coroutine.
     asio::awaitable<void> run(std::function<void()> work);
 
 private:
--- a/lib/Gateway/ConfigurationTransfer.cpp
+++ b/lib/Gateway/ConfigurationTransfer.cpp
@@ -1,8 +1,9 @@
-//===- lib/Gateway/ConfigurationTransfer.cpp - configurations from node to node --------===//
+//===- lib/Gateway/ConfigurationTransfer.cpp - configurations from peers --===//
 ///
 /// \file
-/// How a node that is behind gets the configuration from a peer, and how one that has
-/// it gives it on. What the platform tells and the registry are in PlatformFeed.cpp.
+/// Implements the part of PlatformFeed that fetches a newer configuration from a peer,
+/// and that sends one to peers. The part that reads from the platform, and the registry,
+/// are in PlatformFeed.cpp.
 //===----------------------------------------------------------------------===//
 #include "PlatformFeed.h"
 
@@ -12,11 +13,11 @@
 
 namespace {
 
-    // How long a peer is given that does not acknowledge a configuration, as older
-    // versions do not: two transfers of 100 KB take 160 ms at 10 Mbit/s.
+    // Assumed duration of a transfer to a peer of an older version, which does not
+    // acknowledge a configuration: two transfers of 100 KB take 160 ms at 10 Mbit/s.
     constexpr milliseconds assumedTransferTime { 200 };
-    // Reading a configuration of 780 KB occupies the thread of the links, for tenths of a
-    // second on a small VM; the acknowledgement leaves before.
+    // Processing a configuration of 780 KB occupies the thread of the peer links for tenths
+    // of a second on a small VM. The pause lets the acknowledgement leave before that.
     constexpr milliseconds acknowledgementDelay { 2 };
 
 } // namespace
@@ -54,7 +55,7 @@
         co_return opened.error();
     auto stream = opened.value();
     auto reply = co_await stream->receiveWithin(peerTimeout, transferTimeout);
-    // The peer may give it to another one now.
+    // The peer may start another transfer once it has the acknowledgement.
     wire::Frame acknowledgement;
     acknowledgement.mutable_ack();
     if (reply)
@@ -80,9 +81,9 @@
     }
     bool isBusy = !reply && reply.error().code_ == Errc::Overloaded;
     busyPeers_.note(vm, steadyNow() + (isBusy ? reply.error().retryAfter_ : busyRetryDelay));
-    // The busy one logs that itself.
+    // A busy peer logs the rejection itself.
     if (!isBusy)
-        logger_.warn("Peer " + vm.value_ + " gave no configuration: " + (reply ? "other frame" : describe(reply.error())));
+        logger_.warn("Peer " + vm.value_ + " sent no configuration: " + (reply ? "unexpected frame" : describe(reply.error())));
 }
 
 asio::awaitable<void> PlatformFeed::applyConfiguration(std::string bytes, VmId vm)
@@ -99,14 +100,14 @@
     return table && fetch.wants_configuration() && table->version() > fetch.known_version();
 }
 
-/// A Failure, which nodes of all versions understand.
+/// Returns a Failure, which nodes of all versions understand.
 wire::Frame PlatformFeed::busyAnswer()
 {
     SteadyTime now = steadyNow();
     if (transfers_.isBusyLogDue(now))
-        logger_.info(LogLine("Peers are told to ask others for the configuration.").add("busy_answers", static_cast<std::int64_t>(transfers_.takeBusyAnswerCount(now))).add("under_way", static_cast<std::int64_t>(transfers_.activeTransfers())));
+        logger_.info(LogLine("Configuration requests are rejected while other transfers run.").add("busy_answers", static_cast<std::int64_t>(transfers_.takeBusyAnswerCount(now))).add("under_way", static_cast<std::int64_t>(transfers_.activeTransfers())));
     wire::Frame frame;
-    *frame.mutable_failure() = toWire({ Errc::Overloaded, "give configuration", context_.settings_.vm_.value_, "other peers are being given it", Ran::No, busyRetryDelay });
+    *frame.mutable_failure() = toWire({ Errc::Overloaded, "send configuration", context_.settings_.vm_.value_, "other transfers are running", Ran::No, busyRetryDelay });
     return frame;
 }
 
@@ -125,8 +126,8 @@
     transfers_.end(*transfer);
 }
 
-/// That the frame was sent says little: the system takes 100 KB at once, and the link
-/// is full until the peer has them.
+/// That the frame was sent does not mean that it has arrived: the kernel buffers 100 KB
+/// immediately, and the link is busy until the peer has received them.
 asio::awaitable<void> PlatformFeed::sendConfiguration(std::shared_ptr<PeerStream> stream, wire::Frame request)
 {
     SteadyTime startedAt = steadyNow();
@@ -139,7 +140,7 @@
         co_await sleepFor(assumedTransferTime);
     SteadyTime now = steadyNow();
     const wire::ConfigurationUpdate& update = frame.configuration_update();
-    LogLine line(acknowledged || isOfOlderVersion ? "Configuration was handed on." : "Configuration was not handed on.");
+    LogLine line(acknowledged || isOfOlderVersion ? "Configuration was sent to a peer." : "Configuration was not sent to a peer.");
     line.add("peer", stream->peer()).add("configuration", static_cast<std::int64_t>(update.version())).add("bytes", static_cast<std::int64_t>(update.compressed_source().size()));
     line.add("took_ms", std::chrono::duration_cast<milliseconds>(now - startedAt).count()).add("under_way", activeTransfers);
     line.add("busy_answers", static_cast<std::int64_t>(transfers_.takeBusyAnswerCount(now)));
--- a/lib/Gateway/Discovery.cpp
+++ b/lib/Gateway/Discovery.cpp
@@ -1,4 +1,4 @@
-//===- lib/Gateway/Discovery.cpp - how nodes come to know each other ------===//
+//===- lib/Gateway/Discovery.cpp - how nodes find each other --------------===//
 ///
 /// \file
 /// See Discovery.h.
@@ -11,20 +11,20 @@
 
 namespace {
 
-    // Nodes that hear of this one again in a period: each of 370 within 25 s, and what
-    // presses comes by digests.
+    // Nodes that receive a repeated introduction in a period. Each of 370 nodes receives
+    // one within 25 s; urgent changes arrive by digests.
     constexpr std::size_t introductionsPerPeriod = 3;
-    // Nodes never heard before that are told of this one in a period: each of 200
-    // within 1.7 s.
+    // Nodes without any report so far that receive an introduction in a period. Each of
+    // 200 such nodes receives one within 1.7 s.
     constexpr std::size_t firstIntroductionsPerPeriod = 24;
-    // Nodes answered in a period, 2 to 4 KB each: a seed that hundreds of nodes turn to
+    // Answers sent in a period, of 2 to 4 KB each. A seed that hundreds of nodes contact
     // when all start at once fills a third of a link of 20 Mbit/s with them.
     constexpr std::size_t answersPerPeriod = 48;
-    // Members of the own data centre that a digest tells of, in turn: 26 of them
-    // are told of within seven periods, 1.4 s.
+    // Nodes of its own data centre that a digest advertises in rotation: 26 nodes are
+    // advertised within seven periods, 1.4 s.
     constexpr std::size_t membersPerDigest = 4;
-    // Nodes named in a report: many in a small fleet and to a node that is new, few in
-    // what a large fleet sends each period.
+    // Nodes advertised in a report: many in a small fleet and to a new node, few in the
+    // reports that nodes of a large fleet send in each period.
     constexpr std::size_t manyPeers = 24;
     constexpr std::size_t fewPeers = 3;
 
@@ -100,7 +100,7 @@
 
 std::vector<KnownPeer> Discovery::membersToAdvertise(SteadyTime now)
 {
-    // Readers are named in every other digest: their silence bound is four.
+    // Readers are advertised in every other digest, since a reader times out after four.
     bool advertisesReaders = ++digestCount_ % 2;
     std::vector<KnownPeer> advertised;
     addRelays(own_, advertised, now);
@@ -132,7 +132,7 @@
 std::set<VmId> Discovery::summaryReceivers(const DataCentreId& dataCentre, const std::vector<VmId>& reporting, SteadyTime now) const
 {
     std::vector<VmId> likely = table_.likelyRelays(dataCentre, digestCount_, now);
-    // Others are tried in turn only while no relay is known.
+    // Other candidates are tried in rotation only while no relay is known.
     if (!reporting.empty())
         likely.resize(std::min<std::size_t>(likely.size(), settings_.relays_));
     std::set<VmId> receivers(reporting.begin(), reporting.end());
--- a/lib/Gateway/Discovery.h
+++ b/lib/Gateway/Discovery.h
@@ -1,10 +1,10 @@
-//===- lib/Gateway/Discovery.h - how nodes come to know each other --------===//
+//===- lib/Gateway/Discovery.h - how nodes find each other ----------------===//
 ///
 /// \file
-/// In a large fleet no node tells all others of itself at once. This decides whom a
-/// node introduces itself to in each period, and which nodes it names to others, so
-/// that all know the relays of their data centre soon after a start. Pure: time comes
-/// in, receivers and names go out.
+/// In a large fleet no node introduces itself to all others at once. Discovery selects
+/// the nodes to which a node introduces itself in each period, and the nodes that it
+/// advertises to others, so that all nodes know the relays of their data centre soon
+/// after a start. The class does no I/O and takes the time as a parameter.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -15,7 +15,7 @@
 
 namespace pistachioloom {
 
-/// How many other nodes a report names.
+/// Number of other nodes that a report advertises.
 enum class AdvertisedPeers {
     Few,
     Many,
@@ -23,34 +23,35 @@
 
 class Discovery {
 public:
-    /// \p table outlives it.
+    /// \p table must outlive this object.
     Discovery(const PeerTable& table, const VmId& self, DataCentreId own, GossipSettings settings);
 
-    /// \p vm is to be answered: it was heard for the first time since its start or
-    /// this node's, or took this node for a relay. It then knows this node and the
-    /// relays here.
+    /// Queues an answer to \p vm, which reported for the first time since its start or
+    /// the start of this node, or took this node for a relay. The answer tells \p vm of
+    /// this node and of the relays that this node knows.
     void queueAnswer(const VmId& vm);
     struct Receivers {
-        /// They are told of this node.
+        /// Receive an introduction of this node.
         std::vector<Endpoint> introduced_;
-        /// They are told of it and of relaysToAdvertise().
+        /// Receive an introduction and relaysToAdvertise().
         std::vector<Endpoint> answered_;
     };
-    /// Whom to tell of this node in this period. \p unseenSeeds were given by the
-    /// settings and not heard yet.
+    /// Returns the receivers of introductions in this period. \p unseenSeeds are the
+    /// configured seeds that have not reported yet.
     Receivers receivers(const std::vector<Endpoint>& unseenSeeds);
-    /// The relays of all data centres, as far as this node knows: a node that is new
-    /// finds its own among them, whomever it asks.
+    /// Returns the relays of all data centres that this node knows. A new node finds the
+    /// relays of its data centre among them, whichever node it asks.
     std::vector<KnownPeer> relaysToAdvertise(SteadyTime now) const;
-    /// Nodes to name in a digest: all that read from the platform, the relays of this
-    /// data centre, and others of it in turn. Who asks a node that is no relay learns
-    /// from its answer which ones are.
+    /// Returns the nodes to advertise in a digest: all readers, the relays of this data
+    /// centre, and its other nodes in rotation. A node that asks a node which is no relay
+    /// learns the relays from the answer.
     std::vector<KnownPeer> membersToAdvertise(SteadyTime now);
-    /// Nodes to name in a report, in turn as \p cursor grows, so that nodes which know
-    /// different ones find each other.
+    /// Returns the nodes to advertise in a report. They rotate as \p cursor grows, so
+    /// that nodes which know different peers find each other.
     std::vector<KnownPeer> peersToAdvertise(AdvertisedPeers amount, std::size_t cursor, SteadyTime now) const;
-    /// Whom a relay tells its sums in \p dataCentre. \p reporting told theirs lately:
-    /// they are relays there, or were a moment ago.
+    /// Returns the nodes in \p dataCentre to which a relay sends its sums. \p reporting
+    /// are the nodes of \p dataCentre that sent sums recently: they are relays there, or
+    /// were a moment ago.
     std::set<VmId> summaryReceivers(const DataCentreId& dataCentre, const std::vector<VmId>& reporting, SteadyTime now) const;
 
 private:
@@ -61,10 +62,11 @@
     const PeerTable& table_;
     const DataCentreId own_;
     const GossipSettings settings_;
-    /// Each node once; in a small fleet nobody is answered.
+    /// Holds each node once. Nodes of a small fleet are not answered.
     std::deque<VmId> unanswered_;
-    /// Where this node begins in lists that are alike on all nodes: if all began with
-    /// the same nodes, the last ones were heard by nobody for long.
+    /// Start offsets into lists that are the same on all nodes. They differ by node: if
+    /// all nodes began with the same entries, the last ones would receive no introduction
+    /// for a long time.
     std::size_t receiverCursor_;
     std::size_t unseenCursor_;
     std::size_t memberCursor_ = 0;
--- a/lib/Gateway/LoopLag.cpp
+++ b/lib/Gateway/LoopLag.cpp
@@ -1,4 +1,4 @@
-//===- lib/Gateway/LoopLag.cpp - how late an event loop runs ---------------===//
+//===- lib/Gateway/LoopLag.cpp - lag of an event loop ---------------------===//
 ///
 /// \file
 /// See LoopLag.h.
@@ -31,7 +31,7 @@
         if (suspended > loopLagLogThreshold)
             logger.warn(LogLine("VM was suspended.").add("suspended_ms", suspended.count()));
         if (logLimiter.isDue(lagMs, now))
-            logger.warn(LogLine("Event loop is late.").add("late_ms", lagMs.count()));
+            logger.warn(LogLine("Event loop is delayed.").add("late_ms", lagMs.count()));
     }
 }
 
--- a/lib/Gateway/LoopLag.h
+++ b/lib/Gateway/LoopLag.h
@@ -1,8 +1,8 @@
-//===- lib/Gateway/LoopLag.h - how late an event loop runs -----------------===//
+//===- lib/Gateway/LoopLag.h - lag of an event loop -----------------------===//
 ///
 /// \file
-/// Whatever holds an event loop makes every request on it late, and shows in no
-/// request's own steps. A sleeper on the loop sees it.
+/// Work that blocks an event loop delays every request on the loop, and shows in none of
+/// the steps of a single request. A periodic timer on the loop measures the delay.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -11,27 +11,28 @@
 
 namespace pistachioloom {
 
-/// How often a sleeper wakes. It sees a stall but for this time of it at most, so one
-/// of 200 ms shows as 100 at least. It takes 0.6 ms of processor time a second, 0.5% of
-/// what a VM of 0.12 of a core has; half the time would cost twice as much.
+/// Period of the timer. The timer misses at most one period of a stall, so that a stall
+/// of 200 ms shows as at least 100 ms. The timer takes 0.6 ms of CPU time per second,
+/// which is 0.5% of the CPU time of a VM with 0.12 cores; halving the period would double
+/// that.
 constexpr milliseconds loopLagPeriod { 100 };
-/// A loop later than this is told of in the log: callers' first bytes are late by as
-/// much, and the objectives of urgent routes are some hundred ms.
+/// Lag above which the loop is logged: the first bytes to callers are delayed by as much,
+/// and the latency objectives of urgent routes are some hundred ms.
 constexpr milliseconds loopLagLogThreshold { 200 };
-/// Least time between two such lines.
+/// Minimum time between two such log lines.
 constexpr milliseconds minLoopLagLogPeriod { 1000 };
 
-/// Which times late are worth a line in the log.
+/// Decides which measurements of lag are logged.
 class LoopLagLogLimiter {
 public:
-    /// Whether to tell at \p now that the loop was \p lag.
+    /// Returns whether a lag of \p lag, measured at \p now, is to be logged.
     bool isDue(milliseconds lag, SteadyTime now);
 
 private:
     std::optional<SteadyTime> lastLoggedAt_;
 };
 
-/// Observes without end how late the loop that it runs on is, into \p metrics.
+/// Measures the lag of the event loop that it runs on into \p metrics; never returns.
 asio::awaitable<void> watchLoopLag(Metrics& metrics);
 
 } // namespace pistachioloom
--- a/lib/Gateway/NodeGroupSums.cpp
+++ b/lib/Gateway/NodeGroupSums.cpp
@@ -1,4 +1,4 @@
-//===- lib/Gateway/NodeGroupSums.cpp - what a group of nodes told, from relays --===//
+//===- lib/Gateway/NodeGroupSums.cpp - sums of one group of nodes ---------===//
 ///
 /// \file
 /// See NodeGroupSums.h.
@@ -11,16 +11,16 @@
 
 namespace {
 
-    // Five reports in a row are missing: a lost datagram or a slow VM loses one
-    // or two.
+    // Five reports in a row are missing: a lost datagram or a slow VM causes one or two
+    // missing reports.
     constexpr milliseconds sourceTimeout { 1000 };
-    // Within this time of a node's start others hear of it: as long as quotas are
-    // divided after a start at most.
+    // Other nodes receive the reports of a node within this time after its start, which is
+    // also the maximum time for which quotas are divided after a start.
     constexpr milliseconds maxFreshCountAge { 3000 };
-    // A group that is silent for longer has stopped, rather than been cut off.
+    // A group that is unresponsive for longer has stopped, rather than being cut off.
     constexpr milliseconds unresponsiveRetention { 10000 };
-    // A source that sums so many times the nodes of the one that counts takes its
-    // place: that one hears only a part of them.
+    // A source becomes the active one if it sums this many times the nodes of the active
+    // source, which then receives the reports of a part of them only.
     constexpr double replacementRatio = 1.25;
 
     NamedCounts admittedOf(const wire::NodeSums& sums)
@@ -43,7 +43,7 @@
 
 bool isFresh(std::uint64_t countedMs)
 {
-    // Not told: a node of an earlier version.
+    // Zero means that a node of an earlier version did not report it.
     return countedMs && milliseconds(countedMs) <= maxFreshCountAge;
 }
 
@@ -70,10 +70,11 @@
 {
     std::erase_if(sources_, [&](const auto& entry) { return !isLive(entry.second, now) && entry.first != vm; });
     Source& source = sources_[vm];
-    // The counts of a source that has just been heard cannot be compared yet.
+    // The counts of a source that has reported for the first time have no earlier counts
+    // to compare with.
     bool isSameIncarnation = source.receivedAt_ != SteadyTime {} && source.incarnation_ == incarnation;
-    // What a node counted since its start is new where none of its group was heard
-    // before, or the node itself as it was before its restart.
+    // The counts since a node's start are new if no source of the group has reported
+    // before, or if the active source is the same node before its restart.
     bool countsFromStart = isFresh(sums.counted_ms()) && (lastReceivedAt_ == SteadyTime {} || (source.receivedAt_ != SteadyTime {} && activeSource_ == vm));
     Source before = std::move(source);
     source = { incarnation, now, sums };
--- a/lib/Gateway/NodeGroupSums.h
+++ b/lib/Gateway/NodeGroupSums.h
@@ -1,9 +1,10 @@
-//===- lib/Gateway/NodeGroupSums.h - what a group of nodes told, from relays ----===//
+//===- lib/Gateway/NodeGroupSums.h - sums of one group of nodes -----------===//
 ///
 /// \file
-/// Several relays may tell the sums of the same nodes. One of them counts at a
-/// time, so that nothing counts twice; the others are followed beside it, so that
-/// nothing is lost when one of them takes its place. Pure: time comes in.
+/// Several relays may report the sums of the same nodes. One of them, the active source,
+/// counts at a time, so that nothing counts twice. The others are tracked at the same
+/// time, so that nothing is lost when one of them becomes the active source. The class
+/// does no I/O and takes the time as a parameter.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -15,30 +16,30 @@
 
 namespace pistachioloom {
 
-/// Counters by name: of an organisation, or of a service.
+/// Counters by name, of an organisation or of a service.
 using NamedCounts = std::map<std::string, double>;
 
-/// Whether counts that began \p countedMs ago count whole when they are first heard:
-/// all of them are of the last seconds.
+/// Returns whether counts that began \p countedMs ago count in full when they are first
+/// received, since they cover the last seconds only.
 bool isFresh(std::uint64_t countedMs);
 
 class NodeGroupSums {
 public:
-    /// Takes what \p source told; \p incarnation changes with its restart.
-    /// \returns whether it is the source that counts now.
+    /// Applies the sums of \p source, whose \p incarnation changes with its restart.
+    /// \returns whether it is the active source now.
     bool applySums(const VmId& source, std::uint64_t incarnation, const wire::NodeSums& sums, SteadyTime now);
-    /// Forgets sources that are not among \p requested: what they tell no longer grows.
+    /// Drops sources that are not among \p requested: their counts no longer grow.
     void keepOnly(const std::vector<VmId>& requested, SteadyTime now);
-    /// The newest sums of the source that counts; nullptr if it is silent.
+    /// Returns the latest sums of the active source, or nullptr if it is unresponsive.
     const wire::NodeSums* current(SteadyTime now) const;
-    /// When those sums were heard.
+    /// Returns when those sums were received.
     SteadyTime currentReceivedAt() const;
-    /// Nodes of the group that are heard no more, though they were a moment ago.
+    /// Returns the number of nodes of the group that became unresponsive recently.
     std::uint64_t unresponsiveNodes(SteadyTime now) const;
-    /// Sources heard lately.
+    /// Returns the sources that reported recently.
     std::vector<VmId> liveSources(SteadyTime now) const;
-    /// What was admitted of each organisation's quota since this group was first
-    /// heard; grows on whatever source counts.
+    /// Returns what was admitted of each organisation's quota since this group was first
+    /// received. The counts never decrease, whichever source is active.
     const NamedCounts& admitted() const { return admitted_; }
 
 private:
--- a/lib/Gateway/PeerReports.cpp
+++ b/lib/Gateway/PeerReports.cpp
@@ -1,7 +1,7 @@
-//===- lib/Gateway/PeerReports.cpp - what nodes tell each other ------------===//
+//===- lib/Gateway/PeerReports.cpp - reports between nodes ----------------===//
 ///
 /// \file
-/// Sends and takes the datagrams; ReportMessages.cpp composes them.
+/// Sends and receives the datagrams; ReportMessages.cpp composes them.
 //===----------------------------------------------------------------------===//
 #include "PeerReports.h"
 
@@ -16,13 +16,15 @@
 
 namespace {
 
-    // The largest datagram that UDP carries.
+    // Maximum size of a UDP datagram.
     constexpr std::size_t maxDatagramSize = 64UL * 1024;
-    // A node that hears few others waits for so many places more before it claims
-    // duties, longer than a lease: they may be held by one that it does not hear.
+    // Ranks that are added to the rank of a node which receives reports of less than half
+    // of the fleet. It then waits longer than a lease before it claims duties, which a
+    // node that it receives no reports from may hold.
     constexpr std::size_t rankPenalty = 8;
 
-    /// The peer that stands for all others in the books of a large fleet.
+    /// Identifies the peer that stands for all other nodes in the tables of a large
+    /// fleet.
     const VmId& allOthers()
     {
         static const VmId vm { "(all others)" };
@@ -76,7 +78,8 @@
 Coverage PeerReports::coverage(SteadyTime now) const
 {
     PeerTable::Census census = table_.census();
-    // What was named and never heard may be long gone, but for a while after a start.
+    // Nodes that were advertised and never reported may have stopped long ago, but they
+    // count for a while after a start.
     bool hasJustStarted = now - startedAt_ < context_.settings_.gossiping_.forget_;
     std::uint64_t known = census.reported_ + (hasJustStarted ? census.advertised_ : 0);
     const wire::NodeSums* sums = others_.current(now);
@@ -94,7 +97,8 @@
 {
     if (usesRelays_)
         return !unresponsiveNodes_ && coverage(steadyNow()).isComplete();
-    // One that is gone for longer is not waited for: its counts came or never come.
+    // A node that is unresponsive for longer is not waited for: its counts have arrived
+    // or never will.
     return reportedWithin(time).size() >= reportedWithin(maxSilence).size();
 }
 
@@ -112,11 +116,11 @@
 
 void PeerReports::setNodeCount(std::uint64_t known, SteadyTime now)
 {
-    // All nodes known share, also those cut off.
+    // All known nodes share, including those that are cut off.
     std::uint64_t assumed = std::max(leastNodesAssumed, known);
     context_.retries_.setNodes(assumed);
     context_.forward_.nodes_ = assumed;
-    // A platform that does not answer must not hold back quotas for longer.
+    // A platform that does not answer must not restrict quotas for longer than this.
     bool isWaiting = !isFleetKnown_ && now - startedAt_ < QuotaSettings {}.startup_;
     context_.quotas_.setNodes(isWaiting ? std::max(unknownFleet, known) : known);
 }
@@ -141,7 +145,8 @@
     for (const Endpoint& receiver : receivers) {
         boost::system::error_code code;
         udp::endpoint address(asio::ip::make_address(receiver.host_, code), receiver.port_);
-        // A full socket or a missing route loses this one; the next replaces it.
+        // A full socket buffer or a missing route loses this datagram; the next one
+        // replaces it.
         if (!code)
             socket_.send_to(asio::buffer(bytes), address, 0, code);
         context_.metrics_.add(code ? Counter::PeerErrors : Counter::GossipMessages);
@@ -157,13 +162,13 @@
         setNodeCount(known, now);
         bool isLarge = table_.isLarge();
         if (isLarge != usesRelays_)
-            logger_.info(LogLine(isLarge ? "Fleet is large: relays sum the reports." : "Fleet is small: every node hears every other.").add("nodes", static_cast<std::int64_t>(known)));
+            logger_.info(LogLine(isLarge ? "Fleet is large: relays aggregate the reports." : "Fleet is small: every node reports to every other.").add("nodes", static_cast<std::int64_t>(known)));
         if (!isLarge && usesRelays_) {
             forgetCounts(allOthers());
             context_.quotas_.setUnresponsiveNodes(0, 0, now);
         }
         if (isLarge && !usesRelays_) {
-            // What single nodes reported is in the relays' sums from now on.
+            // From now on the relays' sums contain what the nodes reported individually.
             for (const auto& [vm, peer] : table_.all())
                 forgetCounts(vm);
         }
@@ -230,8 +235,8 @@
     return static_cast<std::uint64_t>(std::max<std::int64_t>(1, std::chrono::duration_cast<milliseconds>(now - startedAt_).count()));
 }
 
-/// Tells each node that reports here what all others reported, and the relays of
-/// other data centres what this one's nodes reported.
+/// Sends each node that reports here the sums of all other nodes, and the relays of other
+/// data centres the sums of this one's nodes.
 void PeerReports::sendSums(SteadyTime now)
 {
     std::vector<VmId> receivers = aggregator_.receivers(now);
@@ -289,7 +294,7 @@
             applyRelayReport(datagram.relayed(), { sender.address().to_string(), sender.port() }, steadyNow());
         else {
             context_.metrics_.add(Counter::PeerErrors);
-            logger_.warn("Datagram from " + sender.address().to_string() + " is no report.");
+            logger_.warn("Datagram from " + sender.address().to_string() + " is not a valid report.");
         }
     }
 }
@@ -307,7 +312,7 @@
 {
     for (const VmId& vm : table_.removeUnresponsive(now)) {
         forgetCounts(vm);
-        logger_.info(LogLine("Peer is forgotten.").add("peer", vm.value_).add("silent_ms", context_.settings_.gossiping_.forget_.count()));
+        logger_.info(LogLine("Peer is unresponsive and was removed.").add("peer", vm.value_).add("silent_ms", context_.settings_.gossiping_.forget_.count()));
     }
 }
 
@@ -322,11 +327,11 @@
     for (const wire::RolloutReport& report : reports) {
         auto state = fromWire(report);
         if (!state) {
-            logger_.warn("Report of a roll-out by " + from.value_ + " cannot be read.");
+            logger_.warn("Report of a roll-out by " + from.value_ + " is invalid.");
             continue;
         }
         if (context_.rollouts_.take(*state, now - milliseconds(static_cast<std::int64_t>(report.age_ms())), now))
-            logger_.info(LogLine("Roll-out is heard.").add("service", report.service()).add("target", report.target()).add("phase", report.phase()).add("share", std::to_string(report.share())).add("from", from.value_));
+            logger_.info(LogLine("Roll-out state was received.").add("service", report.service()).add("target", report.target()).add("phase", report.phase()).add("share", std::to_string(report.share())).add("from", from.value_));
     }
 }
 
@@ -363,7 +368,7 @@
     auto gossip = parseEndpoint(report.address());
     auto peers = parseEndpoint(report.peers_address());
     if (!gossip || !peers) {
-        logger_.warn("Report of " + vm.value_ + " has no address.");
+        logger_.warn("Report of " + vm.value_ + " has no valid address.");
         return;
     }
     bool hasStartedStopping = report.is_stopping() && !table_.isStopping(vm);
@@ -373,11 +378,11 @@
         return;
     if (kind == PeerTable::ReportKind::Restarted)
         discovery_.queueAnswer(vm);
-    // In a large fleet a node introduces itself to each other one in turn, once in
-    // some seconds, which is no news.
+    // In a large fleet a node introduces itself to every other node in rotation, once in
+    // some seconds, so that a gap between its reports is normal.
     bool isUpdate = kind != PeerTable::ReportKind::Regular && !(usesRelays_ && kind == PeerTable::ReportKind::AfterSilence);
     if (isUpdate)
-        logger_.info(LogLine(kind == PeerTable::ReportKind::AfterSilence ? "Peer is heard again." : "Peer is heard.").add("peer", vm.value_).add("address", report.address()).add("configuration", static_cast<std::int64_t>(report.configuration_version())));
+        logger_.info(LogLine(kind == PeerTable::ReportKind::AfterSilence ? "Peer reports again." : "Peer reports.").add("peer", vm.value_).add("address", report.address()).add("configuration", static_cast<std::int64_t>(report.configuration_version())));
     applyMembers(report.relays(), now);
     for (const wire::KnownNode& known : report.nodes()) {
         if (auto address = parseEndpoint(known.address()))
@@ -396,7 +401,7 @@
         hooks_.onStopping_(vm);
     if (report.wants_digest())
         aggregator_.applyReport(report, now);
-    // In a large fleet the relays' sums hold what each node reported.
+    // In a large fleet the relays' sums contain what each node reports.
     if (!report.is_brief() && !usesRelays_)
         applyState(report, now);
 }
@@ -441,7 +446,7 @@
         applyDigest(relay, report.incarnation(), report.sums(), now);
         return;
     }
-    // Its sender does not know the relays of this data centre yet.
+    // The sender does not know the relays of this data centre yet.
     if (!isRelay_)
         discovery_.queueAnswer(relay);
     applyLeaving(report.sums().leaving(), relay);
@@ -465,7 +470,7 @@
     if (!usesRelays_ || !others_.applySums(relay, incarnation, sums, now))
         return;
     if (relay != activeRelay_ || sums.nodes() != relayedNodes_)
-        logger_.info(LogLine("Relay sums other nodes.").add("relay", relay.value_).add("before", activeRelay_.value_).add("nodes", static_cast<std::int64_t>(sums.nodes())).add("nodes_before", static_cast<std::int64_t>(relayedNodes_.load())));
+        logger_.info(LogLine("Relay reports the sums of other nodes.").add("relay", relay.value_).add("before", activeRelay_.value_).add("nodes", static_cast<std::int64_t>(sums.nodes())).add("nodes_before", static_cast<std::int64_t>(relayedNodes_.load())));
     activeRelay_ = relay;
     relayedNodes_ = sums.nodes();
     unresponsiveNodes_ = sums.silent_nodes();
--- a/lib/Gateway/PeerReports.h
+++ b/lib/Gateway/PeerReports.h
@@ -1,10 +1,11 @@
-//===- lib/Gateway/PeerReports.h - what nodes tell each other --------------===//
+//===- lib/Gateway/PeerReports.h - reports between nodes ------------------===//
 ///
 /// \file
-/// A datagram every fraction of a second tells a node's whole state; the next
-/// one replaces it, so a lost one costs nothing but time. In a small fleet every
-/// node tells every other one. In a large one it tells the relays of its data
-/// centre (ReportAggregator.h), and introduces itself to a few others in turn.
+/// Each node sends its complete state in a datagram several times per second. The next
+/// datagram replaces it, so that a lost one causes nothing but a delay. In a small fleet
+/// every node sends to every other node. In a large one it sends to the relays of its
+/// data centre (ReportAggregator.h), and introduces itself to a few other nodes in
+/// rotation.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -19,19 +20,21 @@
 
 class PeerReports {
 public:
-    /// What other parts hear and tell; set before start().
+    /// Callbacks into other parts, which supply what is reported and receive what peers
+    /// report. Set before start().
     struct Hooks {
-        /// The token by which this node holds the duties, or 0.
+        /// Returns the token by which this node holds the duties, or 0.
         std::function<DutyToken()> ownToken_;
-        /// The token by which this node held them and gave them up, or 0.
+        /// Returns the token by which this node held the duties before it released them,
+        /// or 0.
         std::function<DutyToken()> releasedToken_;
-        /// A peer held the duties at the time given.
+        /// A peer held the duties at the given time.
         std::function<void(const VmId&, DutyToken, SteadyTime)> onHolder_;
-        /// The holder by this token gave up the duties.
+        /// The holder by this token released the duties.
         std::function<void(DutyToken)> onReleased_;
-        /// A peer began to stop.
+        /// A peer started to stop.
         std::function<void(const VmId&)> onStopping_;
-        /// Whether this node reads from the platform, and whether that fails.
+        /// Return whether this node reads from the platform, and whether its reads fail.
         std::function<bool()> isReader_;
         std::function<bool()> isPlatformUnavailable_;
     };
@@ -39,36 +42,38 @@
     PeerReports(asio::io_context& io, GatewayContext& context, Hooks hooks);
 
     Result<void> start();
-    /// Peers heard within the silence bound.
+    /// Returns the peers that reported within the settings' bound on silence.
     std::vector<KnownPeer> live() const;
-    /// Peers heard within \p silence.
+    /// Returns the peers that reported within \p silence.
     std::vector<KnownPeer> reportedWithin(milliseconds silence) const { return table_.reportedWithin(silence, steadyNow()); }
-    /// Whether all other nodes that were heard in \p maxSilence told their counts within
-    /// \p time; in a large fleet, whether relays miss none.
+    /// Returns whether all other nodes that reported within \p maxSilence reported their
+    /// counts within \p time; in a large fleet, whether the relays' sums lack none.
     bool haveAllReportedWithin(milliseconds time, milliseconds maxSilence) const;
-    /// Nodes that this one knows the work of, itself left out.
+    /// Returns the number of other nodes whose work is reported here.
     std::uint64_t nodesCovered() const;
-    /// How much of the fleet's work is told here. Called on the event loop.
+    /// Returns how much of the fleet's work is reported here. Must be called on the event
+    /// loop.
     Coverage coverage(SteadyTime now) const;
-    /// Whether \p vm said that it is stopping.
+    /// Returns whether \p vm reported that it is stopping.
     bool isStopping(const VmId& vm) const { return table_.isStopping(vm); }
-    /// A node announced elsewhere; it is told of this node from now on.
+    /// Adds a node that was announced elsewhere. This node introduces itself to it from
+    /// now on.
     void addKnown(const VmId& vm, const Endpoint& gossip);
-    /// All announced nodes were added.
+    /// Called once all announced nodes were added.
     void noteFleetKnown();
-    /// Tells peers that a backend server is leaving, for some seconds.
+    /// Reports to peers for some seconds that a backend server is leaving.
     void noteLeaving(const BackendId& id);
-    /// Tells peers that a backend server has ended, for some seconds.
+    /// Reports to peers for some seconds that a backend server has ended.
     void noteEnded(const BackendId& id);
-    /// This node's place among live nodes in the order for \p key. One that hears less
-    /// than half of the others stands behind those that hear more. Called on the event
-    /// loop.
+    /// Returns this node's rank among live nodes in the order for \p key. A node that
+    /// receives reports of less than half of the others ranks behind nodes that receive
+    /// more. Must be called on the event loop.
     std::size_t rankFor(const std::string& key) const;
 
 private:
     asio::awaitable<void> sendReports();
     asio::awaitable<void> receiveDatagrams();
-    /// Time since this node's counts began, in ms.
+    /// Returns the time since this node's counts began, in ms.
     std::uint64_t countedMs(SteadyTime now) const;
     void reportToAll();
     void reportToRelays(SteadyTime now);
@@ -79,7 +84,7 @@
     void composeIntroduction(wire::NodeReport& report, AdvertisedPeers amount);
     void composeState(wire::NodeReport& report);
     static void composeMembers(google::protobuf::RepeatedPtrField<wire::MemberEntry>& entries, const std::vector<KnownPeer>& members, SteadyTime now);
-    /// Of peers, and of seeds that were not heard yet.
+    /// Returns the addresses of peers, and of seeds that have not reported yet.
     std::vector<Endpoint> knownAddresses();
     std::vector<Endpoint> unseenSeeds();
 
@@ -94,7 +99,7 @@
     void applyLeaving(const google::protobuf::RepeatedPtrField<std::string>& leaving, const VmId& from);
     void forgetCounts(const VmId& vm);
     void removeUnresponsive(SteadyTime now);
-    /// Tells the books how many nodes share what all are granted.
+    /// Sets the number of nodes that share the quotas and budgets of the fleet.
     void setNodeCount(std::uint64_t known, SteadyTime now);
 
     GatewayContext& context_;
@@ -102,18 +107,18 @@
     asio::ip::udp::socket socket_;
     PeerTable table_;
     Discovery discovery_;
-    /// Whether this node sums the reports of its data centre.
+    /// Whether this node aggregates the reports of its data centre.
     bool isRelay_ = false;
     ReportAggregator aggregator_;
-    /// All other nodes, as relays sum them.
+    /// The sums of all other nodes, as relays report them.
     NodeGroupSums others_;
     VmId activeRelay_;
     std::atomic<std::uint64_t> relayedNodes_ { 0 };
-    /// Nodes that fell silent lately, as relays tell.
+    /// Nodes that became unresponsive recently, as relays report them.
     std::atomic<std::uint64_t> unresponsiveNodes_ { 0 };
     std::mutex leavingMutex_;
     std::deque<std::pair<SteadyTime, BackendId>> leaving_;
-    /// Guarded by the same mutex; each once.
+    /// Guarded by leavingMutex_. Holds each backend server once.
     std::deque<std::pair<SteadyTime, BackendId>> ended_;
     std::uint64_t sequence_ = 0;
     std::atomic<bool> usesRelays_ { false };
--- a/lib/Gateway/PeerTable.cpp
+++ b/lib/Gateway/PeerTable.cpp
@@ -1,4 +1,4 @@
-//===- lib/Gateway/PeerTable.cpp - the nodes that this one knows -----------===//
+//===- lib/Gateway/PeerTable.cpp - nodes that this node knows -------------===//
 ///
 /// \file
 /// See PeerTable.h.
@@ -12,15 +12,15 @@
 
 namespace {
 
-    // A node that was heard within this time may be chosen as a relay: if all
-    // relays of a data centre go at once, nobody is heard for a while.
+    // Maximum age of the last report of a relay candidate: if all relays of a data centre
+    // stop at once, no reports arrive for a while.
     constexpr milliseconds maxRelayCandidateAge { 10000 };
-    // A relay that was asked tells its sums in each period of 200 ms; three
-    // missing ones are no lost datagram.
+    // A relay sends its sums in each period of 200 ms. Three missing ones in a row are
+    // not explained by a lost datagram.
     constexpr milliseconds relayTimeout { 600 };
-    // A relay that fell silent is asked again after this time.
+    // Time after which an unresponsive relay is tried again.
     constexpr milliseconds relayRetryDelay { 2000 };
-    // Part of the nodes that are heard when knowledge counts as whole.
+    // Share of the known nodes that must report for complete coverage.
     constexpr double completeShare = 0.9;
 
     std::string relayKey(const DataCentreId& dataCentre)
@@ -54,7 +54,7 @@
         return;
     std::lock_guard lock(mutex_);
     auto [found, isNew] = peers_.try_emplace(vm);
-    // What a node says of itself goes before what others say of it.
+    // What a node reports of itself takes precedence over what others report of it.
     if (isNew || found->second.receivedAt_ == SteadyTime {})
         found->second.gossip_ = gossip;
 }
@@ -81,7 +81,7 @@
     Peer& known = peers_[vm];
     if (peer.receivedAt_ <= known.receivedAt_)
         return;
-    // Its own reports are told apart by number, which a relay does not tell.
+    // The sequence number orders a node's own reports; relays do not report it.
     std::uint64_t sequence = known.incarnation_ == peer.incarnation_ ? known.sequence_ : 0;
     known = peer;
     known.sequence_ = sequence;
@@ -189,7 +189,8 @@
         }
         chosen.push_back(vm);
     }
-    // One that is no longer asked starts anew when it is asked again.
+    // The timeout of a node that is no longer chosen starts again when it is chosen
+    // again.
     for (auto& [vm, request] : relayRequests_) {
         if (std::find(chosen.begin(), chosen.end(), vm) == chosen.end())
             request.requestedSince_ = {};
@@ -208,8 +209,9 @@
     std::vector<VmId> likely = rankRelays(dataCentre, candidates);
     if (likely.size() <= settings_.relays_)
         return likely;
-    // The first ones are asked each time, since they are relays as soon as all there
-    // know them; another one in turn, in case these have gone.
+    // The first ones are always included, since they are the relays as soon as all nodes
+    // of the data centre know them. One other candidate is added in rotation, in case the
+    // first ones have stopped.
     VmId rotated = likely[settings_.relays_ + cursor % (likely.size() - settings_.relays_)];
     likely.resize(settings_.relays_);
     likely.push_back(rotated);
--- a/lib/Gateway/PeerTable.h
+++ b/lib/Gateway/PeerTable.h
@@ -1,9 +1,9 @@
-//===- lib/Gateway/PeerTable.h - the nodes that this one knows -------------===//
+//===- lib/Gateway/PeerTable.h - nodes that this node knows ---------------===//
 ///
 /// \file
-/// Who is there, who was heard when, and which nodes of a data centre sum its
-/// reports. Every node decides alone, from what it hears. Thread-safe; time comes
-/// in.
+/// Holds the known nodes and when each reported last, and chooses the relays of a data
+/// centre. Every node decides for itself, from the reports that it receives. Thread-safe;
+/// the time is a parameter.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -11,11 +11,11 @@
 
 namespace pistachioloom {
 
-/// What a node says of itself, or what is said of it.
+/// State of a node, as the node or a relay reports it.
 struct Peer {
     Endpoint gossip_;
     Endpoint peers_;
-    /// Empty until it was heard.
+    /// Empty until a report arrived.
     DataCentreId dataCentre_;
     std::uint64_t incarnation_ = 0;
     std::uint64_t sequence_ = 0;
@@ -31,78 +31,79 @@
 
 using KnownPeer = std::pair<VmId, Peer>;
 
-/// How much of the fleet a node's knowledge covers, itself included.
+/// The part of the fleet, including this node, that a node's knowledge covers.
 struct Coverage {
-    /// Nodes whose work is told here now.
+    /// Nodes whose work is reported here now.
     std::uint64_t reported_ = 1;
-    /// Nodes that are there as far as this one knows.
+    /// Nodes that exist as far as this node knows.
     std::uint64_t known_ = 1;
 
-    /// Nearly all are heard; the rest may be starting or gone.
+    /// Returns whether nearly all nodes report. The others may be starting or stopped.
     bool isComplete() const;
-    /// More than half of them are heard: at most one part of a fleet that is cut in
-    /// several has them.
+    /// Returns whether more than half of the nodes report. At most one partition of a
+    /// fleet that is split has them.
     bool hasMajority() const;
 };
 
 class PeerTable {
 public:
     enum class ReportKind {
-        /// Older than what is known.
+        /// Not newer than the known state.
         Outdated,
         Regular,
-        /// For the first time, or after a silence.
+        /// The first report after the node was unresponsive.
         AfterSilence,
-        /// Since its restart.
+        /// The first report of this incarnation.
         Restarted,
     };
 
     PeerTable(VmId self, DataCentreId own, double cores, GossipSettings settings);
 
-    /// A node that was named; nothing else is known of it.
+    /// Adds a node that was advertised, with its gossip endpoint as the only known state.
     void addKnown(const VmId& vm, const Endpoint& gossip);
-    /// A node told of itself; \p peer holds when.
+    /// Applies a report of \p vm itself; \p peer holds the time of its arrival.
     ReportKind applyReport(const VmId& vm, Peer peer);
-    /// A relay told of a node.
+    /// Applies the state of \p vm that a relay reported.
     void applyRelayedState(const VmId& vm, const Peer& peer);
-    /// A relay told sums, to this node or to its data centre.
+    /// Notes that \p relay sent sums to this node.
     void noteDigest(const VmId& relay, SteadyTime now);
-    /// Drops nodes that were silent for too long. \returns them.
+    /// Removes nodes that have not reported for too long. \returns the removed nodes.
     std::vector<VmId> removeUnresponsive(SteadyTime now);
 
-    /// Whether the fleet is too large for everyone to hear everyone.
+    /// Returns whether the fleet is too large for every node to report to every other.
     bool isLarge() const;
     std::size_t size() const;
-    /// Nodes that were heard and not forgotten, and those that were only named.
+    /// Nodes that have reported, and nodes that were only advertised.
     struct Census {
         std::size_t reported_ = 0;
         std::size_t advertised_ = 0;
     };
     Census census() const;
-    /// Nodes heard within \p silence.
+    /// Returns the nodes that reported within \p silence.
     std::vector<KnownPeer> reportedWithin(milliseconds silence, SteadyTime now) const;
     std::vector<KnownPeer> all() const;
-    /// This node's place among live nodes in the order for \p key.
+    /// Returns this node's rank among live nodes in the order for \p key.
     std::size_t rankFor(const std::string& key, SteadyTime now) const;
-    /// The nodes of this one's data centre that sum its reports, itself perhaps.
-    /// One that has told nothing for a while after it was asked is passed over.
+    /// Returns the relays of this node's data centre, possibly with this node itself. A
+    /// node that has sent no sums for a while after it was asked to relay is skipped.
     std::vector<VmId> chooseRelays(SteadyTime now);
-    /// Nodes of a data centre that may be relays there: the first in the order in
-    /// which its own nodes choose, and one of the others, which \p cursor moves along.
+    /// Returns nodes that may be relays of \p dataCentre: the first ones in the order in
+    /// which its own nodes choose, and one of the others, selected by \p cursor in
+    /// rotation.
     std::vector<VmId> likelyRelays(const DataCentreId& dataCentre, std::size_t cursor, SteadyTime now) const;
-    /// Data centres of known nodes but the own one.
+    /// Returns the data centres of known nodes except this node's.
     std::vector<DataCentreId> otherDataCentres() const;
-    /// Whether a node is known to be stopping.
+    /// Returns whether a node is known to be stopping.
     bool isStopping(const VmId& vm) const;
     std::optional<Endpoint> gossipEndpointOf(const VmId& vm) const;
     std::optional<Peer> find(const VmId& vm) const;
 
 private:
-    /// Candidates for relays of \p dataCentre, best first: those with most
-    /// processor cores, whose links are the widest, then as drawn.
+    /// Returns the candidates for relays of \p dataCentre, best first: by CPU cores,
+    /// since VMs with more cores have faster links, then by rendezvous hashing.
     std::vector<VmId> rankRelays(const DataCentreId& dataCentre, const std::vector<VmId>& candidates) const;
 
-    /// What has come of asking a node to be a relay.
+    /// State of the requests to a node to act as a relay.
     struct RelayRequest {
         SteadyTime requestedSince_ {};
         SteadyTime digestReceivedAt_ {};
--- a/lib/Gateway/PlatformFeed.cpp
+++ b/lib/Gateway/PlatformFeed.cpp
@@ -1,4 +1,4 @@
-//===- lib/Gateway/PlatformFeed.cpp - configuration and registry, kept up to date --===//
+//===- lib/Gateway/PlatformFeed.cpp - configuration and registry feed -----===//
 ///
 /// \file
 /// See PlatformFeed.h.
@@ -12,11 +12,11 @@
 
 namespace {
 
-    // How often a node looks whether it is its turn to read.
+    // How often a node that does not read checks whether it has become a reader.
     constexpr milliseconds readerCheckPeriod { 150 };
-    // Where what the platform itself told comes from, in logs.
+    // Source of changes that were read from the platform, as logged.
     const std::string platformSource = "platform";
-    // A peer's list of backend servers is used only while it is this fresh.
+    // Maximum age of a peer's list of backend servers that is still used.
     constexpr std::uint64_t maxListAgeMs = 1500;
 
 } // namespace
@@ -34,7 +34,8 @@
 {
     asio::co_spawn(io_, followConfiguration(), asio::detached);
     asio::co_spawn(io_, followRegistry(), asio::detached);
-    // Apart, since a configuration may take seconds.
+    // Both run in coroutines of their own, since fetching a configuration may take
+    // seconds.
     asio::co_spawn(io_, fetchConfigurationFromPeers(), asio::detached);
     asio::co_spawn(io_, fetchBackendsFromPeers(), asio::detached);
 }
@@ -54,17 +55,17 @@
     return isPlatformUnavailable() || shouldRead(self, readerStates(), settings.feed_.readers_);
 }
 
-/// Suspends while other nodes read. What was read before is then too old to read
-/// on from: \p from is forgotten.
+/// Suspends while other nodes read. By then the offset is too old to continue from, so
+/// that \p from is reset.
 asio::awaitable<void> PlatformFeed::waitUntilReader(std::string reading, std::optional<LogOffset>& from)
 {
     if (!context_.table() || isReader())
         co_return;
-    logger_.info(LogLine("Other nodes read.").add("reading", reading));
+    logger_.info(LogLine("Other nodes read from the platform.").add("reading", reading));
     while (!isReader())
         co_await sleepFor(readerCheckPeriod);
     from.reset();
-    logger_.info(LogLine("This node reads.").add("reading", reading));
+    logger_.info(LogLine("This node reads from the platform.").add("reading", reading));
 }
 
 asio::awaitable<void> PlatformFeed::followConfiguration()
@@ -85,7 +86,7 @@
         from = read.value().next_;
         for (const RolloutOrder& order : read.value().rollouts_) {
             if (context_.rollouts_.applyOrder(order, steadyNow()))
-                logger_.info(LogLine("Roll-out is ordered.").add("service", order.service_.value_).add("target", order.target_.value_).add("number", static_cast<std::int64_t>(order.number_.value_)).add("period_ms", order.period_.count()));
+                logger_.info(LogLine("Roll-out was ordered.").add("service", order.service_.value_).add("target", order.target_.value_).add("number", static_cast<std::int64_t>(order.number_.value_)).add("period_ms", order.period_.count()));
         }
         if (!read.value().sources_.empty()) {
             std::function<void()> work = [&context = context_, sources = std::move(read.value().sources_)] { context.takeIn(sources, platformSource); };
@@ -98,7 +99,7 @@
 
 void PlatformFeed::logAvailability(const std::string& what, const Error* error) const
 {
-    LogLine line(error ? "Platform is lost." : "Platform is back.");
+    LogLine line(error ? "Platform is unavailable." : "Platform is available again.");
     line.add("reading", what);
     if (error)
         line.add("error", describe(*error));
@@ -114,25 +115,26 @@
         pendingRemovals_.insert(name);
         return;
     }
-    // A backend server that crashes never says that it leaves.
+    // A backend server that crashes never announces that it leaves.
     if (!known->isLeaving_)
         noteBackendEnded(context_.forward_, known->id_);
-    logger_.info(LogLine("Backend server is gone.").add("backend", known->id_.value_).add("from", source));
-    // What a peer's list lacks is no news for others: they have theirs.
+    logger_.info(LogLine("Backend server was removed.").add("backend", known->id_.value_).add("from", source));
+    // A removal that was found in a peer's list is not reported: other nodes fetch that
+    // list themselves.
     if (source == platformSource)
         reports_.noteLeaving(known->id_);
     context_.backends_.remove(known->id_, steadyNow());
 }
 
-/// Heartbeats repeat a registration that cannot be used; it is told of once. The
-/// backend server that had the name is not said to leave: its next heartbeat may
-/// bring it back.
+/// Heartbeats repeat an invalid registration, so that its error is logged once. The
+/// backend server that had the name is removed, but is not reported as leaving: its next
+/// heartbeat may restore it.
 void PlatformFeed::rejectRegistration(const RegistryChange& change, const std::string& source)
 {
     std::string& before = registrationErrors_[change.name_];
     if (before != change.complaint_) {
         context_.metrics_.add(Counter::RegistrationsRefused);
-        logger_.warn(LogLine("Registration cannot be used.").add("backend", change.name_.value_).add("why", change.complaint_).add("from", source));
+        logger_.warn(LogLine("Registration is invalid.").add("backend", change.name_.value_).add("why", change.complaint_).add("from", source));
     }
     before = change.complaint_;
     pendingRemovals_.erase(change.name_);
@@ -158,7 +160,7 @@
     if (result == BackendTable::PutResult::Restarted && newest && !newest->isLeaving_)
         noteBackendEnded(context_.forward_, newest->id_);
     if (!before)
-        logger_.info(LogLine(result == BackendTable::PutResult::Restarted ? "Backend server started anew." : "Backend server is there.").add("backend", record.id_.value_).add("service", record.service_.value_).add("address", record.endpoint_.toString()).add("data_centre", record.dataCentre_.value_).add("version", record.version_.value_).add("reclaimable", record.isReclaimable_).add("leaving", record.isLeaving_));
+        logger_.info(LogLine(result == BackendTable::PutResult::Restarted ? "Backend server restarted." : "Backend server is registered.").add("backend", record.id_.value_).add("service", record.service_.value_).add("address", record.endpoint_.toString()).add("data_centre", record.dataCentre_.value_).add("version", record.version_.value_).add("reclaimable", record.isReclaimable_).add("leaving", record.isLeaving_));
     if (record.isLeaving_ && (!before || !before->isLeaving_)) {
         logger_.info(LogLine("Backend server is leaving.").add("backend", record.id_.value_).add("from", source));
         reports_.noteLeaving(record.id_);
@@ -206,7 +208,7 @@
         bool wasUnavailable = isRegistryUnavailable_.exchange(!read);
         if (wasUnavailable == read.has_value())
             logAvailability("registry", read ? nullptr : &read.error());
-        // Registrations that lapsed in an outage are written again soon after it.
+        // Registrations that expired during an outage are written again soon after it.
         bool endsOutage = wasUnavailable || (isRegistryStale() && haveAllReadersFailed(readerStates()));
         if (read && endsOutage && !context_.backends_.records().empty())
             removalGraceEnd_ = steadyNow() + settings.lapseGrace_;
@@ -234,7 +236,7 @@
         const Peer& peer = entry.second;
         if (!peer.isReader_ || peer.isPlatformUnavailable_)
             continue;
-        // The near one, or any if there is none.
+        // Prefers the reader of this data centre.
         if (!chosen || peer.dataCentre_ == context_.settings_.dataCentre_)
             chosen = entry;
     }
@@ -261,9 +263,9 @@
     bool hasList = listReadAt_ != SteadyTime {};
     if (reader || hasList)
         return reader;
-    // A node that started while the platform is away has nothing to serve with: any
-    // list is better, since what vanishes meanwhile stands until the platform is back.
-    // Without it such a node would refuse all requests until then.
+    // A node that starts during an outage of the platform has no backend servers and
+    // would reject all requests until the platform is back. Any list is better, since
+    // registrations that expire meanwhile are kept until then.
     std::vector<KnownPeer> live = reports_.live();
     if (live.empty())
         return std::nullopt;
@@ -275,7 +277,7 @@
     auto reply = co_await peers_.call(peer.peers_, request, peerTimeout);
     if (reply && reply.value().has_configuration_update())
         co_return reply.value().configuration_update();
-    logger_.warn("Peer " + vm.value_ + " gave nothing: " + (reply ? "other frame" : describe(reply.error())));
+    logger_.warn("Peer " + vm.value_ + " sent no update: " + (reply ? "unexpected frame" : describe(reply.error())));
     co_return std::nullopt;
 }
 
@@ -288,13 +290,14 @@
     if (!answered)
         co_return;
     const wire::ConfigurationUpdate& update = *answered;
-    // A reader's list is used by others; readers that cannot read use it too.
+    // Nodes that do not read use a reader's list, and so do readers that cannot read.
     bool mayUse = !isReader() || isRegistryStale();
     bool isFirst = listReadAt_ == SteadyTime {} && update.backends_size();
     if (!mayUse || (update.backends_age_ms() > maxListAgeMs && !isFirst))
         co_return;
-    // Its age was taken after the question was sent. A list that was read before
-    // this node's may lack what has registered since.
+    // The peer computes the age after the request was sent, so that the list was read no
+    // earlier than this. A list that is older than this node's may lack registrations
+    // that are newer.
     SteadyTime readAt = askedAt - milliseconds(update.backends_age_ms());
     if (readAt <= listReadAt_ && !isFirst)
         co_return;
@@ -317,7 +320,7 @@
     auto table = context_.table();
     if (table) {
         update.set_version(table->version());
-        // Of this table: another may be published meanwhile.
+        // The source belongs to this table: another one may be published meanwhile.
         if (fetch.wants_configuration() && table->version() > fetch.known_version())
             update.set_compressed_source(table->configuration().compressedSource_);
     }
--- a/lib/Gateway/PlatformFeed.h
+++ b/lib/Gateway/PlatformFeed.h
@@ -1,8 +1,9 @@
-//===- lib/Gateway/PlatformFeed.h - configuration and registry, kept up to date ----===//
+//===- lib/Gateway/PlatformFeed.h - configuration and registry feed -------===//
 ///
 /// \file
-/// Reads what the platform publishes, and what peers know while the platform
-/// refuses this node.
+/// Reads the configuration and the registry that the platform publishes, or fetches them
+/// from peers while this node does not read from the platform or the platform is
+/// unavailable to it.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -13,10 +14,10 @@
 
 namespace pistachioloom {
 
-/// A peer's answer is awaited for so long; it comes from memory. Of a configuration, so
-/// much time passes at most between its parts.
+/// Timeout of an answer from a peer, which composes it from memory. For a configuration,
+/// the maximum time between two parts of the answer.
 inline constexpr milliseconds peerTimeout { 500 };
-/// How often a node looks whether it has to ask peers.
+/// How often a node checks whether it has to fetch from peers.
 inline constexpr milliseconds peerCheckPeriod { 150 };
 
 class PlatformFeed {
@@ -24,12 +25,13 @@
     PlatformFeed(asio::io_context& io, GatewayContext& context, PeerReports& reports, PeerPool& peers, BackgroundExecutor& background);
 
     void start();
-    /// Whether this node reads from the platform now: the first of its data
-    /// centre, or one of the first of all, among nodes that reach the platform.
+    /// Returns whether this node reads from the platform now: it is the first of its data
+    /// centre, or one of the first of all data centres, among the nodes that the platform
+    /// serves.
     bool isReader() const;
     bool isPlatformUnavailable() const { return isRegistryUnavailable_ || isConfigurationUnavailable_; }
-    /// Answers a peer that asks for what the platform told this node. A peer that asks
-    /// for the configuration while others are being given it is told to come later.
+    /// Answers a peer that fetches what this node has read from the platform. A peer that
+    /// fetches the configuration while others receive it is told to retry later.
     asio::awaitable<void> serve(std::shared_ptr<PeerStream> stream, wire::Frame request);
 
 private:
@@ -38,35 +40,35 @@
     asio::awaitable<void> fetchConfigurationFromPeers();
     asio::awaitable<void> fetchBackendsFromPeers();
     asio::awaitable<void> fetchConfiguration(VmId vm, Peer peer);
-    /// The answer of \p peer, which has the configuration or a part of it on its way
-    /// for longer than other answers take.
+    /// Fetches the configuration from \p peer. A configuration may take longer than other
+    /// answers, provided that its parts keep arriving.
     asio::awaitable<Result<wire::Frame>> requestConfiguration(Peer peer, wire::Frame request);
-    /// Puts the configuration that peer \p vm gave, compressed, in force.
+    /// Puts the compressed configuration \p bytes, received from peer \p vm, in force.
     asio::awaitable<void> applyConfiguration(std::string bytes, VmId vm);
     wire::Frame answer(const wire::Frame& request);
     bool hasNewerConfiguration(const wire::ConfigurationFetch& fetch) const;
-    /// Gives the configuration to a peer. Ends once the peer has the whole of it.
+    /// Sends the configuration to a peer, and returns once the peer has all of it.
     asio::awaitable<void> sendConfiguration(std::shared_ptr<PeerStream> stream, wire::Frame request);
     wire::Frame busyAnswer();
     asio::awaitable<void> fetchBackends(VmId vm, Peer peer);
-    /// Whom to ask for the backend servers, if they are needed.
+    /// Returns the peer to fetch the backend servers from, if this node needs them.
     std::optional<KnownPeer> backendsSource() const;
     asio::awaitable<std::optional<wire::ConfigurationUpdate>> callPeer(VmId vm, Peer peer, wire::Frame request);
     void logAvailability(const std::string& what, const Error* error) const;
-    /// \p source is the platform or the peer that told.
+    /// \p source is the platform or the peer that sent \p read.
     void apply(const RegistryRead& read, const std::string& source);
     void applyChange(const RegistryChange& change, const std::string& source);
-    /// The registration of \p change cannot be used.
+    /// Drops the backend server of a registration that is invalid.
     void rejectRegistration(const RegistryChange& change, const std::string& source);
     void removeBackend(const BackendName& name, const std::string& source);
     void removeUnlisted(const RegistryRead& fullRead, const std::string& source);
     void applyDueRemovals();
-    /// A peer that has a newer configuration and is not busy, of this data centre if
-    /// there is one.
+    /// Returns a peer that has a newer configuration and is not busy, preferably of this
+    /// data centre.
     std::optional<KnownPeer> peerWithNewerConfiguration() const;
     bool isRegistryStale() const;
     std::vector<ReaderState> readerStates() const;
-    /// A reader whose list of backend servers differs from this node's.
+    /// Returns a reader whose list of backend servers differs from this node's.
     std::optional<KnownPeer> readerWithDifferentList() const;
     asio::awaitable<void> waitUntilReader(std::string reading, std::optional<LogOffset>& from);
 
@@ -76,16 +78,16 @@
     PeerPool& peers_;
     BackgroundExecutor& background_;
     std::atomic<SteadyTime> registryReadAt_ { SteadyTime {} };
-    /// When the list in use was read, by this node or a peer.
+    /// When the list in use was read from the platform, by this node or by a peer.
     SteadyTime listReadAt_ {};
     std::atomic<bool> isRegistryUnavailable_ { false };
     std::atomic<bool> isConfigurationUnavailable_ { false };
-    /// Until when registrations that vanish are kept, after an outage.
+    /// Time until which missing registrations are kept after an outage.
     SteadyTime removalGraceEnd_ {};
     TransferLimiter transfers_;
     BusyPeers busyPeers_;
     std::set<BackendName> pendingRemovals_;
-    /// What was last wrong with registrations that cannot be used.
+    /// The latest error of each invalid registration.
     std::map<BackendName, std::string> registrationErrors_;
     Logger logger_ { "feed" };
 };
--- a/lib/Gateway/ReachabilityProbe.cpp
+++ b/lib/Gateway/ReachabilityProbe.cpp
@@ -1,4 +1,4 @@
-//===- lib/Gateway/ReachabilityProbe.cpp - data centres that are not reached ------===//
+//===- lib/Gateway/ReachabilityProbe.cpp - unreachable data centres -------===//
 ///
 /// \file
 /// See ReachabilityProbe.h.
@@ -9,9 +9,10 @@
 
 namespace {
 
-    // A data centre that is back gets requests within this and a round trip.
+    // A data centre receives requests within this time and a round trip after it is
+    // reachable again.
     constexpr milliseconds probePeriod { 250 };
-    // A connection inside a region is there within 10 ms.
+    // A connection within a region is established within 10 ms.
     constexpr milliseconds probeTimeout { 200 };
 
 } // namespace
@@ -23,11 +24,11 @@
         unreachable.insert(backend.dataCentre_);
     for (const DataCentreId& dataCentre : unreachable) {
         if (!unreachable_.contains(dataCentre))
-            logger_.info(LogLine("Data centre is not reached.").add("data_centre", dataCentre.value_));
+            logger_.info(LogLine("Data centre is unreachable.").add("data_centre", dataCentre.value_));
     }
     for (const DataCentreId& dataCentre : unreachable_) {
         if (!unreachable.contains(dataCentre))
-            logger_.info(LogLine("Data centre is reached again.").add("data_centre", dataCentre.value_));
+            logger_.info(LogLine("Data centre is reachable again.").add("data_centre", dataCentre.value_));
     }
     unreachable_ = std::move(unreachable);
 }
@@ -38,7 +39,7 @@
     if (!failed)
         context_.backends_.noteReachable(backend.id_);
     if (failed == asio::error::invalid_argument)
-        logger_.warn("Address of backend server " + backend.id_.value_ + " cannot be read: " + backend.endpoint_.host_);
+        logger_.warn("Address of backend server " + backend.id_.value_ + " is invalid: " + backend.endpoint_.host_);
 }
 
 asio::awaitable<void> ReachabilityProbe::run()
--- a/lib/Gateway/ReachabilityProbe.h
+++ b/lib/Gateway/ReachabilityProbe.h
@@ -1,8 +1,8 @@
-//===- lib/Gateway/ReachabilityProbe.h - data centres that are not reached --------===//
+//===- lib/Gateway/ReachabilityProbe.h - unreachable data centres ---------===//
 ///
 /// \file
-/// Connects now and then to a backend server of each data centre that requests
-/// do not reach, so that no caller's request has to find out when it is back.
+/// Connects periodically to a backend server of each unreachable data centre, so that no
+/// request of a caller has to find out when the data centre is reachable again.
 //===----------------------------------------------------------------------===//
 #pragma once
 
--- a/lib/Gateway/Readers.cpp
+++ b/lib/Gateway/Readers.cpp
@@ -1,4 +1,4 @@
-//===- lib/Gateway/Readers.cpp - which nodes read from the platform --------===//
+//===- lib/Gateway/Readers.cpp - nodes that poll the platform -------------===//
 ///
 /// \file
 /// See Readers.h.
@@ -10,10 +10,11 @@
 
 namespace pistachioloom {
 
-// What the order of readers is drawn for.
+// Key of the rendezvous order of readers.
 static constexpr std::string_view readersKey = "readers";
-// Where so many nodes were turned away the platform is away, rather than they: no other
-// one tries, or all nodes of a large fleet would call a platform that is overloaded.
+// Number of rejected nodes from which on the platform counts as unavailable, rather than
+// the nodes as faulty. No further node tries then: otherwise all nodes of a large fleet
+// would call a platform that is overloaded.
 static constexpr std::size_t maxFailedReaders = 6;
 
 static std::vector<VmId> rankByHash(const std::map<VmId, ReaderState>& candidates)
@@ -24,7 +25,7 @@
     return rankByRendezvous(readersKey, vms);
 }
 
-/// The nodes of \p candidates, best first.
+/// Ranks the nodes of \p candidates, best first.
 static std::vector<VmId> rankReaders(const std::map<VmId, ReaderState>& candidates)
 {
     std::vector<VmId> ranked = rankByHash(candidates);
@@ -32,9 +33,10 @@
     return ranked;
 }
 
-/// Whether \p self reads for its data centre. A node of an older version goes by the
-/// draw alone, so that the best may not know that it is: then the first drawn reads.
-/// Without this a fleet of both versions could be without a reader.
+/// Returns whether \p self reads for its data centre. A node of an older version ranks by
+/// rendezvous hashing alone, so that the best node may be such a node and not know that
+/// it is the best. The first node by hashing reads then. Otherwise a fleet of both
+/// versions could be without a reader.
 static bool isDataCentreReader(const VmId& self, const std::map<VmId, ReaderState>& local)
 {
     VmId best = rankReaders(local).front();
--- a/lib/Gateway/Readers.h
+++ b/lib/Gateway/Readers.h
@@ -1,8 +1,9 @@
-//===- lib/Gateway/Readers.h - which nodes read from the platform ----------===//
+//===- lib/Gateway/Readers.h - nodes that poll the platform ---------------===//
 ///
 /// \file
-/// Reads are priced and bounded, so few nodes read and the others learn from
-/// them. Every node decides alone, from what it hears of its peers. Pure.
+/// Reads from the platform are charged and limited, so that few nodes read and the others
+/// learn from them. Every node decides for itself, from the reports of its peers. The
+/// functions do no I/O.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -10,27 +11,28 @@
 
 namespace pistachioloom {
 
-/// What a peer says of its part in reading.
+/// What a node reports of itself as a reader.
 struct ReaderState {
     VmId vm_;
     DataCentreId dataCentre_;
     bool isStopping_ = false;
-    /// Its last read failed.
+    /// Its last read from the platform failed.
     bool isPlatformUnavailable_ = false;
     bool isReader_ = false;
     /// Processor cores of its VM.
     double cores_ = 0;
 };
 
-/// Whether \p self reads: as the first of its data centre, or one of the first
-/// \p readers of all, among nodes that the platform serves. Those with most
-/// processor cores come first, since all others ask readers for what they read and
-/// the links of larger VMs are wider; then as drawn. Nodes that the platform turned
-/// away go on trying, and are succeeded until there are many of them.
+/// Returns whether \p self reads: as the first node of its data centre, or as one of the
+/// first \p readers nodes of all, among the nodes that the platform serves. Nodes with
+/// more CPU cores come first, since all other nodes fetch from readers and larger VMs
+/// have faster links; rendezvous hashing orders nodes of equal cores. Nodes that the
+/// platform rejects continue to try, and others read in addition until many nodes are
+/// rejected.
 bool shouldRead(const ReaderState& self, const std::vector<ReaderState>& peers, std::uint64_t readers);
 
-/// Whether the platform serves none of the readers that are heard. One that is
-/// turned away alone says nothing of registrations.
+/// Returns whether the platform serves none of the known readers. A single rejected
+/// reader does not show that registrations are affected.
 bool haveAllReadersFailed(const std::vector<ReaderState>& peers);
 
 } // namespace pistachioloom
--- a/lib/Gateway/ReportAggregator.cpp
+++ b/lib/Gateway/ReportAggregator.cpp
@@ -1,4 +1,4 @@
-//===- lib/Gateway/ReportAggregator.cpp - reports summed by relays ----------------===//
+//===- lib/Gateway/ReportAggregator.cpp - aggregated reports --------------===//
 ///
 /// \file
 /// See ReportAggregator.h.
@@ -13,14 +13,15 @@
 
 namespace {
 
-    // A node that stopped is forgotten after this time; its usage is reported
-    // within four windows of 5 s.
+    // Time after which a stopped node is removed. Its usage is reported within four
+    // windows of 5 s.
     constexpr milliseconds nodeRetention { 60000 };
-    // The source under which the usage of another data centre is kept: its
-    // relays tell the same sums, and the higher ones count.
+    // The incarnation under which the usage of another data centre is stored: its relays
+    // send the same sums, and the higher ones count.
     constexpr std::uint64_t anyIncarnation = 0;
 
-    // Windows told; the one that is reported next is the third newest.
+    // Maximum number of usage windows in a message. The third newest is the next one that
+    // is reported to the platform.
     constexpr std::size_t maxReportedWindows = 6;
 
     std::map<WindowNumber, UsageCounts> newest(std::map<WindowNumber, UsageCounts> windows)
@@ -110,7 +111,8 @@
         total.running_ += load.running_;
         total.queuedTokens_ += load.queuedTokens_;
     }
-    // The lowest level: a node that starts must not hand out what others have.
+    // The lowest level counts: a node that starts must not admit what others have
+    // admitted already.
     for (const wire::QuotaReport& quota : sums.quotas()) {
         auto [found, isNew] = levels_.try_emplace(quota.organisation(), quota.level());
         found->second = std::min(found->second, quota.level());
@@ -224,7 +226,7 @@
         const Node& node = entry.second;
         if (now - node.receivedAt_ <= nodeRetention)
             return false;
-        // Its counts stay in the totals, which never fall.
+        // Its counts stay in the totals, which never decrease.
         addCounts(removedNodesAdmitted_, node.group_.admitted());
         ownUsage_.forgetPeer(entry.first);
         return true;
--- a/lib/Gateway/ReportAggregator.h
+++ b/lib/Gateway/ReportAggregator.h
@@ -1,11 +1,11 @@
-//===- lib/Gateway/ReportAggregator.h - reports summed by a data centre's relays --===//
+//===- lib/Gateway/ReportAggregator.h - aggregated reports ----------------===//
 ///
 /// \file
-/// In a large fleet a node does not hear every other one: it reports to relays of
-/// its data centre, which exchange their sums with the relays of the others and
-/// tell each node the sum of all but itself. What a node sends and hears does not
-/// grow with the number of nodes then, and what a relay handles grows with its
-/// data centre. Pure: time comes in.
+/// In a large fleet a node does not receive the reports of every other node. It reports
+/// to relays of its data centre, which exchange their sums with the relays of other data
+/// centres and send each node the sums of all other nodes. The traffic of a node then
+/// does not grow with the number of nodes, and the traffic of a relay grows with its data
+/// centre. The class does no I/O and takes the time as a parameter.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -20,23 +20,23 @@
 
 using LoadTable = std::map<BackendKey, BackendLoad>;
 
-/// Sums of several groups of nodes, on the way to a message.
+/// Accumulates the sums of several groups of nodes for a message.
 struct ReportTotals {
     struct Demand {
         double tokensPerSecond_ = 0;
-        /// Reading rates times the answers that show them.
+        /// Sum of the prefill rates, each multiplied by its number of observations.
         double weightedRate_ = 0;
         std::uint64_t observations_ = 0;
     };
 
-    /// Adds a group: what it told now, and what it counted even if it is silent.
+    /// Adds a group: its current sums, and its counts even if it is unresponsive.
     void add(const NodeGroupSums& group, SteadyTime now);
-    /// Takes out what one of the nodes told.
+    /// Subtracts the sums of one node.
     void remove(const wire::NodeSums& sums, const NodeGroupSums& group);
     wire::NodeSums toMessage() const;
 
-    /// Adds what holds now: loads, levels, rates, what is leaving, the holder. It was
-    /// heard \p age ago.
+    /// Adds current state: loads, levels, rates, backend servers that are leaving, and
+    /// the holder of the duties. It was received \p age ago.
     void addCurrent(const wire::NodeSums& sums, milliseconds age);
 
     void addRollouts(const wire::NodeSums& sums, milliseconds age);
@@ -51,7 +51,7 @@
     std::set<std::string> ended_;
     struct Rollout {
         RolloutState state_;
-        /// Since its holder said so.
+        /// Time since the holder of the duties reported this state.
         milliseconds age_ {};
     };
     std::map<std::string, Rollout> rollouts_;
@@ -66,21 +66,21 @@
 public:
     explicit ReportAggregator(milliseconds usageWindow);
 
-    /// A report of a node of this data centre.
+    /// Applies a report of a node of this data centre.
     void applyReport(const wire::NodeReport& report, SteadyTime now);
-    /// What a relay of another data centre told of its nodes.
+    /// Applies the sums that a relay of another data centre sent of its nodes.
     void applySummary(const wire::RelayReport& summary, SteadyTime now);
-    /// Nodes that report here and get digests.
+    /// Returns the nodes that report to this relay and receive digests.
     std::vector<VmId> receivers(SteadyTime now) const;
-    /// Relays of another data centre that told of it lately.
+    /// Returns the relays of another data centre that sent sums recently.
     std::vector<VmId> relaysOf(const DataCentreId& dataCentre, SteadyTime now) const;
-    /// The sums of this data centre's nodes, for a relay of \p receiver. Usage
-    /// is told only to the data centre that has the node which reports it.
+    /// Returns the sums of this data centre's nodes, for a relay of \p receiver. Usage is
+    /// included only for the data centre of the node that reports it to the platform.
     wire::NodeSums summaryFor(const DataCentreId& receiver, SteadyTime now) const;
-    /// The totals of all data centres, for digestFor().
+    /// Returns the totals of all data centres, for digestFor().
     ReportTotals totals(SteadyTime now) const;
-    /// The sums of all nodes but \p receiver. Usage is told only to the node that
-    /// reports it.
+    /// Returns the sums of all nodes except \p receiver. Usage is included only for the
+    /// node that reports it to the platform.
     wire::NodeSums digestFor(const VmId& receiver, const ReportTotals& totals, SteadyTime now) const;
 
 private:
@@ -97,24 +97,24 @@
     std::map<DataCentreId, NodeGroupSums> others_;
     UsageTracker ownUsage_;
     UsageTracker othersUsage_;
-    /// Counts of nodes that were forgotten.
+    /// Counts of nodes that were removed.
     NamedCounts removedNodesAdmitted_;
 };
 
-/// What one node told, as the sum over itself.
+/// Returns the sums of the single node that sent \p report.
 wire::NodeSums sumsOf(const wire::NodeReport& report);
 
-/// The windows of a message.
+/// Decodes usage windows.
 std::map<WindowNumber, UsageCounts> usageOf(const google::protobuf::RepeatedPtrField<wire::UsageWindow>& windows);
 
-/// The loads of a message; \p message may have arrays of unequal length, whose
-/// missing ends count as zero.
+/// Decodes loads. The arrays of \p message may differ in length; missing elements count
+/// as zero.
 LoadTable loadsOf(const wire::BackendLoads& message);
 
-/// Writes loads into a message.
+/// Encodes loads.
 void putLoads(const LoadTable& loads, wire::BackendLoads& message);
 
-/// Writes windows into a message.
+/// Encodes usage windows.
 void putUsage(const std::map<WindowNumber, UsageCounts>& windows, google::protobuf::RepeatedPtrField<wire::UsageWindow>& message);
 
 } // namespace pistachioloom
--- a/lib/Gateway/ReportMessages.cpp
+++ b/lib/Gateway/ReportMessages.cpp
@@ -1,4 +1,4 @@
-//===- lib/Gateway/ReportMessages.cpp - what the datagrams hold ------------===//
+//===- lib/Gateway/ReportMessages.cpp - contents of the datagrams ---------===//
 ///
 /// \file
 /// Composes the reports and digests of PeerReports.
@@ -14,14 +14,16 @@
 
 namespace {
 
-    // Peers hear of a leaving backend server for this long.
+    // Time for which a leaving backend server is reported to peers.
     constexpr milliseconds leavingReportDuration { 10000 };
-    // And of one that has ended for this long: its registration expires soon after.
+    // Time for which an ended backend server is reported to peers. Its registration
+    // expires soon after.
     constexpr milliseconds endedReportDuration { 3000 };
 
 } // namespace
 
-/// What any node may hear: who this is, and what presses.
+/// Composes the part of a report that any node may receive: the identity of this node,
+/// and urgent changes.
 void PeerReports::composeIntroduction(wire::NodeReport& report, AdvertisedPeers amount)
 {
     const GatewaySettings& settings = context_.settings_;
@@ -63,7 +65,7 @@
     }
 }
 
-/// Loads, counts and demand of this node.
+/// Composes the loads, counts and demand of this node.
 void PeerReports::composeState(wire::NodeReport& report)
 {
     putLoads(context_.backends_.ownLoads(), *report.mutable_loads());
@@ -104,7 +106,7 @@
     }
 }
 
-/// In a small fleet these are all; seeds are reported until they are heard.
+/// In a small fleet these are all nodes. Seeds are included until they report.
 std::vector<Endpoint> PeerReports::knownAddresses()
 {
     std::vector<Endpoint> all = unseenSeeds();
--- a/lib/Gateway/TransferLimiter.cpp
+++ b/lib/Gateway/TransferLimiter.cpp
@@ -1,4 +1,4 @@
-//===- lib/Gateway/TransferLimiter.cpp - who is given a configuration now ----===//
+//===- lib/Gateway/TransferLimiter.cpp - concurrent transfers -------------===//
 ///
 /// \file
 /// See TransferLimiter.h.
--- a/lib/Gateway/TransferLimiter.h
+++ b/lib/Gateway/TransferLimiter.h
@@ -1,9 +1,9 @@
-//===- lib/Gateway/TransferLimiter.h - who is given a configuration now ------===//
+//===- lib/Gateway/TransferLimiter.h - concurrent transfers ---------------===//
 ///
 /// \file
-/// A configuration of thousands of routes is long, and all nodes want it from the
-/// few that have it first. Those give it to a few peers at a time, which then give
-/// it to others. Pure; time comes in.
+/// A configuration of thousands of routes is large, and all nodes fetch it from the few
+/// that have it first. Those send it to a few peers at a time, which then send it to
+/// others. The classes do no I/O and take the time as a parameter.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -14,33 +14,35 @@
 
 namespace pistachioloom {
 
-/// Transfers that a node has under way at most. 100 KB take 80 ms on a link of
-/// 10 Mbit/s, so two hold up what callers are sent by 160 ms. With one, a single
-/// peer that hangs would keep all others waiting.
+/// Maximum number of concurrent transfers of a node. 100 KB take 80 ms on a link of 10
+/// Mbit/s, so that two transfers delay responses to callers by 160 ms. With one, a single
+/// peer that hangs would block all others.
 inline constexpr std::size_t maxTransfers = 2;
-/// A transfer that takes longer is given up, by both sides: twelve times the 160 ms
-/// that two of 100 KB take on an idle link of 10 Mbit/s.
+/// Time after which both sides abort a transfer: twelve times the 160 ms that two
+/// transfers of 100 KB take on an idle link of 10 Mbit/s.
 inline constexpr milliseconds transferTimeout { 2000 };
-/// A node that is busy is asked again after this time: by then two transfers of
-/// 100 KB are over on a link of 10 Mbit/s (160 ms), and those that have it have told
-/// so (each 200 ms).
+/// Time after which a busy node is asked again. By then two transfers of 100 KB have
+/// ended on a link of 10 Mbit/s (160 ms), and their receivers have reported the new
+/// version (every 200 ms).
 inline constexpr milliseconds busyRetryDelay { 250 };
-/// Busy answers are logged this often at most, with their count.
+/// Minimum time between two log lines on busy answers, which contain their count.
 inline constexpr milliseconds busyLogPeriod { 1000 };
 
 using TransferId = Quantity<struct TransferIdTag>;
 
-/// The transfers of the node that has the configuration.
+/// Limits the transfers of a node that has the configuration.
 class TransferLimiter {
 public:
-    /// A peer asks. nullopt if it is to ask elsewhere, which is counted.
+    /// Starts a transfer to a peer. Returns nullopt if the peer has to ask elsewhere, and
+    /// counts that busy answer.
     std::optional<TransferId> begin(SteadyTime now);
-    /// The peer has the whole, or wants it no more. One that was given up is ignored.
+    /// Ends a transfer that the peer has received or cancelled. A transfer that was
+    /// aborted is ignored.
     void end(TransferId transfer);
     std::size_t activeTransfers() const { return startTimes_.size(); }
-    /// Whether busy answers are to be logged now.
+    /// Returns whether busy answers are to be logged now.
     bool isBusyLogDue(SteadyTime now) const;
-    /// Busy answers that were not logged yet; they count as logged now.
+    /// Returns the number of busy answers that were not logged yet, and resets it.
     std::uint64_t takeBusyAnswerCount(SteadyTime now);
 
 private:
@@ -50,8 +52,8 @@
     std::optional<SteadyTime> loggedAt_;
 };
 
-/// Peers that were busy or gave nothing: the node that wants the configuration asks
-/// others meanwhile.
+/// Tracks the peers that were busy or sent nothing. The node that fetches the
+/// configuration asks others meanwhile.
 class BusyPeers {
 public:
     void note(const VmId& peer, SteadyTime until);
--- a/unittests/Gateway/BackgroundExecutorTest.cpp
+++ b/unittests/Gateway/BackgroundExecutorTest.cpp
@@ -1,7 +1,8 @@
-//===- unittests/Gateway/BackgroundExecutorTest.cpp - work beside event loops ------===//
+//===- unittests/Gateway/BackgroundExecutorTest.cpp - work off event loops ===//
 ///
 /// \file
-/// Where work runs and where its caller goes on, order, exceptions, and the end.
+/// Tests where work runs and where its caller resumes, the order of work, exceptions, and
+/// destruction.
 //===----------------------------------------------------------------------===//
 #include "BackgroundExecutor.h"
 
@@ -14,7 +15,7 @@
 
 namespace {
 
-/// Notes that it was destroyed.
+/// Counts its destructions.
 struct DestructionCounter {
     explicit DestructionCounter(std::atomic<int>& destroyed)
         : destroyed_(destroyed)
@@ -36,7 +37,7 @@
 
 } // namespace
 
-TEST_CASE("work runs beside the loop, and its caller goes on there", "[background]")
+TEST_CASE("work runs off the loop, and its caller resumes on the loop", "[background]")
 {
     asio::io_context io(1);
     BackgroundExecutor background;
@@ -60,7 +61,7 @@
     CHECK(read == 7);
 }
 
-TEST_CASE("the loop goes on while work runs", "[background]")
+TEST_CASE("the loop continues while work runs", "[background]")
 {
     asio::io_context io(1);
     BackgroundExecutor background;
@@ -71,7 +72,7 @@
         isDone = true;
     };
     asio::co_spawn(io, caller(), asio::detached);
-    // The work ends only if the loop gets this far beside it.
+    // The work ends only if the loop gets here while the work runs.
     auto other = [&]() -> asio::awaitable<void> {
         co_await sleepFor(milliseconds(20));
         CHECK_FALSE(isDone);
@@ -82,7 +83,7 @@
     CHECK(isDone);
 }
 
-TEST_CASE("work is done one after the other, in order", "[background]")
+TEST_CASE("work runs one item after another, in order", "[background]")
 {
     asio::io_context io(1);
     BackgroundExecutor background;
@@ -105,7 +106,7 @@
     CHECK(order == expected);
 }
 
-TEST_CASE("what work throws is thrown on in its caller, and the next work runs", "[background]")
+TEST_CASE("exceptions of work are rethrown in its caller, and the next work runs", "[background]")
 {
     asio::io_context io(1);
     BackgroundExecutor background;
@@ -113,7 +114,7 @@
     bool hasRun = false;
     auto caller = [&]() -> asio::awaitable<void> {
         try {
-            co_await background.run([] { throw std::runtime_error("spoilt"); });
+            co_await background.run([] { throw std::runtime_error("work failed"); });
         } catch (const std::runtime_error& error) {
             thrown = error.what();
         }
@@ -121,13 +122,13 @@
     };
     asio::co_spawn(io, caller(), asio::detached);
     io.run();
-    CHECK(thrown == "spoilt");
+    CHECK(thrown == "work failed");
     CHECK(hasRun);
 }
 
-TEST_CASE("the end waits for what runs, drops what waits, and leaks no coroutine", "[background]")
+TEST_CASE("destruction waits for running work, drops queued work, and leaks no coroutine", "[background]")
 {
-    // Whether the loop was stopped before the work was done, or after.
+    // Whether the loop is stopped before the work has ended, or after.
     auto isSlow = GENERATE(true, false);
     std::atomic<int> destroyed { 0 };
     std::atomic<int> resumed { 0 };
--- a/unittests/Gateway/ConfigurationApplyTest.cpp
+++ b/unittests/Gateway/ConfigurationApplyTest.cpp
@@ -1,7 +1,7 @@
-//===- unittests/Gateway/ConfigurationApplyTest.cpp - configurations taken in ----------===//
+//===- unittests/Gateway/ConfigurationApplyTest.cpp - applied sources -----===//
 ///
 /// \file
-/// Which of the texts read becomes the table, and what is passed on to peers.
+/// Tests which of the sources read is published, and what is sent to peers.
 //===----------------------------------------------------------------------===//
 #include "GatewayContext.h"
 
@@ -9,7 +9,7 @@
 
 using namespace pistachioloom;
 
-/// A text is its version; others cannot be decoded.
+/// The text of a source is its version; other texts cannot be decoded.
 static Result<RouteConfiguration> decodeVersion(const std::string& source)
 {
     if (source.empty() || source.find_first_not_of("0123456789") != std::string::npos)
@@ -32,7 +32,7 @@
     return table ? table->version() : 0;
 }
 
-TEST_CASE("the last text that can be decoded is in force, if it is newer", "[takein]")
+TEST_CASE("the last source that can be decoded is in force, if it is newer", "[takein]")
 {
     struct Row {
         std::vector<std::string> sources_;
@@ -59,7 +59,7 @@
     CHECK(text.value() == std::to_string(row.version_));
 }
 
-TEST_CASE("what a peer passed on is taken in if it is whole and newer, and passed on", "[takein]")
+TEST_CASE("a configuration of a peer is applied and sent to others if it is complete and newer", "[takein]")
 {
     struct Row {
         std::string bytes_;
--- a/unittests/Gateway/DiscoveryTest.cpp
+++ b/unittests/Gateway/DiscoveryTest.cpp
@@ -1,9 +1,10 @@
-//===- unittests/Gateway/DiscoveryTest.cpp - a fleet that starts at once ---===//
+//===- unittests/Gateway/DiscoveryTest.cpp - a fleet that starts at once --===//
 ///
 /// \file
-/// All nodes start at one moment, as after a power failure, and find the relays of
-/// their data centre. Until each hears the sum of all others it takes a few nodes'
-/// work for that of all: it orders engines for them, and claims duties that are held.
+/// All nodes start at the same time, as after a power failure, and find the relays of
+/// their data centre. Until a node receives the sums of all others, it takes the work of
+/// a few nodes for that of all: it orders engines for them, and claims duties that
+/// another node holds.
 //===----------------------------------------------------------------------===//
 #include "Discovery.h"
 #include "ReportAggregator.h"
@@ -22,18 +23,18 @@
 
 constexpr SteadyTime start { std::chrono::hours(1) };
 constexpr milliseconds period { 200 };
-/// Nodes of each data centre with more processor cores than the others.
+/// Nodes of each data centre with more CPU cores than the others.
 constexpr std::size_t largeVms = 3;
-/// Part of the others whose sum a node hears at least when it counts as informed.
+/// Minimum share of the other nodes whose sums an informed node receives.
 constexpr double informedShare = 0.9;
 
 struct Shape {
     const char* name_;
     std::size_t nodes_;
     std::size_t dataCentres_;
-    /// Nodes that the settings name.
+    /// Number of seeds in the settings.
     std::size_t seeds_;
-    /// All nodes read who announced itself; else they know the seeds alone.
+    /// Whether all nodes know the announced nodes; otherwise they know the seeds only.
     bool areAnnounced_;
     milliseconds bound_;
 };
@@ -69,7 +70,7 @@
     std::vector<KnownPeer> members_;
 };
 
-/// Nodes that exchange datagrams each period, as PeerReports does.
+/// Simulates nodes that exchange datagrams in each period, as PeerReports does.
 class StartingFleet {
 public:
     explicit StartingFleet(const Shape& shape)
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Plays until all nodes are informed. \returns the time it took.
+    /// Simulates periods until all nodes are informed. \returns the simulated time.
     milliseconds run(milliseconds limit)
     {
         for (milliseconds elapsed {}; elapsed < limit; elapsed += period) {
@@ -100,7 +101,8 @@
         return limit;
     }
 
-    /// Nodes that hear the sum of nearly all others, and nothing twice.
+    /// Returns the number of nodes that receive the sums of nearly all others, and count
+    /// none twice.
     std::size_t informedNodes(SteadyTime now) const
     {
         auto others = static_cast<double>(nodes_.size() - 1);
@@ -111,7 +113,7 @@
         }));
     }
 
-    /// Datagrams that the node which gets most of them got in one period.
+    /// Returns the maximum number of datagrams that a node received in one period.
     std::size_t maxReceived() const { return maxReceived_; }
 
 private:
@@ -256,22 +258,23 @@
 
 } // namespace
 
-TEST_CASE("nodes that start at once are informed of all others in time", "[peers]")
+TEST_CASE("nodes that start at the same time receive the sums of all others in time", "[peers]")
 {
-    // Duties are claimed then. Without the platform nobody claims them, but quotas are
-    // divided equally for no longer than this.
+    // Nodes claim duties from this time on. Without the platform no node claims them, but
+    // quotas are divided equally for no longer than the second time.
     milliseconds firstClaim = DutyTiming {}.firstClaimAfter_;
     milliseconds equalDivision = QuotaSettings {}.startup_;
     auto shape = GENERATE_COPY(values<Shape>({
-        { "a data centre's worth", 30, 2, 3, true, firstClaim },
-        { "hundreds, announced", 195, 5, 3, true, firstClaim },
-        { "hundreds, the platform is silent", 195, 5, 3, false, equalDivision },
-        { "the largest fleet, announced", 370, 14, 3, true, firstClaim },
-        { "the largest fleet, the platform is silent", 370, 14, 3, false, equalDivision },
+        { "small fleet, announced", 30, 2, 3, true, firstClaim },
+        { "hundreds of nodes, announced", 195, 5, 3, true, firstClaim },
+        { "hundreds of nodes, platform unavailable", 195, 5, 3, false, equalDivision },
+        { "largest fleet, announced", 370, 14, 3, true, firstClaim },
+        { "largest fleet, platform unavailable", 370, 14, 3, false, equalDivision },
     }));
     CAPTURE(shape.name_);
     StartingFleet fleet(shape);
     CHECK(fleet.run(milliseconds(6000)).count() <= shape.bound_.count());
-    // Each other node turns to a seed once in a period at most; the rest is spread.
+    // Every other node contacts a seed once per period at most; the other datagrams are
+    // spread over all nodes.
     CHECK(fleet.maxReceived() <= shape.nodes_ + 64);
 }
--- a/unittests/Gateway/LoopLagTest.cpp
+++ b/unittests/Gateway/LoopLagTest.cpp
@@ -1,7 +1,7 @@
-//===- unittests/Gateway/LoopLagTest.cpp - how late an event loop runs -----===//
+//===- unittests/Gateway/LoopLagTest.cpp - lag of an event loop -----------===//
 ///
 /// \file
-/// A held loop shows in the histogram, and lines about it are bounded.
+/// A blocked loop shows in the histogram, and log lines about it are limited.
 //===----------------------------------------------------------------------===//
 #include "LoopLag.h"
 
@@ -12,7 +12,7 @@
 
 using namespace pistachioloom;
 
-/// The value of \p name in Prometheus' text.
+/// Returns the value of \p name in Prometheus' text format.
 static double valueOf(const Metrics& metrics, const std::string& name)
 {
     const std::string page = metrics.render({});
@@ -22,7 +22,7 @@
     return std::stod(page.substr(at + key.size()));
 }
 
-TEST_CASE("a held loop shows as late by the time it was held, less a period", "[looplag]")
+TEST_CASE("the measured lag of a blocked loop is the blocked time less one period at least", "[looplag]")
 {
     asio::io_context io(1);
     Metrics metrics;
@@ -34,7 +34,7 @@
     CHECK(valueOf(metrics, "loop_lag_seconds_sum") >= std::chrono::duration<double>(held - loopLagPeriod).count());
 }
 
-TEST_CASE("lines about a late loop are for what is of note, and one a period at most", "[looplag]")
+TEST_CASE("lag is logged above the threshold only, and once per period at most", "[looplag]")
 {
     struct Row {
         int atMs_;
--- a/unittests/Gateway/PeerTableTest.cpp
+++ b/unittests/Gateway/PeerTableTest.cpp
@@ -1,8 +1,8 @@
 //===- unittests/Gateway/PeerTableTest.cpp - choice of relays --------------===//
 ///
 /// \file
-/// Nodes that know the same peers choose the same relays, and pass over those
-/// that fall silent.
+/// Nodes that know the same peers choose the same relays, and skip relays that become
+/// unresponsive.
 //===----------------------------------------------------------------------===//
 #include "PeerTable.h"
 
@@ -35,7 +35,7 @@
     return peer;
 }
 
-/// Lets node \p self hear all others of \p count nodes.
+/// Applies reports of all other nodes of \p count nodes to the table of node \p self.
 void reportAll(PeerTable& table, int self, int count)
 {
     for (int i = 0; i < count; ++i) {
@@ -59,7 +59,7 @@
     CHECK(choices.begin()->size() == 2);
 }
 
-TEST_CASE("nodes with more processor cores are chosen first", "[peers]")
+TEST_CASE("nodes with more CPU cores are chosen first", "[peers]")
 {
     PeerTable table(vmOf(0), near, 0.25, {});
     reportAll(table, 0, 26);
@@ -71,7 +71,7 @@
     CHECK(table.otherDataCentres() == std::vector<DataCentreId> { far });
 }
 
-TEST_CASE("a relay that tells nothing is passed over, and asked again later", "[peers]")
+TEST_CASE("a relay that sends no sums is skipped, and tried again later", "[peers]")
 {
     PeerTable table(vmOf(0), near, 0.1, {});
     (void)table.applyReport(vmOf(1), peerAt(near, 8, start, 1));
@@ -91,12 +91,12 @@
     CHECK(table.chooseRelays(now).front() == vmOf(1));
 }
 
-TEST_CASE("relays that all go at once are succeeded within a second", "[peers]")
+TEST_CASE("relays that all stop at the same time are replaced within a second", "[peers]")
 {
     PeerTable table(vmOf(0), near, 0.1, {});
     for (int i = 1; i <= 4; ++i)
         (void)table.applyReport(vmOf(i), peerAt(near, 10 - i, start, 1));
-    // 3 and 4 live on; nobody is heard directly.
+    // Only nodes 3 and 4 still run; no node reports directly.
     SteadyTime now = start;
     std::vector<VmId> chosen;
     for (; now <= start + milliseconds(1000); now += period) {
@@ -109,7 +109,7 @@
     CHECK(chosen == std::vector<VmId> { vmOf(3), vmOf(4) });
 }
 
-TEST_CASE("what a relay tells of a node is older than what the node tells itself", "[peers]")
+TEST_CASE("the state of a node that a relay reports is applied only if it is newer than the node's own report", "[peers]")
 {
     PeerTable table(vmOf(0), near, 1, {});
     Peer reported = peerAt(near, 1, start, 5);
@@ -122,23 +122,23 @@
     relayed.receivedAt_ = start + milliseconds(100);
     table.applyRelayedState(vmOf(1), relayed);
     CHECK(table.reportedWithin(milliseconds(1), start + milliseconds(100)).front().second.configurationVersion_ == 7);
-    // Its numbers go on where they were.
+    // Sequence numbers of direct reports continue where they were.
     CHECK(table.applyReport(vmOf(1), peerAt(near, 1, start + milliseconds(200), 5)) == PeerTable::ReportKind::Outdated);
     CHECK(table.applyReport(vmOf(1), peerAt(near, 1, start + milliseconds(200), 6)) == PeerTable::ReportKind::Regular);
 }
 
-TEST_CASE("nodes that are silent for long are forgotten", "[peers]")
+TEST_CASE("nodes that are unresponsive for long are removed", "[peers]")
 {
     PeerTable table(vmOf(0), near, 1, {});
     table.addKnown(vmOf(9), { "10.0.0.9", 7500 });
     (void)table.applyReport(vmOf(1), peerAt(near, 1, start, 1));
     CHECK(table.removeUnresponsive(start + milliseconds(29000)).empty());
     CHECK(table.removeUnresponsive(start + milliseconds(31000)) == std::vector<VmId> { vmOf(1) });
-    // One that was named but never heard is told on.
+    // A node that was advertised but never reported stays in the table.
     CHECK(table.size() == 1);
 }
 
-TEST_CASE("knowledge of a few nodes is told from that of all", "[peers]")
+TEST_CASE("coverage of a few nodes is distinguished from coverage of all", "[peers]")
 {
     struct Row {
         std::uint64_t reported_;
--- a/unittests/Gateway/ReadersTest.cpp
+++ b/unittests/Gateway/ReadersTest.cpp
@@ -1,7 +1,8 @@
-//===- unittests/Gateway/ReadersTest.cpp - which nodes read ----------------===//
+//===- unittests/Gateway/ReadersTest.cpp - nodes that poll the platform ---===//
 ///
 /// \file
-/// Every set of nodes has readers, whoever stops, is turned away or falls silent.
+/// Every set of nodes has readers, whichever nodes stop, are rejected by the platform or
+/// become unresponsive.
 //===----------------------------------------------------------------------===//
 #include "Readers.h"
 
@@ -50,7 +51,7 @@
     CHECK(reading <= readers + 3);
 }
 
-TEST_CASE("those that stop or are turned away are succeeded", "[readers]")
+TEST_CASE("readers that stop or are rejected are replaced", "[readers]")
 {
     auto all = nodes(9);
     std::size_t first = 0;
@@ -70,7 +71,7 @@
     CHECK(reading >= readers);
 }
 
-TEST_CASE("one reader that is turned away is no outage", "[readers]")
+TEST_CASE("a single rejected reader is no outage", "[readers]")
 {
     auto all = nodes(4);
     CHECK_FALSE(haveAllReadersFailed(all));
@@ -82,16 +83,16 @@
     CHECK_FALSE(haveAllReadersFailed({}));
 }
 
-TEST_CASE("nodes with more processor cores read first", "[readers]")
+TEST_CASE("nodes with more CPU cores read first", "[readers]")
 {
     auto count = GENERATE(9U, 63U);
     auto all = nodes(count);
     for (ReaderState& node : all)
         node.cores_ = 0.12;
-    // The last ones of data centre `a`, and one of `b`.
+    // The last two nodes of data centre `a`, and one of `b`.
     for (std::size_t large : { count - 3, count - 6, count - 2 })
         all[large].cores_ = 4;
-    // As they tell, once those that are to read do.
+    // As the nodes report it, once the selected readers read.
     std::vector<bool> willRead;
     for (std::size_t i = 0; i < count; ++i)
         willRead.push_back(reads(all, i));
@@ -104,11 +105,11 @@
     }
     for (std::size_t large : { count - 3, count - 6, count - 2 })
         CHECK(reading.contains(large));
-    // Beside them, the first of data centre `c`.
+    // In addition, the first node of data centre `c`.
     CHECK(reading.size() == readers + 1);
 }
 
-TEST_CASE("among nodes of equal cores the order is as drawn", "[readers]")
+TEST_CASE("nodes of equal cores are ordered by rendezvous hashing", "[readers]")
 {
     auto cores = GENERATE(0.0, 0.12, 8.0);
     auto all = nodes(26);
@@ -134,7 +135,7 @@
     for (std::size_t i = 0; i < count; ++i)
         all[i].cores_ = static_cast<double>(stableHash(all[i].vm_.value_, seed) % 3);
     auto isNewer = [&](std::size_t i) { return stableHash(all[i].vm_.value_ + "version", seed) % count < newer; };
-    // Each hears what all told in the round before.
+    // Each node receives what all reported in the round before.
     for (int round = 0; round < rounds; ++round) {
         std::vector<bool> willRead;
         for (std::size_t i = 0; i < count; ++i) {
@@ -157,11 +158,13 @@
 
 namespace {
 
-/// Nodes that read find out whether the platform serves them, round by round, as they
-/// hear it of each other. \returns the most that tried at once.
+/// Simulates rounds in which nodes that read find out whether the platform serves them,
+/// and report that to each other. \returns the maximum number of nodes that read in one
+/// round.
 std::size_t simulateRounds(std::vector<ReaderState>& all, const std::function<bool(std::size_t)>& isServed)
 {
-    // One node of a data centre finds out in each: more than may be turned away.
+    // In each round one node of a data centre finds out. There are more rounds than nodes
+    // that may be rejected.
     constexpr int rounds = 16;
     std::size_t maxReading = 0;
     for (int round = 0; round < rounds; ++round) {
@@ -179,23 +182,23 @@
 
 } // namespace
 
-TEST_CASE("a platform that is away is not tried by all nodes in turn", "[readers]")
+TEST_CASE("an unavailable platform is not called by all nodes in turn", "[readers]")
 {
     auto count = GENERATE(9U, 63U, 195U, 370U);
     auto all = nodes(count);
     std::size_t maxReading = simulateRounds(all, [](std::size_t) { return false; });
-    // Eight of each of three data centres, whatever the size of the fleet.
+    // Eight nodes of each of the three data centres, whatever the size of the fleet.
     constexpr std::size_t maxExpected = 24;
     CHECK(maxReading <= maxExpected);
     CHECK(maxReading >= readers);
 }
 
-TEST_CASE("where many nodes are turned away others are found that are served", "[readers]")
+TEST_CASE("readers that the platform serves are found where it rejects many nodes", "[readers]")
 {
     auto count = GENERATE(9U, 63U, 195U);
     auto seed = GENERATE(range(0U, 20U));
     auto all = nodes(count);
-    // A third of them, as drawn.
+    // A third of the nodes, selected by hash, are rejected.
     auto isServed = [&](std::size_t i) { return stableHash(all[i].vm_.value_, seed) % 3 != 0; };
     (void)simulateRounds(all, isServed);
     std::size_t served = 0;
--- a/unittests/Gateway/ReportAggregatorTest.cpp
+++ b/unittests/Gateway/ReportAggregatorTest.cpp
@@ -1,8 +1,8 @@
-//===- unittests/Gateway/ReportAggregatorTest.cpp - sums by relays ----------------===//
+//===- unittests/Gateway/ReportAggregatorTest.cpp - sums by relays --------===//
 ///
 /// \file
-/// What a node hears of all others through relays equals what they told, whoever
-/// relays it, and nothing counts twice when relays change.
+/// The sums that a node receives of all others through relays equal what they reported,
+/// whichever relay sends them, and nothing counts twice when relays change.
 //===----------------------------------------------------------------------===//
 #include "ReportAggregator.h"
 
@@ -81,7 +81,7 @@
 
 } // namespace
 
-TEST_CASE("a digest holds what all others told, and not what its receiver did", "[relay]")
+TEST_CASE("a digest contains what all others reported, but not what its receiver reported", "[relay]")
 {
     ReportAggregator aggregator(window);
     for (int round = 0; round < 3; ++round) {
@@ -95,12 +95,12 @@
     ReportTotals totals = aggregator.totals(now);
     wire::NodeSums digest = aggregator.digestFor({ "a" }, totals, now);
     CHECK(digest.nodes() == 2);
-    // Counted since it was first heard.
+    // Counts that were made since the first report.
     CHECK(admittedIn(digest) == 120);
     CHECK(loadsOf(digest.loads()).at(7).running_ == 5);
     CHECK(loadsOf(digest.loads()).at(7).queuedTokens_ == 2000);
     CHECK(demandIn(digest) == 600);
-    // The holder of the duties alone is told usage.
+    // Only the holder of the duties receives usage.
     CHECK(usageIn(digest) == 11);
     CHECK(usageIn(aggregator.digestFor({ "b" }, totals, now)) == 0);
     CHECK(aggregator.digestFor({ "b" }, totals, now).holder() == "a");
@@ -119,14 +119,14 @@
     CHECK(digest.nodes() == 0);
     CHECK(loadsOf(digest.loads()).empty());
     CHECK(admittedIn(digest) == 30);
-    // Its callers are elsewhere now.
+    // The callers of the stopped node have moved to other nodes.
     CHECK(demandIn(digest) == 0);
     SteadyTime muchLater = start + std::chrono::minutes(3);
     aggregator.applyReport(report("a", {}), muchLater);
     CHECK(admittedIn(aggregator.digestFor({ "a" }, aggregator.totals(muchLater), muchLater)) == 30);
 }
 
-TEST_CASE("a restarted node's counts begin anew and take nothing back", "[relay]")
+TEST_CASE("the counts of a restarted node start again and subtract nothing", "[relay]")
 {
     ReportAggregator aggregator(window);
     aggregator.applyReport(report("a", {}), start);
@@ -138,14 +138,14 @@
     SteadyTime now = start + milliseconds(600);
     wire::NodeSums digest = aggregator.digestFor({ "a" }, aggregator.totals(now), now);
     CHECK(admittedIn(digest) == 35);
-    // The usage of both of its starts counts.
+    // The usage of both incarnations counts.
     CHECK(usageIn(digest) == 6);
 }
 
-TEST_CASE("a data centre counts once, though two relays tell of it", "[relay]")
+TEST_CASE("a data centre counts once, though two relays report it", "[relay]")
 {
     ReportAggregator aggregator(window);
-    // The second relay tells the same later, and goes on after the first stops.
+    // The second relay sends the same sums later, and continues after the first stops.
     auto secondLag = GENERATE(0, 100, 200);
     auto stopsAfter = GENERATE(3, 6, 50);
     double last = 0;
@@ -162,13 +162,13 @@
     wire::NodeSums digest = aggregator.digestFor({ "near" }, aggregator.totals(now), now);
     CHECK(digest.nodes() == 1);
     CHECK(loadsOf(digest.loads()).at(7).running_ == 2);
-    // What went by before the second was found to count is all that may lack:
-    // one second of silence, at 50 a second.
+    // Only what was admitted before the second relay became the active source may be
+    // missing: one second without reports, at 50 a second.
     CHECK(admittedIn(digest) <= last);
     CHECK(admittedIn(digest) >= last - 60);
 }
 
-TEST_CASE("nodes that fall silent are told of for as long as they may be cut off", "[relay]")
+TEST_CASE("unresponsive nodes are reported for as long as they may be cut off", "[relay]")
 {
     ReportAggregator aggregator(window);
     aggregator.applyReport(report("near", {}), start);
@@ -188,7 +188,7 @@
     CHECK(aggregator.digestFor({ "near" }, aggregator.totals(now), now).silent_nodes() == row.silent_);
 }
 
-TEST_CASE("usage crosses data centres only to the one that reports it", "[relay]")
+TEST_CASE("usage is sent only to the data centre that reports it to the platform", "[relay]")
 {
     ReportAggregator aggregator(window);
     aggregator.applyReport(report("near", { 0, 0, 8, 0 }), start);
@@ -198,7 +198,7 @@
     CHECK(usageIn(aggregator.summaryFor({ "third" }, start)) == 0);
 }
 
-TEST_CASE("a relay that hears more of the nodes takes the place of one that hears few", "[relay]")
+TEST_CASE("a relay that sums more of the nodes replaces one that sums few", "[relay]")
 {
     NodeGroupSums group;
     wire::NodeSums few;
@@ -212,7 +212,7 @@
     CHECK(group.current(start + milliseconds(1500)) == nullptr);
 }
 
-TEST_CASE("word of the holder ages on its way through relays", "[relays]")
+TEST_CASE("the age of the holder's report grows on its way through relays", "[relays]")
 {
     ReportAggregator near(window);
     ReportAggregator far(window);
@@ -228,7 +228,8 @@
     wire::NodeSums digest = far.digestFor({ "b1" }, far.totals(later), later);
     CHECK(digest.duty_token() == 5);
     CHECK(digest.holder_age_ms() == 1500);
-    // It gave up: that is told beside what others still tell of it.
+    // The holder released the duties. That is reported together with what others still
+    // report of it.
     holder.set_duty_token(0);
     holder.set_released_token(5);
     near.applyReport(holder, reportedAt);
@@ -236,14 +237,14 @@
     CHECK(near.summaryFor({ "b" }, reportedAt).released_token() == 5);
 }
 
-TEST_CASE("counts of nodes that have just started are told whole", "[relay]")
+TEST_CASE("counts of nodes that have just started are reported in full", "[relay]")
 {
     struct Row {
         const char* name_;
         std::uint64_t countedMs_;
         double admitted_;
     };
-    auto row = GENERATE(values<Row>({ { "just started", 400, 100 }, { "running for long", 60000, 0 }, { "of a version that does not tell", 0, 0 } }));
+    auto row = GENERATE(values<Row>({ { "just started", 400, 100 }, { "running for long", 60000, 0 }, { "of a version that does not report it", 0, 0 } }));
     CAPTURE(row.name_);
     ReportAggregator near(window);
     ReportAggregator far(window);
@@ -255,7 +256,7 @@
     summary.set_counted_ms(row.countedMs_);
     far.applySummary(summaryOf("a-relay", "a", summary), start);
     CHECK(admittedIn(far.digestFor({ "b1" }, far.totals(start), start)) == row.admitted_);
-    // A second relay of the same nodes adds nothing when it is first heard.
+    // A second relay of the same nodes adds nothing when it reports for the first time.
     far.applySummary(summaryOf("a-other", "a", summary), start + milliseconds(100));
     CHECK(admittedIn(far.digestFor({ "b1" }, far.totals(start), start)) == row.admitted_);
 }
--- a/unittests/Gateway/TransferLimiterTest.cpp
+++ b/unittests/Gateway/TransferLimiterTest.cpp
@@ -1,7 +1,8 @@
-//===- unittests/Gateway/TransferLimiterTest.cpp - who is given it now -------===//
+//===- unittests/Gateway/TransferLimiterTest.cpp - limited transfers ------===//
 ///
 /// \file
-/// Few transfers at once, none of them for good, and busy answers counted.
+/// The number of concurrent transfers is limited, transfers time out, and busy answers
+/// are counted.
 //===----------------------------------------------------------------------===//
 #include "TransferLimiter.h"
 
@@ -13,7 +14,7 @@
 
 constexpr SteadyTime start { std::chrono::hours(1) };
 
-/// Begins as many as may be.
+/// Starts as many transfers as the limiter permits.
 std::vector<TransferId> fill(TransferLimiter& limiter, SteadyTime now)
 {
     std::vector<TransferId> transfers;
@@ -24,7 +25,7 @@
 
 } // namespace
 
-TEST_CASE("a storm of peers is given the configuration a few at a time", "[transfers]")
+TEST_CASE("many peers receive the configuration a few at a time", "[transfers]")
 {
     TransferLimiter limiter;
     auto peerCount = GENERATE(1U, 2U, 3U, 62U);
@@ -35,7 +36,7 @@
     CHECK(limiter.activeTransfers() == given);
 }
 
-TEST_CASE("a transfer that ends makes room for one more", "[transfers]")
+TEST_CASE("a transfer that ends permits another one", "[transfers]")
 {
     TransferLimiter limiter;
     auto transfers = fill(limiter, start);
@@ -43,12 +44,12 @@
     auto ended = GENERATE(0U, 1U);
     limiter.end(transfers[ended]);
     CHECK(fill(limiter, start).size() == 1);
-    // Ended twice, it makes no room twice.
+    // A transfer that ends twice releases its slot once.
     limiter.end(transfers[ended]);
     CHECK(fill(limiter, start).empty());
 }
 
-TEST_CASE("a transfer that never ends keeps its place for a while only", "[transfers]")
+TEST_CASE("a transfer that never ends is aborted at the timeout", "[transfers]")
 {
     struct Case {
         milliseconds after_;
@@ -59,14 +60,14 @@
     auto first = fill(limiter, start);
     auto second = fill(limiter, start + after);
     CHECK(second.size() == free);
-    // The end of one that was given up ends none of the later ones.
+    // The end of an aborted transfer ends none of the later ones.
     if (free) {
         limiter.end(first.front());
         CHECK(fill(limiter, start + after).empty());
     }
 }
 
-TEST_CASE("busy answers are logged once in a while, with their count", "[transfers]")
+TEST_CASE("busy answers are logged once per period, with their count", "[transfers]")
 {
     TransferLimiter limiter;
     CHECK_FALSE(limiter.isBusyLogDue(start));
@@ -81,7 +82,7 @@
     CHECK(limiter.takeBusyAnswerCount(start + busyLogPeriod) == 60);
 }
 
-TEST_CASE("a busy peer is passed over until the time it told", "[transfers]")
+TEST_CASE("a busy peer is skipped until the time that it gave", "[transfers]")
 {
     const VmId busy { "busy" };
     BusyPeers peers;
