--- a/lib/Gateway/ConfigurationTransfer.cpp
+++ b/lib/Gateway/ConfigurationTransfer.cpp
@@ -107,7 +107,7 @@
     if (transfers_.isBusyLogDue(now))
         logger_.info(LogLine("Configuration requests are rejected while other transfers run.").add("busy_answers", static_cast<std::int64_t>(transfers_.takeBusyAnswerCount(now))).add("under_way", static_cast<std::int64_t>(transfers_.activeTransfers())));
     wire::Frame frame;
-    *frame.mutable_failure() = toWire({ Errc::Overloaded, "send configuration", context_.settings_.vm_.value_, "other transfers are running", Ran::No, busyRetryDelay });
+    *frame.mutable_failure() = toWire({ Errc::Overloaded, "give configuration", context_.settings_.vm_.value_, "other peers are being given it", Ran::No, busyRetryDelay });
     return frame;
 }
 
--- a/unittests/Gateway/PeerTableTest.cpp
+++ b/unittests/Gateway/PeerTableTest.cpp
@@ -1,4 +1,4 @@
-//===- unittests/Gateway/PeerTableTest.cpp - choice of relays --------------===//
+//===- unittests/Gateway/PeerTableTest.cpp - choice of relays -------------===//
 ///
 /// \file
 /// Nodes that know the same peers choose the same relays, and skip relays that become
