--- a/lib/Gateway/PeerReports.cpp
+++ b/lib/Gateway/PeerReports.cpp
@@ -93,13 +93,13 @@
     return table_.rankFor(key, now) + (coverage(now).hasMajority() ? 0 : rankPenalty);
 }
 
-bool PeerReports::haveAllReportedWithin(milliseconds time, milliseconds maxSilence) const
+bool PeerReports::haveAllReportedWithin(milliseconds time, milliseconds maxAge) const
 {
     if (usesRelays_)
         return !unresponsiveNodes_ && coverage(steadyNow()).isComplete();
     // A node that is unresponsive for longer is not waited for: its counts have arrived
     // or never will.
-    return reportedWithin(time).size() >= reportedWithin(maxSilence).size();
+    return reportedWithin(time).size() >= reportedWithin(maxAge).size();
 }
 
 void PeerReports::addKnown(const VmId& vm, const Endpoint& gossip)
@@ -380,9 +380,9 @@
         discovery_.queueAnswer(vm);
     // In a large fleet a node introduces itself to every other node in rotation, once in
     // some seconds, so that a gap between its reports is normal.
-    bool isUpdate = kind != PeerTable::ReportKind::Regular && !(usesRelays_ && kind == PeerTable::ReportKind::AfterSilence);
+    bool isUpdate = kind != PeerTable::ReportKind::Regular && !(usesRelays_ && kind == PeerTable::ReportKind::Resumed);
     if (isUpdate)
-        logger_.info(LogLine(kind == PeerTable::ReportKind::AfterSilence ? "Peer reports again." : "Peer reports.").add("peer", vm.value_).add("address", report.address()).add("configuration", static_cast<std::int64_t>(report.configuration_version())));
+        logger_.info(LogLine(kind == PeerTable::ReportKind::Resumed ? "Peer reports again." : "Peer reports.").add("peer", vm.value_).add("address", report.address()).add("configuration", static_cast<std::int64_t>(report.configuration_version())));
     applyMembers(report.relays(), now);
     for (const wire::KnownNode& known : report.nodes()) {
         if (auto address = parseEndpoint(known.address()))
--- a/lib/Gateway/PeerReports.h
+++ b/lib/Gateway/PeerReports.h
@@ -44,11 +44,11 @@
     Result<void> start();
     /// Returns the peers that reported within the settings' bound on silence.
     std::vector<KnownPeer> live() const;
-    /// Returns the peers that reported within \p silence.
-    std::vector<KnownPeer> reportedWithin(milliseconds silence) const { return table_.reportedWithin(silence, steadyNow()); }
-    /// Returns whether all other nodes that reported within \p maxSilence reported their
+    /// Returns the peers that reported within \p maxAge.
+    std::vector<KnownPeer> reportedWithin(milliseconds maxAge) const { return table_.reportedWithin(maxAge, steadyNow()); }
+    /// Returns whether all other nodes that reported within \p maxAge reported their
     /// counts within \p time; in a large fleet, whether the relays' sums lack none.
-    bool haveAllReportedWithin(milliseconds time, milliseconds maxSilence) const;
+    bool haveAllReportedWithin(milliseconds time, milliseconds maxAge) const;
     /// Returns the number of other nodes whose work is reported here.
     std::uint64_t nodesCovered() const;
     /// Returns how much of the fleet's work is reported here. Must be called on the event
--- a/lib/Gateway/PeerTable.cpp
+++ b/lib/Gateway/PeerTable.cpp
@@ -70,7 +70,7 @@
     known = std::move(peer);
     if (!isSame)
         return ReportKind::Restarted;
-    return wasUnresponsive ? ReportKind::AfterSilence : ReportKind::Regular;
+    return wasUnresponsive ? ReportKind::Resumed : ReportKind::Regular;
 }
 
 void PeerTable::applyRelayedState(const VmId& vm, const Peer& peer)
@@ -130,12 +130,12 @@
     return census;
 }
 
-std::vector<KnownPeer> PeerTable::reportedWithin(milliseconds silence, SteadyTime now) const
+std::vector<KnownPeer> PeerTable::reportedWithin(milliseconds maxAge, SteadyTime now) const
 {
     std::lock_guard lock(mutex_);
     std::vector<KnownPeer> peers;
     for (const auto& [vm, peer] : peers_) {
-        if (peer.receivedAt_ != SteadyTime {} && now - peer.receivedAt_ <= silence)
+        if (peer.receivedAt_ != SteadyTime {} && now - peer.receivedAt_ <= maxAge)
             peers.emplace_back(vm, peer);
     }
     return peers;
--- a/lib/Gateway/PeerTable.h
+++ b/lib/Gateway/PeerTable.h
@@ -52,7 +52,7 @@
         Outdated,
         Regular,
         /// The first report after the node was unresponsive.
-        AfterSilence,
+        Resumed,
         /// The first report of this incarnation.
         Restarted,
     };
@@ -79,8 +79,8 @@
         std::size_t advertised_ = 0;
     };
     Census census() const;
-    /// Returns the nodes that reported within \p silence.
-    std::vector<KnownPeer> reportedWithin(milliseconds silence, SteadyTime now) const;
+    /// Returns the nodes that reported within \p maxAge.
+    std::vector<KnownPeer> reportedWithin(milliseconds maxAge, SteadyTime now) const;
     std::vector<KnownPeer> all() const;
     /// Returns this node's rank among live nodes in the order for \p key.
     std::size_t rankFor(const std::string& key, SteadyTime now) const;
--- a/unittests/Gateway/DiscoveryTest.cpp
+++ b/unittests/Gateway/DiscoveryTest.cpp
@@ -260,8 +260,8 @@
 
 TEST_CASE("nodes that start at the same time receive the sums of all others in time", "[peers]")
 {
-    // Nodes claim duties from this time on. Without the platform no node claims them, but
-    // quotas are divided equally for no longer than the second time.
+    // Nodes claim duties from firstClaim on. Without the platform no node claims them, but
+    // quotas are divided equally until equalDivision at most.
     milliseconds firstClaim = DutyTiming {}.firstClaimAfter_;
     milliseconds equalDivision = QuotaSettings {}.startup_;
     auto shape = GENERATE_COPY(values<Shape>({
