--- a/lib/Gateway/PeerReports.cpp
+++ b/lib/Gateway/PeerReports.cpp
@@ -382,7 +382,7 @@
     // some seconds, so that a gap between its reports is normal.
     bool isUpdate = kind != PeerTable::ReportKind::Regular && !(usesRelays_ && kind == PeerTable::ReportKind::Resumed);
     if (isUpdate)
-        logger_.info(LogLine(kind == PeerTable::ReportKind::Resumed ? "Peer reports again." : "Peer reports.").add("peer", vm.value_).add("address", report.address()).add("configuration", static_cast<std::int64_t>(report.configuration_version())));
+        logger_.info(LogLine(kind == PeerTable::ReportKind::Resumed ? "Peer sends reports again." : "Peer sent its first report.").add("peer", vm.value_).add("address", report.address()).add("configuration", static_cast<std::int64_t>(report.configuration_version())));
     applyMembers(report.relays(), now);
     for (const wire::KnownNode& known : report.nodes()) {
         if (auto address = parseEndpoint(known.address()))
