--- a/lib/Gateway/LoopLag.cpp
+++ b/lib/Gateway/LoopLag.cpp
@@ -1,4 +1,4 @@
-//===- lib/Gateway/LoopLag.cpp - how late an event loop runs ---------------===//
+//===- lib/Gateway/LoopLag.cpp - lag of an event loop ---------------------===//
 ///
 /// \file
 /// See LoopLag.h.
@@ -7,31 +7,31 @@
 
 namespace pistachioloom {
 
-bool LoopLagLines::isDue(milliseconds late, SteadyTime now)
+bool LoopLagLogLimiter::isDue(milliseconds lag, SteadyTime now)
 {
-    if (late <= loopLagOfNote || (last_ && now - *last_ < loopLagLinePeriod))
+    if (lag <= loopLagLogThreshold || (lastLoggedAt_ && now - *lastLoggedAt_ < minLoopLagLogPeriod))
         return false;
-    last_ = now;
+    lastLoggedAt_ = now;
     return true;
 }
 
 asio::awaitable<void> watchLoopLag(Metrics& metrics)
 {
     const Logger logger("loop");
-    LoopLagLines lines;
+    LoopLagLogLimiter logLimiter;
     for (;;) {
         SteadyTime dueAt = steadyNow() + loopLagPeriod;
         milliseconds suspendedBefore = suspendedTime();
         co_await sleepFor(loopLagPeriod);
         SteadyTime now = steadyNow();
-        auto late = std::max(now - dueAt, SteadyTime::duration::zero());
-        metrics.observe(Histogram::LoopLag, late);
-        auto lateMs = std::chrono::duration_cast<milliseconds>(late);
+        auto lag = std::max(now - dueAt, SteadyTime::duration::zero());
+        metrics.observe(Histogram::LoopLag, lag);
+        auto lagMs = std::chrono::duration_cast<milliseconds>(lag);
         milliseconds suspended = suspendedTime() - suspendedBefore;
-        if (suspended > loopLagOfNote)
+        if (suspended > loopLagLogThreshold)
             logger.warn(LogLine("VM was suspended.").add("suspended_ms", suspended.count()));
-        if (lines.isDue(lateMs, now))
-            logger.warn(LogLine("Event loop is late.").add("late_ms", lateMs.count()));
+        if (logLimiter.isDue(lagMs, now))
+            logger.warn(LogLine("Event loop is delayed.").add("late_ms", lagMs.count()));
     }
 }
 
--- a/lib/Gateway/PeerTable.cpp
+++ b/lib/Gateway/PeerTable.cpp
@@ -1,4 +1,4 @@
-//===- lib/Gateway/PeerTable.cpp - the nodes that this one knows -----------===//
+//===- lib/Gateway/PeerTable.cpp - nodes that this node knows -------------===//
 ///
 /// \file
 /// See PeerTable.h.
@@ -12,16 +12,16 @@
 
 namespace {
 
-    // A node that was heard within this time may be chosen as a relay: if all
-    // relays of a data centre go at once, nobody is heard for a while.
-    constexpr milliseconds relayMemory { 10000 };
-    // A relay that was asked tells its sums in each period of 200 ms; three
-    // missing ones are no lost datagram.
-    constexpr milliseconds relaySilence { 600 };
-    // A relay that fell silent is asked again after this time.
-    constexpr milliseconds relayAvoided { 2000 };
-    // Part of the nodes that are heard when knowledge counts as whole.
-    constexpr double wholePart = 0.9;
+    // Maximum age of the last report of a relay candidate: if all relays of a data centre
+    // stop at once, no reports arrive for a while.
+    constexpr milliseconds maxRelayCandidateAge { 10000 };
+    // A relay sends its sums in each period of 200 ms. Three missing ones in a row are
+    // not explained by a lost datagram.
+    constexpr milliseconds relayTimeout { 600 };
+    // Time after which an unresponsive relay is tried again.
+    constexpr milliseconds relayRetryDelay { 2000 };
+    // Share of the known nodes that must report for complete coverage.
+    constexpr double completeShare = 0.9;
 
     std::string relayKey(const DataCentreId& dataCentre)
     {
@@ -30,14 +30,14 @@
 
 } // namespace
 
-bool Coverage::isWhole() const
+bool Coverage::isComplete() const
 {
-    return static_cast<double>(heard_) >= wholePart * static_cast<double>(known_);
+    return static_cast<double>(reported_) >= completeShare * static_cast<double>(known_);
 }
 
-bool Coverage::hasMost() const
+bool Coverage::hasMajority() const
 {
-    return 2 * heard_ > known_;
+    return 2 * reported_ > known_;
 }
 
 PeerTable::PeerTable(VmId self, DataCentreId own, double cores, GossipSettings settings)
@@ -54,34 +54,34 @@
         return;
     std::lock_guard lock(mutex_);
     auto [found, isNew] = peers_.try_emplace(vm);
-    // What a node says of itself goes before what others say of it.
-    if (isNew || found->second.heardAt_ == SteadyTime {})
+    // What a node reports of itself takes precedence over what others report of it.
+    if (isNew || found->second.receivedAt_ == SteadyTime {})
         found->second.gossip_ = gossip;
 }
 
-PeerTable::Heard PeerTable::take(const VmId& vm, Peer peer)
+PeerTable::ReportKind PeerTable::applyReport(const VmId& vm, Peer peer)
 {
     std::lock_guard lock(mutex_);
     Peer& known = peers_[vm];
     bool isSame = known.incarnation_ == peer.incarnation_;
     if (isSame && peer.sequence_ <= known.sequence_)
-        return Heard::Old;
-    bool wasSilent = peer.heardAt_ - known.heardAt_ > settings_.silence_;
+        return ReportKind::Outdated;
+    bool wasUnresponsive = peer.receivedAt_ - known.receivedAt_ > settings_.silence_;
     known = std::move(peer);
     if (!isSame)
-        return Heard::Restarted;
-    return wasSilent ? Heard::AfterSilence : Heard::Again;
+        return ReportKind::Restarted;
+    return wasUnresponsive ? ReportKind::Resumed : ReportKind::Regular;
 }
 
-void PeerTable::takeHearsay(const VmId& vm, const Peer& peer)
+void PeerTable::applyRelayedState(const VmId& vm, const Peer& peer)
 {
     if (vm == self_)
         return;
     std::lock_guard lock(mutex_);
     Peer& known = peers_[vm];
-    if (peer.heardAt_ <= known.heardAt_)
+    if (peer.receivedAt_ <= known.receivedAt_)
         return;
-    // Its own reports are told apart by number, which a relay does not tell.
+    // The sequence number orders a node's own reports; relays do not report it.
     std::uint64_t sequence = known.incarnation_ == peer.incarnation_ ? known.sequence_ : 0;
     known = peer;
     known.sequence_ = sequence;
@@ -90,23 +90,23 @@
 void PeerTable::noteDigest(const VmId& relay, SteadyTime now)
 {
     std::lock_guard lock(mutex_);
-    asked_[relay].digestAt_ = now;
+    relayRequests_[relay].digestReceivedAt_ = now;
 }
 
-std::vector<VmId> PeerTable::forgetSilent(SteadyTime now)
+std::vector<VmId> PeerTable::removeUnresponsive(SteadyTime now)
 {
     std::lock_guard lock(mutex_);
-    std::vector<VmId> forgotten;
+    std::vector<VmId> removed;
     std::erase_if(peers_, [&](const auto& entry) {
         const Peer& peer = entry.second;
-        bool isGone = peer.heardAt_ != SteadyTime {} && now - peer.heardAt_ > settings_.forget_;
-        if (isGone)
-            forgotten.push_back(entry.first);
-        return isGone;
+        bool hasExpired = peer.receivedAt_ != SteadyTime {} && now - peer.receivedAt_ > settings_.forget_;
+        if (hasExpired)
+            removed.push_back(entry.first);
+        return hasExpired;
     });
-    for (const VmId& vm : forgotten)
-        asked_.erase(vm);
-    return forgotten;
+    for (const VmId& vm : removed)
+        relayRequests_.erase(vm);
+    return removed;
 }
 
 bool PeerTable::isLarge() const
@@ -126,19 +126,19 @@
     std::lock_guard lock(mutex_);
     Census census;
     for (const auto& [vm, peer] : peers_)
-        ++(peer.heardAt_ == SteadyTime {} ? census.named_ : census.heard_);
+        ++(peer.receivedAt_ == SteadyTime {} ? census.advertised_ : census.reported_);
     return census;
 }
 
-std::vector<KnownPeer> PeerTable::heardWithin(milliseconds silence, SteadyTime now) const
+std::vector<KnownPeer> PeerTable::reportedWithin(milliseconds maxAge, SteadyTime now) const
 {
     std::lock_guard lock(mutex_);
-    std::vector<KnownPeer> heard;
+    std::vector<KnownPeer> peers;
     for (const auto& [vm, peer] : peers_) {
-        if (peer.heardAt_ != SteadyTime {} && now - peer.heardAt_ <= silence)
-            heard.emplace_back(vm, peer);
+        if (peer.receivedAt_ != SteadyTime {} && now - peer.receivedAt_ <= maxAge)
+            peers.emplace_back(vm, peer);
     }
-    return heard;
+    return peers;
 }
 
 std::vector<KnownPeer> PeerTable::all() const
@@ -150,7 +150,7 @@
 std::size_t PeerTable::rankFor(const std::string& key, SteadyTime now) const
 {
     std::vector<VmId> candidates { self_ };
-    for (const auto& [vm, peer] : heardWithin(settings_.silence_, now)) {
+    for (const auto& [vm, peer] : reportedWithin(settings_.silence_, now)) {
         if (!peer.isStopping_)
             candidates.push_back(vm);
     }
@@ -171,48 +171,50 @@
     std::lock_guard lock(mutex_);
     std::vector<VmId> candidates { self_ };
     for (const auto& [vm, peer] : peers_) {
-        bool isNear = peer.dataCentre_ == own_ && !peer.isStopping_ && now - peer.heardAt_ <= relayMemory;
-        auto asked = asked_.find(vm);
-        if (isNear && (asked == asked_.end() || asked->second.avoidedUntil_ <= now))
+        bool isLocal = peer.dataCentre_ == own_ && !peer.isStopping_ && now - peer.receivedAt_ <= maxRelayCandidateAge;
+        auto request = relayRequests_.find(vm);
+        if (isLocal && (request == relayRequests_.end() || request->second.skippedUntil_ <= now))
             candidates.push_back(vm);
     }
     std::vector<VmId> chosen;
     for (const VmId& vm : rankRelays(own_, candidates)) {
         if (chosen.size() >= settings_.relays_)
             break;
-        Asked& asked = asked_[vm];
-        if (asked.since_ == SteadyTime {})
-            asked.since_ = now;
-        if (vm != self_ && now - std::max(asked.since_, asked.digestAt_) > relaySilence) {
-            asked = { {}, asked.digestAt_, now + relayAvoided };
+        RelayRequest& request = relayRequests_[vm];
+        if (request.requestedSince_ == SteadyTime {})
+            request.requestedSince_ = now;
+        if (vm != self_ && now - std::max(request.requestedSince_, request.digestReceivedAt_) > relayTimeout) {
+            request = { {}, request.digestReceivedAt_, now + relayRetryDelay };
             continue;
         }
         chosen.push_back(vm);
     }
-    // One that is no longer asked starts anew when it is asked again.
-    for (auto& [vm, asked] : asked_) {
+    // The timeout of a node that is no longer chosen starts again when it is chosen
+    // again.
+    for (auto& [vm, request] : relayRequests_) {
         if (std::find(chosen.begin(), chosen.end(), vm) == chosen.end())
-            asked.since_ = {};
+            request.requestedSince_ = {};
     }
     return chosen;
 }
 
-std::vector<VmId> PeerTable::likelyRelays(const DataCentreId& dataCentre, std::size_t turn, SteadyTime now) const
+std::vector<VmId> PeerTable::likelyRelays(const DataCentreId& dataCentre, std::size_t cursor, SteadyTime now) const
 {
     std::lock_guard lock(mutex_);
     std::vector<VmId> candidates;
     for (const auto& [vm, peer] : peers_) {
-        if (peer.dataCentre_ == dataCentre && now - peer.heardAt_ <= relayMemory)
+        if (peer.dataCentre_ == dataCentre && now - peer.receivedAt_ <= maxRelayCandidateAge)
             candidates.push_back(vm);
     }
     std::vector<VmId> likely = rankRelays(dataCentre, candidates);
     if (likely.size() <= settings_.relays_)
         return likely;
-    // The first ones are asked each time, since they are relays as soon as all there
-    // know them; another one in turn, in case these have gone.
-    VmId inTurn = likely[settings_.relays_ + turn % (likely.size() - settings_.relays_)];
+    // The first ones are always included, since they are the relays as soon as all nodes
+    // of the data centre know them. One other candidate is added in rotation, in case the
+    // first ones have stopped.
+    VmId rotated = likely[settings_.relays_ + cursor % (likely.size() - settings_.relays_)];
     likely.resize(settings_.relays_);
-    likely.push_back(inTurn);
+    likely.push_back(rotated);
     return likely;
 }
 
@@ -234,7 +236,7 @@
     return found != peers_.end() && found->second.isStopping_;
 }
 
-std::optional<Endpoint> PeerTable::gossipOf(const VmId& vm) const
+std::optional<Endpoint> PeerTable::gossipEndpointOf(const VmId& vm) const
 {
     std::lock_guard lock(mutex_);
     auto found = peers_.find(vm);
--- /dev/null
+++ b/lib/Gateway/PlatformFeed.cpp
@@ -0,0 +1,346 @@
+//===- lib/Gateway/PlatformFeed.cpp - configuration and registry feed -----===//
+///
+/// \file
+/// See PlatformFeed.h.
+//===----------------------------------------------------------------------===//
+#include "PlatformFeed.h"
+
+#include "generated/Peer.pb.h"
+#include "pistachioloom/Settings.h"
+
+namespace pistachioloom {
+
+namespace {
+
+    // How often a node that does not read checks whether it has become a reader.
+    constexpr milliseconds readerCheckPeriod { 150 };
+    // Source of changes that were read from the platform, as logged.
+    const std::string platformSource = "platform";
+    // Maximum age of a peer's list of backend servers that is still used.
+    constexpr std::uint64_t maxListAgeMs = 1500;
+
+} // namespace
+
+PlatformFeed::PlatformFeed(asio::io_context& io, GatewayContext& context, PeerReports& reports, PeerPool& peers, BackgroundExecutor& background)
+    : io_(io)
+    , context_(context)
+    , reports_(reports)
+    , peers_(peers)
+    , background_(background)
+{
+}
+
+void PlatformFeed::start()
+{
+    asio::co_spawn(io_, followConfiguration(), asio::detached);
+    asio::co_spawn(io_, followRegistry(), asio::detached);
+    // Both run in coroutines of their own, since fetching a configuration may take
+    // seconds.
+    asio::co_spawn(io_, fetchConfigurationFromPeers(), asio::detached);
+    asio::co_spawn(io_, fetchBackendsFromPeers(), asio::detached);
+}
+
+std::vector<ReaderState> PlatformFeed::readerStates() const
+{
+    std::vector<ReaderState> states;
+    for (const auto& [vm, peer] : reports_.reportedWithin(context_.settings_.feed_.readerSilence_))
+        states.push_back({ vm, peer.dataCentre_, peer.isStopping_, peer.isPlatformUnavailable_, peer.isReader_, peer.cores_ });
+    return states;
+}
+
+bool PlatformFeed::isReader() const
+{
+    const GatewaySettings& settings = context_.settings_;
+    ReaderState self { settings.vm_, settings.dataCentre_, false, false, false, settings.cores_ };
+    return isPlatformUnavailable() || shouldRead(self, readerStates(), settings.feed_.readers_);
+}
+
+/// Suspends while other nodes read. By then the offset is too old to continue from, so
+/// that \p from is reset.
+asio::awaitable<void> PlatformFeed::waitUntilReader(std::string reading, std::optional<LogOffset>& from)
+{
+    if (!context_.table() || isReader())
+        co_return;
+    logger_.info(LogLine("Other nodes read from the platform.").add("reading", reading));
+    while (!isReader())
+        co_await sleepFor(readerCheckPeriod);
+    from.reset();
+    logger_.info(LogLine("This node reads from the platform.").add("reading", reading));
+}
+
+asio::awaitable<void> PlatformFeed::followConfiguration()
+{
+    std::optional<LogOffset> from;
+    const std::string reading = "configuration";
+    for (;;) {
+        co_await waitUntilReader(reading, from);
+        auto read = co_await context_.platform_.readConfiguration_(from, context_.settings_.feed_.configurationWait_);
+        if (isConfigurationUnavailable_.exchange(!read) == read.has_value())
+            logAvailability("configuration", read ? nullptr : &read.error());
+        if (!read) {
+            if (read.error().code_ == Errc::NotFound)
+                from.reset();
+            co_await sleepFor(context_.settings_.feed_.retryPause_);
+            continue;
+        }
+        from = read.value().next_;
+        for (const RolloutOrder& order : read.value().rollouts_) {
+            if (context_.rollouts_.applyOrder(order, steadyNow()))
+                logger_.info(LogLine("Roll-out was ordered.").add("service", order.service_.value_).add("target", order.target_.value_).add("number", static_cast<std::int64_t>(order.number_.value_)).add("period_ms", order.period_.count()));
+        }
+        if (!read.value().sources_.empty()) {
+            std::function<void()> work = [&context = context_, sources = std::move(read.value().sources_)] { context.takeIn(sources, platformSource); };
+            co_await background_.run(std::move(work));
+        }
+        if (!context_.table())
+            co_await sleepFor(context_.settings_.feed_.retryPause_);
+    }
+}
+
+void PlatformFeed::logAvailability(const std::string& what, const Error* error) const
+{
+    LogLine line(error ? "Platform is unavailable." : "Platform is available again.");
+    line.add("reading", what);
+    if (error)
+        line.add("error", describe(*error));
+    logger_.info(line);
+}
+
+void PlatformFeed::removeBackend(const BackendName& name, const std::string& source)
+{
+    auto known = context_.backends_.findNewest(name);
+    if (!known)
+        return;
+    if (steadyNow() < removalGraceEnd_) {
+        pendingRemovals_.insert(name);
+        return;
+    }
+    // A backend server that crashes never announces that it leaves.
+    if (!known->isLeaving_)
+        noteBackendEnded(context_.forward_, known->id_);
+    logger_.info(LogLine("Backend server was removed.").add("backend", known->id_.value_).add("from", source));
+    // A removal that was found in a peer's list is not reported: other nodes fetch that
+    // list themselves.
+    if (source == platformSource)
+        reports_.noteLeaving(known->id_);
+    context_.backends_.remove(known->id_, steadyNow());
+}
+
+/// Heartbeats repeat an invalid registration, so that its error is logged once. The
+/// backend server that had the name is removed, but is not reported as leaving: its next
+/// heartbeat may restore it.
+void PlatformFeed::rejectRegistration(const RegistryChange& change, const std::string& source)
+{
+    std::string& before = registrationErrors_[change.name_];
+    if (before != change.complaint_) {
+        context_.metrics_.add(Counter::RegistrationsRefused);
+        logger_.warn(LogLine("Registration is invalid.").add("backend", change.name_.value_).add("why", change.complaint_).add("from", source));
+    }
+    before = change.complaint_;
+    pendingRemovals_.erase(change.name_);
+    if (auto known = context_.backends_.findNewest(change.name_))
+        context_.backends_.remove(known->id_, steadyNow());
+}
+
+void PlatformFeed::applyChange(const RegistryChange& change, const std::string& source)
+{
+    if (!change.complaint_.empty())
+        return rejectRegistration(change, source);
+    if (source == platformSource)
+        registrationErrors_.erase(change.name_);
+    if (!change.record_)
+        return removeBackend(change.name_, source);
+    pendingRemovals_.erase(change.name_);
+    const BackendRecord& record = *change.record_;
+    auto before = context_.backends_.find(record.id_);
+    auto newest = context_.backends_.findNewest(record.name_);
+    BackendTable::PutResult result = context_.backends_.put(record);
+    if (result == BackendTable::PutResult::Outdated)
+        return;
+    if (result == BackendTable::PutResult::Restarted && newest && !newest->isLeaving_)
+        noteBackendEnded(context_.forward_, newest->id_);
+    if (!before)
+        logger_.info(LogLine(result == BackendTable::PutResult::Restarted ? "Backend server restarted." : "Backend server is registered.").add("backend", record.id_.value_).add("service", record.service_.value_).add("address", record.endpoint_.toString()).add("data_centre", record.dataCentre_.value_).add("version", record.version_.value_).add("reclaimable", record.isReclaimable_).add("leaving", record.isLeaving_));
+    if (record.isLeaving_ && (!before || !before->isLeaving_)) {
+        logger_.info(LogLine("Backend server is leaving.").add("backend", record.id_.value_).add("from", source));
+        reports_.noteLeaving(record.id_);
+    }
+}
+
+void PlatformFeed::removeUnlisted(const RegistryRead& fullRead, const std::string& source)
+{
+    std::set<BackendName> present;
+    for (const RegistryChange& change : fullRead.changes_)
+        present.insert(change.name_);
+    for (const BackendRecord& record : context_.backends_.records()) {
+        if (!present.contains(record.name_))
+            removeBackend(record.name_, source);
+    }
+    if (source == platformSource)
+        std::erase_if(registrationErrors_, [&](const auto& entry) { return !present.contains(entry.first); });
+}
+
+void PlatformFeed::applyDueRemovals()
+{
+    if (pendingRemovals_.empty() || steadyNow() < removalGraceEnd_)
+        return;
+    for (const BackendName& name : std::exchange(pendingRemovals_, {}))
+        removeBackend(name, platformSource);
+}
+
+void PlatformFeed::apply(const RegistryRead& read, const std::string& source)
+{
+    for (const RegistryChange& change : read.changes_)
+        applyChange(change, source);
+    if (read.isWhole_)
+        removeUnlisted(read, source);
+    applyDueRemovals();
+}
+
+asio::awaitable<void> PlatformFeed::followRegistry()
+{
+    const FeedSettings& settings = context_.settings_.feed_;
+    std::optional<LogOffset> from;
+    const std::string reading = "registry";
+    for (;;) {
+        co_await waitUntilReader(reading, from);
+        auto read = co_await context_.platform_.readRegistry_(from);
+        bool wasUnavailable = isRegistryUnavailable_.exchange(!read);
+        if (wasUnavailable == read.has_value())
+            logAvailability("registry", read ? nullptr : &read.error());
+        // Registrations that expired during an outage are written again soon after it.
+        bool endsOutage = wasUnavailable || (isRegistryStale() && haveAllReadersFailed(readerStates()));
+        if (read && endsOutage && !context_.backends_.records().empty())
+            removalGraceEnd_ = steadyNow() + settings.lapseGrace_;
+        if (!read && read.error().code_ == Errc::NotFound)
+            from.reset();
+        if (read) {
+            from = read.value().next_;
+            registryReadAt_ = steadyNow();
+            listReadAt_ = steadyNow();
+            apply(read.value(), platformSource);
+        }
+        co_await sleepFor(read ? settings.registryPeriod_ : settings.retryPause_);
+    }
+}
+
+bool PlatformFeed::isRegistryStale() const
+{
+    return steadyNow() - registryReadAt_.load() > context_.settings_.feed_.askPeersAfter_;
+}
+
+std::optional<KnownPeer> PlatformFeed::readerWithDifferentList() const
+{
+    std::optional<KnownPeer> chosen;
+    for (const auto& entry : reports_.reportedWithin(context_.settings_.feed_.readerSilence_)) {
+        const Peer& peer = entry.second;
+        if (!peer.isReader_ || peer.isPlatformUnavailable_)
+            continue;
+        // Prefers the reader of this data centre.
+        if (!chosen || peer.dataCentre_ == context_.settings_.dataCentre_)
+            chosen = entry;
+    }
+    if (chosen && chosen->second.registryFingerprint_ == context_.backends_.fingerprint())
+        return std::nullopt;
+    return chosen;
+}
+
+asio::awaitable<void> PlatformFeed::fetchBackendsFromPeers()
+{
+    for (;;) {
+        co_await sleepFor(peerCheckPeriod);
+        auto source = backendsSource();
+        if (source)
+            co_await fetchBackends(source->first, source->second);
+    }
+}
+
+std::optional<KnownPeer> PlatformFeed::backendsSource() const
+{
+    if (!isRegistryStale() && isReader())
+        return std::nullopt;
+    auto reader = readerWithDifferentList();
+    bool hasList = listReadAt_ != SteadyTime {};
+    if (reader || hasList)
+        return reader;
+    // A node that starts during an outage of the platform has no backend servers and
+    // would reject all requests until the platform is back. Any list is better, since
+    // registrations that expire meanwhile are kept until then.
+    std::vector<KnownPeer> live = reports_.live();
+    if (live.empty())
+        return std::nullopt;
+    return live[randomBits() % live.size()];
+}
+
+asio::awaitable<std::optional<wire::ConfigurationUpdate>> PlatformFeed::callPeer(VmId vm, Peer peer, wire::Frame request)
+{
+    auto reply = co_await peers_.call(peer.peers_, request, peerTimeout);
+    if (reply && reply.value().has_configuration_update())
+        co_return reply.value().configuration_update();
+    logger_.warn("Peer " + vm.value_ + " sent no update: " + (reply ? "unexpected frame" : describe(reply.error())));
+    co_return std::nullopt;
+}
+
+asio::awaitable<void> PlatformFeed::fetchBackends(VmId vm, Peer peer)
+{
+    wire::Frame request;
+    request.mutable_configuration_fetch()->set_wants_backends(true);
+    SteadyTime askedAt = steadyNow();
+    auto answered = co_await callPeer(vm, peer, request);
+    if (!answered)
+        co_return;
+    const wire::ConfigurationUpdate& update = *answered;
+    // Nodes that do not read use a reader's list, and so do readers that cannot read.
+    bool mayUse = !isReader() || isRegistryStale();
+    bool isFirst = listReadAt_ == SteadyTime {} && update.backends_size();
+    if (!mayUse || (update.backends_age_ms() > maxListAgeMs && !isFirst))
+        co_return;
+    // The peer computes the age after the request was sent, so that the list was read no
+    // earlier than this. A list that is older than this node's may lack registrations
+    // that are newer.
+    SteadyTime readAt = askedAt - milliseconds(update.backends_age_ms());
+    if (readAt <= listReadAt_ && !isFirst)
+        co_return;
+    listReadAt_ = std::max(readAt, SteadyTime { milliseconds(1) });
+    RegistryRead read;
+    read.isWhole_ = true;
+    for (const wire::BackendEntry& entry : update.backends()) {
+        auto endpoint = parseEndpoint(entry.address());
+        if (endpoint && !entry.name().empty())
+            read.changes_.push_back({ { entry.name() }, BackendRecord { backendId({ entry.name() }, { entry.started_ms() }), { entry.service() }, *endpoint, { entry.data_centre() }, entry.slots(), entry.is_leaving(), entry.is_reclaimable(), { entry.name() }, { entry.started_ms() }, { entry.version() } }, {} });
+    }
+    apply(read, vm.value_);
+}
+
+wire::Frame PlatformFeed::answer(const wire::Frame& request)
+{
+    const wire::ConfigurationFetch& fetch = request.configuration_fetch();
+    wire::Frame frame;
+    wire::ConfigurationUpdate& update = *frame.mutable_configuration_update();
+    auto table = context_.table();
+    if (table) {
+        update.set_version(table->version());
+        // The source belongs to this table: another one may be published meanwhile.
+        if (fetch.wants_configuration() && table->version() > fetch.known_version())
+            update.set_compressed_source(table->configuration().compressedSource_);
+    }
+    auto age = std::chrono::duration_cast<milliseconds>(steadyNow() - registryReadAt_.load());
+    update.set_backends_age_ms(static_cast<std::uint64_t>(std::max<std::int64_t>(0, age.count())));
+    if (!fetch.wants_backends())
+        return frame;
+    for (const BackendRecord& record : context_.backends_.records()) {
+        wire::BackendEntry& entry = *update.add_backends();
+        entry.set_name(record.name_.value_);
+        entry.set_started_ms(record.startTime_.value_);
+        entry.set_service(record.service_.value_);
+        entry.set_address(record.endpoint_.toString());
+        entry.set_data_centre(record.dataCentre_.value_);
+        entry.set_slots(record.slots_);
+        entry.set_is_leaving(record.isLeaving_);
+        entry.set_is_reclaimable(record.isReclaimable_);
+        entry.set_version(record.version_.value_);
+    }
+    return frame;
+}
+
+} // namespace pistachioloom
--- /dev/null
+++ b/lib/Gateway/PlatformFeed.h
@@ -0,0 +1,95 @@
+//===- lib/Gateway/PlatformFeed.h - configuration and registry feed -------===//
+///
+/// \file
+/// Reads the configuration and the registry that the platform publishes, or fetches them
+/// from peers while this node does not read from the platform or the platform is
+/// unavailable to it.
+//===----------------------------------------------------------------------===//
+#pragma once
+
+#include "BackgroundExecutor.h"
+#include "PeerReports.h"
+#include "Readers.h"
+#include "TransferLimiter.h"
+
+namespace pistachioloom {
+
+/// Timeout of an answer from a peer, which composes it from memory. For a configuration,
+/// the maximum time between two parts of the answer.
+inline constexpr milliseconds peerTimeout { 500 };
+/// How often a node checks whether it has to fetch from peers.
+inline constexpr milliseconds peerCheckPeriod { 150 };
+
+class PlatformFeed {
+public:
+    PlatformFeed(asio::io_context& io, GatewayContext& context, PeerReports& reports, PeerPool& peers, BackgroundExecutor& background);
+
+    void start();
+    /// Returns whether this node reads from the platform now: it is the first of its data
+    /// centre, or one of the first of all data centres, among the nodes that the platform
+    /// serves.
+    bool isReader() const;
+    bool isPlatformUnavailable() const { return isRegistryUnavailable_ || isConfigurationUnavailable_; }
+    /// Answers a peer that fetches what this node has read from the platform. A peer that
+    /// fetches the configuration while others receive it is told to retry later.
+    asio::awaitable<void> serve(std::shared_ptr<PeerStream> stream, wire::Frame request);
+
+private:
+    asio::awaitable<void> followConfiguration();
+    asio::awaitable<void> followRegistry();
+    asio::awaitable<void> fetchConfigurationFromPeers();
+    asio::awaitable<void> fetchBackendsFromPeers();
+    asio::awaitable<void> fetchConfiguration(VmId vm, Peer peer);
+    /// Fetches the configuration from \p peer. A configuration may take longer than other
+    /// answers, provided that its parts keep arriving.
+    asio::awaitable<Result<wire::Frame>> requestConfiguration(Peer peer, wire::Frame request);
+    /// Puts the compressed configuration \p bytes, received from peer \p vm, in force.
+    asio::awaitable<void> applyConfiguration(std::string bytes, VmId vm);
+    wire::Frame answer(const wire::Frame& request);
+    bool hasNewerConfiguration(const wire::ConfigurationFetch& fetch) const;
+    /// Sends the configuration to a peer, and returns once the peer has all of it.
+    asio::awaitable<void> sendConfiguration(std::shared_ptr<PeerStream> stream, wire::Frame request);
+    wire::Frame busyAnswer();
+    asio::awaitable<void> fetchBackends(VmId vm, Peer peer);
+    /// Returns the peer to fetch the backend servers from, if this node needs them.
+    std::optional<KnownPeer> backendsSource() const;
+    asio::awaitable<std::optional<wire::ConfigurationUpdate>> callPeer(VmId vm, Peer peer, wire::Frame request);
+    void logAvailability(const std::string& what, const Error* error) const;
+    /// \p source is the platform or the peer that sent \p read.
+    void apply(const RegistryRead& read, const std::string& source);
+    void applyChange(const RegistryChange& change, const std::string& source);
+    /// Drops the backend server of a registration that is invalid.
+    void rejectRegistration(const RegistryChange& change, const std::string& source);
+    void removeBackend(const BackendName& name, const std::string& source);
+    void removeUnlisted(const RegistryRead& fullRead, const std::string& source);
+    void applyDueRemovals();
+    /// Returns a peer that has a newer configuration and is not busy, preferably of this
+    /// data centre.
+    std::optional<KnownPeer> peerWithNewerConfiguration() const;
+    bool isRegistryStale() const;
+    std::vector<ReaderState> readerStates() const;
+    /// Returns a reader whose list of backend servers differs from this node's.
+    std::optional<KnownPeer> readerWithDifferentList() const;
+    asio::awaitable<void> waitUntilReader(std::string reading, std::optional<LogOffset>& from);
+
+    asio::io_context& io_;
+    GatewayContext& context_;
+    PeerReports& reports_;
+    PeerPool& peers_;
+    BackgroundExecutor& background_;
+    std::atomic<SteadyTime> registryReadAt_ { SteadyTime {} };
+    /// When the list in use was read from the platform, by this node or by a peer.
+    SteadyTime listReadAt_ {};
+    std::atomic<bool> isRegistryUnavailable_ { false };
+    std::atomic<bool> isConfigurationUnavailable_ { false };
+    /// Time until which missing registrations are kept after an outage.
+    SteadyTime removalGraceEnd_ {};
+    TransferLimiter transfers_;
+    BusyPeers busyPeers_;
+    std::set<BackendName> pendingRemovals_;
+    /// The latest error of each invalid registration.
+    std::map<BackendName, std::string> registrationErrors_;
+    Logger logger_ { "feed" };
+};
+
+} // namespace pistachioloom
--- a/lib/Gateway/RelayBook.cpp
+++ b/lib/Gateway/ReportAggregator.cpp
@@ -1,9 +1,9 @@
-//===- lib/Gateway/RelayBook.cpp - reports summed by relays ----------------===//
+//===- lib/Gateway/ReportAggregator.cpp - aggregated reports --------------===//
 ///
 /// \file
-/// See RelayBook.h.
+/// See ReportAggregator.h.
 //===----------------------------------------------------------------------===//
-#include "RelayBook.h"
+#include "ReportAggregator.h"
 
 #include "RolloutMessages.h"
 
@@ -13,19 +13,20 @@
 
 namespace {
 
-    // A node that stopped is forgotten after this time; its usage is reported
-    // within four windows of 5 s.
-    constexpr milliseconds nodeMemory { 60000 };
-    // The source under which the usage of another data centre is kept: its
-    // relays tell the same sums, and the higher ones count.
+    // Time after which a stopped node is removed. Its usage is reported within four
+    // windows of 5 s.
+    constexpr milliseconds nodeRetention { 60000 };
+    // The incarnation under which the usage of another data centre is stored: its relays
+    // send the same sums, and the higher ones count.
     constexpr std::uint64_t anyIncarnation = 0;
 
-    // Windows told; the one that is reported next is the third newest.
-    constexpr std::size_t windowsTold = 6;
+    // Maximum number of usage windows in a message. The third newest is the next one that
+    // is reported to the platform.
+    constexpr std::size_t maxReportedWindows = 6;
 
     std::map<WindowNumber, UsageCounts> newest(std::map<WindowNumber, UsageCounts> windows)
     {
-        while (windows.size() > windowsTold)
+        while (windows.size() > maxReportedWindows)
             windows.erase(windows.begin());
         return windows;
     }
@@ -41,9 +42,9 @@
 std::map<WindowNumber, UsageCounts> usageOf(const google::protobuf::RepeatedPtrField<wire::UsageWindow>& message)
 {
     std::map<WindowNumber, UsageCounts> windows;
-    for (const wire::UsageWindow& told : message) {
-        UsageCounts& counts = windows[{ told.number() }];
-        for (const auto& [organisation, count] : told.counts())
+    for (const wire::UsageWindow& reported : message) {
+        UsageCounts& counts = windows[{ reported.number() }];
+        for (const auto& [organisation, count] : reported.counts())
             counts[{ organisation }] = count;
     }
     return windows;
@@ -52,10 +53,10 @@
 void putUsage(const std::map<WindowNumber, UsageCounts>& windows, google::protobuf::RepeatedPtrField<wire::UsageWindow>& message)
 {
     for (const auto& [window, counts] : windows) {
-        wire::UsageWindow& told = *message.Add();
-        told.set_number(window.value_);
+        wire::UsageWindow& reported = *message.Add();
+        reported.set_number(window.value_);
         for (const auto& [organisation, count] : counts)
-            (*told.mutable_counts())[organisation.value_] = count;
+            (*reported.mutable_counts())[organisation.value_] = count;
     }
 }
 
@@ -110,7 +111,8 @@
         total.running_ += load.running_;
         total.queuedTokens_ += load.queuedTokens_;
     }
-    // The lowest level: a node that starts must not hand out what others have.
+    // The lowest level counts: a node that starts must not admit what others have
+    // admitted already.
     for (const wire::QuotaReport& quota : sums.quotas()) {
         auto [found, isNew] = levels_.try_emplace(quota.organisation(), quota.level());
         found->second = std::min(found->second, quota.level());
@@ -138,26 +140,26 @@
         auto state = fromWire(report);
         if (!state)
             continue;
-        milliseconds said = age + milliseconds(static_cast<std::int64_t>(report.age_ms()));
-        auto [found, isNew] = rollouts_.try_emplace(report.service(), Rollout { *state, said });
+        milliseconds reportAge = age + milliseconds(static_cast<std::int64_t>(report.age_ms()));
+        auto [found, isNew] = rollouts_.try_emplace(report.service(), Rollout { *state, reportAge });
         if (found->second.state_ == *state)
-            found->second.age_ = std::min(found->second.age_, said);
+            found->second.age_ = std::min(found->second.age_, reportAge);
         else if (!isNew && supersedes(*state, found->second.state_))
-            found->second = { *state, said };
+            found->second = { *state, reportAge };
     }
     for (const auto& [service, tally] : talliesOf(sums.rollout_counts()))
         tallies_[service].add(tally);
 }
 
-void ReportTotals::add(const SumGroup& group, SteadyTime now)
+void ReportTotals::add(const NodeGroupSums& group, SteadyTime now)
 {
     addCounts(admitted_, group.admitted());
     if (const wire::NodeSums* current = group.current(now))
-        addCurrent(*current, std::chrono::duration_cast<milliseconds>(now - group.currentHeardAt()));
-    silentNodes_ += group.silentNodes(now);
+        addCurrent(*current, std::chrono::duration_cast<milliseconds>(now - group.currentReceivedAt()));
+    unresponsiveNodes_ += group.unresponsiveNodes(now);
 }
 
-void ReportTotals::remove(const wire::NodeSums& sums, const SumGroup& counted)
+void ReportTotals::remove(const wire::NodeSums& sums, const NodeGroupSums& group)
 {
     nodes_ -= std::min(nodes_, sums.nodes());
     for (const auto& [backend, load] : loadsOf(sums.loads())) {
@@ -167,7 +169,7 @@
     }
     for (const auto& [service, tally] : talliesOf(sums.rollout_counts()))
         tallies_[service].remove(tally);
-    addCounts(admitted_, counted.admitted(), -1);
+    addCounts(admitted_, group.admitted(), -1);
     for (const wire::DemandReport& demand : sums.demand())
         demand_[demand.service()].tokensPerSecond_ -= demand.tokens_per_second();
 }
@@ -181,18 +183,18 @@
     for (const auto& [organisation, level] : levels_)
         admitted.try_emplace(organisation, 0);
     for (const auto& [organisation, count] : admitted) {
-        wire::QuotaReport& told = *sums.add_quotas();
-        told.set_organisation(organisation);
-        told.set_admitted(count);
+        wire::QuotaReport& reported = *sums.add_quotas();
+        reported.set_organisation(organisation);
+        reported.set_admitted(count);
         auto level = levels_.find(organisation);
-        told.set_level(level == levels_.end() ? 0 : level->second);
+        reported.set_level(level == levels_.end() ? 0 : level->second);
     }
     for (const auto& [service, demand] : demand_) {
-        wire::DemandReport& told = *sums.add_demand();
-        told.set_service(service);
-        told.set_tokens_per_second(std::max(0.0, demand.tokensPerSecond_));
-        told.set_observations(demand.observations_);
-        told.set_prefill_per_ms(demand.observations_ ? demand.weightedRate_ / static_cast<double>(demand.observations_) : 0);
+        wire::DemandReport& reported = *sums.add_demand();
+        reported.set_service(service);
+        reported.set_tokens_per_second(std::max(0.0, demand.tokensPerSecond_));
+        reported.set_observations(demand.observations_);
+        reported.set_prefill_per_ms(demand.observations_ ? demand.weightedRate_ / static_cast<double>(demand.observations_) : 0);
     }
     for (const std::string& id : leaving_)
         sums.add_leaving(id);
@@ -208,47 +210,47 @@
     sums.set_duty_token(dutyToken_.value_);
     sums.set_holder_age_ms(static_cast<std::uint64_t>(holderAge_.count()));
     sums.set_released_token(releasedToken_.value_);
-    sums.set_silent_nodes(silentNodes_);
+    sums.set_silent_nodes(unresponsiveNodes_);
     return sums;
 }
 
-RelayBook::RelayBook(milliseconds usageWindow)
+ReportAggregator::ReportAggregator(milliseconds usageWindow)
     : ownUsage_(usageWindow)
     , othersUsage_(usageWindow)
 {
 }
 
-void RelayBook::forgetSilent(SteadyTime now)
+void ReportAggregator::removeUnresponsive(SteadyTime now)
 {
     std::erase_if(nodes_, [&](const auto& entry) {
         const Node& node = entry.second;
-        if (now - node.heardAt_ <= nodeMemory)
+        if (now - node.receivedAt_ <= nodeRetention)
             return false;
-        // Its counts stay in the totals, which never fall.
-        addCounts(goneAdmitted_, node.group_.admitted());
+        // Its counts stay in the totals, which never decrease.
+        addCounts(removedNodesAdmitted_, node.group_.admitted());
         ownUsage_.forgetPeer(entry.first);
         return true;
     });
 }
 
-void RelayBook::takeReport(const wire::NodeReport& report, SteadyTime now)
+void ReportAggregator::applyReport(const wire::NodeReport& report, SteadyTime now)
 {
-    forgetSilent(now);
+    removeUnresponsive(now);
     VmId vm { report.vm() };
     Node& node = nodes_[vm];
     node.incarnation_ = report.incarnation();
-    node.heardAt_ = now;
-    (void)node.group_.take(vm, report.incarnation(), sumsOf(report), now);
+    node.receivedAt_ = now;
+    (void)node.group_.applySums(vm, report.incarnation(), sumsOf(report), now);
     ownUsage_.setPeer(vm, report.incarnation(), usageOf(report.usage()));
 }
 
-void RelayBook::takeSummary(const wire::RelayReport& summary, SteadyTime now)
+void ReportAggregator::applySummary(const wire::RelayReport& summary, SteadyTime now)
 {
-    (void)others_[{ summary.data_centre() }].take({ summary.vm() }, summary.incarnation(), summary.sums(), now);
+    (void)others_[{ summary.data_centre() }].applySums({ summary.vm() }, summary.incarnation(), summary.sums(), now);
     othersUsage_.setPeer({ summary.data_centre() }, anyIncarnation, usageOf(summary.sums().usage()));
 }
 
-std::vector<VmId> RelayBook::receivers(SteadyTime now) const
+std::vector<VmId> ReportAggregator::receivers(SteadyTime now) const
 {
     std::vector<VmId> receivers;
     for (const auto& [vm, node] : nodes_) {
@@ -258,22 +260,22 @@
     return receivers;
 }
 
-std::vector<VmId> RelayBook::relaysOf(const DataCentreId& dataCentre, SteadyTime now) const
+std::vector<VmId> ReportAggregator::relaysOf(const DataCentreId& dataCentre, SteadyTime now) const
 {
     auto found = others_.find(dataCentre);
     return found == others_.end() ? std::vector<VmId> {} : found->second.liveSources(now);
 }
 
-ReportTotals RelayBook::ownTotals(SteadyTime now) const
+ReportTotals ReportAggregator::ownTotals(SteadyTime now) const
 {
     ReportTotals totals;
     for (const auto& [vm, node] : nodes_)
         totals.add(node.group_, now);
-    addCounts(totals.admitted_, goneAdmitted_);
+    addCounts(totals.admitted_, removedNodesAdmitted_);
     return totals;
 }
 
-wire::NodeSums RelayBook::summaryFor(const DataCentreId& receiver, SteadyTime now) const
+wire::NodeSums ReportAggregator::summaryFor(const DataCentreId& receiver, SteadyTime now) const
 {
     wire::NodeSums sums = ownTotals(now).toMessage();
     auto found = others_.find(receiver);
@@ -285,7 +287,7 @@
     return sums;
 }
 
-ReportTotals RelayBook::totals(SteadyTime now) const
+ReportTotals ReportAggregator::totals(SteadyTime now) const
 {
     ReportTotals totals = ownTotals(now);
     for (const auto& [dataCentre, group] : others_)
@@ -293,7 +295,7 @@
     return totals;
 }
 
-wire::NodeSums RelayBook::digestFor(const VmId& receiver, const ReportTotals& totals, SteadyTime now) const
+wire::NodeSums ReportAggregator::digestFor(const VmId& receiver, const ReportTotals& totals, SteadyTime now) const
 {
     auto found = nodes_.find(receiver);
     const wire::NodeSums* own = found == nodes_.end() ? nullptr : found->second.group_.current(now);
