--- a/include/pistachioloom/Gateway.h
+++ b/include/pistachioloom/Gateway.h
@@ -23,14 +23,14 @@
     /// nullopt: its registration is gone, or names no backend server to use.
     std::optional<BackendRecord> record_;
     /// Why the registration cannot be used; empty if it can, or is gone.
-    std::string complaint_;
+    std::string invalidReason_;
 };
 
 struct RegistryRead {
     /// Where to read on.
     LogOffset next_;
     /// The changes are the whole list; what is not in it is gone.
-    bool isWhole_ = false;
+    bool isComplete_ = false;
     std::vector<RegistryChange> changes_;
 };
 
@@ -49,7 +49,7 @@
 };
 
 /// What outlives all processes of the system: the platform keeps it under its key.
-struct KeptNote {
+struct StoredNote {
     std::string key_;
     /// Empty: the note is dropped.
     std::string value_;
@@ -64,15 +64,15 @@
     /// Decodes the source text of a configuration. Called beside the event loops.
     std::function<Result<RouteConfiguration>(const std::string& source)> decodeConfiguration_;
     std::function<asio::awaitable<Result<void>>(AnnouncedNode self)> announce_;
-    std::function<asio::awaitable<Result<std::vector<AnnouncedNode>>>()> announced_;
-    std::function<asio::awaitable<Result<std::vector<KeptNote>>>()> readNotes_;
+    std::function<asio::awaitable<Result<std::vector<AnnouncedNode>>>()> listAnnounced_;
+    std::function<asio::awaitable<Result<std::vector<StoredNote>>>()> readNotes_;
     /// Replaces the note of the same key.
-    std::function<asio::awaitable<Result<void>>(KeptNote note)> writeNote_;
+    std::function<asio::awaitable<Result<void>>(StoredNote note)> writeNote_;
     /// The log of duties: reads from \p from to its end.
-    std::function<asio::awaitable<Result<LogRead>>(LogOffset from)> readDuties_;
+    std::function<asio::awaitable<Result<LogRead>>(LogOffset from)> readDutyLog_;
     /// Appends \p record if the log ends at \p end; Errc::Conflict if it does
     /// not. An error with `ran_` Unknown: it may yet appear.
-    std::function<asio::awaitable<Result<void>>(LogOffset end, std::string record)> appendDuty_;
+    std::function<asio::awaitable<Result<void>>(LogOffset end, std::string record)> appendDutyRecord_;
     std::function<asio::awaitable<Result<void>>(VmId holder, DutyToken token, WindowNumber window, UsageCounts counts)> reportUsage_;
     std::function<asio::awaitable<Result<void>>(VmId holder, DutyToken token, FleetOrder order)> orderFleet_;
     /// Tells the operator where an order stands. Errc::Conflict: a holder with a higher
@@ -96,9 +96,9 @@
     /// than needed, so that nothing is missed when one goes.
     std::uint64_t relays_ = 2;
     /// Silence after which a node counts as not alive.
-    milliseconds silence_ { 1500 };
+    milliseconds unresponsiveAfter_ { 1500 };
     /// Silence after which it is forgotten.
-    milliseconds forget_ { 30000 };
+    milliseconds forgetAfter_ { 30000 };
 };
 
 struct FeedSettings {
@@ -112,12 +112,12 @@
     milliseconds retryPause_ { 200 };
     /// After an outage, registrations that are missing are kept for so long:
     /// their owners write them again.
-    milliseconds lapseGrace_ { 2200 };
+    milliseconds registrationGrace_ { 2200 };
     /// Nodes that read from the platform, beside one in each data centre; the
     /// others learn from them.
     std::uint64_t readers_ = 3;
     /// Silence after which a reader is succeeded: four reports.
-    milliseconds readerSilence_ { 800 };
+    milliseconds readerTimeout_ { 800 };
     /// Silence of the platform after which peers are asked.
     milliseconds askPeersAfter_ { 1200 };
 };
--- a/lib/Gateway/Discovery.cpp
+++ b/lib/Gateway/Discovery.cpp
@@ -106,7 +106,7 @@
     addRelays(own_, named, now);
     auto isNamed = [&](const VmId& vm) { return std::any_of(named.begin(), named.end(), [&](const KnownPeer& known) { return known.first == vm; }); };
     std::vector<KnownPeer> others;
-    for (const KnownPeer& known : table_.heardWithin(settings_.silence_, now)) {
+    for (const KnownPeer& known : table_.heardWithin(settings_.unresponsiveAfter_, now)) {
         if (isNamed(known.first))
             continue;
         if (known.second.isReader_ && namesReaders)
@@ -121,7 +121,7 @@
 
 std::vector<KnownPeer> Discovery::peersToName(NamesTold names, std::size_t turn, SteadyTime now) const
 {
-    std::vector<KnownPeer> known = table_.heardWithin(settings_.silence_, now);
+    std::vector<KnownPeer> known = table_.heardWithin(settings_.unresponsiveAfter_, now);
     std::size_t count = std::min(names == NamesTold::Few ? fewNames : manyNames, known.size());
     std::vector<KnownPeer> named;
     for (std::size_t i = 0; i < count; ++i)
--- a/lib/Gateway/DutyRunner.cpp
+++ b/lib/Gateway/DutyRunner.cpp
@@ -14,9 +14,9 @@
     constexpr milliseconds runPeriod { 250 };
     // An append without an answer is repeated this often, each time under the
     // same condition, so that it happens at most once.
-    constexpr int appendTries = 4;
+    constexpr int maxAppendAttempts = 4;
     // Windows that are remembered; older ones are past their due time.
-    constexpr std::uint64_t windowsKept = 8;
+    constexpr std::uint64_t retainedWindows = 8;
 
     DutyTiming timingFor(milliseconds lease)
     {
@@ -68,7 +68,7 @@
 DutyRunner::DutyRunner(asio::io_context& io, GatewayContext& context)
     : io_(io)
     , context_(context)
-    , seat_(context.settings_.vm_, timingFor(context.settings_.dutyLease_), steadyNow())
+    , lease_(context.settings_.vm_, timingFor(context.settings_.dutyLease_), steadyNow())
     , fleet_(context.settings_.fleet_)
     , rollouts_(context, { [this] { return actingToken(); }, [this](wire::DutyRecord record) { return recordOrResign(std::move(record)); } })
 {
@@ -88,10 +88,10 @@
 DutyToken DutyRunner::heldToken() const
 {
     std::lock_guard lock(mutex_);
-    return seat_.isHolder() ? seat_.token() : DutyToken {};
+    return lease_.isHolder() ? lease_.token() : DutyToken {};
 }
 
-DutyToken DutyRunner::toldToken() const
+DutyToken DutyRunner::reportedToken() const
 {
     return context_.isStopping_ ? DutyToken {} : heldToken();
 }
@@ -99,8 +99,8 @@
 DutyToken DutyRunner::actingToken() const
 {
     std::lock_guard lock(mutex_);
-    bool mayAct = !context_.isStopping_ && seat_.mayBegin(steadyNow());
-    return mayAct ? seat_.token() : DutyToken {};
+    bool mayAct = !context_.isStopping_ && lease_.mayBegin(steadyNow());
+    return mayAct ? lease_.token() : DutyToken {};
 }
 
 asio::awaitable<bool> DutyRunner::recordOrResign(wire::DutyRecord record)
@@ -114,37 +114,37 @@
 void DutyRunner::noteStopping(const VmId& peer)
 {
     std::lock_guard lock(mutex_);
-    seat_.noteStopping(peer, steadyNow());
+    lease_.noteStopping(peer, steadyNow());
 }
 
 DutyToken DutyRunner::releasedToken() const
 {
     std::lock_guard lock(mutex_);
-    return released_;
+    return releasedToken_;
 }
 
 void DutyRunner::noteReleased(DutyToken token)
 {
     std::lock_guard lock(mutex_);
-    seat_.noteReleased(token, steadyNow());
+    lease_.noteReleased(token, steadyNow());
 }
 
-void DutyRunner::noteHolder(const VmId& holder, DutyToken token, SteadyTime heardAt)
+void DutyRunner::noteHolder(const VmId& holder, DutyToken token, SteadyTime reportedAt)
 {
     std::lock_guard lock(mutex_);
-    bool was = seat_.isHolder();
-    seat_.noteHolder(holder, token, heardAt);
-    if (was && !seat_.isHolder())
+    bool wasHolder = lease_.isHolder();
+    lease_.noteHolder(holder, token, reportedAt);
+    if (wasHolder && !lease_.isHolder())
         logger_.info(LogLine("Another node holds the duties.").add("holder", holder.value_).add("token", static_cast<std::int64_t>(token.value_)));
 }
 
 void DutyRunner::resign(const std::string& why)
 {
     std::lock_guard lock(mutex_);
-    if (seat_.isHolder())
-        released_ = seat_.token();
-    seat_.stepDown(steadyNow());
-    logger_.info(LogLine("Give up the duties.").add("why", why).add("token", static_cast<std::int64_t>(released_.value_)));
+    if (lease_.isHolder())
+        releasedToken_ = lease_.token();
+    lease_.stepDown(steadyNow());
+    logger_.info(LogLine("Give up the duties.").add("why", why).add("token", static_cast<std::int64_t>(releasedToken_.value_)));
 }
 
 asio::awaitable<void> DutyRunner::run()
@@ -163,8 +163,8 @@
         {
             std::size_t rank = reports_->rankFor("duties");
             std::lock_guard lock(mutex_);
-            shouldClaim = context_.table() && seat_.shouldClaim(rank, steadyNow());
-            mayBegin = seat_.mayBegin(steadyNow());
+            shouldClaim = context_.table() && lease_.shouldClaim(rank, steadyNow());
+            mayBegin = lease_.mayBegin(steadyNow());
         }
         if (shouldClaim)
             co_await claim();
@@ -190,7 +190,7 @@
 asio::awaitable<bool> DutyRunner::readLog()
 {
     for (;;) {
-        auto read = co_await context_.platform_.readDuties_(end_);
+        auto read = co_await context_.platform_.readDutyLog_(end_);
         if (!read) {
             logger_.warn("Log of duties cannot be read: " + describe(read.error()));
             co_return false;
@@ -204,7 +204,7 @@
             for (const wire::FleetNeed& need : record.needs())
                 recordedNeeds_[{ need.service() }] = need.engines();
             if (record.has_rollout())
-                rollouts_.takeRecord(record.rollout());
+                rollouts_.applyRecord(record.rollout());
             if (record.has_usage())
                 recorded_.merge(usageOf(record));
             else if (!record.orders_size() && !record.has_rollout())
@@ -223,8 +223,8 @@
     // An act that is recorded later than this is not covered any more, and a holder
     // that the platform does not answer makes room for another.
     SteadyTime until = steadyNow() + timingFor(context_.settings_.dutyLease_).recordValidity_;
-    for (int i = 0; i < appendTries && steadyNow() < until; ++i) {
-        auto appended = co_await context_.platform_.appendDuty_(end_, bytes);
+    for (int i = 0; i < maxAppendAttempts && steadyNow() < until; ++i) {
+        auto appended = co_await context_.platform_.appendDutyRecord_(end_, bytes);
         if (appended) {
             ++end_.value_;
             co_return Recorded::Yes;
@@ -234,15 +234,15 @@
             continue;
         }
         // An earlier try of this very record may be what came first.
-        LogOffset mine = end_;
-        auto read = co_await context_.platform_.readDuties_(mine);
+        LogOffset ownOffset = end_;
+        auto read = co_await context_.platform_.readDutyLog_(ownOffset);
         if (read && !read.value().records_.empty() && read.value().records_.front().second == bytes) {
             ++end_.value_;
             co_return Recorded::Yes;
         }
         co_return Recorded::Superseded;
     }
-    co_return Recorded::Unsure;
+    co_return Recorded::Unknown;
 }
 
 asio::awaitable<void> DutyRunner::claim()
@@ -252,13 +252,13 @@
         co_return;
     // Somebody claimed whom this node has not heard yet: after a start many would claim
     // in a row.
-    bool isNews = newestClaim_.token_ > before.token_ && newestClaim_.vm_ != context_.settings_.vm_;
+    bool isNewClaim = newestClaim_.token_ > before.token_ && newestClaim_.vm_ != context_.settings_.vm_;
     // One that is stopping already will not be heard.
-    isNews &= !reports_->isStopping(newestClaim_.vm_);
-    if (isNews) {
+    isNewClaim &= !reports_->isStopping(newestClaim_.vm_);
+    if (isNewClaim) {
         std::lock_guard lock(mutex_);
-        if (newestClaim_.token_ > seat_.token()) {
-            seat_.noteHolder(newestClaim_.vm_, newestClaim_.token_, steadyNow());
+        if (newestClaim_.token_ > lease_.token()) {
+            lease_.noteHolder(newestClaim_.vm_, newestClaim_.token_, steadyNow());
             co_return;
         }
     }
@@ -272,27 +272,27 @@
         fleet_.inheritNeed(service, engines, steadyNow());
     std::lock_guard lock(mutex_);
     // The token is the claim's offset plus one, which is the end after it.
-    seat_.becomeHolder({ end_.value_ }, steadyNow());
+    lease_.becomeHolder({ end_.value_ }, steadyNow());
     logger_.info(LogLine("Hold the duties.").add("token", static_cast<std::int64_t>(end_.value_)));
 }
 
 asio::awaitable<void> DutyRunner::act()
 {
-    bool holdsOn = co_await rollouts_.act();
-    if (!holdsOn)
+    bool isStillHolder = co_await rollouts_.act();
+    if (!isStillHolder)
         co_return;
     co_await reportUsage();
-    if (steadyNow() - fleetAt_ < context_.settings_.fleet_.period_)
+    if (steadyNow() - fleetCheckedAt_ < context_.settings_.fleet_.period_)
         co_return;
-    fleetAt_ = steadyNow();
+    fleetCheckedAt_ = steadyNow();
     co_await orderFleet();
 }
 
 asio::awaitable<void> DutyRunner::reportUsage()
 {
     const UsageTiming& timing = context_.settings_.usageTiming_;
-    auto haveAllTold = [&](milliseconds time) { return reports_->haveAllToldWithin(time, timing.longest_); };
-    auto newest = dueWindow(context_.agreedWallMs(), context_.settings_.usageWindow_, timing, haveAllTold);
+    auto allReportedWithin = [&](milliseconds time) { return reports_->haveAllToldWithin(time, timing.longest_); };
+    auto newest = dueWindow(context_.agreedWallMs(), context_.settings_.usageWindow_, timing, allReportedWithin);
     if (!newest || reported_.contains(*newest))
         co_return;
     WindowNumber due = *newest;
@@ -316,7 +316,7 @@
         co_return resign("usage of window " + std::to_string(due.value_) + " could not be recorded");
     recorded_[due] = counts;
     DutyToken token = heldToken();
-    if (!seat_.mayAct(recordedAt, steadyNow()))
+    if (!lease_.mayAct(recordedAt, steadyNow()))
         co_return;
     auto sent = co_await context_.platform_.reportUsage_(context_.settings_.vm_, token, due, counts);
     std::uint64_t sum = 0;
@@ -328,20 +328,20 @@
     if (!sent)
         co_return;
     reported_.insert(due);
-    context_.usage_.forget({ due.value_ - std::min(due.value_, windowsKept) });
-    recorded_.erase(recorded_.begin(), recorded_.lower_bound({ due.value_ - std::min(due.value_, windowsKept) }));
+    context_.usage_.forget({ due.value_ - std::min(due.value_, retainedWindows) });
+    recorded_.erase(recorded_.begin(), recorded_.lower_bound({ due.value_ - std::min(due.value_, retainedWindows) }));
 }
 
 /// One service's engines, as this node knows them.
 FleetView DutyRunner::viewOf(const ServicePolicy& service, SteadyTime now) const
 {
     auto rollout = context_.rollouts_.find(service.name_);
-    std::map<DataCentreId, DataCentreFleet> places;
+    std::map<DataCentreId, DataCentreFleet> fleets;
     for (const auto& [dataCentre, price] : service.fleet_->prices_)
-        places[dataCentre] = { dataCentre, price, 0, 0 };
+        fleets[dataCentre] = { dataCentre, price, 0, 0 };
     for (const BackendRecord& record : context_.backends_.records()) {
-        auto found = places.find(record.dataCentre_);
-        if (record.service_ != service.name_ || record.isLeaving_ || found == places.end())
+        auto found = fleets.find(record.dataCentre_);
+        if (record.service_ != service.name_ || record.isLeaving_ || found == fleets.end())
             continue;
         if (!rollout || mayServe(*rollout, record.version_))
             ++(record.isReclaimable_ ? found->second.reclaimable_ : found->second.onDemand_);
@@ -349,16 +349,16 @@
             ++found->second.onDemandExcluded_;
     }
     FleetView view { service.name_, *service.fleet_, {}, {}, 0, 0, 0, true, false };
-    for (auto& [dataCentre, place] : places)
-        view.dataCentres_.push_back(std::move(place));
+    for (auto& [dataCentre, fleet] : fleets)
+        view.dataCentres_.push_back(std::move(fleet));
     view.tokensPerSecond_ = context_.demand_.peakRate(service.name_, now);
     view.prefillPerMs_ = context_.demand_.prefillPerMs(service.name_, context_.settings_.choice_.prefillPerMs_);
     BackendTable::Occupancy occupancy = context_.backends_.occupancy(service.name_);
     view.slots_ = occupancy.slots_;
     view.slotsTaken_ = occupancy.taken_;
     view.isComplete_ = reports_->coverage(now).isWhole();
-    bool hasApart = std::any_of(view.dataCentres_.begin(), view.dataCentres_.end(), [](const DataCentreFleet& place) { return place.onDemandExcluded_ > 0; });
-    view.isRollingOut_ = rollout && (!isFinal(rollout->phase_) || (rollout->phase_ == RolloutPhase::Reverted && hasApart));
+    bool hasExcluded = std::any_of(view.dataCentres_.begin(), view.dataCentres_.end(), [](const DataCentreFleet& fleet) { return fleet.onDemandExcluded_ > 0; });
+    view.isRollingOut_ = rollout && (!isFinal(rollout->phase_) || (rollout->phase_ == RolloutPhase::Reverted && hasExcluded));
     return view;
 }
 
@@ -416,7 +416,7 @@
     for (const wire::FleetNeed& need : intent.needs())
         recordedNeeds_[{ need.service() }] = need.engines();
     for (const FleetOrder& order : due) {
-        if (!seat_.mayAct(now, steadyNow()))
+        if (!lease_.mayAct(now, steadyNow()))
             co_return;
         auto sent = co_await context_.platform_.orderFleet_(context_.settings_.vm_, heldToken(), order);
         fleet_.noteOrdered(order, sent.has_value(), steadyNow());
--- a/lib/Gateway/DutyRunner.h
+++ b/lib/Gateway/DutyRunner.h
@@ -23,11 +23,11 @@
     /// The token by which this node holds the duties, or 0.
     DutyToken heldToken() const;
     /// The token to tell peers: a stopping node holds no duties any more.
-    DutyToken toldToken() const;
+    DutyToken reportedToken() const;
     void noteStopping(const VmId& peer);
     /// The token by which this node held the duties and gave them up, or 0.
     DutyToken releasedToken() const;
-    void noteHolder(const VmId& holder, DutyToken token, SteadyTime heardAt);
+    void noteHolder(const VmId& holder, DutyToken token, SteadyTime reportedAt);
     void noteReleased(DutyToken token);
     const RolloutRunner& rollouts() const { return rollouts_; }
 
@@ -37,7 +37,7 @@
         /// Another record came first.
         Superseded,
         /// It may or may not be there; ask again.
-        Unsure,
+        Unknown,
     };
 
     asio::awaitable<void> run();
@@ -60,8 +60,8 @@
     GatewayContext& context_;
     const PeerReports* reports_ = nullptr;
     mutable std::mutex mutex_;
-    DutyLease seat_;
-    DutyToken released_ {};
+    DutyLease lease_;
+    DutyToken releasedToken_ {};
     /// The end of the log as far as this node has read it.
     LogOffset end_;
     /// A node's word that it holds the duties.
@@ -78,7 +78,7 @@
     std::map<ServiceName, std::uint64_t> recordedNeeds_;
     FleetTracker fleet_;
     RolloutRunner rollouts_;
-    SteadyTime fleetAt_ {};
+    SteadyTime fleetCheckedAt_ {};
     Logger logger_ { "duties" };
 };
 
--- a/lib/Gateway/Feed.cpp
+++ b/lib/Gateway/Feed.cpp
@@ -42,7 +42,7 @@
 std::vector<ReaderView> Feed::readerViews() const
 {
     std::vector<ReaderView> views;
-    for (const auto& [vm, peer] : reports_.heardWithin(context_.settings_.feed_.readerSilence_))
+    for (const auto& [vm, peer] : reports_.heardWithin(context_.settings_.feed_.readerTimeout_))
         views.push_back({ vm, peer.dataCentre_, peer.isStopping_, peer.isPlatformLost_, peer.isReader_, peer.cores_ });
     return views;
 }
@@ -88,8 +88,8 @@
                 logger_.info(LogLine("Roll-out is ordered.").add("service", order.service_.value_).add("target", order.target_.value_).add("number", static_cast<std::int64_t>(order.number_.value_)).add("period_ms", order.period_.count()));
         }
         if (!read.value().sources_.empty()) {
-            std::function<void()> takeIn = [&context = context_, sources = std::move(read.value().sources_)] { context.takeIn(sources, platformSource); };
-            co_await background_.run(std::move(takeIn));
+            std::function<void()> applySources = [&context = context_, sources = std::move(read.value().sources_)] { context.applySources(sources, platformSource); };
+            co_await background_.run(std::move(applySources));
         }
         if (!context_.table())
             co_await sleepFor(context_.settings_.feed_.retryPause_);
@@ -130,11 +130,11 @@
 void Feed::refuse(const RegistryChange& change, const std::string& source)
 {
     std::string& before = complaints_[change.name_];
-    if (before != change.complaint_) {
+    if (before != change.invalidReason_) {
         context_.metrics_.add(Counter::RegistrationsRefused);
-        logger_.warn(LogLine("Registration cannot be used.").add("backend", change.name_.value_).add("why", change.complaint_).add("from", source));
+        logger_.warn(LogLine("Registration cannot be used.").add("backend", change.name_.value_).add("why", change.invalidReason_).add("from", source));
     }
-    before = change.complaint_;
+    before = change.invalidReason_;
     missing_.erase(change.name_);
     if (auto known = context_.backends_.findNewest(change.name_))
         context_.backends_.remove(known->id_, steadyNow());
@@ -142,7 +142,7 @@
 
 void Feed::applyChange(const RegistryChange& change, const std::string& source)
 {
-    if (!change.complaint_.empty())
+    if (!change.invalidReason_.empty())
         return refuse(change, source);
     if (source == platformSource)
         complaints_.erase(change.name_);
@@ -190,7 +190,7 @@
 {
     for (const RegistryChange& change : read.changes_)
         applyChange(change, source);
-    if (read.isWhole_)
+    if (read.isComplete_)
         removeMissing(read, source);
     applyDueRemovals();
 }
@@ -209,7 +209,7 @@
         // Registrations that lapsed in an outage are written again soon after it.
         bool endsOutage = wasLost || (isRegistryOld() && haveAllReadersLost(readerViews()));
         if (read && endsOutage && !context_.backends_.records().empty())
-            graceUntil_ = steadyNow() + settings.lapseGrace_;
+            graceUntil_ = steadyNow() + settings.registrationGrace_;
         if (!read && read.error().code_ == Errc::NotFound)
             from.reset();
         if (read) {
@@ -230,7 +230,7 @@
 std::optional<KnownPeer> Feed::differingReader() const
 {
     std::optional<KnownPeer> chosen;
-    for (const auto& entry : reports_.heardWithin(context_.settings_.feed_.readerSilence_)) {
+    for (const auto& entry : reports_.heardWithin(context_.settings_.feed_.readerTimeout_)) {
         const Peer& peer = entry.second;
         if (!peer.isReader_ || peer.isPlatformLost_)
             continue;
@@ -300,7 +300,7 @@
         co_return;
     listReadAt_ = std::max(readAt, SteadyTime { milliseconds(1) });
     RegistryRead read;
-    read.isWhole_ = true;
+    read.isComplete_ = true;
     for (const wire::BackendEntry& entry : update.backends()) {
         auto endpoint = parseEndpoint(entry.address());
         if (endpoint && !entry.name().empty())
--- a/lib/Gateway/Gateway.cpp
+++ b/lib/Gateway/Gateway.cpp
@@ -6,10 +6,10 @@
 #include "DutyRunner.h"
 #include "Feed.h"
 #include "LoopLag.h"
-#include "QuarantineKeeper.h"
-#include "QuarantinePage.h"
+#include "QuarantineStore.h"
+#include "QuarantineEndpoint.h"
 #include "ReachProbe.h"
-#include "RolloutPage.h"
+#include "RolloutEndpoint.h"
 #include "generated/Peer.pb.h"
 
 #include <thread>
@@ -36,8 +36,8 @@
     asio::awaitable<void> drain();
     asio::awaitable<void> watchSignals();
     HttpResponse readiness() const;
-    HttpResponse metricsPage() const;
-    HttpResponse operatorPage(const HttpRequest& request);
+    HttpResponse metricsEndpoint() const;
+    HttpResponse operatorEndpoint(const HttpRequest& request);
     void reload();
     bool isReady() const;
 
@@ -51,7 +51,7 @@
     DutyRunner duties_;
     ReachProbe probe_;
     Feed feed_;
-    QuarantineKeeper quarantines_;
+    QuarantineStore quarantineStore_;
     PeerServer peerServer_;
     HttpServer readinessServer_;
     HttpServer metricsServer_;
@@ -73,18 +73,18 @@
     , context_(std::move(settings), std::move(platform))
     , ios_(makeContexts(context_.settings_.threads_))
     , peerPool_(ios_[0]->get_executor(), context_.settings_.peerCredential_, [this](const Error& error) { logger_.warn("Peer link: " + describe(error)); })
-    , reports_(*ios_[0], context_, { [this] { return duties_.toldToken(); }, [this] { return duties_.releasedToken(); }, [this](const VmId& vm, DutyToken token, SteadyTime heardAt) { duties_.noteHolder(vm, token, heardAt); }, [this](DutyToken token) { duties_.noteReleased(token); }, [this](const VmId& vm) { duties_.noteStopping(vm); }, [this] { return feed_.isReader(); }, [this] { return feed_.isPlatformLost(); } })
+    , reports_(*ios_[0], context_, { [this] { return duties_.reportedToken(); }, [this] { return duties_.releasedToken(); }, [this](const VmId& vm, DutyToken token, SteadyTime reportedAt) { duties_.noteHolder(vm, token, reportedAt); }, [this](DutyToken token) { duties_.noteReleased(token); }, [this](const VmId& vm) { duties_.noteStopping(vm); }, [this] { return feed_.isReader(); }, [this] { return feed_.isPlatformLost(); } })
     , duties_(*ios_[0], context_)
     , probe_(context_)
     , feed_(*ios_[0], context_, reports_, peerPool_, background_)
-    , quarantines_(context_, { [this] { return feed_.isReader(); }, [this] { return reports_.rankFor("quarantines") == 0; } })
+    , quarantineStore_(context_, { [this] { return feed_.isReader(); }, [this] { return reports_.rankFor("quarantines") == 0; } })
     , peerServer_(
           ios_[0]->get_executor(), context_.settings_.peerCredential_, [this](std::shared_ptr<PeerStream> stream) { return servePeer(std::move(stream)); },
           [this](const Error& error) { logger_.warn("Peer was refused: " + describe(error)); })
     , readinessServer_(
           ios_[0]->get_executor(), HttpBounds {}, [this](HttpExchange& exchange) -> asio::awaitable<void> { (void)co_await exchange.respond(readiness()); }, errorResponse)
     , metricsServer_(
-          ios_[0]->get_executor(), HttpBounds {}, [this](HttpExchange& exchange) -> asio::awaitable<void> { (void)co_await exchange.respond(operatorPage(exchange.request())); }, errorResponse)
+          ios_[0]->get_executor(), HttpBounds {}, [this](HttpExchange& exchange) -> asio::awaitable<void> { (void)co_await exchange.respond(operatorEndpoint(exchange.request())); }, errorResponse)
     , signals_(*ios_[0], SIGTERM, SIGINT, SIGHUP)
 {
     context_.forward_.hooks_.onLeaving_ = [this](const BackendId& backend) {
@@ -108,7 +108,7 @@
     return { 503, {}, context_.isStopping_ ? "stopping\n" : "no configuration yet\n" };
 }
 
-HttpResponse Gateway::State::metricsPage() const
+HttpResponse Gateway::State::metricsEndpoint() const
 {
     auto table = context_.table();
     std::map<std::string, double> gauges {
@@ -126,11 +126,11 @@
     return { 200, { { "content-type", "text/plain; version=0.0.4" } }, context_.metrics_.render(gauges) };
 }
 
-HttpResponse Gateway::State::operatorPage(const HttpRequest& request)
+HttpResponse Gateway::State::operatorEndpoint(const HttpRequest& request)
 {
-    if (isForRolloutPage(request))
-        return rolloutPage(context_, duties_.rollouts(), request);
-    return isForQuarantinePage(request) ? quarantinePage(context_, request) : metricsPage();
+    if (isForRolloutEndpoint(request))
+        return rolloutEndpoint(context_, duties_.rollouts(), request);
+    return isForQuarantineEndpoint(request) ? quarantineEndpoint(context_, request) : metricsEndpoint();
 }
 
 asio::awaitable<void> Gateway::State::servePeer(std::shared_ptr<PeerStream> stream)
@@ -157,7 +157,7 @@
                 logger_.warn("Announcement failed: " + describe(announced.error()));
         }
         if (!hasRead || reports_.live().empty()) {
-            auto nodes = co_await context_.platform_.announced_();
+            auto nodes = co_await context_.platform_.listAnnounced_();
             if (nodes) {
                 for (const AnnouncedNode& node : nodes.value())
                     reports_.addKnown(node.vm_, node.gossip_);
@@ -259,7 +259,7 @@
         asio::co_spawn(*io, watchLoopLag(state_->context_.metrics_), asio::detached);
     asio::co_spawn(*state_->ios_[0], state_->findPeers(), asio::detached);
     asio::co_spawn(*state_->ios_[0], state_->probe_.run(), asio::detached);
-    asio::co_spawn(*state_->ios_[0], state_->quarantines_.run(), asio::detached);
+    asio::co_spawn(*state_->ios_[0], state_->quarantineStore_.run(), asio::detached);
     asio::co_spawn(*state_->ios_[0], state_->watchSignals(), asio::detached);
     state_->logger_.info(LogLine("Started.").add("data_centre", settings.dataCentre_.value_).add("callers", settings.callers_.toString()).add("incarnation", std::to_string(state_->context_.incarnation_)));
     return port;
--- a/lib/Gateway/GatewayContext.cpp
+++ b/lib/Gateway/GatewayContext.cpp
@@ -9,11 +9,11 @@
 
 // A configuration is no longer than this: four times what one record of the
 // platform may hold.
-static constexpr ByteCount longestConfiguration { 16UL * 1024 * 1024 };
+static constexpr ByteCount maxConfigurationSize { 16UL * 1024 * 1024 };
 
-static milliseconds elapsedSince(SteadyTime began)
+static milliseconds elapsedSince(SteadyTime startedAt)
 {
-    return std::chrono::duration_cast<milliseconds>(steadyNow() - began);
+    return std::chrono::duration_cast<milliseconds>(steadyNow() - startedAt);
 }
 
 static RetrySettings retrySettings(const GatewaySettings& settings)
@@ -22,7 +22,7 @@
     retries.ratio_ = settings.retryRatio_;
     retries.extra_ = settings.retryExtra_;
     retries.window_ = settings.retryWindow_;
-    retries.nodes_ = leastNodesAssumed;
+    retries.nodes_ = minNodesAssumed;
     return retries;
 }
 
@@ -48,8 +48,8 @@
     , forward_ { platform_.headers_, settings_.forward_, {}, settings_.peerCredential_, backends_, quotas_, retries_, quarantine_, crashes_, rollouts_, metrics_, {}, {}, {}, {} }
     , table_(nullptr)
 {
-    forward_.nodes_ = leastNodesAssumed;
-    quotas_.setNodes(unknownFleet);
+    forward_.nodes_ = minNodesAssumed;
+    quotas_.setNodes(nodesAssumedAtStart);
     forward_.workers_ = settings_.threads_;
     forward_.hooks_.table_ = [this] { return table(); };
     forward_.hooks_.copyStream_ = platform_.copyStream_;
@@ -62,7 +62,7 @@
     return table_.read([](const std::shared_ptr<const RouteTable>& table) { return table; });
 }
 
-std::int64_t GatewayContext::ownWallMs() const
+std::int64_t GatewayContext::localWallMs() const
 {
     auto now = std::chrono::system_clock::now().time_since_epoch() + settings_.clockOffset_;
     return std::chrono::duration_cast<milliseconds>(now).count();
@@ -70,15 +70,15 @@
 
 std::int64_t GatewayContext::agreedWallMs() const
 {
-    return ownWallMs() + clocks_.correctionMs(steadyNow());
+    return localWallMs() + clocks_.correctionMs(steadyNow());
 }
 
-std::optional<GatewayContext::Intake> GatewayContext::decode(const std::string& source, const std::string& from) const
+std::optional<GatewayContext::DecodedConfiguration> GatewayContext::decode(const std::string& source, const std::string& from) const
 {
-    SteadyTime began = steadyNow();
+    SteadyTime startedAt = steadyNow();
     auto decoded = platform_.decodeConfiguration_(source);
     if (decoded)
-        return Intake { std::move(decoded.value()), from, { source.size() }, elapsedSince(began) };
+        return DecodedConfiguration { std::move(decoded.value()), from, { source.size() }, elapsedSince(startedAt) };
     logger_.error("Configuration of " + from + " is refused, the one before stays: " + describe(decoded.error()));
     return std::nullopt;
 }
@@ -89,46 +89,46 @@
     return !current || configuration.version_ > current->version();
 }
 
-void GatewayContext::takeIn(const std::vector<std::string>& sources, const std::string& from)
+void GatewayContext::applySources(const std::vector<std::string>& sources, const std::string& from)
 {
     for (auto source = sources.rbegin(); source != sources.rend(); ++source) {
-        auto intake = decode(*source, from);
-        if (!intake)
+        auto decoded = decode(*source, from);
+        if (!decoded)
             continue;
         // The newest one is read again when a node begins anew.
-        if (isNewer(intake->configuration_))
-            intake->configuration_.compressedSource_ = compress(*source);
-        return publish(std::move(*intake));
+        if (isNewer(decoded->configuration_))
+            decoded->configuration_.compressedSource_ = compress(*source);
+        return publish(std::move(*decoded));
     }
 }
 
-void GatewayContext::takeInCompressed(std::string bytes, const std::string& from)
+void GatewayContext::applyCompressed(std::string bytes, const std::string& from)
 {
-    auto source = decompress(bytes, longestConfiguration);
+    auto source = decompress(bytes, maxConfigurationSize);
     if (!source) {
         logger_.warn("Configuration of peer " + from + " cannot be read: " + describe(source.error()));
         return;
     }
-    auto intake = decode(source.value(), from);
-    if (!intake)
+    auto decoded = decode(source.value(), from);
+    if (!decoded)
         return;
     // Passed on as it came: compressing it again would cost half of what decoding does.
-    intake->configuration_.compressedSource_ = std::move(bytes);
-    publish(std::move(*intake));
+    decoded->configuration_.compressedSource_ = std::move(bytes);
+    publish(std::move(*decoded));
 }
 
-void GatewayContext::publish(Intake intake)
+void GatewayContext::publish(DecodedConfiguration decoded)
 {
-    std::lock_guard lock(publishing_);
+    std::lock_guard lock(publishMutex_);
     auto current = table();
-    if (!isNewer(intake.configuration_))
+    if (!isNewer(decoded.configuration_))
         return;
-    SteadyTime began = steadyNow();
-    auto next = RouteTable::build(std::move(intake.configuration_));
+    SteadyTime startedAt = steadyNow();
+    auto next = RouteTable::build(std::move(decoded.configuration_));
     LogLine line("Configuration is in force.");
-    line.add("configuration", static_cast<std::int64_t>(next->version())).add("before", current ? static_cast<std::int64_t>(current->version()) : 0).add("from", intake.from_);
+    line.add("configuration", static_cast<std::int64_t>(next->version())).add("before", current ? static_cast<std::int64_t>(current->version()) : 0).add("from", decoded.from_);
     line.add("routes", static_cast<std::int64_t>(next->configuration().routes_.size())).add("organisations", static_cast<std::int64_t>(next->configuration().organisations_.size()));
-    line.add("bytes", static_cast<std::int64_t>(intake.size_.value_)).add("decoding_ms", intake.decoding_.count()).add("building_ms", elapsedSince(began).count());
+    line.add("bytes", static_cast<std::int64_t>(decoded.size_.value_)).add("decoding_ms", decoded.decodingTime_.count()).add("building_ms", elapsedSince(startedAt).count());
     metrics_.add(Counter::CatalogueRecords);
     table_.publish(std::move(next));
     logger_.info(line);
--- a/lib/Gateway/GatewaySettings.cpp
+++ b/lib/Gateway/GatewaySettings.cpp
@@ -15,7 +15,7 @@
 
     constexpr milliseconds oneDay { 24LL * 3600 * 1000 };
     constexpr milliseconds oneMinute { 60000 };
-    constexpr std::uint64_t mostThreads = 64;
+    constexpr std::uint64_t maxThreads = 64;
     constexpr const char* rootKey = "gateway";
 
     Endpoint endpoint(YamlMap& map, const std::string& key)
@@ -58,8 +58,8 @@
         settings.period_ = map.duration("period", milliseconds(20), oneMinute, settings.period_);
         settings.fanout_ = map.integer("fanout", 1, 1000, settings.fanout_);
         settings.relays_ = map.integer("relays", 1, 16, settings.relays_);
-        settings.silence_ = map.duration("silence", milliseconds(50), oneMinute, settings.silence_);
-        settings.forget_ = map.duration("forget", milliseconds(1000), oneDay, settings.forget_);
+        settings.unresponsiveAfter_ = map.duration("silence", milliseconds(50), oneMinute, settings.unresponsiveAfter_);
+        settings.forgetAfter_ = map.duration("forget", milliseconds(1000), oneDay, settings.forgetAfter_);
         map.finish();
     }
 
@@ -67,9 +67,9 @@
     {
         settings.configurationWait_ = map.duration("configuration_wait", milliseconds(50), oneMinute, settings.configurationWait_);
         settings.registryPeriod_ = map.duration("registry_period", milliseconds(20), oneMinute, settings.registryPeriod_);
-        settings.lapseGrace_ = map.duration("lapse_grace", milliseconds(0), oneMinute, settings.lapseGrace_);
+        settings.registrationGrace_ = map.duration("lapse_grace", milliseconds(0), oneMinute, settings.registrationGrace_);
         settings.readers_ = map.integer("readers", 1, 1000, settings.readers_);
-        settings.readerSilence_ = map.duration("reader_silence", milliseconds(50), oneMinute, settings.readerSilence_);
+        settings.readerTimeout_ = map.duration("reader_silence", milliseconds(50), oneMinute, settings.readerTimeout_);
         settings.askPeersAfter_ = map.duration("ask_peers_after", milliseconds(100), oneMinute, settings.askPeersAfter_);
         map.finish();
     }
@@ -153,7 +153,7 @@
         settings.vm_ = { map.text("vm") };
         settings.dataCentre_ = { map.text("data_centre") };
         settings.cores_ = map.number("cores", 0.001, 1000, settings.cores_);
-        settings.threads_ = map.integer("threads", 1, mostThreads, settings.threads_);
+        settings.threads_ = map.integer("threads", 1, maxThreads, settings.threads_);
         settings.clockOffset_ = map.duration("clock_offset", milliseconds(0), oneDay, settings.clockOffset_);
         settings.peerCredential_ = map.text("peer_credential");
         settings.store_ = endpoint(map, "store");
--- a/lib/Gateway/PeerReports.cpp
+++ b/lib/Gateway/PeerReports.cpp
@@ -65,7 +65,7 @@
 
 std::vector<KnownPeer> PeerReports::live() const
 {
-    return heardWithin(context_.settings_.gossiping_.silence_);
+    return heardWithin(context_.settings_.gossiping_.unresponsiveAfter_);
 }
 
 std::uint64_t PeerReports::nodesKnownOf() const
@@ -77,7 +77,7 @@
 {
     PeerTable::Census census = table_.census();
     // What was named and never heard may be long gone, but for a while after a start.
-    bool hasJustStarted = now - startedAt_ < context_.settings_.gossiping_.forget_;
+    bool hasJustStarted = now - startedAt_ < context_.settings_.gossiping_.forgetAfter_;
     std::uint64_t known = census.heard_ + (hasJustStarted ? census.named_ : 0);
     const wire::NodeSums* sums = others_.current(now);
     std::uint64_t heard = wasLarge_ ? (sums ? sums->nodes() : 0) : live().size();
@@ -113,12 +113,12 @@
 void PeerReports::shareAmong(std::uint64_t known, SteadyTime now)
 {
     // All nodes known share, also those cut off.
-    std::uint64_t assumed = std::max(leastNodesAssumed, known);
+    std::uint64_t assumed = std::max(minNodesAssumed, known);
     context_.retries_.setNodes(assumed);
     context_.forward_.nodes_ = assumed;
     // A platform that does not answer must not hold back quotas for longer.
     bool isWaiting = !isFleetKnown_ && now - startedAt_ < QuotaSettings {}.startup_;
-    context_.quotas_.setNodes(isWaiting ? std::max(unknownFleet, known) : known);
+    context_.quotas_.setNodes(isWaiting ? std::max(nodesAssumedAtStart, known) : known);
 }
 
 void PeerReports::noteLeaving(const BackendId& id)
@@ -307,7 +307,7 @@
 {
     for (const VmId& vm : table_.forgetSilent(now)) {
         forgetCounts(vm);
-        logger_.info(LogLine("Peer is forgotten.").add("peer", vm.value_).add("silent_ms", context_.settings_.gossiping_.forget_.count()));
+        logger_.info(LogLine("Peer is forgotten.").add("peer", vm.value_).add("silent_ms", context_.settings_.gossiping_.forgetAfter_.count()));
     }
 }
 
@@ -383,7 +383,7 @@
         if (auto address = parseEndpoint(known.address()))
             addKnown({ known.vm() }, *address);
     }
-    context_.clocks_.setPeer(vm, report.wall_ms() - context_.ownWallMs(), now);
+    context_.clocks_.setPeer(vm, report.wall_ms() - context_.localWallMs(), now);
     takeLeaving(report.leaving(), vm);
     takeEnded(report.ended(), vm, now);
     takeRollouts(report.rollouts(), vm, now);
--- a/lib/Gateway/PeerTable.cpp
+++ b/lib/Gateway/PeerTable.cpp
@@ -66,7 +66,7 @@
     bool isSame = known.incarnation_ == peer.incarnation_;
     if (isSame && peer.sequence_ <= known.sequence_)
         return Heard::Old;
-    bool wasSilent = peer.heardAt_ - known.heardAt_ > settings_.silence_;
+    bool wasSilent = peer.heardAt_ - known.heardAt_ > settings_.unresponsiveAfter_;
     known = std::move(peer);
     if (!isSame)
         return Heard::Restarted;
@@ -99,7 +99,7 @@
     std::vector<VmId> forgotten;
     std::erase_if(peers_, [&](const auto& entry) {
         const Peer& peer = entry.second;
-        bool isGone = peer.heardAt_ != SteadyTime {} && now - peer.heardAt_ > settings_.forget_;
+        bool isGone = peer.heardAt_ != SteadyTime {} && now - peer.heardAt_ > settings_.forgetAfter_;
         if (isGone)
             forgotten.push_back(entry.first);
         return isGone;
@@ -150,7 +150,7 @@
 std::size_t PeerTable::rankFor(const std::string& key, SteadyTime now) const
 {
     std::vector<VmId> candidates { self_ };
-    for (const auto& [vm, peer] : heardWithin(settings_.silence_, now)) {
+    for (const auto& [vm, peer] : heardWithin(settings_.unresponsiveAfter_, now)) {
         if (!peer.isStopping_)
             candidates.push_back(vm);
     }
--- a/lib/Gateway/QuarantinePage.cpp
+++ b/lib/Gateway/QuarantineEndpoint.cpp
@@ -1,9 +1,9 @@
-//===- lib/Gateway/QuarantinePage.cpp - what operators see of suspects -----===//
+//===- lib/Gateway/QuarantineEndpoint.cpp - what operators see of suspects -----===//
 ///
 /// \file
-/// See QuarantinePage.h.
+/// See QuarantineEndpoint.h.
 //===----------------------------------------------------------------------===//
-#include "QuarantinePage.h"
+#include "QuarantineEndpoint.h"
 
 #include "pistachioloom/Json.h"
 
@@ -11,7 +11,7 @@
 
 namespace json = boost::json;
 
-static constexpr std::string_view pagePath = "/quarantine";
+static constexpr std::string_view endpointPath = "/quarantine";
 
 static const Logger& logger()
 {
@@ -46,23 +46,23 @@
     const std::string step = "lift quarantine";
     if (!equalInConstantTime(request.header("authorization"), "Bearer " + context.settings_.peerCredential_))
         return errorResponse(Error { Errc::Unauthorised, step, {}, "expected the nodes' credential", Ran::No, {} });
-    auto fingerprint = parseFingerprint(std::string_view(request.path()).substr(std::min(request.path().size(), pagePath.size() + 1)));
+    auto fingerprint = parseFingerprint(std::string_view(request.path()).substr(std::min(request.path().size(), endpointPath.size() + 1)));
     if (!fingerprint)
-        return errorResponse(Error { Errc::InvalidInput, step, {}, "expected sixteen hexadecimal digits after " + std::string(pagePath) + "/", Ran::No, {} });
+        return errorResponse(Error { Errc::InvalidInput, step, {}, "expected sixteen hexadecimal digits after " + std::string(endpointPath) + "/", Ran::No, {} });
     if (!context.crashes_.clear(*fingerprint, steadyNow()))
         return errorResponse(Error { Errc::NotFound, step, {}, "nothing is held against request " + toString(*fingerprint), Ran::No, {} });
     logger().info(LogLine("Quarantine is lifted by an operator.").add("request", toString(*fingerprint)));
     return jsonResponse(200, "{}");
 }
 
-bool isForQuarantinePage(const HttpRequest& request)
+bool isForQuarantineEndpoint(const HttpRequest& request)
 {
-    return request.path() == pagePath || request.path().starts_with(std::string(pagePath) + "/");
+    return request.path() == endpointPath || request.path().starts_with(std::string(endpointPath) + "/");
 }
 
-HttpResponse quarantinePage(GatewayContext& context, const HttpRequest& request)
+HttpResponse quarantineEndpoint(GatewayContext& context, const HttpRequest& request)
 {
-    if (request.method_ == "GET" && request.path() == pagePath)
+    if (request.method_ == "GET" && request.path() == endpointPath)
         return list(context);
     if (request.method_ == "DELETE")
         return lift(context, request);
--- a/lib/Gateway/QuarantinePage.h
+++ b/lib/Gateway/QuarantineEndpoint.h
@@ -1,4 +1,4 @@
-//===- lib/Gateway/QuarantinePage.h - what operators see of suspects -------===//
+//===- lib/Gateway/QuarantineEndpoint.h - what operators see of suspects -------===//
 ///
 /// \file
 /// Lists the requests under which backend servers crashed, and lifts what is held
@@ -10,11 +10,11 @@
 
 namespace pistachioloom {
 
-/// Whether \p request is meant for quarantinePage().
-bool isForQuarantinePage(const HttpRequest& request);
+/// Whether \p request is meant for quarantineEndpoint().
+bool isForQuarantineEndpoint(const HttpRequest& request);
 
 /// GET /quarantine lists; DELETE /quarantine/REQUEST lifts, on all nodes within some
 /// reports, and asks for the nodes' credential.
-HttpResponse quarantinePage(GatewayContext& context, const HttpRequest& request);
+HttpResponse quarantineEndpoint(GatewayContext& context, const HttpRequest& request);
 
 } // namespace pistachioloom
--- a/lib/Gateway/QuarantineKeeper.cpp
+++ b/lib/Gateway/QuarantineStore.cpp
@@ -1,9 +1,9 @@
-//===- lib/Gateway/QuarantineKeeper.cpp - quarantines that outlive all nodes ===//
+//===- lib/Gateway/QuarantineStore.cpp - quarantines that outlive all nodes ===//
 ///
 /// \file
-/// See QuarantineKeeper.h.
+/// See QuarantineStore.h.
 //===----------------------------------------------------------------------===//
-#include "QuarantineKeeper.h"
+#include "QuarantineStore.h"
 
 #include "SuspectMessages.h"
 
@@ -13,9 +13,9 @@
 
 namespace {
 
-    constexpr milliseconds keepPeriod { 500 };
+    constexpr milliseconds syncPeriod { 500 };
     // Writes of one period: many requests at once must not crowd out other calls.
-    constexpr std::size_t mostWrites = 4;
+    constexpr std::size_t maxWritesPerPeriod = 4;
     const std::string keyPrefix = "quarantine/";
 
     std::string keyOf(RequestFingerprint request)
@@ -25,17 +25,17 @@
 
 } // namespace
 
-QuarantineKeeper::QuarantineKeeper(GatewayContext& context, Hooks hooks)
+QuarantineStore::QuarantineStore(GatewayContext& context, Hooks hooks)
     : context_(context)
     , hooks_(std::move(hooks))
-    , record_(context.settings_.quarantine_.crashes_)
+    , tracker_(context.settings_.quarantine_.crashes_)
 {
 }
 
-asio::awaitable<void> QuarantineKeeper::run()
+asio::awaitable<void> QuarantineStore::run()
 {
     for (;;) {
-        co_await sleepFor(keepPeriod);
+        co_await sleepFor(syncPeriod);
         bool isWriter = hooks_.isWriter_();
         if (!hasRead_ && (isWriter || hooks_.isReader_()))
             co_await readNotes();
@@ -44,7 +44,7 @@
     }
 }
 
-asio::awaitable<void> QuarantineKeeper::readNotes()
+asio::awaitable<void> QuarantineStore::readNotes()
 {
     auto notes = co_await context_.platform_.readNotes_();
     if (!notes) {
@@ -52,36 +52,36 @@
         co_return;
     }
     hasRead_ = true;
-    for (const KeptNote& note : notes.value()) {
+    for (const StoredNote& note : notes.value()) {
         if (note.key_.starts_with(keyPrefix))
-            takeNote(note);
+            applyNote(note);
     }
 }
 
-void QuarantineKeeper::takeNote(const KeptNote& note)
+void QuarantineStore::applyNote(const StoredNote& note)
 {
-    wire::QuarantineNote kept;
-    if (!kept.ParseFromString(note.value_) || !kept.has_suspect()) {
+    wire::QuarantineNote stored;
+    if (!stored.ParseFromString(note.value_) || !stored.has_suspect()) {
         logger_.warn("Note " + note.key_ + " cannot be read.");
         return;
     }
     // A clock that is behind must not make crashes younger than when they were told.
-    std::int64_t age = std::max<std::int64_t>(0, context_.agreedWallMs() - kept.written_ms());
-    google::protobuf::RepeatedPtrField<wire::SuspectReport> told;
-    *told.Add() = kept.suspect();
+    std::int64_t age = std::max<std::int64_t>(0, context_.agreedWallMs() - stored.written_ms());
+    google::protobuf::RepeatedPtrField<wire::SuspectReport> reports;
+    *reports.Add() = stored.suspect();
     SteadyTime now = steadyNow();
-    std::vector<Suspect> suspects = suspectsOf(told, now - milliseconds(age));
+    std::vector<Suspect> suspects = suspectsOf(reports, now - milliseconds(age));
     context_.quarantine_.take(suspects, now);
     for (const Suspect& suspect : suspects) {
-        record_.noteRecorded({ suspect, false });
+        tracker_.noteRecorded({ suspect, false });
         logger_.info(LogLine("Quarantine is read.").add("request", toString(suspect.request_)).add("crashes", static_cast<std::int64_t>(suspect.activeCrashes())).add("note_age_ms", age));
     }
 }
 
-asio::awaitable<void> QuarantineKeeper::writeNotes()
+asio::awaitable<void> QuarantineStore::writeNotes()
 {
-    std::vector<QuarantineRecordTracker::Change> changes = record_.due(context_.quarantine_.suspects(steadyNow()));
-    changes.resize(std::min(changes.size(), mostWrites));
+    std::vector<QuarantineRecordTracker::Change> changes = tracker_.due(context_.quarantine_.suspects(steadyNow()));
+    changes.resize(std::min(changes.size(), maxWritesPerPeriod));
     for (QuarantineRecordTracker::Change& change : changes) {
         if (!co_await write(std::move(change)))
             co_return;
@@ -89,23 +89,23 @@
 }
 
 /// \returns whether the platform took it.
-asio::awaitable<bool> QuarantineKeeper::write(QuarantineRecordTracker::Change change)
+asio::awaitable<bool> QuarantineStore::write(QuarantineRecordTracker::Change change)
 {
-    KeptNote note { keyOf(change.suspect_.request_), {} };
+    StoredNote note { keyOf(change.suspect_.request_), {} };
     if (!change.isDropped_) {
-        wire::QuarantineNote kept;
-        google::protobuf::RepeatedPtrField<wire::SuspectReport> told;
-        putSuspects({ change.suspect_ }, told, steadyNow());
-        *kept.mutable_suspect() = told.Get(0);
-        kept.set_written_ms(context_.agreedWallMs());
-        note.value_ = kept.SerializeAsString();
+        wire::QuarantineNote stored;
+        google::protobuf::RepeatedPtrField<wire::SuspectReport> reports;
+        putSuspects({ change.suspect_ }, reports, steadyNow());
+        *stored.mutable_suspect() = reports.Get(0);
+        stored.set_written_ms(context_.agreedWallMs());
+        note.value_ = stored.SerializeAsString();
     }
     auto written = co_await context_.platform_.writeNote_(std::move(note));
     LogLine line(change.isDropped_ ? "Quarantine is dropped." : "Quarantine is written.");
     line.add("request", toString(change.suspect_.request_)).add("crashes", static_cast<std::int64_t>(change.suspect_.activeCrashes())).add("error", written ? "" : describe(written.error()));
     logger_.info(line);
     if (written)
-        record_.noteRecorded(change);
+        tracker_.noteRecorded(change);
     co_return written.has_value();
 }
 
--- a/lib/Gateway/QuarantineKeeper.h
+++ b/lib/Gateway/QuarantineStore.h
@@ -1,4 +1,4 @@
-//===- lib/Gateway/QuarantineKeeper.h - quarantines that outlive all nodes -===//
+//===- lib/Gateway/QuarantineStore.h - quarantines that outlive all nodes -===//
 ///
 /// \file
 /// Nodes tell each other which requests are held, and a node that restarts hears it
@@ -14,7 +14,7 @@
 
 namespace pistachioloom {
 
-class QuarantineKeeper {
+class QuarantineStore {
 public:
     struct Hooks {
         /// Whether this node reads from the platform, for all others of its data centre.
@@ -23,7 +23,7 @@
         std::function<bool()> isWriter_;
     };
 
-    QuarantineKeeper(GatewayContext& context, Hooks hooks);
+    QuarantineStore(GatewayContext& context, Hooks hooks);
 
     asio::awaitable<void> run();
 
@@ -31,11 +31,11 @@
     asio::awaitable<void> readNotes();
     asio::awaitable<void> writeNotes();
     asio::awaitable<bool> write(QuarantineRecordTracker::Change change);
-    void takeNote(const KeptNote& note);
+    void applyNote(const StoredNote& note);
 
     GatewayContext& context_;
     Hooks hooks_;
-    QuarantineRecordTracker record_;
+    QuarantineRecordTracker tracker_;
     bool hasRead_ = false;
     Logger logger_ { "quarantine" };
 };
--- a/lib/Gateway/ReportMessages.cpp
+++ b/lib/Gateway/ReportMessages.cpp
@@ -34,7 +34,7 @@
     report.set_peers_address(settings.peers_.toString());
     auto table = context_.table();
     report.set_configuration_version(table ? table->version() : 0);
-    report.set_wall_ms(context_.ownWallMs());
+    report.set_wall_ms(context_.localWallMs());
     report.set_duty_token(hooks_.ownToken_().value_);
     report.set_released_token(hooks_.releasedToken_().value_);
     report.set_counted_ms(countedMs(now));
--- a/lib/Gateway/RolloutPage.cpp
+++ b/lib/Gateway/RolloutEndpoint.cpp
@@ -1,9 +1,9 @@
-//===- lib/Gateway/RolloutPage.cpp - what operators see of roll-outs -------===//
+//===- lib/Gateway/RolloutEndpoint.cpp - what operators see of roll-outs -------===//
 ///
 /// \file
-/// See RolloutPage.h.
+/// See RolloutEndpoint.h.
 //===----------------------------------------------------------------------===//
-#include "RolloutPage.h"
+#include "RolloutEndpoint.h"
 
 #include "pistachioloom/Json.h"
 
@@ -11,36 +11,36 @@
 
 namespace json = boost::json;
 
-static constexpr std::string_view pagePath = "/rollouts";
+static constexpr std::string_view endpointPath = "/rollouts";
 
 static json::object sideOf(std::size_t servers, const AnswerTally& answers)
 {
     return { { "servers", servers }, { "answers", answers.answers_ }, { "bad", answers.bad_ } };
 }
 
-static json::object rowOf(const RolloutRunner::Shown& shown)
+static json::object rowOf(const RolloutRunner::OrderStatus& status)
 {
     AnswerTally target;
     AnswerTally others;
-    for (const auto& [cell, counted] : shown.tally_.cells_) {
+    for (const auto& [cell, counted] : status.tally_.cells_) {
         AnswerTally& side = cell.first == stableBackendKey ? others : target;
         side.answers_ += counted.answers_;
         side.bad_ += counted.bad_;
     }
-    const RolloutState& state = shown.state_;
-    json::object row { { "service", state.order_.service_.value_ }, { "target", state.order_.target_.value_ }, { "order", state.order_.number_.value_ }, { "phase", std::string(toString(state.phase_)) }, { "share", state.share_ }, { "why", shown.reason_ } };
-    row["requests"] = shown.tally_.requests_;
-    row["exposed"] = shown.tally_.exposed_;
-    row["target_side"] = sideOf(shown.versions_.target_, target);
-    row["other_side"] = sideOf(shown.versions_.others_, others);
+    const RolloutState& state = status.state_;
+    json::object row { { "service", state.order_.service_.value_ }, { "target", state.order_.target_.value_ }, { "order", state.order_.number_.value_ }, { "phase", std::string(toString(state.phase_)) }, { "share", state.share_ }, { "why", status.reason_ } };
+    row["requests"] = status.tally_.requests_;
+    row["exposed"] = status.tally_.exposed_;
+    row["target_side"] = sideOf(status.versions_.target_, target);
+    row["other_side"] = sideOf(status.versions_.others_, others);
     return row;
 }
 
 static HttpResponse list(const RolloutRunner& runner)
 {
     json::array rows;
-    for (const RolloutRunner::Shown& shown : runner.shown())
-        rows.push_back(rowOf(shown));
+    for (const RolloutRunner::OrderStatus& status : runner.orderStatuses())
+        rows.push_back(rowOf(status));
     json::object body { { "rollouts", rows } };
     return jsonResponse(200, json::serialize(body));
 }
@@ -51,7 +51,7 @@
     const std::string step = "revert roll-out";
     if (!equalInConstantTime(request.header("authorization"), "Bearer " + context.settings_.peerCredential_))
         return errorResponse(Error { Errc::Unauthorised, step, {}, "expected the nodes' credential", Ran::No, {} });
-    ServiceName service { std::string(request.path().substr(std::min(request.path().size(), pagePath.size() + 1))) };
+    ServiceName service { std::string(request.path().substr(std::min(request.path().size(), endpointPath.size() + 1))) };
     auto state = context.rollouts_.find(service);
     if (!state)
         return errorResponse(Error { Errc::NotFound, step, {}, "no order for service '" + service.value_ + "'", Ran::No, {} });
@@ -65,14 +65,14 @@
     return jsonResponse(200, "{}");
 }
 
-bool isForRolloutPage(const HttpRequest& request)
+bool isForRolloutEndpoint(const HttpRequest& request)
 {
-    return request.path() == pagePath || request.path().starts_with(std::string(pagePath) + "/");
+    return request.path() == endpointPath || request.path().starts_with(std::string(endpointPath) + "/");
 }
 
-HttpResponse rolloutPage(GatewayContext& context, const RolloutRunner& runner, const HttpRequest& request)
+HttpResponse rolloutEndpoint(GatewayContext& context, const RolloutRunner& runner, const HttpRequest& request)
 {
-    if (request.method_ == "GET" && request.path() == pagePath)
+    if (request.method_ == "GET" && request.path() == endpointPath)
         return list(runner);
     if (request.method_ == "DELETE")
         return revert(context, request);
--- a/lib/Gateway/RolloutPage.h
+++ b/lib/Gateway/RolloutEndpoint.h
@@ -1,4 +1,4 @@
-//===- lib/Gateway/RolloutPage.h - what operators see of roll-outs ---------===//
+//===- lib/Gateway/RolloutEndpoint.h - what operators see of roll-outs ---------===//
 ///
 /// \file
 /// `GET /rollouts` lists them; `DELETE /rollouts/SERVICE` reverts one, with the nodes'
@@ -11,7 +11,7 @@
 
 namespace pistachioloom {
 
-bool isForRolloutPage(const HttpRequest& request);
-HttpResponse rolloutPage(GatewayContext& context, const RolloutRunner& runner, const HttpRequest& request);
+bool isForRolloutEndpoint(const HttpRequest& request);
+HttpResponse rolloutEndpoint(GatewayContext& context, const RolloutRunner& runner, const HttpRequest& request);
 
 } // namespace pistachioloom
--- a/lib/Gateway/RolloutMessages.cpp
+++ b/lib/Gateway/RolloutMessages.cpp
@@ -27,8 +27,8 @@
 std::optional<RolloutState> fromWire(const wire::RolloutReport& report)
 {
     auto phase = parseRolloutPhase(report.phase());
-    bool isGood = phase && report.number() && !report.service().empty() && !report.target().empty() && std::isfinite(report.share());
-    if (!isGood)
+    bool isValid = phase && report.number() && !report.service().empty() && !report.target().empty() && std::isfinite(report.share());
+    if (!isValid)
         return std::nullopt;
     RolloutOrder order { { report.number() }, { report.service() }, { report.target() }, milliseconds(static_cast<std::int64_t>(report.period_ms())) };
     return RolloutState { std::move(order), *phase, std::clamp(report.share(), 0.0, 1.0), report.term(), report.step() };
@@ -36,10 +36,10 @@
 
 void putRollouts(const std::vector<RolloutTracker::ReceivedState>& states, google::protobuf::RepeatedPtrField<wire::RolloutReport>& message, SteadyTime now)
 {
-    for (const RolloutTracker::ReceivedState& heard : states) {
+    for (const RolloutTracker::ReceivedState& received : states) {
         wire::RolloutReport& report = *message.Add();
-        report = toWire(heard.state_);
-        report.set_age_ms(static_cast<std::uint64_t>(std::max<std::int64_t>(0, std::chrono::duration_cast<milliseconds>(now - heard.reportedAt_).count())));
+        report = toWire(received.state_);
+        report.set_age_ms(static_cast<std::uint64_t>(std::max<std::int64_t>(0, std::chrono::duration_cast<milliseconds>(now - received.reportedAt_).count())));
     }
 }
 
--- a/lib/Gateway/RolloutRunner.cpp
+++ b/lib/Gateway/RolloutRunner.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-    constexpr milliseconds steerPeriod { 150 };
+    constexpr milliseconds adjustPeriod { 150 };
     const std::string keyPrefix = "rollout/";
 
 } // namespace
@@ -25,24 +25,24 @@
 asio::awaitable<void> RolloutRunner::adjust()
 {
     for (;;) {
-        co_await sleepFor(steerPeriod);
+        co_await sleepFor(adjustPeriod);
         if (context_.rollouts_.isEmpty())
             continue;
         DutyToken token = hooks_.token_();
         if (token != token_) {
             orders_.clear();
             token_ = token;
-            calls_ = 0;
+            reportCount_ = 0;
         }
         if (!token.value_)
             continue;
-        if (!hasNotes_)
+        if (!hasReadNotes_)
             co_await readNotes();
-        if (!hasNotes_ || hooks_.token_() != token_)
+        if (!hasReadNotes_ || hooks_.token_() != token_)
             continue;
         SteadyTime now = steadyNow();
-        for (const RolloutTracker::ReceivedState& heard : context_.rollouts_.states())
-            lead(heard, now);
+        for (const RolloutTracker::ReceivedState& received : context_.rollouts_.states())
+            adjustOrder(received, now);
     }
 }
 
@@ -54,19 +54,19 @@
         logger_.warn("Notes cannot be read: " + describe(notes.error()));
         co_return;
     }
-    hasNotes_ = true;
-    for (const KeptNote& note : notes.value()) {
+    hasReadNotes_ = true;
+    for (const StoredNote& note : notes.value()) {
         wire::RolloutReport record;
         if (!note.key_.starts_with(keyPrefix))
             continue;
         if (record.ParseFromString(note.value_))
-            takeRecord(record);
+            applyRecord(record);
         else
             logger_.warn("Note " + note.key_ + " cannot be read.");
     }
 }
 
-void RolloutRunner::takeRecord(const wire::RolloutReport& record)
+void RolloutRunner::applyRecord(const wire::RolloutReport& record)
 {
     auto state = fromWire(record);
     if (!state) {
@@ -74,47 +74,47 @@
         return;
     }
     if (record.is_told())
-        told_[state->order_.service_] = std::max(told_[state->order_.service_], state->order_.number_);
+        reported_[state->order_.service_] = std::max(reported_[state->order_.service_], state->order_.number_);
     SteadyTime now = steadyNow();
     if (isFinal(state->phase_) && context_.rollouts_.take(*state, now, now))
         logger_.info(LogLine("Verdict is read.").add("service", state->order_.service_.value_).add("target", state->order_.target_.value_).add("phase", toString(state->phase_)));
 }
 
-void RolloutRunner::lead(const RolloutTracker::ReceivedState& heard, SteadyTime now)
+void RolloutRunner::adjustOrder(const RolloutTracker::ReceivedState& received, SteadyTime now)
 {
-    const RolloutOrder& order = heard.state_.order_;
+    const RolloutOrder& order = received.state_.order_;
     auto found = orders_.find(order.service_);
     if (found != orders_.end()) {
-        const RolloutState& led = found->second.pilot_.state();
-        bool isNewOrder = led.order_.number_ < order.number_;
+        const RolloutState& current = found->second.controller_.state();
+        bool isNewOrder = current.order_.number_ < order.number_;
         // An operator has ended it, or an earlier holder did.
-        bool isEnded = isFinal(heard.state_.phase_) && !isFinal(led.phase_);
+        bool isEnded = isFinal(received.state_.phase_) && !isFinal(current.phase_);
         if (isNewOrder || isEnded) {
             orders_.erase(found);
             found = orders_.end();
         }
     }
     if (found == orders_.end())
-        found = orders_.emplace(order.service_, Order { RolloutController(context_.settings_.rollout_, heard.state_, heard.orderReceivedAt_, token_.value_, makeSequentialEvaluator()) }).first;
-    RolloutController& pilot = found->second.pilot_;
-    if (isFinal(pilot.state().phase_))
+        found = orders_.emplace(order.service_, Order { RolloutController(context_.settings_.rollout_, received.state_, received.orderReceivedAt_, token_.value_, makeSequentialEvaluator()) }).first;
+    RolloutController& controller = found->second.controller_;
+    if (isFinal(controller.state().phase_))
         return;
-    RolloutState before = pilot.state();
+    RolloutState before = controller.state();
     BackendTable::VersionCounts versions = context_.backends_.versions(order.service_, order.target_);
     RolloutView view { context_.rollouts_.total(order.service_), versions.target_, versions.others_, versions.othersRunning_ };
-    RolloutState after = pilot.adjust(view, now);
+    RolloutState after = controller.adjust(view, now);
     // Said anew each time: a trial whose holder is silent ends at the other nodes.
     (void)context_.rollouts_.take(after, now, now);
     if (after == before)
         return;
     {
         std::lock_guard lock(reasonsMutex_);
-        reasons_[order.service_] = pilot.reason();
+        reasons_[order.service_] = controller.reason();
     }
     LogLine line("Roll-out moves on.");
-    line.add("service", order.service_.value_).add("target", order.target_.value_).add("phase", toString(after.phase_)).add("share", std::to_string(after.share_)).add("why", pilot.reason());
+    line.add("service", order.service_.value_).add("target", order.target_.value_).add("phase", toString(after.phase_)).add("share", std::to_string(after.share_)).add("why", controller.reason());
     line.add("requests", static_cast<std::int64_t>(view.tally_.requests_)).add("exposed", static_cast<std::int64_t>(view.tally_.exposed_)).add("target_servers", static_cast<std::int64_t>(view.targetServers_)).add("other_servers", static_cast<std::int64_t>(view.stableServers_));
-    line.add("other_running", static_cast<std::int64_t>(view.stableRunning_)).add("since_order_ms", std::chrono::duration_cast<milliseconds>(now - heard.orderReceivedAt_).count());
+    line.add("other_running", static_cast<std::int64_t>(view.stableRunning_)).add("since_order_ms", std::chrono::duration_cast<milliseconds>(now - received.orderReceivedAt_).count());
     logger_.info(line);
 }
 
@@ -127,92 +127,92 @@
         auto found = orders_.find(service);
         if (found == orders_.end())
             continue;
-        RolloutState state = found->second.pilot_.state();
-        bool isTold = told_[service] == state.order_.number_;
-        if (isTold)
+        RolloutState state = found->second.controller_.state();
+        bool isReported = reported_[service] == state.order_.number_;
+        if (isReported)
             continue;
-        if (!isFinal(state.phase_) && !found->second.isActiveTold_) {
-            bool isActiveTold = co_await tell(state);
+        if (!isFinal(state.phase_) && !found->second.isActiveReported_) {
+            bool isActiveReported = co_await report(state);
             // It may be gone, or another one, since.
             found = orders_.find(service);
             if (found != orders_.end())
-                found->second.isActiveTold_ = isActiveTold;
+                found->second.isActiveReported_ = isActiveReported;
             continue;
         }
-        if (!isFinal(state.phase_) && !found->second.pilot_.isReadyToComplete())
+        if (!isFinal(state.phase_) && !found->second.controller_.isReadyToComplete())
             continue;
         if (!isFinal(state.phase_)) {
             state.phase_ = RolloutPhase::Complete;
             state.share_ = 1;
         }
-        bool holdsOn = co_await settle(service, state);
-        if (!holdsOn)
+        bool isStillHolder = co_await finalise(service, state);
+        if (!isStillHolder)
             co_return false;
     }
     co_return true;
 }
 
 /// \returns whether this node still holds the duties.
-asio::awaitable<bool> RolloutRunner::settle(ServiceName service, RolloutState verdict)
+asio::awaitable<bool> RolloutRunner::finalise(ServiceName service, RolloutState decision)
 {
-    bool isRecorded = co_await recordVerdict(verdict, false);
+    bool isRecorded = co_await recordDecision(decision, false);
     if (!isRecorded)
         co_return false;
     auto found = orders_.find(service);
-    bool isSame = found != orders_.end() && found->second.pilot_.state().order_.number_ == verdict.order_.number_;
-    if (isSame && verdict.phase_ == RolloutPhase::Complete) {
-        found->second.pilot_.complete();
+    bool isSame = found != orders_.end() && found->second.controller_.state().order_.number_ == decision.order_.number_;
+    if (isSame && decision.phase_ == RolloutPhase::Complete) {
+        found->second.controller_.complete();
         SteadyTime now = steadyNow();
-        (void)context_.rollouts_.take(found->second.pilot_.state(), now, now);
+        (void)context_.rollouts_.take(found->second.controller_.state(), now, now);
     }
-    bool isTold = co_await tell(verdict);
-    if (!isTold)
+    bool isReported = co_await report(decision);
+    if (!isReported)
         co_return true;
-    told_[service] = verdict.order_.number_;
-    wire::RolloutReport kept = toWire(verdict);
-    kept.set_is_told(true);
-    KeptNote note { keyPrefix + service.value_, kept.SerializeAsString() };
+    reported_[service] = decision.order_.number_;
+    wire::RolloutReport stored = toWire(decision);
+    stored.set_is_told(true);
+    StoredNote note { keyPrefix + service.value_, stored.SerializeAsString() };
     auto written = co_await context_.platform_.writeNote_(std::move(note));
     if (!written)
         logger_.warn("Note of a verdict is not written: " + describe(written.error()));
-    co_return co_await recordVerdict(verdict, true);
+    co_return co_await recordDecision(decision, true);
 }
 
-asio::awaitable<bool> RolloutRunner::recordVerdict(RolloutState verdict, bool isTold)
+asio::awaitable<bool> RolloutRunner::recordDecision(RolloutState decision, bool isReported)
 {
     wire::DutyRecord record;
     record.set_vm(context_.settings_.vm_.value_);
     record.set_incarnation(context_.incarnation_);
-    *record.mutable_rollout() = toWire(verdict);
-    record.mutable_rollout()->set_is_told(isTold);
+    *record.mutable_rollout() = toWire(decision);
+    record.mutable_rollout()->set_is_told(isReported);
     co_return co_await hooks_.record_(std::move(record));
 }
 
 /// \returns whether the platform has it.
-asio::awaitable<bool> RolloutRunner::tell(RolloutState state)
+asio::awaitable<bool> RolloutRunner::report(RolloutState state)
 {
     DutyToken token = hooks_.token_();
     if (!token.value_ || token != token_)
         co_return false;
-    auto told = co_await context_.platform_.reportRollout_(token, calls_ + 1, state);
+    auto sent = co_await context_.platform_.reportRollout_(token, reportCount_ + 1, state);
     LogLine line("Roll-out is reported.");
-    line.add("service", state.order_.service_.value_).add("target", state.order_.target_.value_).add("phase", toString(state.phase_)).add("token", static_cast<std::int64_t>(token.value_)).add("error", told ? "" : describe(told.error()));
+    line.add("service", state.order_.service_.value_).add("target", state.order_.target_.value_).add("phase", toString(state.phase_)).add("token", static_cast<std::int64_t>(token.value_)).add("error", sent ? "" : describe(sent.error()));
     logger_.info(line);
-    if (!told)
+    if (!sent)
         co_return false;
     if (token == token_)
-        ++calls_;
+        ++reportCount_;
     co_return true;
 }
 
-std::vector<RolloutRunner::Shown> RolloutRunner::shown() const
+std::vector<RolloutRunner::OrderStatus> RolloutRunner::orderStatuses() const
 {
-    std::vector<Shown> all;
+    std::vector<OrderStatus> all;
     std::lock_guard lock(reasonsMutex_);
-    for (const RolloutTracker::ReceivedState& heard : context_.rollouts_.states()) {
-        const RolloutOrder& order = heard.state_.order_;
+    for (const RolloutTracker::ReceivedState& received : context_.rollouts_.states()) {
+        const RolloutOrder& order = received.state_.order_;
         auto reason = reasons_.find(order.service_);
-        all.push_back({ heard.state_, reason == reasons_.end() ? "" : reason->second, context_.rollouts_.total(order.service_), context_.backends_.versions(order.service_, order.target_) });
+        all.push_back({ received.state_, reason == reasons_.end() ? "" : reason->second, context_.rollouts_.total(order.service_), context_.backends_.versions(order.service_, order.target_) });
     }
     return all;
 }
--- a/lib/Gateway/RolloutRunner.h
+++ b/lib/Gateway/RolloutRunner.h
@@ -32,38 +32,38 @@
     /// Records and tells what is due. \returns false if this node holds the duties no more.
     asio::awaitable<bool> act();
     /// A verdict in the log of duties, by any holder.
-    void takeRecord(const wire::RolloutReport& record);
+    void applyRecord(const wire::RolloutReport& record);
 
     /// What an operator sees of an order.
-    struct Shown {
+    struct OrderStatus {
         RolloutState state_;
         std::string reason_;
         RolloutTally tally_;
         BackendTable::VersionCounts versions_;
     };
-    std::vector<Shown> shown() const;
+    std::vector<OrderStatus> orderStatuses() const;
 
 private:
     struct Order {
-        RolloutController pilot_;
-        bool isActiveTold_ = false;
+        RolloutController controller_;
+        bool isActiveReported_ = false;
     };
 
     asio::awaitable<void> readNotes();
-    void lead(const RolloutTracker::ReceivedState& heard, SteadyTime now);
-    asio::awaitable<bool> settle(ServiceName service, RolloutState verdict);
-    asio::awaitable<bool> tell(RolloutState state);
-    asio::awaitable<bool> recordVerdict(RolloutState verdict, bool isTold);
+    void adjustOrder(const RolloutTracker::ReceivedState& received, SteadyTime now);
+    asio::awaitable<bool> finalise(ServiceName service, RolloutState decision);
+    asio::awaitable<bool> report(RolloutState state);
+    asio::awaitable<bool> recordDecision(RolloutState decision, bool isReported);
 
     GatewayContext& context_;
     Hooks hooks_;
     /// By the token below; begun anew with each.
     std::map<ServiceName, Order> orders_;
     DutyToken token_ {};
-    std::uint64_t calls_ = 0;
-    bool hasNotes_ = false;
+    std::uint64_t reportCount_ = 0;
+    bool hasReadNotes_ = false;
     /// Orders whose verdict the operator knows.
-    std::map<ServiceName, RolloutNumber> told_;
+    std::map<ServiceName, RolloutNumber> reported_;
     mutable std::mutex reasonsMutex_;
     std::map<ServiceName, std::string> reasons_;
     Logger logger_ { "rollout" };
--- a/unittests/Gateway/GatewaySettingsTest.cpp
+++ b/unittests/Gateway/GatewaySettingsTest.cpp
@@ -9,7 +9,7 @@
 
 using namespace pistachioloom;
 
-static const std::string good = R"(gateway:
+static const std::string validSettings = R"(gateway:
   vm: "node-1"
   data_centre: "a"
   peer_credential: "sixteen characters"
@@ -39,7 +39,7 @@
 TEST_CASE("settings of a gateway are read", "[gateway]")
 {
     InputErrors errors;
-    auto settings = parseGatewaySettings(good, "f", errors);
+    auto settings = parseGatewaySettings(validSettings, "f", errors);
     for (const InputError& error : errors)
         UNSCOPED_INFO(error.toString());
     REQUIRE(settings);
@@ -59,7 +59,7 @@
     struct Row {
         const char* from_;
         const char* to_;
-        const char* complaint_;
+        const char* expectedError_;
     };
     auto row = GENERATE(values<Row>({
         { "store: \"10.0.0.9:80\"", "store: \"nowhere\"", "f:5: gateway.store" },
@@ -75,11 +75,11 @@
         { "trial_part: 0.6", "trial_part: 0.97", "f:25: gateway.rollout.trial_part" },
         { "\"10.0.0.2:70\"", "\"here\"", "gateway.seeds" },
     }));
-    std::string text = good;
+    std::string text = validSettings;
     text.replace(text.find(row.from_), std::string(row.from_).size(), row.to_);
     InputErrors errors;
     CHECK_FALSE(parseGatewaySettings(text, "f", errors));
     REQUIRE_FALSE(errors.empty());
     CAPTURE(row.to_, errors.front().toString());
-    CHECK(errors.front().toString().find(row.complaint_) != std::string::npos);
+    CHECK(errors.front().toString().find(row.expectedError_) != std::string::npos);
 }
--- a/unittests/Gateway/RolloutMessagesTest.cpp
+++ b/unittests/Gateway/RolloutMessagesTest.cpp
@@ -74,18 +74,18 @@
 
 TEST_CASE("relays tell counts of orders to the holder alone, and states to all", "[gateway]")
 {
-    RelayBook book(milliseconds(5000));
-    book.takeReport(reportOf("holder", 10, 9), now);
-    book.takeReport(reportOf("other", 20, 0), now);
-    book.takeReport(reportOf("third", 30, 0), now);
-    wire::NodeSums toHolder = book.digestFor({ "holder" }, book.totals(now), now);
+    RelayBook aggregator(milliseconds(5000));
+    aggregator.takeReport(reportOf("holder", 10, 9), now);
+    aggregator.takeReport(reportOf("other", 20, 0), now);
+    aggregator.takeReport(reportOf("third", 30, 0), now);
+    wire::NodeSums toHolder = aggregator.digestFor({ "holder" }, aggregator.totals(now), now);
     CHECK(talliesOf(toHolder.rollout_counts())[service].exposed_ == 50);
     CHECK(talliesOf(toHolder.rollout_counts())[service].cells_[{ 5, 6 }].answers_ == 50);
-    wire::NodeSums toOther = book.digestFor({ "other" }, book.totals(now), now);
+    wire::NodeSums toOther = aggregator.digestFor({ "other" }, aggregator.totals(now), now);
     CHECK(toOther.rollout_counts().empty());
     REQUIRE(toOther.rollouts_size() == 1);
     CHECK(fromWire(toOther.rollouts(0)) == state);
     // As old as when its holder said so.
     CHECK(toOther.rollouts(0).age_ms() >= 300);
-    CHECK(book.summaryFor({ "elsewhere" }, now).rollout_counts().empty());
+    CHECK(aggregator.summaryFor({ "elsewhere" }, now).rollout_counts().empty());
 }
--- a/unittests/Gateway/SuspectMessagesTest.cpp
+++ b/unittests/Gateway/SuspectMessagesTest.cpp
@@ -17,14 +17,14 @@
 {
     Message message;
     putSuspects({ { { 7 }, 9, { { { 1 }, now - milliseconds(300), false }, { { 2 }, now - milliseconds(200), true }, { { 3 }, now, false } } } }, message, now);
-    SteadyTime elsewhere { std::chrono::hours(40) };
-    auto read = suspectsOf(message, elsewhere);
+    SteadyTime readerNow { std::chrono::hours(40) };
+    auto read = suspectsOf(message, readerNow);
     REQUIRE(read.size() == 1);
     CHECK(read[0].request_.value_ == 7);
     CHECK(read[0].organisation_ == 9);
     REQUIRE(read[0].crashes_.size() == 3);
     CHECK(read[0].crashes_[0].backend_.value_ == 1);
-    CHECK(read[0].crashes_[0].at_ == elsewhere - milliseconds(300));
+    CHECK(read[0].crashes_[0].at_ == readerNow - milliseconds(300));
     CHECK(read[0].crashes_[1].isCleared_);
     CHECK(read[0].activeCrashes() == 2);
 }
@@ -32,17 +32,17 @@
 TEST_CASE("suspects of unequal arrays or absurd ages are read within bounds", "[gateway]")
 {
     Message message;
-    wire::SuspectReport& told = *message.Add();
-    told.set_request(1);
-    told.add_backends(1);
-    told.add_backends(2);
-    told.add_ages_ms(~std::uint64_t { 0 });
+    wire::SuspectReport& report = *message.Add();
+    report.set_request(1);
+    report.add_backends(1);
+    report.add_backends(2);
+    report.add_ages_ms(~std::uint64_t { 0 });
     message.Add()->set_request(2);
     auto read = suspectsOf(message, now);
     REQUIRE(read.size() == 1);
     REQUIRE(read[0].crashes_.size() == 1);
     CHECK(read[0].crashes_[0].at_ < now);
-    QuarantineTable book({});
-    book.take(read, now);
-    CHECK(book.isEmpty());
+    QuarantineTable table({});
+    table.take(read, now);
+    CHECK(table.isEmpty());
 }
--- a/unittests/Gateway/TakeInTest.cpp
+++ b/unittests/Gateway/TakeInTest.cpp
@@ -50,9 +50,9 @@
     }));
     RcuThread registered;
     GatewayContext context(GatewaySettings {}, decodingPlatform());
-    context.takeIn({ "5" }, "platform");
+    context.applySources({ "5" }, "platform");
     REQUIRE(versionOf(context) == 5);
-    context.takeIn(row.sources_, "platform");
+    context.applySources(row.sources_, "platform");
     CHECK(versionOf(context) == row.version_);
     auto text = decompress(context.table()->configuration().compressedSource_, { 100 });
     REQUIRE(text);
@@ -76,9 +76,9 @@
     }));
     RcuThread registered;
     GatewayContext context(GatewaySettings {}, decodingPlatform());
-    context.takeInCompressed(compress("5"), "peer");
+    context.applyCompressed(compress("5"), "peer");
     REQUIRE(versionOf(context) == 5);
-    context.takeInCompressed(row.bytes_, "peer");
+    context.applyCompressed(row.bytes_, "peer");
     CHECK(versionOf(context) == row.version_);
     CHECK(context.table()->configuration().compressedSource_ == compress(std::to_string(row.version_)));
 }
