--- a/benchmarks/ConfigurationBenchmark.cpp
+++ b/benchmarks/ConfigurationBenchmark.cpp
@@ -67,7 +67,7 @@
     std::printf("%-10s %8.2f %8.2f\n", name, test::percentile(times, 0), test::percentile(times, 0.5));
 }
 
-void applySources(const std::string& text)
+void applyConfiguration(const std::string& text)
 {
     auto decoded = platform::decodeConfiguration(text);
     if (decoded)
@@ -84,7 +84,7 @@
 asio::awaitable<void> takeInAt(Place place, Background& background, const std::string& text, bool& isDone)
 {
     co_await sleepFor(milliseconds(5));
-    std::function<void()> work = [&text] { applySources(text); };
+    std::function<void()> work = [&text] { applyConfiguration(text); };
     if (place == Place::OnLoop)
         work();
     else
--- a/include/pistachioloom/Gateway.h
+++ b/include/pistachioloom/Gateway.h
@@ -1,10 +1,10 @@
-//===- pistachioloom/Gateway.h - a node that forwards transparently --------===//
+//===- pistachioloom/Gateway.h - transparent forwarding gateway node ------===//
 ///
 /// \file
-/// The daemon's second library: a node that serves transparent requests in front
-/// of backend servers which a platform registers. What the platform offers comes
-/// in as hooks; what must last is kept there. Nodes tell each other what they see
-/// by datagrams, and none is set aside.
+/// A node that forwards requests transparently to backend servers, which register with
+/// a platform. The platform is reached through hooks, and stores the state that must
+/// outlive the nodes. Nodes report their state to each other in datagrams; any node can
+/// take any role.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -17,67 +17,77 @@
 
 namespace pistachioloom {
 
-/// A change of the list of backend servers.
+/// A change of one registration in the list of backend servers.
 struct RegistryChange {
     BackendName name_;
-    /// nullopt: its registration is gone, or names no backend server to use.
+    /// nullopt if the registration was removed or is invalid.
     std::optional<BackendRecord> record_;
-    /// Why the registration cannot be used; empty if it can, or is gone.
+    /// Why the registration is invalid; empty if it is valid or was removed.
     std::string invalidReason_;
 };
 
+/// Result of a read of the registry of backend servers.
 struct RegistryRead {
-    /// Where to read on.
+    /// Offset of the next read.
     LogOffset next_;
-    /// The changes are the whole list; what is not in it is gone.
+    /// The changes make up the complete list: backend servers without a change were
+    /// removed.
     bool isComplete_ = false;
     std::vector<RegistryChange> changes_;
 };
 
+/// Result of a read of the configuration.
 struct ConfigurationRead {
+    /// Offset of the next read.
     LogOffset next_;
-    /// The versions read, oldest first, for decodeConfiguration_.
+    /// The versions that were read, oldest first, for decodeConfiguration_.
     std::vector<std::string> sources_;
-    /// Orders to bring versions in.
+    /// Operators' orders to roll out new versions.
     std::vector<RolloutOrder> rollouts_;
 };
 
-/// Another node of the system, as it announced itself.
+/// A node that announced itself on the platform.
 struct AnnouncedNode {
     VmId vm_;
     Endpoint gossip_;
 };
 
-/// What outlives all processes of the system: the platform keeps it under its key.
+/// A key-value pair that the platform stores durably, so that it outlives all nodes.
 struct StoredNote {
     std::string key_;
-    /// Empty: the note is dropped.
+    /// An empty value removes the note.
     std::string value_;
 };
 
-/// The platform, as a gateway uses it. Every call fails with step and peer.
+/// Hooks through which a gateway uses the platform. The errors of all calls name the
+/// step and the peer.
 struct GatewayPlatform {
-    /// Reads on from \p from, or the newest state without it; waits up to \p wait
-    /// for a change. Errc::NotFound: the records are gone, begin anew.
+    /// Reads the records from \p from on, or the newest state if it is nullopt. Waits up
+    /// to \p wait for a change. Errc::NotFound means that the records were removed and
+    /// that the caller must read the newest state again.
     std::function<asio::awaitable<Result<ConfigurationRead>>(std::optional<LogOffset> from, milliseconds wait)> readConfiguration_;
+    /// As readConfiguration_, without waiting.
     std::function<asio::awaitable<Result<RegistryRead>>(std::optional<LogOffset> from)> readRegistry_;
-    /// Decodes the source text of a configuration. Called beside the event loops.
+    /// Decodes the source text of a configuration. Called outside the event loops.
     std::function<Result<RouteConfiguration>(const std::string& source)> decodeConfiguration_;
+    /// Announces this node to the others.
     std::function<asio::awaitable<Result<void>>(AnnouncedNode self)> announce_;
     std::function<asio::awaitable<Result<std::vector<AnnouncedNode>>>()> listAnnounced_;
     std::function<asio::awaitable<Result<std::vector<StoredNote>>>()> readNotes_;
-    /// Replaces the note of the same key.
+    /// Replaces the note with the same key.
     std::function<asio::awaitable<Result<void>>(StoredNote note)> writeNote_;
-    /// The log of duties: reads from \p from to its end.
+    /// Reads the log of duties from \p from on. The log's end is reached when a read
+    /// returns no records.
     std::function<asio::awaitable<Result<LogRead>>(LogOffset from)> readDutyLog_;
-    /// Appends \p record if the log ends at \p end; Errc::Conflict if it does
-    /// not. An error with `ran_` Unknown: it may yet appear.
+    /// Appends \p record if the log of duties ends at \p end, and fails with
+    /// Errc::Conflict if it does not. After an error whose `ran_` is Unknown the record
+    /// may still appear.
     std::function<asio::awaitable<Result<void>>(LogOffset end, std::string record)> appendDutyRecord_;
     std::function<asio::awaitable<Result<void>>(VmId holder, DutyToken token, WindowNumber window, UsageCounts counts)> reportUsage_;
     std::function<asio::awaitable<Result<void>>(VmId holder, DutyToken token, FleetOrder order)> orderFleet_;
-    /// Tells the operator where an order stands. Errc::Conflict: a holder with a higher
-    /// token has told since. \p call numbers the calls by one token, from 1; one without
-    /// an answer is repeated with the same number.
+    /// Reports the state of a roll-out order to the operator. Errc::Conflict means that a
+    /// holder with a higher token has reported since. \p call numbers the calls under one
+    /// token from 1; a call without an answer is repeated with the same number.
     std::function<asio::awaitable<Result<void>>(DutyToken token, std::uint64_t call, RolloutState state)> reportRollout_;
     /// See ForwardHooks::copyStream_.
     std::function<asio::awaitable<Result<std::string>>(StreamCopy copy)> copyStream_;
@@ -87,38 +97,39 @@
 };
 
 struct GossipSettings {
-    /// How often a node tells its state to the others.
+    /// Interval at which a node reports its state to the others.
     milliseconds period_ { 200 };
-    /// Peers up to which every node tells every other one: 24 of them are 120
-    /// datagrams a second. Relays sum the reports of larger fleets.
+    /// Number of peers up to which every node reports to every other one: 24 peers take
+    /// 120 datagrams a second. In larger fleets relays aggregate the reports.
     std::uint64_t fanout_ = 24;
-    /// Nodes of each data centre that sum its reports in a large fleet: one more
-    /// than needed, so that nothing is missed when one goes.
+    /// Relays of each data centre in a large fleet: one more than needed, so that no
+    /// report is lost when a relay leaves.
     std::uint64_t relays_ = 2;
-    /// Silence after which a node counts as not alive.
+    /// A node from which no report was received for this time counts as not alive.
     milliseconds unresponsiveAfter_ { 1500 };
-    /// Silence after which it is forgotten.
+    /// A node from which no report was received for this time is forgotten.
     milliseconds forgetAfter_ { 30000 };
 };
 
 struct FeedSettings {
-    /// The longest wait of one read for a new configuration; bounds how long a
-    /// connection that fell silent hides a change.
+    /// Upper bound on the wait of one read for a new configuration. A change remains
+    /// unknown for at most this time if the connection has stalled.
     milliseconds configurationWait_ { 1000 };
-    /// Least time between two reads of the registry, whose entries change with
-    /// every heartbeat of every backend server.
+    /// Minimum time between two reads of the registry, whose entries change with each
+    /// heartbeat of each backend server.
     milliseconds registryPeriod_ { 500 };
     /// Pause after a failed read.
     milliseconds retryPause_ { 200 };
-    /// After an outage, registrations that are missing are kept for so long:
-    /// their owners write them again.
+    /// Registrations that are missing after an outage of the platform are kept for this
+    /// time, in which their owners write them again.
     milliseconds registrationGrace_ { 2200 };
-    /// Nodes that read from the platform, beside one in each data centre; the
-    /// others learn from them.
+    /// Number of readers in addition to one in each data centre. All other nodes get what
+    /// they read from them.
     std::uint64_t readers_ = 3;
-    /// Silence after which a reader is succeeded: four reports.
+    /// A reader from which no report was received for this time, which is four reporting
+    /// intervals, is replaced by another node.
     milliseconds readerTimeout_ { 800 };
-    /// Silence of the platform after which peers are asked.
+    /// A node asks its peers after the platform has not answered for this time.
     milliseconds askPeersAfter_ { 1200 };
 };
 
@@ -126,30 +137,32 @@
     VmId vm_;
     DataCentreId dataCentre_;
     std::uint64_t threads_ = 1;
-    /// Processor cores of this VM. Where nodes differ, those with most are relays.
+    /// Processor cores of this VM. The nodes with the most cores become relays.
     double cores_ = 1;
     Endpoint callers_;
     Endpoint readiness_;
     Endpoint peers_;
     Endpoint gossip_;
     Endpoint metrics_;
-    /// Nodes to contact first; only their hosts count, all use one gossip port.
+    /// Nodes to contact first. Only their hosts are used, since all nodes have the same
+    /// gossip port.
     std::vector<Endpoint> seeds_;
     Endpoint store_;
-    /// Where duties are done; port 0 if this deployment has none.
+    /// The platform's service for the duties; port 0 if this deployment has no duties.
     Endpoint duties_;
     std::string peerCredential_;
-    /// Time between the request to stop and the forced end.
+    /// Time between the request to stop and the forced termination.
     milliseconds grace_ { 8000 };
-    /// The balancer sends new connections for so long after readiness is off.
+    /// The load balancer may send new connections for this time after the node stopped
+    /// being ready.
     milliseconds balancerGrace_ { 2500 };
-    /// Added to this VM's time of day, where its clock is known to be wrong.
+    /// Added to this VM's time of day, to correct a clock with a known offset.
     milliseconds clockOffset_ {};
     milliseconds usageWindow_ { 5000 };
     UsageTiming usageTiming_;
     milliseconds dutyLease_ { 3000 };
     double retryRatio_ = 0.2;
-    /// Repeats of all nodes in a window, beside the ratio.
+    /// Retries that all nodes together may send in a window in addition to the ratio.
     double retryExtra_ = 0;
     milliseconds retryWindow_ { 10000 };
     GossipSettings gossiping_;
@@ -162,26 +175,28 @@
     LogSettings logs_;
 };
 
-/// Whether \p file holds the settings of a gateway; false if it cannot be read.
+/// Whether \p file contains the settings of a gateway; false if it cannot be read.
 bool isGatewayFile(const std::string& file);
 
-/// Parses settings; nullopt if \p errors got any.
+/// Parses the settings in \p text. \returns nullopt if there were errors, which are added
+/// to \p errors.
 std::optional<GatewaySettings> parseGatewaySettings(const std::string& text, const std::string& file, InputErrors& errors);
 
-/// Reads and parses a file.
+/// Reads and parses \p file. \returns nullopt on errors, as parseGatewaySettings().
 std::optional<GatewaySettings> loadGatewaySettings(const std::string& file, InputErrors& errors);
 
+/// A gateway node.
 class Gateway {
 public:
-    /// \p file is read again on SIGHUP.
+    /// \p file contains \p settings; it is read again on SIGHUP.
     Gateway(GatewaySettings settings, GatewayPlatform platform, std::string file);
     ~Gateway();
     Gateway(const Gateway&) = delete;
     Gateway& operator=(const Gateway&) = delete;
 
-    /// Binds the ports and starts. \returns the callers' port.
+    /// Binds the ports and starts the node. \returns the port for callers.
     Result<std::uint16_t> start();
-    /// Works until SIGTERM or SIGINT, then drains within the grace time.
+    /// Runs until SIGTERM or SIGINT, then drains within the grace time.
     void run();
 
 private:
--- a/lib/Gateway/DutyRunner.cpp
+++ b/lib/Gateway/DutyRunner.cpp
@@ -1,4 +1,4 @@
-//===- lib/Gateway/DutyRunner.cpp - usage reports and fleet orders ---------===//
+//===- lib/Gateway/DutyRunner.cpp - performs the holder's duties ----------===//
 ///
 /// \file
 /// See DutyRunner.h.
@@ -12,17 +12,17 @@
 namespace {
 
     constexpr milliseconds runPeriod { 250 };
-    // An append without an answer is repeated this often, each time under the
-    // same condition, so that it happens at most once.
+    // Bound on attempts of an append whose outcome is unknown. All attempts have the same
+    // condition, so that the record is appended at most once.
     constexpr int maxAppendAttempts = 4;
-    // Windows that are remembered; older ones are past their due time.
+    // Number of windows to keep; older ones are past their due time.
     constexpr std::uint64_t retainedWindows = 8;
 
     DutyTiming timingFor(milliseconds lease)
     {
         DutyTiming timing;
-        // Together more than the lease, so that a holder that comes back later
-        // never acts within one lease of its earlier acts.
+        // Together these exceed the lease, so that a holder that reappears later never acts
+        // within one lease of its earlier acts.
         timing.holderTimeout_ = lease * 85 / 100;
         timing.actAfterClaim_ = lease / 2 + milliseconds(100);
         timing.recordValidity_ = lease / 3;
@@ -37,13 +37,15 @@
         return { { { record.usage().number() }, counts } };
     }
 
-    /// Whether engines of \p version take the service's requests, but for those of a trial.
+    /// Whether engines of \p version may serve the service's requests, apart from requests
+    /// of a trial.
     bool mayServe(const RolloutState& rollout, const BackendVersion& version)
     {
         bool isTarget = version == rollout.order_.target_;
         switch (rollout.phase_) {
         case RolloutPhase::Trial:
-            // After a stop of all nodes nobody has said yet how an old order ended.
+            // After a stop of all nodes the outcome of an older order is not known until a
+            // holder has decided on it.
             return !isTarget || !rollout.term_;
         case RolloutPhase::Reverted:
             return !isTarget;
@@ -78,7 +80,7 @@
 {
     reports_ = &reports;
     if (!context_.settings_.duties_.port_) {
-        logger_.info("This deployment has no duties.");
+        logger_.info("No duties are configured for this deployment.");
         return;
     }
     asio::co_spawn(io_, run(), asio::detached);
@@ -107,7 +109,7 @@
 {
     bool isRecorded = co_await this->record(record) == Recorded::Yes;
     if (!isRecorded)
-        resign("a verdict could not be recorded");
+        resign("a decision could not be recorded");
     co_return isRecorded;
 }
 
@@ -144,18 +146,18 @@
     if (lease_.isHolder())
         releasedToken_ = lease_.token();
     lease_.stepDown(steadyNow());
-    logger_.info(LogLine("Give up the duties.").add("why", why).add("token", static_cast<std::int64_t>(releasedToken_.value_)));
+    logger_.info(LogLine("This node releases the duties.").add("why", why).add("token", static_cast<std::int64_t>(releasedToken_.value_)));
 }
 
 asio::awaitable<void> DutyRunner::run()
 {
-    // Claims from before this node's start are no news later. If this fails they are
-    // taken for news, and a claim comes later by the silence of a holder.
+    // Claims from before this node's start must not count as new ones later. If this read
+    // fails they do, and this node's own claim is delayed by the holder's timeout.
     (void)co_await readLog();
     for (;;) {
         co_await sleepFor(runPeriod);
         sampleDemand();
-        // A node that is stopping leaves the duties to those that stay.
+        // A node that is stopping leaves the duties to the other nodes.
         if (context_.isStopping_)
             continue;
         bool shouldClaim = false;
@@ -178,7 +180,8 @@
     SteadyTime now = steadyNow();
     for (const auto& [service, view] : context_.backends_.services()) {
         context_.demand_.recordLocalTokens(service, { view.tokensRequested_ }, now);
-        // What it tells its peers stands beside theirs; the rate is counted above.
+        // These values are averaged with those of the peers. The rate is passed as 0, since
+        // the tokens are recorded above.
         context_.demand_.setSource(context_.settings_.vm_, service, { 0, view.prefillPerMs_, view.observations_ }, now);
     }
     context_.demand_.sample(now);
@@ -186,7 +189,7 @@
         fleet_.observe(view, now);
 }
 
-/// Reads the log of duties to its end. \returns whether it was read.
+/// Reads the log of duties up to its end. \returns whether this succeeded.
 asio::awaitable<bool> DutyRunner::readLog()
 {
     for (;;) {
@@ -198,7 +201,7 @@
         for (const auto& [offset, bytes] : read.value().records_) {
             wire::DutyRecord record;
             if (!record.ParseFromString(bytes)) {
-                logger_.warn("Record " + std::to_string(offset.value_) + " of duties cannot be read.");
+                logger_.warn("Record " + std::to_string(offset.value_) + " of the log of duties cannot be parsed.");
                 continue;
             }
             for (const wire::FleetNeed& need : record.needs())
@@ -220,8 +223,8 @@
 asio::awaitable<DutyRunner::Recorded> DutyRunner::record(const wire::DutyRecord& record)
 {
     std::string bytes = record.SerializeAsString();
-    // An act that is recorded later than this is not covered any more, and a holder
-    // that the platform does not answer makes room for another.
+    // A record that is appended later than this does not cover its act any more, and a
+    // holder that gets no answers from the platform must step down for another node.
     SteadyTime until = steadyNow() + timingFor(context_.settings_.dutyLease_).recordValidity_;
     for (int i = 0; i < maxAppendAttempts && steadyNow() < until; ++i) {
         auto appended = co_await context_.platform_.appendDutyRecord_(end_, bytes);
@@ -230,10 +233,10 @@
             co_return Recorded::Yes;
         }
         if (appended.error().code_ != Errc::Conflict) {
-            logger_.warn("Record of duties is not known to be written: " + describe(appended.error()));
+            logger_.warn("Record may not have been appended to the log of duties: " + describe(appended.error()));
             continue;
         }
-        // An earlier try of this very record may be what came first.
+        // The record at this offset may be from an earlier attempt to append the same one.
         LogOffset ownOffset = end_;
         auto read = co_await context_.platform_.readDutyLog_(ownOffset);
         if (read && !read.value().records_.empty() && read.value().records_.front().second == bytes) {
@@ -250,10 +253,10 @@
     Claim before = newestClaim_;
     if (!co_await readLog())
         co_return;
-    // Somebody claimed whom this node has not heard yet: after a start many would claim
-    // in a row.
+    // Another node has claimed the duties, and its report has not arrived yet. Without
+    // this check many nodes would claim one after the other after a start.
     bool isNewClaim = newestClaim_.token_ > before.token_ && newestClaim_.vm_ != context_.settings_.vm_;
-    // One that is stopping already will not be heard.
+    // A node that is already stopping does not report that it holds the duties.
     isNewClaim &= !reports_->isStopping(newestClaim_.vm_);
     if (isNewClaim) {
         std::lock_guard lock(mutex_);
@@ -267,13 +270,13 @@
     claim.set_incarnation(context_.incarnation_);
     Recorded recorded = co_await record(claim);
     if (recorded != Recorded::Yes)
-        co_return resign(recorded == Recorded::Superseded ? "another claimed first" : "the claim has no answer");
+        co_return resign(recorded == Recorded::Superseded ? "another record was appended first" : "the outcome of the claim is unknown");
     for (const auto& [service, engines] : recordedNeeds_)
         fleet_.inheritNeed(service, engines, steadyNow());
     std::lock_guard lock(mutex_);
-    // The token is the claim's offset plus one, which is the end after it.
+    // The token is the claim's offset plus one, which is now the end of the log.
     lease_.becomeHolder({ end_.value_ }, steadyNow());
-    logger_.info(LogLine("Hold the duties.").add("token", static_cast<std::int64_t>(end_.value_)));
+    logger_.info(LogLine("This node holds the duties.").add("token", static_cast<std::int64_t>(end_.value_)));
 }
 
 asio::awaitable<void> DutyRunner::act()
@@ -332,7 +335,7 @@
     recorded_.erase(recorded_.begin(), recorded_.lower_bound({ due.value_ - std::min(due.value_, retainedWindows) }));
 }
 
-/// One service's engines, as this node knows them.
+/// The engines and the demand of \p service, as this node knows them.
 FleetView DutyRunner::viewOf(const ServicePolicy& service, SteadyTime now) const
 {
     auto rollout = context_.rollouts_.find(service.name_);
--- a/lib/Gateway/DutyRunner.h
+++ b/lib/Gateway/DutyRunner.h
@@ -1,8 +1,9 @@
-//===- lib/Gateway/DutyRunner.h - usage reports and fleet orders -----------===//
+//===- lib/Gateway/DutyRunner.h - performs the holder's duties ------------===//
 ///
 /// \file
-/// Drives the duties when this node holds them: records each act in the log of
-/// duties before it, and acts only if that record was the next one.
+/// Performs the duties while this node holds them: usage reports, fleet orders, and
+/// roll-outs. Each act is recorded in the log of duties first, and is performed only if no
+/// other record was appended in between.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -15,28 +16,34 @@
 
 namespace pistachioloom {
 
+/// Claims the duties when no other node holds them, and performs them.
 class DutyRunner {
 public:
     DutyRunner(asio::io_context& io, GatewayContext& context);
 
+    /// Starts the coroutines, unless no duties are configured.
     void start(const PeerReports& reports);
-    /// The token by which this node holds the duties, or 0.
+    /// The token under which this node holds the duties, or 0.
     DutyToken heldToken() const;
-    /// The token to tell peers: a stopping node holds no duties any more.
+    /// The token to report to peers: heldToken(), or 0 while this node is stopping.
     DutyToken reportedToken() const;
+    /// Records that \p peer is stopping.
     void noteStopping(const VmId& peer);
-    /// The token by which this node held the duties and gave them up, or 0.
+    /// The last token under which this node held the duties and released them, or 0.
     DutyToken releasedToken() const;
+    /// Records that \p holder reported at \p reportedAt that it holds the duties.
     void noteHolder(const VmId& holder, DutyToken token, SteadyTime reportedAt);
+    /// Records that the holder by \p token released the duties.
     void noteReleased(DutyToken token);
     const RolloutRunner& rollouts() const { return rollouts_; }
 
 private:
+    /// Outcome of an append to the log of duties.
     enum class Recorded {
         Yes,
-        /// Another record came first.
+        /// Another record was appended first.
         Superseded,
-        /// It may or may not be there; ask again.
+        /// The record may or may not have been appended.
         Unknown,
     };
 
@@ -46,8 +53,10 @@
     asio::awaitable<void> reportUsage();
     asio::awaitable<void> orderFleet();
     asio::awaitable<bool> readLog();
-    /// The token by which this node may act now, or 0.
+    /// The token under which this node may act now, or 0.
     DutyToken actingToken() const;
+    /// \returns whether \p record was appended. If it was not, this node has released the
+    /// duties.
     asio::awaitable<bool> recordOrResign(wire::DutyRecord record);
     asio::awaitable<Recorded> record(const wire::DutyRecord& record);
     FleetView viewOf(const ServicePolicy& service, SteadyTime now) const;
@@ -62,19 +71,20 @@
     mutable std::mutex mutex_;
     DutyLease lease_;
     DutyToken releasedToken_ {};
-    /// The end of the log as far as this node has read it.
+    /// The end of the log of duties, as far as this node has read it.
     LogOffset end_;
-    /// A node's word that it holds the duties.
+    /// A record by which a node claims the duties.
     struct Claim {
         VmId vm_;
         DutyToken token_ {};
     };
-    /// The newest claim that was read.
+    /// The newest claim that this node has read.
     Claim newestClaim_;
-    /// What was or may have been reported, by any holder.
+    /// Usage that any holder has reported, or may have reported.
     std::map<WindowNumber, UsageCounts> recorded_;
+    /// Windows that this node has reported.
     std::set<WindowNumber> reported_;
-    /// The newest need of each service in the log, of any holder.
+    /// Engines that each service needs, by the newest record of any holder.
     std::map<ServiceName, std::uint64_t> recordedNeeds_;
     FleetTracker fleet_;
     RolloutRunner rollouts_;
--- a/lib/Gateway/Feed.cpp
+++ b/lib/Gateway/Feed.cpp
@@ -88,8 +88,8 @@
                 logger_.info(LogLine("Roll-out is ordered.").add("service", order.service_.value_).add("target", order.target_.value_).add("number", static_cast<std::int64_t>(order.number_.value_)).add("period_ms", order.period_.count()));
         }
         if (!read.value().sources_.empty()) {
-            std::function<void()> applySources = [&context = context_, sources = std::move(read.value().sources_)] { context.applySources(sources, platformSource); };
-            co_await background_.run(std::move(applySources));
+            std::function<void()> applyConfiguration = [&context = context_, sources = std::move(read.value().sources_)] { context.applyConfiguration(sources, platformSource); };
+            co_await background_.run(std::move(applyConfiguration));
         }
         if (!context_.table())
             co_await sleepFor(context_.settings_.feed_.retryPause_);
--- a/lib/Gateway/Feed.h
+++ b/lib/Gateway/Feed.h
@@ -42,7 +42,7 @@
     /// for longer than other answers take.
     asio::awaitable<Result<wire::Frame>> fetch(Peer peer, wire::Frame request);
     /// Puts the configuration that peer \p vm gave, compressed, in force.
-    asio::awaitable<void> applySources(std::string bytes, VmId vm);
+    asio::awaitable<void> applyConfiguration(std::string bytes, VmId vm);
     wire::Frame answer(const wire::Frame& request);
     bool hasNewerThan(const wire::ConfigurationFetch& fetch) const;
     /// Gives the configuration to a peer. Ends once the peer has the whole of it.
--- a/lib/Gateway/Gateway.cpp
+++ b/lib/Gateway/Gateway.cpp
@@ -1,13 +1,13 @@
-//===- lib/Gateway/Gateway.cpp - a node that forwards transparently --------===//
+//===- lib/Gateway/Gateway.cpp - transparent forwarding gateway node ------===//
 ///
 /// \file
-/// Wires the parts together; starts, reloads and drains them.
+/// Connects the parts of a gateway, and starts, reloads and drains them.
 //===----------------------------------------------------------------------===//
 #include "DutyRunner.h"
 #include "Feed.h"
 #include "LoopLag.h"
-#include "QuarantineStore.h"
 #include "QuarantineEndpoint.h"
+#include "QuarantineStore.h"
 #include "ReachProbe.h"
 #include "RolloutEndpoint.h"
 #include "generated/Peer.pb.h"
@@ -18,12 +18,12 @@
 
 namespace {
 
-    // A node that has heard no peer looks for announcements this often.
+    // Interval at which a node without live peers reads the announcements.
     constexpr milliseconds announcePeriod { 3000 };
-    // The wait for requests in progress looks this often whether they are over.
+    // Interval at which draining checks whether all connections have ended.
     constexpr milliseconds drainPeriod { 50 };
-    // What still runs is broken off this long before the forced end, so that
-    // callers can go on elsewhere.
+    // Requests that are still running are aborted this long before the forced termination,
+    // so that callers can resume at another node.
     constexpr milliseconds drainMargin { 700 };
 
 } // namespace
@@ -44,7 +44,8 @@
     std::string file_;
     GatewayContext context_;
     std::vector<std::unique_ptr<asio::io_context>> ios_;
-    // Ends before the loops it resumes coroutines on, and the context it works on.
+    // Destroyed before the event loops on which it resumes coroutines, and before the
+    // context that its tasks use.
     Background background_;
     PeerPool peerPool_;
     PeerReports reports_;
@@ -72,7 +73,7 @@
     : file_(std::move(file))
     , context_(std::move(settings), std::move(platform))
     , ios_(makeContexts(context_.settings_.threads_))
-    , peerPool_(ios_[0]->get_executor(), context_.settings_.peerCredential_, [this](const Error& error) { logger_.warn("Peer link: " + describe(error)); })
+    , peerPool_(ios_[0]->get_executor(), context_.settings_.peerCredential_, [this](const Error& error) { logger_.warn("Peer connection failed: " + describe(error)); })
     , reports_(*ios_[0], context_, { [this] { return duties_.reportedToken(); }, [this] { return duties_.releasedToken(); }, [this](const VmId& vm, DutyToken token, SteadyTime reportedAt) { duties_.noteHolder(vm, token, reportedAt); }, [this](DutyToken token) { duties_.noteReleased(token); }, [this](const VmId& vm) { duties_.noteStopping(vm); }, [this] { return feed_.isReader(); }, [this] { return feed_.isPlatformLost(); } })
     , duties_(*ios_[0], context_)
     , probe_(context_)
@@ -80,7 +81,7 @@
     , quarantineStore_(context_, { [this] { return feed_.isReader(); }, [this] { return reports_.rankFor("quarantines") == 0; } })
     , peerServer_(
           ios_[0]->get_executor(), context_.settings_.peerCredential_, [this](std::shared_ptr<PeerStream> stream) { return servePeer(std::move(stream)); },
-          [this](const Error& error) { logger_.warn("Peer was refused: " + describe(error)); })
+          [this](const Error& error) { logger_.warn("Peer connection was rejected: " + describe(error)); })
     , readinessServer_(
           ios_[0]->get_executor(), HttpBounds {}, [this](HttpExchange& exchange) -> asio::awaitable<void> { (void)co_await exchange.respond(readiness()); }, errorResponse)
     , metricsServer_(
@@ -139,11 +140,11 @@
     if (frame && frame.value().has_configuration_fetch())
         co_await feed_.serve(stream, frame.value());
     else if (frame)
-        logger_.warn("Peer " + stream->peer() + " opened a stream with a frame that asks nothing.");
+        logger_.warn("Peer " + stream->peer() + " opened a stream with a frame that is not a request.");
     stream->finish();
 }
 
-/// Announces this node, and looks for others while none is heard.
+/// Announces this node, and reads the announcements of others while no peer is live.
 asio::awaitable<void> Gateway::State::findPeers()
 {
     bool isAnnounced = false;
@@ -176,11 +177,11 @@
     auto settings = loadGatewaySettings(file_, errors);
     if (!settings) {
         for (const InputError& error : errors)
-            logger_.error("Settings are refused, the ones before stay: " + error.toString());
+            logger_.error("Settings are invalid, the previous ones stay in force: " + error.toString());
         return;
     }
     initialiseLogging(settings->logs_, settings->vm_.value_);
-    logger_.info("Settings were read again: levels of logs apply now, the rest at the next start.");
+    logger_.info("Settings were read again: log levels apply now, all other settings at the next start.");
 }
 
 asio::awaitable<void> Gateway::State::watchSignals()
@@ -205,7 +206,7 @@
     context_.forward_.isStopping_ = true;
     logger_.info(LogLine("Stopping.").add("running", static_cast<std::int64_t>(context_.forward_.running_)).add("connections", static_cast<std::int64_t>(context_.forward_.connections_)));
     co_await sleepFor(std::min(settings.balancerGrace_, settings.grace_ - drainMargin));
-    // A stream taken later than this might not end within the grace time.
+    // A stream that is accepted later might not end within the grace time.
     context_.forward_.rejectsNew_ = true;
     while (steadyNow() < stopAt && context_.forward_.connections_) {
         for (const auto& worker : workers_)
@@ -213,7 +214,7 @@
         co_await sleepFor(drainPeriod);
     }
     if (context_.forward_.running_) {
-        logger_.warn(LogLine("Break off what runs at the end of the grace time.").add("running", static_cast<std::int64_t>(context_.forward_.running_)));
+        logger_.warn(LogLine("Requests that still run at the end of the grace time are aborted.").add("running", static_cast<std::int64_t>(context_.forward_.running_)));
         for (const auto& worker : workers_)
             worker->abortAll();
         co_await sleepFor(drainPeriod);
--- a/lib/Gateway/GatewayContext.cpp
+++ b/lib/Gateway/GatewayContext.cpp
@@ -1,4 +1,4 @@
-//===- lib/Gateway/GatewayContext.cpp - what the parts of a gateway share --===//
+//===- lib/Gateway/GatewayContext.cpp - shared state of a gateway ---------===//
 ///
 /// \file
 /// See GatewayContext.h.
@@ -7,8 +7,8 @@
 
 namespace pistachioloom {
 
-// A configuration is no longer than this: four times what one record of the
-// platform may hold.
+// Upper bound on a configuration's size: four times the largest record that the
+// platform stores.
 static constexpr ByteCount maxConfigurationSize { 16UL * 1024 * 1024 };
 
 static milliseconds elapsedSince(SteadyTime startedAt)
@@ -29,7 +29,7 @@
 static QuotaSettings quotaSettings(const GatewaySettings& settings)
 {
     QuotaSettings quotas;
-    // Uniform over nodes, and the same after a restart.
+    // Uniformly distributed over the nodes, and unchanged by a restart.
     quotas.phase_ = static_cast<double>(stableHash(settings.vm_.value_)) * 0x1p-64;
     return quotas;
 }
@@ -79,7 +79,7 @@
     auto decoded = platform_.decodeConfiguration_(source);
     if (decoded)
         return DecodedConfiguration { std::move(decoded.value()), from, { source.size() }, elapsedSince(startedAt) };
-    logger_.error("Configuration of " + from + " is refused, the one before stays: " + describe(decoded.error()));
+    logger_.error("Configuration from " + from + " is invalid, the previous one stays in force: " + describe(decoded.error()));
     return std::nullopt;
 }
 
@@ -89,13 +89,13 @@
     return !current || configuration.version_ > current->version();
 }
 
-void GatewayContext::applySources(const std::vector<std::string>& sources, const std::string& from)
+void GatewayContext::applyConfiguration(const std::vector<std::string>& sources, const std::string& from)
 {
     for (auto source = sources.rbegin(); source != sources.rend(); ++source) {
         auto decoded = decode(*source, from);
         if (!decoded)
             continue;
-        // The newest one is read again when a node begins anew.
+        // A node that has to read the newest state again reads a version it already has.
         if (isNewer(decoded->configuration_))
             decoded->configuration_.compressedSource_ = compress(*source);
         return publish(std::move(*decoded));
@@ -106,13 +106,14 @@
 {
     auto source = decompress(bytes, maxConfigurationSize);
     if (!source) {
-        logger_.warn("Configuration of peer " + from + " cannot be read: " + describe(source.error()));
+        logger_.warn("Configuration from peer " + from + " cannot be decompressed: " + describe(source.error()));
         return;
     }
     auto decoded = decode(source.value(), from);
     if (!decoded)
         return;
-    // Passed on as it came: compressing it again would cost half of what decoding does.
+    // The received bytes are kept for other peers: compressing the source again would take
+    // half as long as decoding it.
     decoded->configuration_.compressedSource_ = std::move(bytes);
     publish(std::move(*decoded));
 }
--- a/lib/Gateway/GatewayContext.h
+++ b/lib/Gateway/GatewayContext.h
@@ -1,7 +1,8 @@
-//===- lib/Gateway/GatewayContext.h - what the parts of a gateway share ----===//
+//===- lib/Gateway/GatewayContext.h - shared state of a gateway -----------===//
 ///
 /// \file
-/// The books and the published configuration, with one place that publishes.
+/// State that the parts of a gateway share, and the configuration in force, which only
+/// this code publishes.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -10,27 +11,30 @@
 
 namespace pistachioloom {
 
-/// Nodes that share the extra repeats at least: one that has just started knows
-/// few of the others.
+/// Minimum number of nodes among which the extra retries are shared: a node that has just
+/// started knows few of the others.
 constexpr std::uint64_t minNodesAssumed = 12;
-/// Nodes that quotas are shared among until the announcements of all were read: a
-/// node that waits 0.2 s for them admits too little for once, where a fleet that
-/// starts at one moment would admit too much.
+/// Number of nodes among which quotas are shared until all announcements were read. A node
+/// that waits 0.2 s for the announcements admits too little in that time; without this
+/// value a fleet whose nodes all start together would admit too much.
 constexpr std::uint64_t nodesAssumedAtStart = 64;
 
+/// State that the parts of a gateway share.
 class GatewayContext {
 public:
     GatewayContext(GatewaySettings settings, GatewayPlatform platform);
 
+    /// The configuration in force, or nullptr before the first.
     std::shared_ptr<const RouteTable> table() const;
-    /// Publishes the last of \p sources, oldest first, that can be decoded, if it is
-    /// newer. It takes long and belongs beside the event loops, as does the next one.
-    void applySources(const std::vector<std::string>& sources, const std::string& from);
-    /// Publishes what peer \p from passed on if it is newer.
+    /// Publishes the last of \p sources, oldest first, that can be decoded, if it is newer
+    /// than the configuration in force. This takes long, so call it outside the event loops.
+    void applyConfiguration(const std::vector<std::string>& sources, const std::string& from);
+    /// Publishes the compressed configuration that peer \p from sent, if it is newer. This
+    /// takes long, so call it outside the event loops.
     void applyCompressed(std::string bytes, const std::string& from);
-    /// Milliseconds since the start of 1970 by this node's clock.
+    /// Milliseconds since the Unix epoch by this node's clock.
     std::int64_t localWallMs() const;
-    /// Milliseconds since the start of 1970 as the clocks of all nodes agree.
+    /// Milliseconds since the Unix epoch by the median of all nodes' clocks.
     std::int64_t agreedWallMs() const;
 
     const GatewaySettings settings_;
@@ -50,7 +54,7 @@
     std::atomic<bool> isStopping_ { false };
 
 private:
-    /// A configuration that was decoded, and what the log tells of it.
+    /// A decoded configuration, and facts about it for the log.
     struct DecodedConfiguration {
         RouteConfiguration configuration_;
         std::string from_;
@@ -58,10 +62,11 @@
         milliseconds decodingTime_ {};
     };
 
-    /// Logs why if \p source cannot be decoded.
+    /// Decodes \p source. \returns nullopt if this fails, after logging why.
     std::optional<DecodedConfiguration> decode(const std::string& source, const std::string& from) const;
     bool isNewer(const RouteConfiguration& configuration) const;
-    /// Versions only rise: it locks, compares, and leaves out what is not newer.
+    /// Puts a configuration in force unless it is not newer than the current one. Versions
+    /// never decrease, also if several threads publish.
     void publish(DecodedConfiguration decoded);
 
     std::mutex publishMutex_;
--- a/lib/Gateway/GatewaySettings.cpp
+++ b/lib/Gateway/GatewaySettings.cpp
@@ -1,7 +1,8 @@
-//===- lib/Gateway/GatewaySettings.cpp - settings of a gateway -------------===//
+//===- lib/Gateway/GatewaySettings.cpp - settings of a gateway ------------===//
 ///
 /// \file
-/// One function per section; every key has its range here.
+/// Parses the settings of a gateway with one function for each section. The range of each
+/// key is defined here.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Gateway.h"
 #include "pistachioloom/Settings.h"
@@ -113,7 +114,8 @@
         settings.shiftStepFraction_ = map.number("shift_step", 0, 1, settings.shiftStepFraction_);
         settings.validity_ = map.duration("validity", milliseconds(200), oneMinute, settings.validity_);
         settings.minAnswers_ = map.integer("least_answers", 1, 1'000'000, settings.minAnswers_);
-        // A version on trial must stay within what a bad one may get.
+        // A version on trial may be bad, so it must not get more requests than a bad one
+        // may get.
         settings.trialShare_ = std::min(settings.trialShare_, settings.exposedShare_);
         if (settings.trialFraction_ >= settings.decisionFraction_)
             map.fail("trial_part", "expected less than verdict_part");
--- a/lib/Gateway/QuarantineEndpoint.cpp
+++ b/lib/Gateway/QuarantineEndpoint.cpp
@@ -1,4 +1,4 @@
-//===- lib/Gateway/QuarantineEndpoint.cpp - what operators see of suspects -----===//
+//===- lib/Gateway/QuarantineEndpoint.cpp - quarantines for operators -----===//
 ///
 /// \file
 /// See QuarantineEndpoint.h.
--- a/lib/Gateway/QuarantineEndpoint.h
+++ b/lib/Gateway/QuarantineEndpoint.h
@@ -1,8 +1,8 @@
-//===- lib/Gateway/QuarantineEndpoint.h - what operators see of suspects -------===//
+//===- lib/Gateway/QuarantineEndpoint.h - quarantines for operators -------===//
 ///
 /// \file
-/// Lists the requests under which backend servers crashed, and lifts what is held
-/// against one of them.
+/// Lists the requests during which backend servers crashed, and lifts the quarantine of
+/// one of them.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -10,11 +10,11 @@
 
 namespace pistachioloom {
 
-/// Whether \p request is meant for quarantineEndpoint().
+/// Whether quarantineEndpoint() answers \p request.
 bool isForQuarantineEndpoint(const HttpRequest& request);
 
-/// GET /quarantine lists; DELETE /quarantine/REQUEST lifts, on all nodes within some
-/// reports, and asks for the nodes' credential.
+/// `GET /quarantine` lists all suspected requests. `DELETE /quarantine/REQUEST` lifts a
+/// quarantine, on all nodes after some reports, and requires the nodes' credential.
 HttpResponse quarantineEndpoint(GatewayContext& context, const HttpRequest& request);
 
 } // namespace pistachioloom
--- a/lib/Gateway/QuarantineStore.cpp
+++ b/lib/Gateway/QuarantineStore.cpp
@@ -1,4 +1,4 @@
-//===- lib/Gateway/QuarantineStore.cpp - quarantines that outlive all nodes ===//
+//===- lib/Gateway/QuarantineStore.cpp - durable quarantines --------------===//
 ///
 /// \file
 /// See QuarantineStore.h.
@@ -14,7 +14,8 @@
 namespace {
 
     constexpr milliseconds syncPeriod { 500 };
-    // Writes of one period: many requests at once must not crowd out other calls.
+    // Bound on the writes of one period: many requests that are quarantined simultaneously
+    // must not delay other calls.
     constexpr std::size_t maxWritesPerPeriod = 4;
     const std::string keyPrefix = "quarantine/";
 
@@ -62,10 +63,11 @@
 {
     wire::QuarantineNote stored;
     if (!stored.ParseFromString(note.value_) || !stored.has_suspect()) {
-        logger_.warn("Note " + note.key_ + " cannot be read.");
+        logger_.warn("Note " + note.key_ + " cannot be parsed.");
         return;
     }
-    // A clock that is behind must not make crashes younger than when they were told.
+    // A clock that is behind must not make crashes younger than they were when they were
+    // written.
     std::int64_t age = std::max<std::int64_t>(0, context_.agreedWallMs() - stored.written_ms());
     google::protobuf::RepeatedPtrField<wire::SuspectReport> reports;
     *reports.Add() = stored.suspect();
@@ -88,7 +90,7 @@
     }
 }
 
-/// \returns whether the platform took it.
+/// \returns whether the platform stored \p change.
 asio::awaitable<bool> QuarantineStore::write(QuarantineRecordTracker::Change change)
 {
     StoredNote note { keyOf(change.suspect_.request_), {} };
@@ -101,7 +103,7 @@
         note.value_ = stored.SerializeAsString();
     }
     auto written = co_await context_.platform_.writeNote_(std::move(note));
-    LogLine line(change.isDropped_ ? "Quarantine is dropped." : "Quarantine is written.");
+    LogLine line(change.isDropped_ ? "Quarantine is removed." : "Quarantine is written.");
     line.add("request", toString(change.suspect_.request_)).add("crashes", static_cast<std::int64_t>(change.suspect_.activeCrashes())).add("error", written ? "" : describe(written.error()));
     logger_.info(line);
     if (written)
--- a/lib/Gateway/QuarantineStore.h
+++ b/lib/Gateway/QuarantineStore.h
@@ -1,8 +1,9 @@
-//===- lib/Gateway/QuarantineStore.h - quarantines that outlive all nodes -===//
+//===- lib/Gateway/QuarantineStore.h - durable quarantines ----------------===//
 ///
 /// \file
-/// Nodes tell each other which requests are held, and a node that restarts hears it
-/// from them. For the restart of all at one moment the platform keeps a note of each.
+/// Nodes report quarantined requests to each other, and a node that restarts receives
+/// them from its peers. The platform stores a note of each of them for the case that all
+/// nodes restart together.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -14,17 +15,19 @@
 
 namespace pistachioloom {
 
+/// Reads the quarantines that the platform stores, and writes their changes.
 class QuarantineStore {
 public:
     struct Hooks {
-        /// Whether this node reads from the platform, for all others of its data centre.
+        /// Whether this node reads from the platform for the others.
         std::function<bool()> isReader_;
-        /// Whether this node writes, of all that are live.
+        /// Whether this node is the one among all live nodes that writes.
         std::function<bool()> isWriter_;
     };
 
     QuarantineStore(GatewayContext& context, Hooks hooks);
 
+    /// Reads and writes at regular intervals.
     asio::awaitable<void> run();
 
 private:
--- a/lib/Gateway/RolloutEndpoint.cpp
+++ b/lib/Gateway/RolloutEndpoint.cpp
@@ -1,4 +1,4 @@
-//===- lib/Gateway/RolloutEndpoint.cpp - what operators see of roll-outs -------===//
+//===- lib/Gateway/RolloutEndpoint.cpp - roll-outs for operators ----------===//
 ///
 /// \file
 /// See RolloutEndpoint.h.
@@ -45,7 +45,8 @@
     return jsonResponse(200, json::serialize(body));
 }
 
-/// Every node hears it, the holder of the duties among them, which tells the operator.
+/// All nodes receive the reverted state. The holder of the duties reports it to the
+/// operator.
 static HttpResponse revert(GatewayContext& context, const HttpRequest& request)
 {
     const std::string step = "revert roll-out";
--- a/lib/Gateway/RolloutEndpoint.h
+++ b/lib/Gateway/RolloutEndpoint.h
@@ -1,8 +1,7 @@
-//===- lib/Gateway/RolloutEndpoint.h - what operators see of roll-outs ---------===//
+//===- lib/Gateway/RolloutEndpoint.h - roll-outs for operators ------------===//
 ///
 /// \file
-/// `GET /rollouts` lists them; `DELETE /rollouts/SERVICE` reverts one, with the nodes'
-/// credential.
+/// Lists the roll-out orders, and reverts one of them.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -11,7 +10,11 @@
 
 namespace pistachioloom {
 
+/// Whether rolloutEndpoint() answers \p request.
 bool isForRolloutEndpoint(const HttpRequest& request);
+
+/// `GET /rollouts` lists all orders. `DELETE /rollouts/SERVICE` reverts the order of a
+/// service, and requires the nodes' credential.
 HttpResponse rolloutEndpoint(GatewayContext& context, const RolloutRunner& runner, const HttpRequest& request);
 
 } // namespace pistachioloom
--- a/lib/Gateway/RolloutMessages.cpp
+++ b/lib/Gateway/RolloutMessages.cpp
@@ -1,4 +1,4 @@
-//===- lib/Gateway/RolloutMessages.cpp - roll-outs, in messages ------------===//
+//===- lib/Gateway/RolloutMessages.cpp - messages about roll-outs ---------===//
 ///
 /// \file
 /// See RolloutMessages.h.
--- a/lib/Gateway/RolloutMessages.h
+++ b/lib/Gateway/RolloutMessages.h
@@ -1,7 +1,8 @@
-//===- lib/Gateway/RolloutMessages.h - roll-outs, in messages --------------===//
+//===- lib/Gateway/RolloutMessages.h - messages about roll-outs -----------===//
 ///
 /// \file
-/// What nodes tell each other of operators' orders, and what they counted for them.
+/// Converts the states and the counts of operators' roll-out orders to messages between
+/// nodes, and back.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -11,14 +12,16 @@
 namespace pistachioloom {
 
 wire::RolloutReport toWire(const RolloutState& state);
-/// nullopt if a field is missing or odd.
+/// \returns nullopt if a field is missing or invalid.
 std::optional<RolloutState> fromWire(const wire::RolloutReport& report);
 
+/// Adds \p states to \p message, with the ages of their reports.
 void putRollouts(const std::vector<RolloutTracker::ReceivedState>& states, google::protobuf::RepeatedPtrField<wire::RolloutReport>& message, SteadyTime now);
 
+/// Adds \p tallies to \p message.
 void putTallies(const RolloutTallies& tallies, google::protobuf::RepeatedPtrField<wire::RolloutCounts>& message);
-/// The tallies of a message, which may have arrays of unequal length: the shortest one
-/// counts.
+/// The tallies in \p message. If the arrays of an entry differ in length, all are cut to
+/// the shortest.
 RolloutTallies talliesOf(const google::protobuf::RepeatedPtrField<wire::RolloutCounts>& message);
 
 } // namespace pistachioloom
--- a/lib/Gateway/RolloutRunner.cpp
+++ b/lib/Gateway/RolloutRunner.cpp
@@ -1,4 +1,4 @@
-//===- lib/Gateway/RolloutRunner.cpp - the holder's part in roll-outs ------===//
+//===- lib/Gateway/RolloutRunner.cpp - the holder's roll-out duties -------===//
 ///
 /// \file
 /// See RolloutRunner.h.
@@ -46,7 +46,7 @@
     }
 }
 
-/// What was decided before all nodes stopped, if they did.
+/// Reads the decisions that were stored before all nodes stopped, if they did.
 asio::awaitable<void> RolloutRunner::readNotes()
 {
     auto notes = co_await context_.platform_.readNotes_();
@@ -62,7 +62,7 @@
         if (record.ParseFromString(note.value_))
             applyRecord(record);
         else
-            logger_.warn("Note " + note.key_ + " cannot be read.");
+            logger_.warn("Note " + note.key_ + " cannot be parsed.");
     }
 }
 
@@ -70,14 +70,14 @@
 {
     auto state = fromWire(record);
     if (!state) {
-        logger_.warn("Record of a roll-out cannot be read.");
+        logger_.warn("Record of a roll-out is invalid.");
         return;
     }
     if (record.is_told())
         reported_[state->order_.service_] = std::max(reported_[state->order_.service_], state->order_.number_);
     SteadyTime now = steadyNow();
     if (isFinal(state->phase_) && context_.rollouts_.take(*state, now, now))
-        logger_.info(LogLine("Verdict is read.").add("service", state->order_.service_.value_).add("target", state->order_.target_.value_).add("phase", toString(state->phase_)));
+        logger_.info(LogLine("Decision on a roll-out is read.").add("service", state->order_.service_.value_).add("target", state->order_.target_.value_).add("phase", toString(state->phase_)));
 }
 
 void RolloutRunner::adjustOrder(const RolloutTracker::ReceivedState& received, SteadyTime now)
@@ -87,7 +87,7 @@
     if (found != orders_.end()) {
         const RolloutState& current = found->second.controller_.state();
         bool isNewOrder = current.order_.number_ < order.number_;
-        // An operator has ended it, or an earlier holder did.
+        // An operator or an earlier holder has ended the order.
         bool isEnded = isFinal(received.state_.phase_) && !isFinal(current.phase_);
         if (isNewOrder || isEnded) {
             orders_.erase(found);
@@ -103,7 +103,8 @@
     BackendTable::VersionCounts versions = context_.backends_.versions(order.service_, order.target_);
     RolloutView view { context_.rollouts_.total(order.service_), versions.target_, versions.others_, versions.othersRunning_ };
     RolloutState after = controller.adjust(view, now);
-    // Said anew each time: a trial whose holder is silent ends at the other nodes.
+    // The state is reported again in each period: other nodes end a trial whose holder
+    // has become unresponsive.
     (void)context_.rollouts_.take(after, now, now);
     if (after == before)
         return;
@@ -111,7 +112,7 @@
         std::lock_guard lock(reasonsMutex_);
         reasons_[order.service_] = controller.reason();
     }
-    LogLine line("Roll-out moves on.");
+    LogLine line("Roll-out has changed.");
     line.add("service", order.service_.value_).add("target", order.target_.value_).add("phase", toString(after.phase_)).add("share", std::to_string(after.share_)).add("why", controller.reason());
     line.add("requests", static_cast<std::int64_t>(view.tally_.requests_)).add("exposed", static_cast<std::int64_t>(view.tally_.exposed_)).add("target_servers", static_cast<std::int64_t>(view.targetServers_)).add("other_servers", static_cast<std::int64_t>(view.stableServers_));
     line.add("other_running", static_cast<std::int64_t>(view.stableRunning_)).add("since_order_ms", std::chrono::duration_cast<milliseconds>(now - received.orderReceivedAt_).count());
@@ -133,7 +134,7 @@
             continue;
         if (!isFinal(state.phase_) && !found->second.isActiveReported_) {
             bool isActiveReported = co_await report(state);
-            // It may be gone, or another one, since.
+            // The order may have been removed or replaced in the meantime.
             found = orders_.find(service);
             if (found != orders_.end())
                 found->second.isActiveReported_ = isActiveReported;
@@ -174,7 +175,7 @@
     StoredNote note { keyPrefix + service.value_, stored.SerializeAsString() };
     auto written = co_await context_.platform_.writeNote_(std::move(note));
     if (!written)
-        logger_.warn("Note of a verdict is not written: " + describe(written.error()));
+        logger_.warn("Note of a decision cannot be written: " + describe(written.error()));
     co_return co_await recordDecision(decision, true);
 }
 
@@ -188,7 +189,7 @@
     co_return co_await hooks_.record_(std::move(record));
 }
 
-/// \returns whether the platform has it.
+/// \returns whether the platform accepted the report.
 asio::awaitable<bool> RolloutRunner::report(RolloutState state)
 {
     DutyToken token = hooks_.token_();
--- a/lib/Gateway/RolloutRunner.h
+++ b/lib/Gateway/RolloutRunner.h
@@ -1,9 +1,9 @@
-//===- lib/Gateway/RolloutRunner.h - the holder's part in roll-outs --------===//
+//===- lib/Gateway/RolloutRunner.h - the holder's roll-out duties ---------===//
 ///
 /// \file
-/// The holder of the duties leads each order to its verdict: it decides the share from
-/// what all nodes count, tells them, and records a verdict in the log of duties before
-/// it tells the operator.
+/// The holder of the duties controls each roll-out order until it is complete or reverted.
+/// It sets the share from the counts of all nodes, reports it to them, and records the
+/// final decision in the log of duties before it reports it to the operator.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -16,55 +16,64 @@
 
 namespace pistachioloom {
 
+/// Controls the roll-out orders while this node holds the duties.
 class RolloutRunner {
 public:
     struct Hooks {
-        /// The token by which this node holds the duties and may act, or 0.
+        /// The token under which this node holds the duties and may act, or 0.
         std::function<DutyToken()> token_;
-        /// Appends to the log of duties. \returns whether this node still holds them.
+        /// Appends to the log of duties. \returns whether this node still holds the duties.
         std::function<asio::awaitable<bool>(wire::DutyRecord)> record_;
     };
 
     RolloutRunner(GatewayContext& context, Hooks hooks);
 
-    /// Decides at regular times while this node holds the duties. Waits for nobody.
+    /// Adjusts all orders at regular intervals while this node holds the duties. Never waits
+    /// for records or reports.
     asio::awaitable<void> adjust();
-    /// Records and tells what is due. \returns false if this node holds the duties no more.
+    /// Records and reports the decisions that are due. \returns whether this node still holds
+    /// the duties.
     asio::awaitable<bool> act();
-    /// A verdict in the log of duties, by any holder.
+    /// Applies a final decision from the log of duties, by any holder.
     void applyRecord(const wire::RolloutReport& record);
 
-    /// What an operator sees of an order.
+    /// An order as shown to operators.
     struct OrderStatus {
         RolloutState state_;
         std::string reason_;
         RolloutTally tally_;
         BackendTable::VersionCounts versions_;
     };
+    /// Thread-safe.
     std::vector<OrderStatus> orderStatuses() const;
 
 private:
     struct Order {
         RolloutController controller_;
+        /// The operator knows that the order is active.
         bool isActiveReported_ = false;
     };
 
     asio::awaitable<void> readNotes();
     void adjustOrder(const RolloutTracker::ReceivedState& received, SteadyTime now);
+    /// Records and reports \p decision. \returns whether this node still holds the duties.
     asio::awaitable<bool> finalise(ServiceName service, RolloutState decision);
+    /// Reports \p state to the operator. \returns whether the platform accepted the report.
     asio::awaitable<bool> report(RolloutState state);
     asio::awaitable<bool> recordDecision(RolloutState decision, bool isReported);
 
     GatewayContext& context_;
     Hooks hooks_;
-    /// By the token below; begun anew with each.
+    /// Orders that this node controls under `token_`; cleared when the token changes.
     std::map<ServiceName, Order> orders_;
     DutyToken token_ {};
+    /// Reports under `token_` that the platform accepted.
     std::uint64_t reportCount_ = 0;
     bool hasReadNotes_ = false;
-    /// Orders whose verdict the operator knows.
+    /// Orders whose final decision the operator knows.
     std::map<ServiceName, RolloutNumber> reported_;
     mutable std::mutex reasonsMutex_;
+    /// Reason of the last decision on each order.
     std::map<ServiceName, std::string> reasons_;
     Logger logger_ { "rollout" };
 };
--- a/lib/Gateway/SuspectMessages.cpp
+++ b/lib/Gateway/SuspectMessages.cpp
@@ -1,4 +1,4 @@
-//===- lib/Gateway/SuspectMessages.cpp - crashes by request, in messages ---===//
+//===- lib/Gateway/SuspectMessages.cpp - messages about suspects ----------===//
 ///
 /// \file
 /// See SuspectMessages.h.
@@ -9,9 +9,10 @@
 
 namespace pistachioloom {
 
-// Bits of SuspectReport::cleared.
+// Number of bits in SuspectReport::cleared.
 static constexpr int maxCrashesPerMessage = 32;
-// An age beyond this is nonsense; such a crash is long forgotten.
+// Greater ages are invalid. A crash of this age is no longer kept, and the conversion to
+// a time cannot overflow.
 static constexpr std::uint64_t maxAgeMs = 366ULL * 24 * 3600 * 1000;
 
 void putSuspects(const std::vector<Suspect>& suspects, google::protobuf::RepeatedPtrField<wire::SuspectReport>& message, SteadyTime now)
--- a/lib/Gateway/SuspectMessages.h
+++ b/lib/Gateway/SuspectMessages.h
@@ -1,7 +1,7 @@
-//===- lib/Gateway/SuspectMessages.h - crashes by request, in messages -----===//
+//===- lib/Gateway/SuspectMessages.h - messages about suspects ------------===//
 ///
 /// \file
-/// What nodes tell each other of requests under which backend servers crashed.
+/// Converts the crashes that occurred during requests to messages between nodes, and back.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -10,11 +10,11 @@
 
 namespace pistachioloom {
 
-/// Writes \p suspects into a message; times become ages.
+/// Adds \p suspects to \p message, with their times converted to ages.
 void putSuspects(const std::vector<Suspect>& suspects, google::protobuf::RepeatedPtrField<wire::SuspectReport>& message, SteadyTime now);
 
-/// The suspects of a message, which may have arrays of unequal length: the shorter one
-/// counts.
+/// The suspects in \p message. If the arrays of an entry differ in length, all are cut to
+/// the shortest.
 std::vector<Suspect> suspectsOf(const google::protobuf::RepeatedPtrField<wire::SuspectReport>& message, SteadyTime now);
 
 } // namespace pistachioloom
--- a/lib/Gateway/Transfers.cpp
+++ b/lib/Gateway/Transfers.cpp
@@ -75,7 +75,7 @@
     auto reply = co_await fetch(peer, request);
     if (reply && reply.value().has_configuration_update()) {
         std::string bytes = reply.value().configuration_update().compressed_source();
-        co_await applySources(std::move(bytes), vm);
+        co_await applyConfiguration(std::move(bytes), vm);
         co_return;
     }
     bool isBusy = !reply && reply.error().code_ == Errc::Overloaded;
@@ -85,7 +85,7 @@
         logger_.warn("Peer " + vm.value_ + " gave no configuration: " + (reply ? "other frame" : describe(reply.error())));
 }
 
-asio::awaitable<void> Feed::applySources(std::string bytes, VmId vm)
+asio::awaitable<void> Feed::applyConfiguration(std::string bytes, VmId vm)
 {
     if (bytes.empty())
         co_return;
--- a/unittests/Gateway/GatewaySettingsTest.cpp
+++ b/unittests/Gateway/GatewaySettingsTest.cpp
@@ -1,7 +1,7 @@
-//===- unittests/Gateway/GatewaySettingsTest.cpp - settings of a gateway ---===//
+//===- unittests/Gateway/GatewaySettingsTest.cpp - settings of a gateway --===//
 ///
 /// \file
-/// Good settings are read whole; bad ones name line and key.
+/// Valid settings are read completely; errors in others name the line and the key.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Gateway.h"
 
@@ -36,7 +36,7 @@
     trial_part: 0.6
 )";
 
-TEST_CASE("settings of a gateway are read", "[gateway]")
+TEST_CASE("valid settings of a gateway are read", "[gateway]")
 {
     InputErrors errors;
     auto settings = parseGatewaySettings(validSettings, "f", errors);
@@ -54,7 +54,7 @@
     CHECK(settings->logs_.output_ == LogOutput::StandardOutput);
 }
 
-TEST_CASE("wrong settings name line and key", "[gateway]")
+TEST_CASE("errors in settings name the line and the key", "[gateway]")
 {
     struct Row {
         const char* from_;
--- a/unittests/Gateway/RolloutMessagesTest.cpp
+++ b/unittests/Gateway/RolloutMessagesTest.cpp
@@ -1,7 +1,8 @@
-//===- unittests/Gateway/RolloutMessagesTest.cpp - roll-outs in messages ---===//
+//===- unittests/Gateway/RolloutMessagesTest.cpp - roll-out messages ------===//
 ///
 /// \file
-/// What one node tells of an order is what another one reads, also through relays.
+/// A node reads the same states and counts of orders that another node sent, also through
+/// relays.
 //===----------------------------------------------------------------------===//
 #include "RolloutMessages.h"
 #include "RelayBook.h"
@@ -29,7 +30,7 @@
 
 } // namespace
 
-TEST_CASE("states and counts of orders are read as they were told", "[gateway]")
+TEST_CASE("states and counts of orders are read as they were sent", "[gateway]")
 {
     CHECK(fromWire(toWire(state)) == state);
     google::protobuf::RepeatedPtrField<wire::RolloutCounts> message;
@@ -41,7 +42,7 @@
     CHECK(read[service].exposed_ == 8);
 }
 
-TEST_CASE("reports of orders with missing or odd fields are read within bounds", "[gateway]")
+TEST_CASE("reports of orders with missing or invalid fields are rejected or clamped", "[gateway]")
 {
     struct Row {
         const char* what_;
@@ -51,8 +52,8 @@
         { "no order", [](wire::RolloutReport& report) { report.set_number(0); } },
         { "no service", [](wire::RolloutReport& report) { report.clear_service(); } },
         { "no target", [](wire::RolloutReport& report) { report.clear_target(); } },
-        { "another phase", [](wire::RolloutReport& report) { report.set_phase("paused"); } },
-        { "no number as a share", [](wire::RolloutReport& report) { report.set_share(std::numeric_limits<double>::quiet_NaN()); } },
+        { "unknown phase", [](wire::RolloutReport& report) { report.set_phase("paused"); } },
+        { "share is not a number", [](wire::RolloutReport& report) { report.set_share(std::numeric_limits<double>::quiet_NaN()); } },
     };
     for (const Row& row : rows) {
         CAPTURE(row.what_);
@@ -72,7 +73,7 @@
     CHECK(talliesOf(message)[service].cells_.empty());
 }
 
-TEST_CASE("relays tell counts of orders to the holder alone, and states to all", "[gateway]")
+TEST_CASE("relays send counts of orders only to the holder of the duties, and states to all nodes", "[gateway]")
 {
     RelayBook aggregator(milliseconds(5000));
     aggregator.takeReport(reportOf("holder", 10, 9), now);
@@ -85,7 +86,7 @@
     CHECK(toOther.rollout_counts().empty());
     REQUIRE(toOther.rollouts_size() == 1);
     CHECK(fromWire(toOther.rollouts(0)) == state);
-    // As old as when its holder said so.
+    // The age counts from the holder's report.
     CHECK(toOther.rollouts(0).age_ms() >= 300);
     CHECK(aggregator.summaryFor({ "elsewhere" }, now).rollout_counts().empty());
 }
--- a/unittests/Gateway/SuspectMessagesTest.cpp
+++ b/unittests/Gateway/SuspectMessagesTest.cpp
@@ -1,7 +1,7 @@
-//===- unittests/Gateway/SuspectMessagesTest.cpp - suspects in messages ----===//
+//===- unittests/Gateway/SuspectMessagesTest.cpp - suspect messages -------===//
 ///
 /// \file
-/// What one node tells of crashes is what another one reads.
+/// A node reads the same crashes that another node sent.
 //===----------------------------------------------------------------------===//
 #include "SuspectMessages.h"
 
@@ -13,7 +13,7 @@
 
 static const SteadyTime now { std::chrono::hours(1) };
 
-TEST_CASE("crashes by request are read as they were told, on the reader's clock", "[gateway]")
+TEST_CASE("crashes of a request are read as they were sent, on the reader's clock", "[gateway]")
 {
     Message message;
     putSuspects({ { { 7 }, 9, { { { 1 }, now - milliseconds(300), false }, { { 2 }, now - milliseconds(200), true }, { { 3 }, now, false } } } }, message, now);
@@ -29,7 +29,7 @@
     CHECK(read[0].activeCrashes() == 2);
 }
 
-TEST_CASE("suspects of unequal arrays or absurd ages are read within bounds", "[gateway]")
+TEST_CASE("suspects with arrays of unequal length or implausible ages are read within bounds", "[gateway]")
 {
     Message message;
     wire::SuspectReport& report = *message.Add();
--- a/unittests/Gateway/TakeInTest.cpp
+++ b/unittests/Gateway/TakeInTest.cpp
@@ -50,9 +50,9 @@
     }));
     RcuThread registered;
     GatewayContext context(GatewaySettings {}, decodingPlatform());
-    context.applySources({ "5" }, "platform");
+    context.applyConfiguration({ "5" }, "platform");
     REQUIRE(versionOf(context) == 5);
-    context.applySources(row.sources_, "platform");
+    context.applyConfiguration(row.sources_, "platform");
     CHECK(versionOf(context) == row.version_);
     auto text = decompress(context.table()->configuration().compressedSource_, { 100 });
     REQUIRE(text);
