--- a/lib/Gateway/RolloutRunner.cpp
+++ b/lib/Gateway/RolloutRunner.cpp
@@ -153,7 +153,6 @@
     co_return true;
 }
 
-/// \returns whether this node still holds the duties.
 asio::awaitable<bool> RolloutRunner::finalise(ServiceName service, RolloutState decision)
 {
     bool isRecorded = co_await recordDecision(decision, false);
@@ -189,7 +188,6 @@
     co_return co_await hooks_.record_(std::move(record));
 }
 
-/// \returns whether the platform accepted the report.
 asio::awaitable<bool> RolloutRunner::report(RolloutState state)
 {
     DutyToken token = hooks_.token_();
--- a/lib/Gateway/RolloutRunner.h
+++ b/lib/Gateway/RolloutRunner.h
@@ -28,8 +28,8 @@
 
     RolloutRunner(GatewayContext& context, Hooks hooks);
 
-    /// Adjusts all orders at regular intervals while this node holds the duties. Never waits
-    /// for records or reports.
+    /// Adjusts all orders at regular intervals while this node holds the duties. Runs
+    /// concurrently with act(), so that it does not wait for records and reports.
     asio::awaitable<void> adjust();
     /// Records and reports the decisions that are due. \returns whether this node still holds
     /// the duties.
