--- a/lib/Gateway/ConfigurationTransfer.cpp
+++ b/lib/Gateway/ConfigurationTransfer.cpp
@@ -90,7 +90,7 @@
 {
     if (bytes.empty())
         co_return;
-    std::function<void()> work = [&context = context_, bytes = std::move(bytes), vm] { context.takeInCompressed(bytes, vm.value_); };
+    std::function<void()> work = [&context = context_, bytes = std::move(bytes), vm] { context.applyCompressed(bytes, vm.value_); };
     co_await background_.run(std::move(work));
 }
 
--- a/lib/Gateway/Discovery.cpp
+++ b/lib/Gateway/Discovery.cpp
@@ -106,7 +106,7 @@
     addRelays(own_, advertised, now);
     auto isAdvertised = [&](const VmId& vm) { return std::any_of(advertised.begin(), advertised.end(), [&](const KnownPeer& known) { return known.first == vm; }); };
     std::vector<KnownPeer> others;
-    for (const KnownPeer& known : table_.reportedWithin(settings_.silence_, now)) {
+    for (const KnownPeer& known : table_.reportedWithin(settings_.unresponsiveAfter_, now)) {
         if (isAdvertised(known.first))
             continue;
         if (known.second.isReader_ && advertisesReaders)
@@ -121,7 +121,7 @@
 
 std::vector<KnownPeer> Discovery::peersToAdvertise(AdvertisedPeers amount, std::size_t cursor, SteadyTime now) const
 {
-    std::vector<KnownPeer> known = table_.reportedWithin(settings_.silence_, now);
+    std::vector<KnownPeer> known = table_.reportedWithin(settings_.unresponsiveAfter_, now);
     std::size_t count = std::min(amount == AdvertisedPeers::Few ? fewPeers : manyPeers, known.size());
     std::vector<KnownPeer> advertised;
     for (std::size_t i = 0; i < count; ++i)
--- a/lib/Gateway/GatewaySettings.cpp
+++ b/lib/Gateway/GatewaySettings.cpp
@@ -1,7 +1,8 @@
-//===- lib/Gateway/GatewaySettings.cpp - settings of a gateway -------------===//
+//===- lib/Gateway/GatewaySettings.cpp - settings of a gateway ------------===//
 ///
 /// \file
-/// One function per section; every key has its range here.
+/// Parses the settings of a gateway with one function for each section. The range of each
+/// key is defined here.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Gateway.h"
 #include "pistachioloom/Settings.h"
@@ -15,7 +16,7 @@
 
     constexpr milliseconds oneDay { 24LL * 3600 * 1000 };
     constexpr milliseconds oneMinute { 60000 };
-    constexpr std::uint64_t mostThreads = 64;
+    constexpr std::uint64_t maxThreads = 64;
     constexpr const char* rootKey = "gateway";
 
     Endpoint endpoint(YamlMap& map, const std::string& key)
@@ -58,8 +59,8 @@
         settings.period_ = map.duration("period", milliseconds(20), oneMinute, settings.period_);
         settings.fanout_ = map.integer("fanout", 1, 1000, settings.fanout_);
         settings.relays_ = map.integer("relays", 1, 16, settings.relays_);
-        settings.silence_ = map.duration("silence", milliseconds(50), oneMinute, settings.silence_);
-        settings.forget_ = map.duration("forget", milliseconds(1000), oneDay, settings.forget_);
+        settings.unresponsiveAfter_ = map.duration("silence", milliseconds(50), oneMinute, settings.unresponsiveAfter_);
+        settings.forgetAfter_ = map.duration("forget", milliseconds(1000), oneDay, settings.forgetAfter_);
         map.finish();
     }
 
@@ -67,9 +68,9 @@
     {
         settings.configurationWait_ = map.duration("configuration_wait", milliseconds(50), oneMinute, settings.configurationWait_);
         settings.registryPeriod_ = map.duration("registry_period", milliseconds(20), oneMinute, settings.registryPeriod_);
-        settings.lapseGrace_ = map.duration("lapse_grace", milliseconds(0), oneMinute, settings.lapseGrace_);
+        settings.registrationGrace_ = map.duration("lapse_grace", milliseconds(0), oneMinute, settings.registrationGrace_);
         settings.readers_ = map.integer("readers", 1, 1000, settings.readers_);
-        settings.readerSilence_ = map.duration("reader_silence", milliseconds(50), oneMinute, settings.readerSilence_);
+        settings.readerTimeout_ = map.duration("reader_silence", milliseconds(50), oneMinute, settings.readerTimeout_);
         settings.askPeersAfter_ = map.duration("ask_peers_after", milliseconds(100), oneMinute, settings.askPeersAfter_);
         map.finish();
     }
@@ -113,7 +114,8 @@
         settings.shiftStepFraction_ = map.number("shift_step", 0, 1, settings.shiftStepFraction_);
         settings.validity_ = map.duration("validity", milliseconds(200), oneMinute, settings.validity_);
         settings.minAnswers_ = map.integer("least_answers", 1, 1'000'000, settings.minAnswers_);
-        // A version on trial must stay within what a bad one may get.
+        // A version on trial may be bad, so it must not get more requests than a bad one
+        // may get.
         settings.trialShare_ = std::min(settings.trialShare_, settings.exposedShare_);
         if (settings.trialFraction_ >= settings.decisionFraction_)
             map.fail("trial_part", "expected less than verdict_part");
@@ -153,7 +155,7 @@
         settings.vm_ = { map.text("vm") };
         settings.dataCentre_ = { map.text("data_centre") };
         settings.cores_ = map.number("cores", 0.001, 1000, settings.cores_);
-        settings.threads_ = map.integer("threads", 1, mostThreads, settings.threads_);
+        settings.threads_ = map.integer("threads", 1, maxThreads, settings.threads_);
         settings.clockOffset_ = map.duration("clock_offset", milliseconds(0), oneDay, settings.clockOffset_);
         settings.peerCredential_ = map.text("peer_credential");
         settings.store_ = endpoint(map, "store");
--- a/lib/Gateway/PeerReports.cpp
+++ b/lib/Gateway/PeerReports.cpp
@@ -67,7 +67,7 @@
 
 std::vector<KnownPeer> PeerReports::live() const
 {
-    return reportedWithin(context_.settings_.gossiping_.silence_);
+    return reportedWithin(context_.settings_.gossiping_.unresponsiveAfter_);
 }
 
 std::uint64_t PeerReports::nodesCovered() const
@@ -80,7 +80,7 @@
     PeerTable::Census census = table_.census();
     // Nodes that were advertised and never reported may have stopped long ago, but they
     // count for a while after a start.
-    bool hasJustStarted = now - startedAt_ < context_.settings_.gossiping_.forget_;
+    bool hasJustStarted = now - startedAt_ < context_.settings_.gossiping_.forgetAfter_;
     std::uint64_t known = census.reported_ + (hasJustStarted ? census.advertised_ : 0);
     const wire::NodeSums* sums = others_.current(now);
     std::uint64_t reported = usesRelays_ ? (sums ? sums->nodes() : 0) : live().size();
@@ -117,12 +117,12 @@
 void PeerReports::setNodeCount(std::uint64_t known, SteadyTime now)
 {
     // All known nodes share, including those that are cut off.
-    std::uint64_t assumed = std::max(leastNodesAssumed, known);
+    std::uint64_t assumed = std::max(minNodesAssumed, known);
     context_.retries_.setNodes(assumed);
     context_.forward_.nodes_ = assumed;
     // A platform that does not answer must not restrict quotas for longer than this.
     bool isWaiting = !isFleetKnown_ && now - startedAt_ < QuotaSettings {}.startup_;
-    context_.quotas_.setNodes(isWaiting ? std::max(unknownFleet, known) : known);
+    context_.quotas_.setNodes(isWaiting ? std::max(nodesAssumedAtStart, known) : known);
 }
 
 void PeerReports::noteLeaving(const BackendId& id)
@@ -312,7 +312,7 @@
 {
     for (const VmId& vm : table_.removeUnresponsive(now)) {
         forgetCounts(vm);
-        logger_.info(LogLine("Peer is unresponsive and was removed.").add("peer", vm.value_).add("silent_ms", context_.settings_.gossiping_.forget_.count()));
+        logger_.info(LogLine("Peer is unresponsive and was removed.").add("peer", vm.value_).add("silent_ms", context_.settings_.gossiping_.forgetAfter_.count()));
     }
 }
 
@@ -388,7 +388,7 @@
         if (auto address = parseEndpoint(known.address()))
             addKnown({ known.vm() }, *address);
     }
-    context_.clocks_.setPeer(vm, report.wall_ms() - context_.ownWallMs(), now);
+    context_.clocks_.setPeer(vm, report.wall_ms() - context_.localWallMs(), now);
     applyLeaving(report.leaving(), vm);
     applyEnded(report.ended(), vm, now);
     applyRollouts(report.rollouts(), vm, now);
--- a/lib/Gateway/PeerTable.cpp
+++ b/lib/Gateway/PeerTable.cpp
@@ -66,7 +66,7 @@
     bool isSame = known.incarnation_ == peer.incarnation_;
     if (isSame && peer.sequence_ <= known.sequence_)
         return ReportKind::Outdated;
-    bool wasUnresponsive = peer.receivedAt_ - known.receivedAt_ > settings_.silence_;
+    bool wasUnresponsive = peer.receivedAt_ - known.receivedAt_ > settings_.unresponsiveAfter_;
     known = std::move(peer);
     if (!isSame)
         return ReportKind::Restarted;
@@ -99,7 +99,7 @@
     std::vector<VmId> removed;
     std::erase_if(peers_, [&](const auto& entry) {
         const Peer& peer = entry.second;
-        bool hasExpired = peer.receivedAt_ != SteadyTime {} && now - peer.receivedAt_ > settings_.forget_;
+        bool hasExpired = peer.receivedAt_ != SteadyTime {} && now - peer.receivedAt_ > settings_.forgetAfter_;
         if (hasExpired)
             removed.push_back(entry.first);
         return hasExpired;
@@ -150,7 +150,7 @@
 std::size_t PeerTable::rankFor(const std::string& key, SteadyTime now) const
 {
     std::vector<VmId> candidates { self_ };
-    for (const auto& [vm, peer] : reportedWithin(settings_.silence_, now)) {
+    for (const auto& [vm, peer] : reportedWithin(settings_.unresponsiveAfter_, now)) {
         if (!peer.isStopping_)
             candidates.push_back(vm);
     }
--- a/lib/Gateway/PlatformFeed.cpp
+++ b/lib/Gateway/PlatformFeed.cpp
@@ -43,7 +43,7 @@
 std::vector<ReaderState> PlatformFeed::readerStates() const
 {
     std::vector<ReaderState> states;
-    for (const auto& [vm, peer] : reports_.reportedWithin(context_.settings_.feed_.readerSilence_))
+    for (const auto& [vm, peer] : reports_.reportedWithin(context_.settings_.feed_.readerTimeout_))
         states.push_back({ vm, peer.dataCentre_, peer.isStopping_, peer.isPlatformUnavailable_, peer.isReader_, peer.cores_ });
     return states;
 }
@@ -89,7 +89,7 @@
                 logger_.info(LogLine("Roll-out was ordered.").add("service", order.service_.value_).add("target", order.target_.value_).add("number", static_cast<std::int64_t>(order.number_.value_)).add("period_ms", order.period_.count()));
         }
         if (!read.value().sources_.empty()) {
-            std::function<void()> work = [&context = context_, sources = std::move(read.value().sources_)] { context.takeIn(sources, platformSource); };
+            std::function<void()> work = [&context = context_, sources = std::move(read.value().sources_)] { context.applyConfiguration(sources, platformSource); };
             co_await background_.run(std::move(work));
         }
         if (!context_.table())
@@ -132,11 +132,11 @@
 void PlatformFeed::rejectRegistration(const RegistryChange& change, const std::string& source)
 {
     std::string& before = registrationErrors_[change.name_];
-    if (before != change.complaint_) {
+    if (before != change.invalidReason_) {
         context_.metrics_.add(Counter::RegistrationsRefused);
-        logger_.warn(LogLine("Registration is invalid.").add("backend", change.name_.value_).add("why", change.complaint_).add("from", source));
+        logger_.warn(LogLine("Registration is invalid.").add("backend", change.name_.value_).add("why", change.invalidReason_).add("from", source));
     }
-    before = change.complaint_;
+    before = change.invalidReason_;
     pendingRemovals_.erase(change.name_);
     if (auto known = context_.backends_.findNewest(change.name_))
         context_.backends_.remove(known->id_, steadyNow());
@@ -144,7 +144,7 @@
 
 void PlatformFeed::applyChange(const RegistryChange& change, const std::string& source)
 {
-    if (!change.complaint_.empty())
+    if (!change.invalidReason_.empty())
         return rejectRegistration(change, source);
     if (source == platformSource)
         registrationErrors_.erase(change.name_);
@@ -192,7 +192,7 @@
 {
     for (const RegistryChange& change : read.changes_)
         applyChange(change, source);
-    if (read.isWhole_)
+    if (read.isComplete_)
         removeUnlisted(read, source);
     applyDueRemovals();
 }
@@ -211,7 +211,7 @@
         // Registrations that expired during an outage are written again soon after it.
         bool endsOutage = wasUnavailable || (isRegistryStale() && haveAllReadersFailed(readerStates()));
         if (read && endsOutage && !context_.backends_.records().empty())
-            removalGraceEnd_ = steadyNow() + settings.lapseGrace_;
+            removalGraceEnd_ = steadyNow() + settings.registrationGrace_;
         if (!read && read.error().code_ == Errc::NotFound)
             from.reset();
         if (read) {
@@ -232,7 +232,7 @@
 std::optional<KnownPeer> PlatformFeed::readerWithDifferentList() const
 {
     std::optional<KnownPeer> chosen;
-    for (const auto& entry : reports_.reportedWithin(context_.settings_.feed_.readerSilence_)) {
+    for (const auto& entry : reports_.reportedWithin(context_.settings_.feed_.readerTimeout_)) {
         const Peer& peer = entry.second;
         if (!peer.isReader_ || peer.isPlatformUnavailable_)
             continue;
@@ -303,7 +303,7 @@
         co_return;
     listReadAt_ = std::max(readAt, SteadyTime { milliseconds(1) });
     RegistryRead read;
-    read.isWhole_ = true;
+    read.isComplete_ = true;
     for (const wire::BackendEntry& entry : update.backends()) {
         auto endpoint = parseEndpoint(entry.address());
         if (endpoint && !entry.name().empty())
--- a/unittests/Gateway/GatewaySettingsTest.cpp
+++ b/unittests/Gateway/GatewaySettingsTest.cpp
@@ -1,7 +1,7 @@
-//===- unittests/Gateway/GatewaySettingsTest.cpp - settings of a gateway ---===//
+//===- unittests/Gateway/GatewaySettingsTest.cpp - settings of a gateway --===//
 ///
 /// \file
-/// Good settings are read whole; bad ones name line and key.
+/// Valid settings are read completely; errors in others name the line and the key.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Gateway.h"
 
@@ -9,7 +9,7 @@
 
 using namespace pistachioloom;
 
-static const std::string good = R"(gateway:
+static const std::string validSettings = R"(gateway:
   vm: "node-1"
   data_centre: "a"
   peer_credential: "sixteen characters"
@@ -36,10 +36,10 @@
     trial_part: 0.6
 )";
 
-TEST_CASE("settings of a gateway are read", "[gateway]")
+TEST_CASE("valid settings of a gateway are read", "[gateway]")
 {
     InputErrors errors;
-    auto settings = parseGatewaySettings(good, "f", errors);
+    auto settings = parseGatewaySettings(validSettings, "f", errors);
     for (const InputError& error : errors)
         UNSCOPED_INFO(error.toString());
     REQUIRE(settings);
@@ -54,12 +54,12 @@
     CHECK(settings->logs_.output_ == LogOutput::StandardOutput);
 }
 
-TEST_CASE("wrong settings name line and key", "[gateway]")
+TEST_CASE("errors in settings name the line and the key", "[gateway]")
 {
     struct Row {
         const char* from_;
         const char* to_;
-        const char* complaint_;
+        const char* expectedError_;
     };
     auto row = GENERATE(values<Row>({
         { "store: \"10.0.0.9:80\"", "store: \"nowhere\"", "f:5: gateway.store" },
@@ -75,11 +75,11 @@
         { "trial_part: 0.6", "trial_part: 0.97", "f:25: gateway.rollout.trial_part" },
         { "\"10.0.0.2:70\"", "\"here\"", "gateway.seeds" },
     }));
-    std::string text = good;
+    std::string text = validSettings;
     text.replace(text.find(row.from_), std::string(row.from_).size(), row.to_);
     InputErrors errors;
     CHECK_FALSE(parseGatewaySettings(text, "f", errors));
     REQUIRE_FALSE(errors.empty());
     CAPTURE(row.to_, errors.front().toString());
-    CHECK(errors.front().toString().find(row.complaint_) != std::string::npos);
+    CHECK(errors.front().toString().find(row.expectedError_) != std::string::npos);
 }
