--- a/lib/Node/AnswerFinder.cpp
+++ b/lib/Node/AnswerFinder.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-    constexpr std::size_t mostNodesAsked = 32;
-    constexpr milliseconds askTimeout { 500 };
+    constexpr std::size_t maxNodesQueried = 32;
+    constexpr milliseconds queryTimeout { 500 };
     // Longer than any silence of a running generation's owner.
     constexpr milliseconds followTimeout { 60000 };
 
-    AnswerPart brokenPart(const Error& error)
+    AnswerPart interruptedPart(const Error& error)
     {
         // The record lives on elsewhere: the reader is to ask again.
         AnswerPart part;
@@ -25,19 +25,19 @@
         return part;
     }
 
-    asio::awaitable<AnswerPart> nextFromPeer(std::shared_ptr<PeerStream> stream, std::string requestId)
+    asio::awaitable<AnswerPart> nextPartFromPeer(std::shared_ptr<PeerStream> stream, std::string requestId)
     {
         AnswerPart part;
         auto frame = co_await stream->receiveWithin(followTimeout);
         if (!frame)
-            co_return brokenPart(frame.error());
+            co_return interruptedPart(frame.error());
         if (frame.value().has_tokens()) {
             for (const wire::Token& token : frame.value().tokens().tokens())
                 part.tokens_.push_back(token.text());
             co_return part;
         }
         if (!frame.value().has_end())
-            co_return brokenPart({ Errc::Protocol, "read answer", stream->peer(), "unexpected frame for " + requestId, Ran::Unknown, {} });
+            co_return interruptedPart({ Errc::Protocol, "read answer", stream->peer(), "unexpected frame for " + requestId, Ran::Unknown, {} });
         const wire::AttemptEnd& end = frame.value().end();
         part.isFinished_ = end.is_complete();
         part.isMoved_ = end.is_interrupted();
@@ -56,7 +56,7 @@
     };
     auto position = std::make_shared<Position>();
     position->reader_ = generation->addReader();
-    AnswerSource source { generation->id(), generation->organisation(), generation->model(), generation->engine(), generation->isOver(), {} };
+    AnswerSource source { generation->id(), generation->organisation(), generation->model(), generation->engine(), generation->hasEnded(), {} };
     source.next_ = [generation, position]() -> asio::awaitable<AnswerPart> {
         AnswerPart part = co_await generation->next(position->reader_, position->read_);
         position->read_ += part.tokens_.size();
@@ -71,16 +71,16 @@
 {
 }
 
-asio::awaitable<Result<AnswerSource>> AnswerFinder::ask(VmId node, std::string requestId)
+asio::awaitable<Result<AnswerSource>> AnswerFinder::queryNode(VmId node, std::string requestId)
 {
     wire::Frame frame;
     frame.mutable_record_fetch()->set_request_id(requestId);
     frame.mutable_record_fetch()->set_follow(true);
-    auto opened = co_await context_.open(node, frame, askTimeout);
+    auto opened = co_await context_.open(node, frame, queryTimeout);
     if (!opened)
         co_return opened.error();
     auto stream = opened.value();
-    auto head = co_await stream->receiveWithin(askTimeout);
+    auto head = co_await stream->receiveWithin(queryTimeout);
     if (!head)
         co_return head.error();
     if (head.value().has_failure())
@@ -90,16 +90,16 @@
     const wire::GenerationRecord& record = head.value().record();
     AnswerSource source { requestId, record.organisation(), record.model(), record.engine(), record.is_finished(), {} };
     // The stream is reset when the last copy of the source goes.
-    auto holder = std::shared_ptr<void>(nullptr, [stream](void*) { stream->cancel(); });
-    source.next_ = [stream, holder, requestId] { return nextFromPeer(stream, requestId); };
+    auto cancelGuard = std::shared_ptr<void>(nullptr, [stream](void*) { stream->cancel(); });
+    source.next_ = [stream, cancelGuard, requestId] { return nextPartFromPeer(stream, requestId); };
     co_return source;
 }
 
 asio::awaitable<Result<AnswerSource>> AnswerFinder::find(std::string requestId)
 {
-    auto own = owner_.find(requestId);
-    if (own && !own->read(0).isMoved_)
-        co_return readGeneration(own);
+    auto local = owner_.find(requestId);
+    if (local && !local->read(0).isMoved_)
+        co_return readGeneration(local);
     auto view = context_.membership();
     std::vector<VmId> nodes = view->allNodes();
     std::vector<VmId> order = hintedNodes(requestId, nodes);
@@ -107,11 +107,11 @@
         if (std::find(order.begin(), order.end(), node) == order.end())
             order.push_back(node);
     }
-    if (order.size() > mostNodesAsked)
-        order.resize(mostNodesAsked);
+    if (order.size() > maxNodesQueried)
+        order.resize(maxNodesQueried);
     Error failure { Errc::NotFound, "find request", requestId, "no node knows this request", Ran::Unknown, {} };
     for (const VmId& node : order) {
-        auto source = co_await ask(node, requestId);
+        auto source = co_await queryNode(node, requestId);
         if (source)
             co_return source;
         if (source.error().code_ != Errc::NotFound) {
--- a/lib/Node/AnswerFinder.h
+++ b/lib/Node/AnswerFinder.h
@@ -33,7 +33,7 @@
     asio::awaitable<Result<AnswerSource>> find(std::string requestId);
 
 private:
-    asio::awaitable<Result<AnswerSource>> ask(VmId node, std::string requestId);
+    asio::awaitable<Result<AnswerSource>> queryNode(VmId node, std::string requestId);
 
     NodeContext& context_;
     GenerationOwner& owner_;
--- a/lib/Node/BackendHome.cpp
+++ b/lib/Node/BackendDispatcher.cpp
@@ -1,9 +1,9 @@
-//===- lib/Node/BackendHome.cpp - dispatching to backend servers -----------===//
+//===- lib/Node/BackendDispatcher.cpp - dispatching to backend servers -----------===//
 ///
 /// \file
 /// Generations and service calls at the home of their backend server.
 //===----------------------------------------------------------------------===//
-#include "BackendHome.h"
+#include "BackendDispatcher.h"
 
 #include "generated/Peer.pb.h"
 #include <boost/asio.hpp>
@@ -15,10 +15,10 @@
     constexpr std::uint64_t bytesPerToken = 4;
     constexpr std::uint64_t defaultConcurrency = 8;
     constexpr int statusUnavailable = 503;
-    constexpr std::uint32_t mostYields = 8;
-    constexpr milliseconds heldRetry { 1000 };
+    constexpr std::uint32_t maxYields = 8;
+    constexpr milliseconds closedRetryAfter { 1000 };
     // Told as the wait of an engine that is being changed, so that others are preferred.
-    constexpr milliseconds heldWait { 10000 };
+    constexpr milliseconds closedWait { 10000 };
 
     EngineRequest makeEngineRequest(const wire::GenerateRequest& request)
     {
@@ -38,9 +38,9 @@
 
     // A trial that was accepted is answered too: one that has yielded so often
     // is not made to yield again.
-    ServiceClass classAtEngine(const wire::GenerationRecord& record)
+    ServiceClass schedulingClassOf(const wire::GenerationRecord& record)
     {
-        return record.is_paid() || record.yields() >= mostYields ? ServiceClass::Paid : ServiceClass::Trial;
+        return record.is_paid() || record.yields() >= maxYields ? ServiceClass::Paid : ServiceClass::Trial;
     }
 
     wire::Frame failureFrame(const Error& error)
@@ -57,7 +57,7 @@
     return 1 + prompt.size() / bytesPerToken;
 }
 
-BackendHome::BackendHome(NodeContext& context, ControlPlane& control)
+BackendDispatcher::BackendDispatcher(NodeContext& context, ControlPlane& control)
     : context_(context)
     , control_(control)
     , logger_("home")
@@ -65,24 +65,24 @@
 {
 }
 
-std::uint64_t BackendHome::concurrencyOf(std::string_view backend) const
+std::uint64_t BackendDispatcher::concurrencyOf(std::string_view backend) const
 {
     auto entry = context_.catalogue()->findEntry({ std::string(backend) });
     return entry && entry->backend_ ? entry->backend_->concurrency_ : defaultConcurrency;
 }
 
-std::uint64_t BackendHome::paidReserveOf(std::string_view backend) const
+std::uint64_t BackendDispatcher::paidReserveOf(std::string_view backend) const
 {
     auto entry = context_.catalogue()->findEntry({ std::string(backend) });
     return entry && entry->backend_ ? entry->backend_->paidReserve_ : 0;
 }
 
-bool BackendHome::isHomeOf(const VmId& server) const
+bool BackendDispatcher::isDispatcherOf(const VmId& server) const
 {
     return pickByRendezvous(server.value_, context_.membership()->localNodes_) == context_.self();
 }
 
-asio::awaitable<Result<Slot>> BackendHome::acquireEngine(const wire::GenerateRequest& request)
+asio::awaitable<Result<Slot>> BackendDispatcher::acquireSlot(const wire::GenerateRequest& request)
 {
     const wire::GenerationRecord& record = request.record();
     SlotRequest slot;
@@ -90,31 +90,31 @@
     slot.capacity_ = concurrencyOf(record.model());
     slot.paidReserve_ = paidReserveOf(record.model());
     slot.entry_ = { record.entry() };
-    slot.class_ = classAtEngine(record);
+    slot.class_ = schedulingClassOf(record);
     slot.weight_ = record.weight();
     slot.cost_ = promptTokens(record.prompt()) + record.max_tokens();
     slot.mayQueue_ = request.may_queue();
     slot.queueBound_ = record.queue_bound();
-    slot.patience_ = milliseconds(record.deadline_ms());
+    slot.waitLimit_ = milliseconds(record.deadline_ms());
     co_return co_await slots_.acquire(std::move(slot));
 }
 
-BackendHome::RunningPtr BackendHome::makeRunning(const wire::GenerateRequest& request)
+BackendDispatcher::RunningStreamPtr BackendDispatcher::makeRunningStream(const wire::GenerateRequest& request)
 {
     const wire::GenerationRecord& record = request.record();
-    auto running = std::make_shared<Running>();
+    auto running = std::make_shared<RunningStream>();
     running->requestId_ = record.request_id();
     running->engine_ = { request.engine() };
-    running->class_ = classAtEngine(record);
+    running->class_ = schedulingClassOf(record);
     running->yields_ = record.yields();
     running->promptTokens_ = promptTokens(record.prompt());
     running->maxTokens_ = record.max_tokens();
     running->generated_ = static_cast<std::uint64_t>(record.tokens_size());
-    running->began_ = steadyNow();
+    running->startedAt_ = steadyNow();
     return running;
 }
 
-asio::awaitable<Result<EngineStream>> BackendHome::openAtEngine(Endpoint endpoint, EngineRequest request)
+asio::awaitable<Result<EngineStream>> BackendDispatcher::openAtEngine(Endpoint endpoint, EngineRequest request)
 {
     if (!request.kvHandle_.empty()) {
         auto imported = co_await context_.engines_.importCache_(endpoint, request.kvHandle_);
@@ -126,7 +126,7 @@
     co_return co_await context_.engines_.generate_(std::move(endpoint), std::move(request));
 }
 
-asio::awaitable<void> BackendHome::serveGeneration(std::shared_ptr<PeerStream> owner, const wire::GenerateRequest& request)
+asio::awaitable<void> BackendDispatcher::serveGeneration(std::shared_ptr<PeerStream> owner, const wire::GenerateRequest& request)
 {
     const wire::GenerationRecord& record = request.record();
     SpanScope scope(context_.tracer_, parseTraceparent(request.traceparent()), "home", record.request_id());
@@ -138,9 +138,9 @@
         (void)co_await owner->send(failureFrame(unavailable("find engine", engine.value_, "not in the VM list")));
         co_return;
     }
-    SteadyTime asked = steadyNow();
-    auto slot = co_await acquireEngine(request);
-    scope.span().queued_ = std::chrono::duration_cast<milliseconds>(steadyNow() - asked);
+    SteadyTime requestedAt = steadyNow();
+    auto slot = co_await acquireSlot(request);
+    scope.span().queued_ = std::chrono::duration_cast<milliseconds>(steadyNow() - requestedAt);
     if (!slot) {
         scope.span().outcome_ = describe(slot.error());
         (void)co_await owner->send(failureFrame(slot.error()));
@@ -150,9 +150,9 @@
     if (owner->isClosed())
         co_return;
     // Asked after the wait, so that what queued for such an engine goes on elsewhere.
-    if (auto refusal = refusalOf(engine)) {
-        scope.span().outcome_ = describe(*refusal);
-        (void)co_await owner->send(failureFrame(*refusal));
+    if (auto rejection = checkAdmission(engine)) {
+        scope.span().outcome_ = describe(*rejection);
+        (void)co_await owner->send(failureFrame(*rejection));
         co_return;
     }
     auto opened = co_await openAtEngine(*endpoint, makeEngineRequest(request));
@@ -163,7 +163,7 @@
         (void)co_await owner->send(failureFrame(opened.error()));
         co_return;
     }
-    RunningPtr running = makeRunning(request);
+    RunningStreamPtr running = makeRunningStream(request);
     running->close_ = opened.value().close_;
     {
         std::lock_guard lock(mutex_);
@@ -179,7 +179,7 @@
     std::erase(running_, running);
 }
 
-asio::awaitable<void> BackendHome::forward(std::shared_ptr<PeerStream> owner, const wire::GenerateRequest& request, EngineStream stream, RunningPtr running)
+asio::awaitable<void> BackendDispatcher::forward(std::shared_ptr<PeerStream> owner, const wire::GenerateRequest& request, EngineStream stream, RunningStreamPtr running)
 {
     const wire::GenerationRecord& record = request.record();
     wire::Frame last;
@@ -189,8 +189,8 @@
     for (;;) {
         auto event = co_await stream.next_();
         if (!event) {
-            if (running->ending_ != Ending::None)
-                describeEnding(*running, end);
+            if (running->endReason_ != EndReason::None)
+                describeEnd(*running, end);
             else
                 *end.mutable_failure() = toWire(event.error());
             break;
@@ -225,13 +225,13 @@
         co_return;
     }
     stream.close_();
-    bool isGivenUp = running->ending_ == Ending::Recompute || running->ending_ == Ending::Preempted;
-    if (isGivenUp)
+    bool isAborted = running->endReason_ == EndReason::Recompute || running->endReason_ == EndReason::Preempted;
+    if (isAborted)
         co_await cancelAtEngine(running->engine_, record.request_id(), record.attempt());
     (void)co_await owner->send(last);
 }
 
-asio::awaitable<void> BackendHome::cancelAtEngine(VmId engine, std::string requestId, std::uint32_t attempt)
+asio::awaitable<void> BackendDispatcher::cancelAtEngine(VmId engine, std::string requestId, std::uint32_t attempt)
 {
     auto endpoint = context_.backendEndpoint(engine);
     if (!endpoint)
@@ -241,17 +241,17 @@
         logger_.debug("Cancel failed: " + describe(cancelled.error()) + ".");
 }
 
-void BackendHome::describeEnding(const Running& running, wire::AttemptEnd& end)
+void BackendDispatcher::describeEnd(const RunningStream& running, wire::AttemptEnd& end)
 {
     end.set_is_interrupted(true);
-    end.set_has_yielded(running.ending_ == Ending::Preempted);
-    if (running.ending_ != Ending::PassOn)
+    end.set_has_yielded(running.endReason_ == EndReason::Preempted);
+    if (running.endReason_ != EndReason::HandOver)
         return;
     end.set_is_attachable(true);
     end.set_target_engine(running.engine_.value_);
 }
 
-asio::awaitable<wire::Frame> BackendHome::callService(const wire::ServiceCall& call)
+asio::awaitable<wire::Frame> BackendDispatcher::callService(const wire::ServiceCall& call)
 {
     SpanScope scope(context_.tracer_, parseTraceparent(call.traceparent()), "service home", call.request_id());
     scope.span().peer_ = call.backend();
@@ -266,7 +266,7 @@
     slotRequest.entry_ = { call.entry() };
     slotRequest.mayQueue_ = true;
     slotRequest.queueBound_ = slotRequest.capacity_ * 4;
-    slotRequest.patience_ = milliseconds(call.deadline_ms());
+    slotRequest.waitLimit_ = milliseconds(call.deadline_ms());
     auto slot = co_await slots_.acquire(std::move(slotRequest));
     if (!slot)
         co_return failureFrame(slot.error());
@@ -282,8 +282,8 @@
         scope.span().outcome_ = describe(response.error());
         co_return failureFrame(response.error());
     }
-    bool isRefused = response.value().status_ == statusUnavailable && response.value().headers_.contains("x-leaving");
-    if (isRefused) {
+    bool isRejected = response.value().status_ == statusUnavailable && response.value().headers_.contains("x-leaving");
+    if (isRejected) {
         control_.markLeaving({ { backend, std::nullopt } });
         co_return failureFrame({ Errc::Leaving, "dispatch", backend.value_, "the backend server refused: it is leaving", Ran::No, {} });
     }
@@ -296,55 +296,55 @@
     co_return frame;
 }
 
-std::optional<Error> BackendHome::refusalOf(const VmId& engine) const
+std::optional<Error> BackendDispatcher::checkAdmission(const VmId& engine) const
 {
     if (context_.membership()->isLeaving(engine))
         return Error { Errc::Leaving, "dispatch", engine.value_, "the engine is leaving", Ran::No, {} };
-    if (isHeld(engine))
-        return Error { Errc::Unavailable, "dispatch", engine.value_, "the engine is being changed", Ran::No, heldRetry };
+    if (isAdmissionClosed(engine))
+        return Error { Errc::Unavailable, "dispatch", engine.value_, "the engine is being changed", Ran::No, closedRetryAfter };
     return std::nullopt;
 }
 
-bool BackendHome::isHeld(const VmId& engine) const
+bool BackendDispatcher::isAdmissionClosed(const VmId& engine) const
 {
     std::lock_guard lock(mutex_);
-    return held_.contains(engine);
+    return closedEngines_.contains(engine);
 }
 
-void BackendHome::setAdmission(const VmId& engine, Admission admission)
+void BackendDispatcher::setAdmission(const VmId& engine, Admission admission)
 {
     std::lock_guard lock(mutex_);
-    if (admission == Admission::Held)
-        held_.insert(engine);
+    if (admission == Admission::Closed)
+        closedEngines_.insert(engine);
     else
-        held_.erase(engine);
+        closedEngines_.erase(engine);
 }
 
-std::vector<VmId> BackendHome::ownEngines() const
+std::vector<VmId> BackendDispatcher::ownEngines() const
 {
     std::vector<VmId> engines;
     auto view = context_.membership();
     for (const auto& [name, servers] : view->index_->serversByName_) {
         for (const VmId& server : view->serversOf(name, context_.settings_.dataCentre_)) {
-            if (view->find(server)->kind_ == Vm::Kind::ModelEngine && isHomeOf(server))
+            if (view->find(server)->kind_ == Vm::Kind::ModelEngine && isDispatcherOf(server))
                 engines.push_back(server);
         }
     }
     return engines;
 }
 
-std::map<std::string, ModelLoad> BackendHome::loads() const
+std::map<std::string, ModelLoad> BackendDispatcher::loads() const
 {
     std::map<std::string, ModelLoad> loads;
     auto view = context_.membership();
     for (const auto& [name, servers] : view->index_->serversByName_) {
         std::uint64_t capacity = concurrencyOf(name);
         for (const VmId& server : view->serversOf(name, context_.settings_.dataCentre_)) {
-            if (view->find(server)->kind_ != Vm::Kind::ModelEngine || !isHomeOf(server))
+            if (view->find(server)->kind_ != Vm::Kind::ModelEngine || !isDispatcherOf(server))
                 continue;
             ModelLoad load = slots_.load(server, capacity);
-            if (isHeld(server))
-                load = { 0, load.queued_, heldWait, 0 };
+            if (isAdmissionClosed(server))
+                load = { 0, load.queued_, closedWait, 0 };
             auto [position, isFirst] = loads.emplace(name, load);
             if (isFirst)
                 continue;
@@ -357,20 +357,20 @@
     return loads;
 }
 
-std::vector<BackendHome::EngineLoad> BackendHome::engineLoads() const
+std::vector<BackendDispatcher::EngineLoad> BackendDispatcher::engineLoads() const
 {
     std::vector<EngineLoad> loads;
     auto view = context_.membership();
     for (const auto& [name, servers] : view->index_->serversByName_) {
         for (const VmId& server : view->serversOf(name, context_.settings_.dataCentre_)) {
-            if (isHomeOf(server))
+            if (isDispatcherOf(server))
                 loads.push_back({ server, slots_.active(server), slots_.load(server, concurrencyOf(name)) });
         }
     }
     return loads;
 }
 
-std::size_t BackendHome::running() const
+std::size_t BackendDispatcher::running() const
 {
     std::lock_guard lock(mutex_);
     return running_.size();
--- a/lib/Node/BackendHome.h
+++ b/lib/Node/BackendDispatcher.h
@@ -1,4 +1,4 @@
-//===- lib/Node/BackendHome.h - the home of backend servers ----------------===//
+//===- lib/Node/BackendDispatcher.h - the home of backend servers ----------------===//
 ///
 /// \file
 /// A node is the home of the backend servers that rendezvous hashing gives it.
@@ -20,9 +20,9 @@
 
 namespace pistachioloom {
 
-class BackendHome {
+class BackendDispatcher {
 public:
-    BackendHome(NodeContext& context, ControlPlane& control);
+    BackendDispatcher(NodeContext& context, ControlPlane& control);
 
     void start();
 
@@ -36,7 +36,7 @@
     /// Generations running through this home.
     std::size_t running() const;
     /// Ends every stream such that its owner attaches through another home.
-    void passOnStreams();
+    void handOverStreams();
 
     /// Engines whose home we are.
     std::vector<VmId> ownEngines() const;
@@ -45,7 +45,7 @@
     enum class Admission {
         Open,
         /// Nothing new is dispatched; what queues is told to go elsewhere.
-        Held,
+        Closed,
     };
     void setAdmission(const VmId& engine, Admission admission);
 
@@ -58,15 +58,15 @@
 
 private:
     /// Why a running stream is to end here.
-    enum class Ending {
+    enum class EndReason {
         None,
         MoveCache,
         Recompute,
-        PassOn,
+        HandOver,
         Preempted,
     };
 
-    struct Running {
+    struct RunningStream {
         std::string requestId_;
         VmId engine_;
         /// Trial for whoever may be made to yield.
@@ -75,39 +75,39 @@
         std::uint64_t promptTokens_ = 0;
         std::uint64_t maxTokens_ = 0;
         std::atomic<std::uint64_t> generated_ { 0 };
-        std::atomic<Ending> ending_ { Ending::None };
+        std::atomic<EndReason> endReason_ { EndReason::None };
         std::function<void()> close_;
-        SteadyTime began_;
+        SteadyTime startedAt_;
     };
-    using RunningPtr = std::shared_ptr<Running>;
+    using RunningStreamPtr = std::shared_ptr<RunningStream>;
 
-    static RunningPtr makeRunning(const wire::GenerateRequest& request);
+    static RunningStreamPtr makeRunningStream(const wire::GenerateRequest& request);
     /// Imports the cache that \p request names, then starts or attaches.
     asio::awaitable<Result<EngineStream>> openAtEngine(Endpoint endpoint, EngineRequest request);
-    asio::awaitable<Result<Slot>> acquireEngine(const wire::GenerateRequest& request);
-    asio::awaitable<void> forward(std::shared_ptr<PeerStream> owner, const wire::GenerateRequest& request, EngineStream stream, RunningPtr running);
-    static void describeEnding(const Running& running, wire::AttemptEnd& end);
+    asio::awaitable<Result<Slot>> acquireSlot(const wire::GenerateRequest& request);
+    asio::awaitable<void> forward(std::shared_ptr<PeerStream> owner, const wire::GenerateRequest& request, EngineStream stream, RunningStreamPtr running);
+    static void describeEnd(const RunningStream& running, wire::AttemptEnd& end);
     asio::awaitable<void> cancelAtEngine(VmId engine, std::string requestId, std::uint32_t attempt);
     asio::awaitable<void> reclaimLoop();
-    void planLeaving(const VmId& engine, milliseconds notice);
-    asio::awaitable<void> moveCache(RunningPtr running);
-    void endHere(Running& running, Ending ending);
+    void reclaimEngine(const VmId& engine, milliseconds notice);
+    asio::awaitable<void> moveCache(RunningStreamPtr running);
+    void endStream(RunningStream& running, EndReason reason);
     void preemptTrial(const VmId& engine);
-    std::vector<RunningPtr> runningOn(const VmId& engine) const;
-    std::size_t freeElsewhere(const VmId& engine) const;
+    std::vector<RunningStreamPtr> streamsOn(const VmId& engine) const;
+    std::size_t capacityElsewhere(const VmId& engine) const;
     std::uint64_t paidReserveOf(std::string_view backend) const;
     std::uint64_t concurrencyOf(std::string_view backend) const;
-    bool isHomeOf(const VmId& server) const;
-    bool isHeld(const VmId& engine) const;
-    std::optional<Error> refusalOf(const VmId& engine) const;
+    bool isDispatcherOf(const VmId& server) const;
+    bool isAdmissionClosed(const VmId& engine) const;
+    std::optional<Error> checkAdmission(const VmId& engine) const;
 
     NodeContext& context_;
     ControlPlane& control_;
     Logger logger_;
     SlotTable slots_;
     mutable std::mutex mutex_;
-    std::vector<RunningPtr> running_;
-    std::set<VmId> held_;
+    std::vector<RunningStreamPtr> running_;
+    std::set<VmId> closedEngines_;
 };
 
 /// Tokens that a prompt takes, as far as planning needs to know: one for every
--- a/lib/Node/SharedWait.h
+++ b/lib/Node/CompletionEvent.h
@@ -1,4 +1,4 @@
-//===- lib/Node/SharedWait.h - many coroutines wait for one ----------------===//
+//===- lib/Node/CompletionEvent.h - many coroutines wait for one ----------------===//
 ///
 /// \file
 /// Lets coroutines wait for something that one of them does for all.
@@ -12,16 +12,16 @@
 
 namespace pistachioloom {
 
-class SharedWait {
+class CompletionEvent {
 public:
-    explicit SharedWait(const asio::any_io_executor& executor)
+    explicit CompletionEvent(const asio::any_io_executor& executor)
         : channel_(executor)
     {
     }
 
     /// Returns once open() was called.
     asio::awaitable<void> wait() { co_await channel_.async_receive(asio::as_tuple(asio::use_awaitable)); }
-    void open() { channel_.close(); }
+    void complete() { channel_.close(); }
 
 private:
     asio::experimental::concurrent_channel<void(boost::system::error_code)> channel_;
--- a/lib/Node/EngineOrders.cpp
+++ b/lib/Node/EngineOrders.cpp
@@ -14,13 +14,13 @@
     const std::string claimsStream = "claims";
     constexpr milliseconds appendTimeout { 1000 };
     // A settled engine is looked at once in so many periods.
-    constexpr int settledPeriods = 20;
+    constexpr int settledCheckPeriods = 20;
 
 } // namespace
 
-EngineOrders::EngineOrders(NodeContext& context, BackendHome& home)
+EngineOrders::EngineOrders(NodeContext& context, BackendDispatcher& dispatcher)
     : context_(context)
-    , home_(home)
+    , dispatcher_(dispatcher)
     , logger_("orders")
 {
 }
@@ -34,7 +34,7 @@
 {
     std::lock_guard lock(mutex_);
     auto found = managed_.find(engine);
-    return found == managed_.end() || !found->second.wasVisited_ ? std::nullopt : std::optional(found->second.status_);
+    return found == managed_.end() || !found->second.wasReconciled_ ? std::nullopt : std::optional(found->second.status_);
 }
 
 std::shared_ptr<const CatalogueEntry> EngineOrders::entryOf(const VmId& engine) const
@@ -52,34 +52,34 @@
     return nullptr;
 }
 
-std::vector<VmId> EngineOrders::takeDue()
+std::vector<VmId> EngineOrders::takeDueEngines()
 {
-    std::map<VmId, EngineConfiguration> own;
-    for (const VmId& engine : home_.ownEngines()) {
+    std::map<VmId, EngineConfiguration> wantedByEngine;
+    for (const VmId& engine : dispatcher_.ownEngines()) {
         if (auto entry = entryOf(engine))
-            own[engine] = *entry->backend_->configuration_;
+            wantedByEngine[engine] = *entry->backend_->configuration_;
     }
     std::vector<VmId> due;
     std::lock_guard lock(mutex_);
     // An engine that is not ours any more is its new home's to hold.
     std::erase_if(managed_, [&](const auto& item) {
-        bool isGone = !own.contains(item.first) && !item.second.isVisiting_;
-        if (isGone)
-            home_.setAdmission(item.first, BackendHome::Admission::Open);
-        return isGone;
+        bool isNoLongerOwn = !wantedByEngine.contains(item.first) && !item.second.isReconciling_;
+        if (isNoLongerOwn)
+            dispatcher_.setAdmission(item.first, BackendDispatcher::Admission::Open);
+        return isNoLongerOwn;
     });
     milliseconds period = context_.settings_.orders_.period_;
-    for (const auto& [engine, wanted] : own) {
-        Managed& managed = managed_[engine];
+    for (const auto& [engine, wanted] : wantedByEngine) {
+        ManagedEngine& managed = managed_[engine];
         bool isChanged = managed.wanted_ != wanted;
-        bool isSettled = managed.wasVisited_ && managed.status_.step_ == OrderStep::Settled && !isChanged;
-        bool isDue = !isSettled || steadyNow() - managed.visitedAt_ > period * settledPeriods;
-        if (managed.isVisiting_ || !isDue)
+        bool isSettled = managed.wasReconciled_ && managed.status_.step_ == OrderStep::Settled && !isChanged;
+        bool isDue = !isSettled || steadyNow() - managed.reconciledAt_ > period * settledCheckPeriods;
+        if (managed.isReconciling_ || !isDue)
             continue;
         if (isChanged)
             managed.orderedAt_.reset();
         managed.wanted_ = wanted;
-        managed.isVisiting_ = true;
+        managed.isReconciling_ = true;
         due.push_back(engine);
     }
     return due;
@@ -88,25 +88,25 @@
 asio::awaitable<void> EngineOrders::loop()
 {
     for (;;) {
-        for (const VmId& engine : takeDue())
-            context_.spawn(visit(engine));
+        for (const VmId& engine : takeDueEngines())
+            context_.spawn(reconcile(engine));
         co_await sleepFor(context_.settings_.orders_.period_);
     }
 }
 
-asio::awaitable<void> EngineOrders::visit(VmId engine)
+asio::awaitable<void> EngineOrders::reconcile(VmId engine)
 {
     auto endpoint = context_.backendEndpoint(engine);
     auto entry = entryOf(engine);
     if (endpoint && entry)
-        co_await decideAndAct(engine, *endpoint, entry);
+        co_await advance(engine, *endpoint, entry);
     std::lock_guard lock(mutex_);
-    Managed& managed = managed_[engine];
-    managed.isVisiting_ = false;
-    managed.visitedAt_ = steadyNow();
+    ManagedEngine& managed = managed_[engine];
+    managed.isReconciling_ = false;
+    managed.reconciledAt_ = steadyNow();
 }
 
-asio::awaitable<void> EngineOrders::decideAndAct(VmId engine, Endpoint endpoint, std::shared_ptr<const CatalogueEntry> entry)
+asio::awaitable<void> EngineOrders::advance(VmId engine, Endpoint endpoint, std::shared_ptr<const CatalogueEntry> entry)
 {
     auto state = co_await context_.engines_.state_(endpoint);
     if (!state) {
@@ -114,52 +114,52 @@
         co_return;
     }
     bool isDifferent = state.value().configuration_ != *entry->backend_->configuration_ || state.value().isLoading_;
-    bool needsLog = isDifferent;
+    bool needsClaims = isDifferent;
     {
         // The first look also finds a claim that a home before us left open.
         std::lock_guard lock(mutex_);
-        needsLog |= !managed_[engine].wasVisited_ || claims_.find(engine);
+        needsClaims |= !managed_[engine].wasReconciled_ || claims_.find(engine);
     }
-    if (needsLog) {
+    if (needsClaims) {
         bool isRead = co_await readClaims();
         if (!isRead)
             co_return;
     }
     FencingToken token;
-    OrderStep step = decide(engine, *entry, state.value(), token);
-    co_await act(engine, endpoint, step, token, *entry);
+    OrderStep step = decideStep(engine, *entry, state.value(), token);
+    co_await performStep(engine, endpoint, step, token, *entry);
 }
 
-OrderStep EngineOrders::decide(const VmId& engine, const CatalogueEntry& entry, const EngineState& state, FencingToken& token)
+OrderStep EngineOrders::decideStep(const VmId& engine, const CatalogueEntry& entry, const EngineState& state, FencingToken& token)
 {
     auto view = context_.membership();
     const OrderTiming& timing = context_.settings_.orders_.timing_;
     std::lock_guard lock(mutex_);
-    Managed& managed = managed_[engine];
+    ManagedEngine& managed = managed_[engine];
     claims_.removeOlderThan(timing.loadWaitLimit_, steadyNow());
-    OrderContext situation;
-    situation.self_ = context_.self();
-    situation.wanted_ = *entry.backend_->configuration_;
-    situation.state_ = state;
-    situation.holder_ = claims_.find(engine);
-    situation.ahead_ = claims_.ahead(engine, [&](const VmId& other) { return view->find(other) && !view->isLeaving(other); });
-    situation.maxLoading_ = entry.backend_->maxLoading_;
-    situation.claimedAt_ = managed.claimedAt_;
-    situation.orderedAt_ = managed.orderedAt_;
-    situation.active_ = home_.active(engine);
-    situation.honoursFencing_ = entry.backend_->honoursFencing_;
-    OrderStep step = nextOrderStep(situation, timing, steadyNow());
-    if (situation.holder_)
-        token = situation.holder_->token_;
-    managed.wasVisited_ = true;
-    managed.status_ = { state.configuration_.version_, situation.wanted_.version_, step };
-    bool isAway = state.isLoading_ || step == OrderStep::Drain || step == OrderStep::Order || managed.orderedAt_;
-    bool isOpen = step == OrderStep::Settled || step == OrderStep::End || !isAway;
-    home_.setAdmission(engine, isOpen ? BackendHome::Admission::Open : BackendHome::Admission::Held);
+    OrderContext orderContext;
+    orderContext.self_ = context_.self();
+    orderContext.wanted_ = *entry.backend_->configuration_;
+    orderContext.state_ = state;
+    orderContext.holder_ = claims_.find(engine);
+    orderContext.ahead_ = claims_.ahead(engine, [&](const VmId& other) { return view->find(other) && !view->isLeaving(other); });
+    orderContext.maxLoading_ = entry.backend_->maxLoading_;
+    orderContext.claimedAt_ = managed.claimedAt_;
+    orderContext.orderedAt_ = managed.orderedAt_;
+    orderContext.active_ = dispatcher_.active(engine);
+    orderContext.honoursFencing_ = entry.backend_->honoursFencing_;
+    OrderStep step = nextOrderStep(orderContext, timing, steadyNow());
+    if (orderContext.holder_)
+        token = orderContext.holder_->token_;
+    managed.wasReconciled_ = true;
+    managed.status_ = { state.configuration_.version_, orderContext.wanted_.version_, step };
+    bool isUnavailable = state.isLoading_ || step == OrderStep::Drain || step == OrderStep::Order || managed.orderedAt_;
+    bool canAdmit = step == OrderStep::Settled || step == OrderStep::End || !isUnavailable;
+    dispatcher_.setAdmission(engine, canAdmit ? BackendDispatcher::Admission::Open : BackendDispatcher::Admission::Closed);
     return step;
 }
 
-asio::awaitable<void> EngineOrders::act(VmId engine, Endpoint endpoint, OrderStep step, FencingToken token, const CatalogueEntry& entry)
+asio::awaitable<void> EngineOrders::performStep(VmId engine, Endpoint endpoint, OrderStep step, FencingToken token, const CatalogueEntry& entry)
 {
     switch (step) {
     case OrderStep::Settled:
@@ -206,14 +206,14 @@
 {
     logger_.info("Engine " + engine.value_ + " is ordered to version " + wanted.version_ + " with token " + std::to_string(token.value_) + ".");
     context_.metrics_.add(Counter::EngineOrders);
-    auto obeyed = co_await context_.engines_.order_(std::move(endpoint), token, std::move(wanted));
+    auto ordered = co_await context_.engines_.order_(std::move(endpoint), token, std::move(wanted));
     std::lock_guard lock(mutex_);
-    Managed& managed = managed_[engine];
-    if (obeyed || obeyed.error().ran_ == Ran::Unknown) {
+    ManagedEngine& managed = managed_[engine];
+    if (ordered || ordered.error().ran_ == Ran::Unknown) {
         managed.orderedAt_ = steadyNow();
         co_return;
     }
-    logger_.warn("Engine " + engine.value_ + " refused an order: " + describe(obeyed.error()) + ".");
+    logger_.warn("Engine " + engine.value_ + " refused an order: " + describe(ordered.error()) + ".");
     // A claim that the engine calls stale is given up for a new one.
     managed.claimedAt_ = {};
 }
--- a/lib/Node/EngineOrders.h
+++ b/lib/Node/EngineOrders.h
@@ -7,14 +7,14 @@
 //===----------------------------------------------------------------------===//
 #pragma once
 
-#include "BackendHome.h"
+#include "BackendDispatcher.h"
 #include "pistachioloom/Orders.h"
 
 namespace pistachioloom {
 
 class EngineOrders {
 public:
-    EngineOrders(NodeContext& context, BackendHome& home);
+    EngineOrders(NodeContext& context, BackendDispatcher& dispatcher);
 
     void start();
 
@@ -29,34 +29,34 @@
 
 private:
     /// One engine whose home we are.
-    struct Managed {
+    struct ManagedEngine {
         EngineConfiguration wanted_;
         SteadyTime claimedAt_;
         std::optional<SteadyTime> orderedAt_;
-        SteadyTime visitedAt_;
-        bool isVisiting_ = false;
-        bool wasVisited_ = false;
+        SteadyTime reconciledAt_;
+        bool isReconciling_ = false;
+        bool wasReconciled_ = false;
         Status status_;
     };
 
     asio::awaitable<void> loop();
     /// Engines whose turn it is, marked as being visited.
-    std::vector<VmId> takeDue();
-    asio::awaitable<void> visit(VmId engine);
-    asio::awaitable<void> decideAndAct(VmId engine, Endpoint endpoint, std::shared_ptr<const CatalogueEntry> entry);
-    OrderStep decide(const VmId& engine, const CatalogueEntry& entry, const EngineState& state, FencingToken& token);
-    asio::awaitable<void> act(VmId engine, Endpoint endpoint, OrderStep step, FencingToken token, const CatalogueEntry& entry);
+    std::vector<VmId> takeDueEngines();
+    asio::awaitable<void> reconcile(VmId engine);
+    asio::awaitable<void> advance(VmId engine, Endpoint endpoint, std::shared_ptr<const CatalogueEntry> entry);
+    OrderStep decideStep(const VmId& engine, const CatalogueEntry& entry, const EngineState& state, FencingToken& token);
+    asio::awaitable<void> performStep(VmId engine, Endpoint endpoint, OrderStep step, FencingToken token, const CatalogueEntry& entry);
     asio::awaitable<void> appendClaim(VmId engine, std::string model, bool isEnd);
     asio::awaitable<void> order(VmId engine, Endpoint endpoint, FencingToken token, EngineConfiguration wanted);
     asio::awaitable<bool> readClaims();
     std::shared_ptr<const CatalogueEntry> entryOf(const VmId& engine) const;
 
     NodeContext& context_;
-    BackendHome& home_;
+    BackendDispatcher& dispatcher_;
     Logger logger_;
     mutable std::mutex mutex_;
     ClaimTable claims_;
-    std::map<VmId, Managed> managed_;
+    std::map<VmId, ManagedEngine> managed_;
 };
 
 } // namespace pistachioloom
--- a/lib/Node/Reclaiming.cpp
+++ b/lib/Node/EngineReclaim.cpp
@@ -1,10 +1,10 @@
-//===- lib/Node/Reclaiming.cpp - streams of engines that leave -------------===//
+//===- lib/Node/EngineReclaim.cpp - streams of engines that leave -------------===//
 ///
 /// \file
 /// Carries out the plans of the Reclaim library for the engines whose home we
 /// are, and makes room for paid work.
 //===----------------------------------------------------------------------===//
-#include "BackendHome.h"
+#include "BackendDispatcher.h"
 
 #include <boost/asio.hpp>
 
@@ -13,33 +13,33 @@
 namespace {
 
     constexpr milliseconds reclaimPeriod { 50 };
-    constexpr milliseconds fallbackPerToken { 20 };
+    constexpr milliseconds minTimePerToken { 20 };
 
 } // namespace
 
-void BackendHome::start()
+void BackendDispatcher::start()
 {
     context_.spawn(reclaimLoop());
 }
 
-std::vector<BackendHome::RunningPtr> BackendHome::runningOn(const VmId& engine) const
+std::vector<BackendDispatcher::RunningStreamPtr> BackendDispatcher::streamsOn(const VmId& engine) const
 {
-    std::vector<RunningPtr> found;
+    std::vector<RunningStreamPtr> found;
     std::lock_guard lock(mutex_);
-    for (const RunningPtr& running : running_) {
-        if (running->engine_ == engine && running->ending_ == Ending::None)
+    for (const RunningStreamPtr& running : running_) {
+        if (running->engine_ == engine && running->endReason_ == EndReason::None)
             found.push_back(running);
     }
     return found;
 }
 
-asio::awaitable<void> BackendHome::reclaimLoop()
+asio::awaitable<void> BackendDispatcher::reclaimLoop()
 {
     for (;;) {
         std::set<VmId> engines;
         {
             std::lock_guard lock(mutex_);
-            for (const RunningPtr& running : running_)
+            for (const RunningStreamPtr& running : running_)
                 engines.insert(running->engine_);
         }
         auto view = context_.membership();
@@ -47,13 +47,13 @@
             if (!view->isLeaving(engine))
                 continue;
             auto notice = control_.noticeLeft(engine);
-            planLeaving(engine, notice.value_or(context_.settings_.membership_.defaultNotice_));
+            reclaimEngine(engine, notice.value_or(context_.settings_.membership_.defaultNotice_));
         }
         co_await sleepFor(reclaimPeriod);
     }
 }
 
-std::size_t BackendHome::freeElsewhere(const VmId& engine) const
+std::size_t BackendDispatcher::capacityElsewhere(const VmId& engine) const
 {
     auto view = context_.membership();
     const Vm* leaving = view->find(engine);
@@ -65,86 +65,86 @@
     return count;
 }
 
-void BackendHome::planLeaving(const VmId& engine, milliseconds notice)
+void BackendDispatcher::reclaimEngine(const VmId& engine, milliseconds notice)
 {
     std::vector<LeavingStream> streams;
-    std::map<RequestId, RunningPtr> byRequest;
+    std::map<RequestId, RunningStreamPtr> byRequest;
     ReclaimCost cost;
     cost.notice_ = notice;
-    cost.importSlots_ = freeElsewhere(engine);
-    cost.perToken_ = fallbackPerToken;
-    for (const RunningPtr& running : runningOn(engine)) {
+    cost.importSlots_ = capacityElsewhere(engine);
+    cost.perToken_ = minTimePerToken;
+    for (const RunningStreamPtr& running : streamsOn(engine)) {
         std::uint64_t generated = running->generated_;
         std::uint64_t remaining = running->maxTokens_ > generated ? running->maxTokens_ - generated : 0;
         streams.push_back({ { running->requestId_ }, running->class_, running->promptTokens_, generated, remaining });
         byRequest[{ running->requestId_ }] = running;
         // The pace of this engine, from the stream that tells most about it.
-        auto elapsed = std::chrono::duration_cast<milliseconds>(steadyNow() - running->began_);
+        auto elapsed = std::chrono::duration_cast<milliseconds>(steadyNow() - running->startedAt_);
         if (generated)
             cost.perToken_ = std::max(cost.perToken_, elapsed / static_cast<std::int64_t>(generated));
     }
     for (const ReclaimStep& step : planReclaim(streams, cost)) {
-        RunningPtr running = byRequest[step.request_];
+        RunningStreamPtr running = byRequest[step.request_];
         if (step.action_ == ReclaimAction::FinishInPlace)
             continue;
         logger_.info("Request " + step.request_.value_ + " leaves engine " + engine.value_ + ": " + std::string(toString(step.action_)) + ".");
         if (step.action_ == ReclaimAction::Recompute) {
-            endHere(*running, Ending::Recompute);
+            endStream(*running, EndReason::Recompute);
             continue;
         }
-        running->ending_ = Ending::MoveCache;
+        running->endReason_ = EndReason::MoveCache;
         context_.spawn(moveCache(running));
     }
 }
 
-asio::awaitable<void> BackendHome::moveCache(RunningPtr running)
+asio::awaitable<void> BackendDispatcher::moveCache(RunningStreamPtr running)
 {
     auto endpoint = context_.backendEndpoint(running->engine_);
     if (!endpoint) {
-        endHere(*running, Ending::Recompute);
+        endStream(*running, EndReason::Recompute);
         co_return;
     }
     auto handle = co_await context_.engines_.exportCache_(*endpoint, running->requestId_);
     if (!handle) {
         logger_.warn("Cache export failed: " + describe(handle.error()) + ".");
-        endHere(*running, Ending::Recompute);
+        endStream(*running, EndReason::Recompute);
         co_return;
     }
     // The engine ends the stream itself, after the last token before the
     // export, and that event brings the handle to forward().
 }
 
-void BackendHome::endHere(Running& running, Ending ending)
+void BackendDispatcher::endStream(RunningStream& running, EndReason reason)
 {
-    running.ending_ = ending;
+    running.endReason_ = reason;
     running.close_();
 }
 
-void BackendHome::preemptTrial(const VmId& engine)
+void BackendDispatcher::preemptTrial(const VmId& engine)
 {
     // Who has yielded least often, so that no trial starves; then whoever loses
     // the fewest tokens.
-    auto isBetter = [](const Running& left, const Running& right) {
+    auto shouldYieldBefore = [](const RunningStream& left, const RunningStream& right) {
         return std::pair(left.yields_, left.generated_.load()) < std::pair(right.yields_, right.generated_.load());
     };
-    RunningPtr chosen;
-    for (const RunningPtr& running : runningOn(engine)) {
-        if (running->class_ == ServiceClass::Trial && (!chosen || isBetter(*running, *chosen)))
+    RunningStreamPtr chosen;
+    for (const RunningStreamPtr& running : streamsOn(engine)) {
+        if (running->class_ == ServiceClass::Trial && (!chosen || shouldYieldBefore(*running, *chosen)))
             chosen = running;
     }
     if (!chosen)
         return;
     logger_.info("Trial request " + chosen->requestId_ + " yields engine " + engine.value_ + " to paid work.");
     context_.metrics_.add(Counter::TrialsYielded);
-    endHere(*chosen, Ending::Preempted);
+    endStream(*chosen, EndReason::Preempted);
 }
 
-void BackendHome::passOnStreams()
+void BackendDispatcher::handOverStreams()
 {
     std::lock_guard lock(mutex_);
-    for (const RunningPtr& running : running_) {
-        if (running->ending_ == Ending::None)
-            endHere(*running, Ending::PassOn);
+    for (const RunningStreamPtr& running : running_) {
+        if (running->endReason_ == EndReason::None)
+            endStream(*running, EndReason::HandOver);
     }
 }
 
--- a/lib/Node/EngineRouter.cpp
+++ b/lib/Node/EngineRouter.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-    constexpr std::size_t favourites = 2;
+    constexpr std::size_t topRanked = 2;
     constexpr std::size_t others = 2;
-    constexpr std::size_t mostExplanations = 512;
+    constexpr std::size_t maxExplanations = 512;
     // Between data centres of one region; spilling must gain more than this.
-    constexpr milliseconds remoteNetwork { 5 };
+    constexpr milliseconds remoteNetworkLatency { 5 };
     constexpr milliseconds prefillPerBlock { 10 };
     constexpr ModelLoad unknownLoad { 1, 0, {}, 0 };
 
@@ -26,7 +26,7 @@
 {
 }
 
-VmId EngineRouter::homeOf(const MembershipView& view, const VmId& server, const std::set<VmId>& excluded) const
+VmId EngineRouter::dispatcherOf(const MembershipView& view, const VmId& server, const std::set<VmId>& excluded) const
 {
     const Vm* vm = view.find(server);
     if (!vm)
@@ -36,73 +36,73 @@
     return pickByRendezvous(server.value_, nodes);
 }
 
-EngineCandidate EngineRouter::describeEngine(const MembershipView& view, const RoutingQuestion& question, const VmId& engine, std::size_t rank)
+EngineCandidate EngineRouter::makeCandidate(const MembershipView& view, const RoutingQuery& query, const VmId& engine, std::size_t rank)
 {
     EngineCandidate candidate;
     candidate.engine_ = engine;
-    candidate.dispatcher_ = homeOf(view, engine, question.excluded_);
+    candidate.dispatcher_ = dispatcherOf(view, engine, query.excluded_);
     candidate.prefixRank_ = rank;
     const Vm* vm = view.find(engine);
     candidate.pricePerHour_ = vm->pricePerHour_;
     candidate.isLocal_ = vm->dataCentre_ == view.dataCentre_;
-    candidate.network_ = candidate.isLocal_ ? milliseconds {} : remoteNetwork;
+    candidate.network_ = candidate.isLocal_ ? milliseconds {} : remoteNetworkLatency;
     candidate.load_ = unknownLoad;
     auto digest = view.digests_.find(candidate.dispatcher_);
     if (digest == view.digests_.end())
         return candidate;
-    auto load = digest->second.loads_.find(question.model_);
+    auto load = digest->second.loads_.find(query.model_);
     if (load != digest->second.loads_.end())
         candidate.load_ = load->second;
     std::lock_guard lock(mutex_);
-    auto sent = sent_.find({ candidate.dispatcher_, question.model_ });
+    auto sent = sent_.find({ candidate.dispatcher_, query.model_ });
     if (sent != sent_.end() && sent->second.heartbeat_ == digest->second.heartbeat_)
         candidate.sentSince_ = sent->second.count_;
     return candidate;
 }
 
-std::vector<EngineCandidate> EngineRouter::choose(const RoutingQuestion& question)
+std::vector<EngineCandidate> EngineRouter::choose(const RoutingQuery& query)
 {
     auto view = context_.membership();
-    std::vector<std::uint64_t> blocks = prefixBlocks(question.prompt_);
+    std::vector<std::uint64_t> blocks = prefixBlocks(query.prompt_);
     std::uint64_t prefix = blocks.empty() ? 0 : blocks.front();
-    RoutingParameters cost;
-    cost.prefill_ = prefillPerBlock * static_cast<std::int64_t>(blocks.size());
-    cost.latencyTarget_ = question.latencyTarget_;
-    cost.isPaid_ = question.isPaid_;
+    RoutingParameters parameters;
+    parameters.prefill_ = prefillPerBlock * static_cast<std::int64_t>(blocks.size());
+    parameters.latencyTarget_ = query.latencyTarget_;
+    parameters.isPaid_ = query.isPaid_;
     std::vector<EngineCandidate> candidates;
     auto add = [&](std::vector<VmId> engines) {
-        std::erase_if(engines, [&](const VmId& engine) { return question.excluded_.contains(engine); });
+        std::erase_if(engines, [&](const VmId& engine) { return query.excluded_.contains(engine); });
         std::size_t rank = 0;
-        for (const VmId& engine : sampleEngines(prefix, engines, favourites, others, randomBits)) {
-            EngineCandidate candidate = describeEngine(*view, question, engine, rank++);
+        for (const VmId& engine : sampleEngines(prefix, engines, topRanked, others, randomBits)) {
+            EngineCandidate candidate = makeCandidate(*view, query, engine, rank++);
             if (!candidate.dispatcher_.isEmpty())
                 candidates.push_back(std::move(candidate));
         }
     };
-    std::vector<VmId> local = view->serversOf(question.model_, view->dataCentre_);
+    std::vector<VmId> local = view->serversOf(query.model_, view->dataCentre_);
     add(local);
-    std::vector<VmId> remote = view->serversOf(question.model_, {});
+    std::vector<VmId> remote = view->serversOf(query.model_, {});
     std::erase_if(remote, [&](const VmId& engine) { return view->find(engine)->dataCentre_ == view->dataCentre_; });
     add(std::move(remote));
-    candidates = rankEngines(std::move(candidates), cost);
-    remember(question.requestId_, candidates);
+    candidates = rankEngines(std::move(candidates), parameters);
+    recordExplanation(query.requestId_, candidates);
     return candidates;
 }
 
-void EngineRouter::countSent(const VmId& home, const std::string& model)
+void EngineRouter::countSent(const VmId& dispatcher, const std::string& model)
 {
     auto view = context_.membership();
-    auto digest = view->digests_.find(home);
+    auto digest = view->digests_.find(dispatcher);
     if (digest == view->digests_.end())
         return;
     std::lock_guard lock(mutex_);
-    Sent& sent = sent_[{ home, model }];
+    SentCount& sent = sent_[{ dispatcher, model }];
     if (sent.heartbeat_ != digest->second.heartbeat_)
         sent = { digest->second.heartbeat_, 0 };
     ++sent.count_;
 }
 
-void EngineRouter::remember(const std::string& requestId, const std::vector<EngineCandidate>& candidates)
+void EngineRouter::recordExplanation(const std::string& requestId, const std::vector<EngineCandidate>& candidates)
 {
     boost::json::array list;
     for (const EngineCandidate& candidate : candidates) {
@@ -121,7 +121,7 @@
     std::lock_guard lock(mutex_);
     if (explanations_.insert_or_assign(requestId, boost::json::serialize(list)).second)
         explanationOrder_.push_back(requestId);
-    if (explanationOrder_.size() <= mostExplanations)
+    if (explanationOrder_.size() <= maxExplanations)
         return;
     explanations_.erase(explanationOrder_.front());
     explanationOrder_.pop_front();
--- a/lib/Node/EngineRouter.h
+++ b/lib/Node/EngineRouter.h
@@ -15,7 +15,7 @@
 
 namespace pistachioloom {
 
-struct RoutingQuestion {
+struct RoutingQuery {
     std::string requestId_;
     std::string model_;
     std::string prompt_;
@@ -30,26 +30,26 @@
     explicit EngineRouter(NodeContext& context);
 
     /// The engines to try, best first; none if no engine serves the model.
-    std::vector<EngineCandidate> choose(const RoutingQuestion& question);
-    /// Counts a request sent to \p home, until its next digest.
-    void countSent(const VmId& home, const std::string& model);
+    std::vector<EngineCandidate> choose(const RoutingQuery& query);
+    /// Counts a request sent to \p dispatcher, until its next digest.
+    void countSent(const VmId& dispatcher, const std::string& model);
     /// JSON of the candidates looked at for \p requestId, or an empty string.
     std::string explain(const std::string& requestId) const;
     /// The node that takes the role of home for \p server, outside \p excluded.
-    VmId homeOf(const MembershipView& view, const VmId& server, const std::set<VmId>& excluded) const;
+    VmId dispatcherOf(const MembershipView& view, const VmId& server, const std::set<VmId>& excluded) const;
 
 private:
-    struct Sent {
+    struct SentCount {
         std::uint64_t heartbeat_ = 0;
         std::uint32_t count_ = 0;
     };
 
-    EngineCandidate describeEngine(const MembershipView& view, const RoutingQuestion& question, const VmId& engine, std::size_t rank);
-    void remember(const std::string& requestId, const std::vector<EngineCandidate>& candidates);
+    EngineCandidate makeCandidate(const MembershipView& view, const RoutingQuery& query, const VmId& engine, std::size_t rank);
+    void recordExplanation(const std::string& requestId, const std::vector<EngineCandidate>& candidates);
 
     NodeContext& context_;
     mutable std::mutex mutex_;
-    std::map<std::pair<VmId, std::string>, Sent> sent_;
+    std::map<std::pair<VmId, std::string>, SentCount> sent_;
     std::map<std::string, std::string> explanations_;
     std::deque<std::string> explanationOrder_;
 };
--- a/lib/Node/EventStream.cpp
+++ b/lib/Node/EventStream.cpp
@@ -54,8 +54,8 @@
     const char* last = text.data() + text.size();
     auto count = std::from_chars(text.data(), middle, id.tokens_);
     auto hash = std::from_chars(middle + 1, last, id.textHash_, hexBase);
-    bool isGood = count.ec == std::errc {} && count.ptr == middle && hash.ec == std::errc {} && hash.ptr == last;
-    return isGood ? std::optional(id) : std::nullopt;
+    bool isValid = count.ec == std::errc {} && count.ptr == middle && hash.ec == std::errc {} && hash.ptr == last;
+    return isValid ? std::optional(id) : std::nullopt;
 }
 
 EventWriter::EventWriter(std::string requestId, std::optional<EventId> resume)
@@ -109,8 +109,8 @@
 std::string EventWriter::done()
 {
     // An answer shorter than what the caller claims to have is another answer.
-    bool hasNothing = resume_ && !resume_->tokens_;
-    std::string events = resume_ && !hasNothing ? flushSkipped() : std::string();
+    bool callerHasNothing = resume_ && !resume_->tokens_;
+    std::string events = resume_ && !callerHasNothing ? flushSkipped() : std::string();
     return events + event({}, {}, "[DONE]");
 }
 
--- a/lib/Node/Generation.cpp
+++ b/lib/Node/Generation.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-    constexpr auto tokenOf = asio::as_tuple(asio::use_awaitable);
+    constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
     constexpr std::size_t hintLength = 8;
 
     std::string hintOf(const VmId& vm)
@@ -48,7 +48,7 @@
     , model_(record.model())
     , maxTokens_(record.max_tokens())
     , deadline_(steadyNow() + milliseconds(record.deadline_ms()))
-    , began_(steadyNow())
+    , startedAt_(steadyNow())
     , executor_(std::move(executor))
     , record_(std::make_unique<wire::GenerationRecord>(record))
     , lastRead_(steadyNow())
@@ -67,7 +67,7 @@
     return reader;
 }
 
-void Generation::watch(const Reader& watcher)
+void Generation::addWatcher(const Reader& watcher)
 {
     std::lock_guard lock(mutex_);
     std::erase_if(watchers_, [](const std::weak_ptr<Signal>& known) { return known.expired(); });
@@ -101,9 +101,9 @@
     std::lock_guard lock(mutex_);
     lastRead_ = steadyNow();
     auto count = static_cast<std::size_t>(record_->tokens_size());
-    std::size_t readable = isReadableToEnd() ? count : std::min(readable_, count);
-    if (handedOver_)
-        readable = std::min(readable, *handedOver_);
+    std::size_t readable = isReadableToEnd() ? count : std::min(readableTokens_, count);
+    if (handedOverTokens_)
+        readable = std::min(readable, *handedOverTokens_);
     AnswerPart part;
     for (std::size_t i = from; i < readable; ++i)
         part.tokens_.push_back(record_->tokens(static_cast<int>(i)).text());
@@ -121,7 +121,7 @@
         AnswerPart part = read(from);
         if (!part.tokens_.empty() || part.isFinished_ || part.isMoved_ || part.failure_)
             co_return part;
-        co_await reader->async_receive(tokenOf);
+        co_await reader->async_receive(asTuple);
     }
 }
 
@@ -135,35 +135,35 @@
             if (failure_)
                 co_return failure_;
         }
-        co_await reader->async_receive(tokenOf);
+        co_await reader->async_receive(asTuple);
     }
 }
 
 wire::GenerationRecord Generation::record() const
 {
     std::lock_guard lock(mutex_);
-    return lockedRecord();
+    return recordLocked();
 }
 
 wire::GenerationRecord Generation::beginHandover()
 {
     std::lock_guard lock(mutex_);
-    handedOver_ = static_cast<std::size_t>(record_->tokens_size());
-    return lockedRecord();
+    handedOverTokens_ = static_cast<std::size_t>(record_->tokens_size());
+    return recordLocked();
 }
 
 void Generation::abandonHandover()
 {
     std::lock_guard lock(mutex_);
-    handedOver_.reset();
+    handedOverTokens_.reset();
     notify();
 }
 
-wire::GenerationRecord Generation::lockedRecord() const
+wire::GenerationRecord Generation::recordLocked() const
 {
     wire::GenerationRecord record = *record_;
-    auto left = std::chrono::duration_cast<milliseconds>(deadline_ - steadyNow());
-    record.set_deadline_ms(static_cast<std::uint64_t>(std::max(milliseconds {}, left).count()));
+    auto remaining = std::chrono::duration_cast<milliseconds>(deadline_ - steadyNow());
+    record.set_deadline_ms(static_cast<std::uint64_t>(std::max(milliseconds {}, remaining).count()));
     record.set_is_finished(isFinished_);
     if (failure_)
         *record.mutable_failure() = toWire(*failure_);
@@ -259,7 +259,7 @@
     return isMoved_;
 }
 
-bool Generation::isOver() const
+bool Generation::hasEnded() const
 {
     std::lock_guard lock(mutex_);
     return isFinished_ || isMoved_ || failure_;
@@ -276,14 +276,14 @@
     std::lock_guard lock(mutex_);
     isCopyOptional_ = false;
     isCopied_ = true;
-    readable_ = std::max(readable_, count);
+    readableTokens_ = std::max(readableTokens_, count);
     notify();
 }
 
 void Generation::setReadableToEnd()
 {
     std::lock_guard lock(mutex_);
-    readable_ = std::max(readable_, static_cast<std::size_t>(record_->tokens_size()));
+    readableTokens_ = std::max(readableTokens_, static_cast<std::size_t>(record_->tokens_size()));
     if (isFinished_ || failure_)
         isEndCopied_ = true;
     else
@@ -310,7 +310,7 @@
     for (int i = static_cast<int>(from); i < record_->tokens_size(); ++i)
         progress.tokens_.push_back(record_->tokens(i).text());
     progress.attempt_ = record_->attempt();
-    progress.isOver_ = isFinished_ || failure_.has_value();
+    progress.hasEnded_ = isFinished_ || failure_.has_value();
     progress.isMoved_ = isMoved_;
     progress.failure_ = failure_;
     progress.engine_ = record_->engine();
--- a/lib/Node/Generation.h
+++ b/lib/Node/Generation.h
@@ -48,7 +48,7 @@
     /// Registers a reader; while one is held the caller counts as connected.
     Reader addReader();
     /// Wakes \p watcher as well, without counting it as a caller.
-    void watch(const Reader& watcher);
+    void addWatcher(const Reader& watcher);
     /// What may be read from token \p from on, without waiting.
     AnswerPart read(std::size_t from) const;
     /// read(), after waiting for something new.
@@ -77,7 +77,7 @@
     void markMoved();
     bool isMoved() const;
     /// Finished, failed or moved.
-    bool isOver() const;
+    bool hasEnded() const;
     std::size_t tokenCount() const;
     /// Tokens up to \p count may be read; all of them, if there is no replica.
     void setReadable(std::size_t count);
@@ -89,7 +89,7 @@
         std::vector<std::string> tokens_;
         std::uint32_t attempt_ = 0;
         /// Finished or failed.
-        bool isOver_ = false;
+        bool hasEnded_ = false;
         bool isMoved_ = false;
         std::optional<Error> failure_;
         std::string engine_;
@@ -98,13 +98,13 @@
     SteadyTime deadline() const { return deadline_; }
     SteadyTime lastRead() const;
     SteadyTime changedAt() const;
-    SteadyTime began() const { return began_; }
+    SteadyTime startedAt() const { return startedAt_; }
     std::uint64_t maxTokens() const { return maxTokens_; }
 
 private:
     void notify();
     bool isReadableToEnd() const;
-    wire::GenerationRecord lockedRecord() const;
+    wire::GenerationRecord recordLocked() const;
 
     const std::string id_;
     const std::string organisation_;
@@ -112,7 +112,7 @@
     const std::string model_;
     const std::uint64_t maxTokens_;
     const SteadyTime deadline_;
-    const SteadyTime began_;
+    const SteadyTime startedAt_;
     asio::any_io_executor executor_;
     mutable std::mutex mutex_;
     std::unique_ptr<wire::GenerationRecord> record_;
@@ -120,9 +120,9 @@
     std::vector<std::weak_ptr<Signal>> watchers_;
     mutable SteadyTime lastRead_;
     SteadyTime changedAt_;
-    std::size_t readable_ = 0;
+    std::size_t readableTokens_ = 0;
     /// Tokens of the record that a successor is being given.
-    std::optional<std::size_t> handedOver_;
+    std::optional<std::size_t> handedOverTokens_;
     /// A replica has acknowledged the record.
     bool isCopied_ = false;
     /// No node takes a replica at present.
@@ -157,17 +157,17 @@
 
 private:
     enum class AttemptOutcome {
-        Over,
+        Ended,
         /// Go on at once: the engine ended the attempt in an orderly way.
-        Continue,
+        RetryNow,
         /// Go on after a pause.
-        Pause,
+        RetryLater,
         /// This engine did not take the request; another may.
         TryNext,
     };
     enum class Origin {
         /// Admitted here, so its place in the entry's limits is given back here.
-        Begun,
+        Admitted,
         Adopted,
     };
     /// Where the next attempt should go first.
@@ -181,14 +181,14 @@
     void insert(const GenerationPtr& generation);
     asio::awaitable<void> run(GenerationPtr generation, Preference preference, Origin origin);
     asio::awaitable<AttemptOutcome> attempt(GenerationPtr generation, Preference& preference);
-    asio::awaitable<AttemptOutcome> tryEngine(GenerationPtr generation, VmId engine, VmId home, bool mayQueue, Preference& preference, Error& refusal);
-    asio::awaitable<AttemptOutcome> takeTokens(GenerationPtr generation, std::shared_ptr<PeerStream> stream, VmId engine, VmId home, Preference& preference);
+    asio::awaitable<AttemptOutcome> tryEngine(GenerationPtr generation, VmId engine, VmId dispatcher, bool mayQueue, Preference& preference, Error& rejection);
+    asio::awaitable<AttemptOutcome> receiveTokens(GenerationPtr generation, std::shared_ptr<PeerStream> stream, VmId engine, VmId dispatcher, Preference& preference);
     AttemptOutcome endAttempt(const GenerationPtr& generation, const wire::AttemptEnd& end, const VmId& engine, Preference& preference);
     asio::awaitable<void> copyLoop(GenerationPtr generation);
     asio::awaitable<bool> copyTo(GenerationPtr generation, VmId replica);
     std::vector<VmId> replicaCandidates(const std::string& requestId, const std::set<VmId>& failed) const;
     asio::awaitable<void> reapLoop();
-    asio::awaitable<void> handOverOne(GenerationPtr generation);
+    asio::awaitable<void> handOverGeneration(GenerationPtr generation);
 
     NodeContext& context_;
     EngineRouter& router_;
--- a/lib/Node/GenerationOwner.cpp
+++ b/lib/Node/GenerationOwner.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-    constexpr std::size_t mostEnginesTried = 3;
+    constexpr std::size_t maxEnginesTried = 3;
     constexpr milliseconds openTimeout { 1000 };
     constexpr milliseconds startTimeout { 10000 };
     // Silence of a home that forwards tokens; the engine's own timeout is shorter.
     constexpr milliseconds tokenTimeout { 40000 };
-    constexpr milliseconds attemptPause { 100 };
+    constexpr milliseconds retryDelay { 100 };
     constexpr milliseconds reapPeriod { 250 };
     // A new owner's attempts come after any that the old one may have made without
     // telling its replica.
@@ -25,8 +25,8 @@
 
     milliseconds timeLeft(const Generation& generation)
     {
-        auto left = std::chrono::duration_cast<milliseconds>(generation.deadline() - steadyNow());
-        return std::max(milliseconds {}, left);
+        auto remaining = std::chrono::duration_cast<milliseconds>(generation.deadline() - steadyNow());
+        return std::max(milliseconds {}, remaining);
     }
 
 } // namespace
@@ -64,7 +64,7 @@
 {
     std::size_t count = 0;
     for (const GenerationPtr& generation : all())
-        count += generation->isOver() ? 0 : 1;
+        count += generation->hasEnded() ? 0 : 1;
     return count;
 }
 
@@ -83,13 +83,13 @@
     record.set_owner(context_.self().value_);
     auto generation = std::make_shared<Generation>(record, context_.executor_);
     insert(generation);
-    context_.spawn(run(generation, {}, Origin::Begun));
+    context_.spawn(run(generation, {}, Origin::Admitted));
     return generation;
 }
 
 GenerationPtr GenerationOwner::adopt(wire::GenerationRecord record)
 {
-    if (auto known = find(record.request_id()); known && !known->isOver())
+    if (auto known = find(record.request_id()); known && !known->hasEnded())
         return known;
     Preference preference;
     preference.engine_ = { record.engine() };
@@ -109,11 +109,11 @@
     // The copy and the first attempt start together; the caller is told
     // "accepted" only when both have succeeded.
     context_.spawn(copyLoop(generation));
-    while (!generation->isOver()) {
+    while (!generation->hasEnded()) {
         AttemptOutcome outcome = co_await attempt(generation, preference);
-        if (outcome == AttemptOutcome::Pause && !generation->isOver())
-            co_await sleepFor(jitter(attemptPause, randomBits()));
-        if (!timeLeft(*generation).count() && !generation->isOver())
+        if (outcome == AttemptOutcome::RetryLater && !generation->hasEnded())
+            co_await sleepFor(jitter(retryDelay, randomBits()));
+        if (!timeLeft(*generation).count() && !generation->hasEnded())
             generation->fail({ Errc::Timeout, "generate", generation->engine(), "the deadline passed", Ran::Unknown, {} });
     }
     auto progress = generation->progressSince(0);
@@ -122,7 +122,7 @@
     if (progress.failure_)
         scope.span().outcome_ = describe(*progress.failure_);
     context_.metrics_.add(progress.failure_ ? Counter::RequestsFailed : Counter::RequestsFinished);
-    context_.metrics_.observe(Histogram::WholeAnswer, steadyNow() - generation->began());
+    context_.metrics_.observe(Histogram::WholeAnswer, steadyNow() - generation->startedAt());
     if (origin == Origin::Adopted)
         co_return;
     std::uint64_t unused = generation->maxTokens() - std::min(generation->maxTokens(), static_cast<std::uint64_t>(progress.tokens_.size()));
@@ -133,50 +133,50 @@
 {
     if (!preference.engine_.isEmpty()) {
         VmId engine = std::exchange(preference.engine_, {});
-        VmId home = router_.homeOf(*context_.membership(), engine, preference.excluded_);
-        if (!home.isEmpty() && !context_.membership()->isLeaving(engine)) {
-            Error refusal;
-            auto outcome = co_await tryEngine(generation, engine, home, true, preference, refusal);
+        VmId dispatcher = router_.dispatcherOf(*context_.membership(), engine, preference.excluded_);
+        if (!dispatcher.isEmpty() && !context_.membership()->isLeaving(engine)) {
+            Error rejection;
+            auto outcome = co_await tryEngine(generation, engine, dispatcher, true, preference, rejection);
             // The home fell silent: the engine may still run the stream.
-            if (outcome == AttemptOutcome::Pause && preference.excluded_.size() < mostEnginesTried)
+            if (outcome == AttemptOutcome::RetryLater && preference.excluded_.size() < maxEnginesTried)
                 preference.engine_ = engine;
             if (outcome != AttemptOutcome::TryNext)
                 co_return outcome;
-            logger_.info("Request " + generation->id() + " could not go on at engine " + engine.value_ + ": " + describe(refusal) + ".");
+            logger_.info("Request " + generation->id() + " could not go on at engine " + engine.value_ + ": " + describe(rejection) + ".");
         }
         preference.isAttach_ = false;
     }
     wire::GenerationRecord record = generation->record();
-    RoutingQuestion question { generation->id(), generation->model(), record.prompt(), milliseconds(record.latency_target_ms()), record.is_paid(), preference.excluded_ };
-    auto candidates = router_.choose(question);
-    if (candidates.size() > mostEnginesTried)
-        candidates.resize(mostEnginesTried);
+    RoutingQuery query { generation->id(), generation->model(), record.prompt(), milliseconds(record.latency_target_ms()), record.is_paid(), preference.excluded_ };
+    auto candidates = router_.choose(query);
+    if (candidates.size() > maxEnginesTried)
+        candidates.resize(maxEnginesTried);
     preference.excluded_.clear();
-    Error refusal { Errc::Unavailable, "choose engine", {}, "no engine serves the model", Ran::No, milliseconds(1000) };
+    Error rejection { Errc::Unavailable, "choose engine", {}, "no engine serves the model", Ran::No, milliseconds(1000) };
     // First whoever has a free slot; then the best one's queue.
     for (bool mayQueue : { false, true }) {
         for (const EngineCandidate& candidate : candidates) {
             router_.countSent(candidate.dispatcher_, generation->model());
-            auto outcome = co_await tryEngine(generation, candidate.engine_, candidate.dispatcher_, mayQueue, preference, refusal);
+            auto outcome = co_await tryEngine(generation, candidate.engine_, candidate.dispatcher_, mayQueue, preference, rejection);
             if (outcome != AttemptOutcome::TryNext)
                 co_return outcome;
         }
     }
     if (!generation->isAccepted()) {
-        refusal.retryAfter_ = jitter(std::max(refusal.retryAfter_, attemptPause), randomBits());
-        generation->fail(refusal);
-        co_return AttemptOutcome::Over;
+        rejection.retryAfter_ = jitter(std::max(rejection.retryAfter_, retryDelay), randomBits());
+        generation->fail(rejection);
+        co_return AttemptOutcome::Ended;
     }
-    co_return AttemptOutcome::Pause;
+    co_return AttemptOutcome::RetryLater;
 }
 
-asio::awaitable<GenerationOwner::AttemptOutcome> GenerationOwner::tryEngine(GenerationPtr generation, VmId engine, VmId home, bool mayQueue, Preference& preference, Error& refusal)
+asio::awaitable<GenerationOwner::AttemptOutcome> GenerationOwner::tryEngine(GenerationPtr generation, VmId engine, VmId dispatcher, bool mayQueue, Preference& preference, Error& rejection)
 {
     context_.metrics_.add(Counter::Attempts);
     std::uint32_t attemptNumber = generation->startAttempt();
     SpanScope scope(context_.tracer_, parseTraceparent(generation->record().traceparent()), "attempt", generation->id());
     scope.span().attempt_ = attemptNumber;
-    scope.span().peer_ = home.value_;
+    scope.span().peer_ = dispatcher.value_;
     wire::Frame frame;
     wire::GenerateRequest& request = *frame.mutable_generate();
     *request.mutable_record() = generation->record();
@@ -185,20 +185,20 @@
     request.set_attach(preference.isAttach_);
     request.set_may_queue(mayQueue);
     request.set_traceparent(scope.context().toHeader());
-    auto opened = co_await context_.open(home, frame, openTimeout);
+    auto opened = co_await context_.open(dispatcher, frame, openTimeout);
     if (!opened) {
         scope.span().outcome_ = describe(opened.error());
-        preference.excluded_.insert(home);
-        refusal = opened.error();
+        preference.excluded_.insert(dispatcher);
+        rejection = opened.error();
         co_return AttemptOutcome::TryNext;
     }
     auto stream = opened.value();
-    milliseconds patience = mayQueue ? std::max(startTimeout, timeLeft(*generation)) : startTimeout;
-    auto reply = co_await stream->receiveWithin(patience);
+    milliseconds waitLimit = mayQueue ? std::max(startTimeout, timeLeft(*generation)) : startTimeout;
+    auto reply = co_await stream->receiveWithin(waitLimit);
     if (reply && reply.value().has_started()) {
         generation->setEngine(engine.value_);
         generation->markAccepted();
-        auto outcome = co_await takeTokens(generation, stream, engine, home, preference);
+        auto outcome = co_await receiveTokens(generation, stream, engine, dispatcher, preference);
         // Whoever owns the generation now attaches to what the engine runs.
         if (generation->isMoved())
             stream->release();
@@ -208,37 +208,37 @@
     }
     stream->cancel();
     if (!reply)
-        refusal = reply.error();
+        rejection = reply.error();
     else if (reply.value().has_failure())
-        refusal = fromWire(reply.value().failure());
-    if (refusal.code_ == Errc::Conflict) {
+        rejection = fromWire(reply.value().failure());
+    if (rejection.code_ == Errc::Conflict) {
         generation->markMoved();
-        co_return AttemptOutcome::Over;
+        co_return AttemptOutcome::Ended;
     }
-    scope.span().outcome_ = describe(refusal);
-    if (refusal.ran_ == Ran::No)
+    scope.span().outcome_ = describe(rejection);
+    if (rejection.ran_ == Ran::No)
         co_return AttemptOutcome::TryNext;
     // A generation may be computed again, so what is unknown is tried again too;
     // the engine drops the older attempt when it sees the newer one. The engine stays
     // a candidate: it may be as good as before behind another home.
-    preference.excluded_.insert(home);
-    co_return AttemptOutcome::Pause;
+    preference.excluded_.insert(dispatcher);
+    co_return AttemptOutcome::RetryLater;
 }
 
-asio::awaitable<GenerationOwner::AttemptOutcome> GenerationOwner::takeTokens(GenerationPtr generation, std::shared_ptr<PeerStream> stream, VmId engine, VmId home, Preference& preference)
+asio::awaitable<GenerationOwner::AttemptOutcome> GenerationOwner::receiveTokens(GenerationPtr generation, std::shared_ptr<PeerStream> stream, VmId engine, VmId dispatcher, Preference& preference)
 {
     SteadyTime last = steadyNow();
     for (;;) {
         auto frame = co_await stream->receiveWithin(tokenTimeout);
-        if (generation->isOver())
-            co_return AttemptOutcome::Over;
+        if (generation->hasEnded())
+            co_return AttemptOutcome::Ended;
         if (!frame) {
             // The home is gone; the engine may still run the stream.
             logger_.warn("Request " + generation->id() + " lost its home: " + describe(frame.error()) + ".");
-            preference.excluded_.insert(home);
+            preference.excluded_.insert(dispatcher);
             preference.engine_ = engine;
             preference.isAttach_ = true;
-            co_return AttemptOutcome::Continue;
+            co_return AttemptOutcome::RetryNow;
         }
         if (frame.value().has_end())
             co_return endAttempt(generation, frame.value().end(), engine, preference);
@@ -248,11 +248,11 @@
         auto added = generation->append(frame.value().tokens());
         if (!added) {
             logger_.warn("Request " + generation->id() + " refused tokens: " + describe(added.error()) + ".");
-            co_return AttemptOutcome::Continue;
+            co_return AttemptOutcome::RetryNow;
         }
         context_.metrics_.add(Counter::TokensDelivered, added.value());
         if (isFirst)
-            context_.metrics_.observe(Histogram::FirstToken, steadyNow() - generation->began());
+            context_.metrics_.observe(Histogram::FirstToken, steadyNow() - generation->startedAt());
         else
             context_.metrics_.observe(Histogram::BetweenTokens, steadyNow() - last);
         last = steadyNow();
@@ -264,7 +264,7 @@
     context_.metrics_.add(Counter::TokensRecomputed, end.computed_tokens());
     if (end.is_complete()) {
         generation->finish();
-        return AttemptOutcome::Over;
+        return AttemptOutcome::Ended;
     }
     if (end.has_yielded())
         generation->countYield();
@@ -272,17 +272,17 @@
         preference.kvHandle_ = end.kv_handle();
         preference.engine_ = { end.target_engine() };
         preference.isAttach_ = end.is_attachable();
-        return AttemptOutcome::Continue;
+        return AttemptOutcome::RetryNow;
     }
     Error failure = fromWire(end.failure());
     logger_.warn("Request " + generation->id() + " lost engine " + engine.value_ + ": " + describe(failure) + ".");
     if (failure.code_ == Errc::Conflict) {
         // A newer owner took the stream over while we were frozen or cut off.
         generation->markMoved();
-        return AttemptOutcome::Over;
+        return AttemptOutcome::Ended;
     }
     preference.excluded_.insert(engine);
-    return AttemptOutcome::Continue;
+    return AttemptOutcome::RetryNow;
 }
 
 asio::awaitable<void> GenerationOwner::reapLoop()
@@ -290,13 +290,13 @@
     const CallerSettings& settings = context_.settings_.caller_;
     for (;;) {
         for (const GenerationPtr& generation : all()) {
-            if (generation->isOver() && steadyNow() - generation->changedAt() > settings.answersKept_ && !generation->hasReaders()) {
+            if (generation->hasEnded() && steadyNow() - generation->changedAt() > settings.answersKept_ && !generation->hasReaders()) {
                 std::lock_guard lock(mutex_);
                 generations_.erase(generation->id());
                 continue;
             }
-            bool isForgotten = !generation->isOver() && !generation->hasReaders() && steadyNow() - generation->lastRead() > settings.reconnectGrace_;
-            if (isForgotten && generation->isAccepted())
+            bool isAbandoned = !generation->hasEnded() && !generation->hasReaders() && steadyNow() - generation->lastRead() > settings.reconnectGrace_;
+            if (isAbandoned && generation->isAccepted())
                 generation->fail({ Errc::Cancelled, "wait for caller", {}, "the caller went away and did not come back", Ran::Unknown, {} });
         }
         co_await sleepFor(reapPeriod);
--- a/lib/Node/Lending.cpp
+++ b/lib/Node/Lending.cpp
@@ -40,13 +40,13 @@
 {
     if (book.borrowing_)
         return false;
-    book.borrowing_ = std::make_shared<SharedWait>(context_.executor_);
+    book.borrowing_ = std::make_shared<CompletionEvent>(context_.executor_);
     return true;
 }
 
 void LimitKeeper::endBorrowing(Book& book)
 {
-    book.borrowing_->open();
+    book.borrowing_->complete();
     book.borrowing_.reset();
 }
 
@@ -69,7 +69,7 @@
 
 asio::awaitable<void> LimitKeeper::borrow(EntryPtr entry, BookPtr book, Shortage shortage)
 {
-    std::shared_ptr<SharedWait> other;
+    std::shared_ptr<CompletionEvent> other;
     std::vector<DataCentreId> lenders;
     {
         std::lock_guard lock(mutex_);
--- a/lib/Node/LimitBook.h
+++ b/lib/Node/LimitBook.h
@@ -6,7 +6,7 @@
 #pragma once
 
 #include "LimitKeeper.h"
-#include "SharedWait.h"
+#include "CompletionEvent.h"
 
 namespace pistachioloom {
 
@@ -20,7 +20,7 @@
     std::optional<SteadyTime> shortAt_;
     SteadyTime borrowAgainAt_;
     std::map<DataCentreId, SteadyTime> unreachableUntil_;
-    std::shared_ptr<SharedWait> borrowing_;
+    std::shared_ptr<CompletionEvent> borrowing_;
     /// Of each keeper that borrows from us.
     std::map<VmId, std::uint64_t> lastSequence_;
 };
--- a/lib/Node/LimitDesk.cpp
+++ b/lib/Node/LimitDesk.cpp
@@ -71,7 +71,7 @@
 
 asio::awaitable<void> LimitDesk::askOrJoin(EntryPtr entry)
 {
-    std::shared_ptr<SharedWait> other;
+    std::shared_ptr<CompletionEvent> other;
     {
         std::lock_guard lock(mutex_);
         auto found = asking_.find(entry->name_);
@@ -92,7 +92,7 @@
     wire::Frame frame;
     wire::GrantRequest& request = *frame.mutable_grant_request();
     request.set_node(context_.self().value_);
-    auto asking = std::make_shared<SharedWait>(context_.executor_);
+    auto asking = std::make_shared<CompletionEvent>(context_.executor_);
     {
         std::lock_guard lock(mutex_);
         std::erase_if(entries, [&](const EntryPtr& entry) { return !asking_.emplace(entry->name_, asking).second; });
@@ -125,7 +125,7 @@
     }
     for (const EntryPtr& entry : entries)
         asking_.erase(entry->name_);
-    asking->open();
+    asking->complete();
 }
 
 asio::awaitable<void> LimitDesk::renewLoop()
--- a/lib/Node/LimitDesk.h
+++ b/lib/Node/LimitDesk.h
@@ -8,7 +8,7 @@
 #pragma once
 
 #include "LimitKeeper.h"
-#include "SharedWait.h"
+#include "CompletionEvent.h"
 
 namespace pistachioloom {
 
@@ -45,7 +45,7 @@
     Logger logger_;
     mutable std::mutex mutex_;
     Admission admission_;
-    std::map<EntryName, std::shared_ptr<SharedWait>> asking_;
+    std::map<EntryName, std::shared_ptr<CompletionEvent>> asking_;
 };
 
 } // namespace pistachioloom
--- a/lib/Node/Node.cpp
+++ b/lib/Node/Node.cpp
@@ -35,7 +35,7 @@
     asio::io_context io_;
     NodeContext context_;
     ControlPlane control_;
-    BackendHome home_;
+    BackendDispatcher home_;
     EngineOrders orders_;
     EngineRouter router_;
     LimitKeeper limitKeeper_;
@@ -149,7 +149,7 @@
         co_await replicas_.serveFetch(shared, frame.record_fetch());
         co_return;
     case wire::Frame::kRecordHandover:
-        (void)co_await stream.send(replicas_.takeHandover(frame.record_handover()));
+        (void)co_await stream.send(replicas_.acceptHandover(frame.record_handover()));
         co_return;
     case wire::Frame::kGrantRequest:
         (void)co_await stream.send(co_await limitKeeper_.answerGrants(frame.grant_request()));
@@ -217,7 +217,7 @@
     callerServer_.stopAccepting();
     co_await waitIdle(handoverAt);
     if (!isIdle()) {
-        home_.passOnStreams();
+        home_.handOverStreams();
         co_await owner_.handOver();
         co_await waitIdle(until);
     }
--- a/lib/Node/OperatorApi.cpp
+++ b/lib/Node/OperatorApi.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-OperatorApi::OperatorApi(NodeContext& context, ControlPlane& control, BackendHome& home, EngineOrders& orders, GenerationOwner& owner, LimitDesk& limits, EngineRouter& router, DrainHook drain, CallerApi::GaugesHook gauges)
+OperatorApi::OperatorApi(NodeContext& context, ControlPlane& control, BackendDispatcher& home, EngineOrders& orders, GenerationOwner& owner, LimitDesk& limits, EngineRouter& router, DrainHook drain, CallerApi::GaugesHook gauges)
     : context_(context)
     , control_(control)
     , home_(home)
@@ -207,7 +207,7 @@
             { "engine", generation->engine() },
             { "replica", generation->replica() },
             { "tokens", generation->tokenCount() },
-            { "over", generation->isOver() },
+            { "over", generation->hasEnded() },
         });
     }
     return ok(json::object { { "owner", context_.self().value_ }, { "requests", std::move(requests) } });
--- a/lib/Node/OperatorApi.h
+++ b/lib/Node/OperatorApi.h
@@ -6,7 +6,7 @@
 //===----------------------------------------------------------------------===//
 #pragma once
 
-#include "BackendHome.h"
+#include "BackendDispatcher.h"
 #include "CallerApi.h"
 #include "EngineOrders.h"
 
@@ -17,7 +17,7 @@
     /// Asked to stop gracefully; the duration is the time left, zero for none.
     using DrainHook = std::function<void(std::optional<milliseconds>)>;
 
-    OperatorApi(NodeContext& context, ControlPlane& control, BackendHome& home, EngineOrders& orders, GenerationOwner& owner, LimitDesk& limits, EngineRouter& router, DrainHook drain, CallerApi::GaugesHook gauges);
+    OperatorApi(NodeContext& context, ControlPlane& control, BackendDispatcher& home, EngineOrders& orders, GenerationOwner& owner, LimitDesk& limits, EngineRouter& router, DrainHook drain, CallerApi::GaugesHook gauges);
 
     asio::awaitable<void> handle(HttpExchange& exchange);
 
@@ -34,7 +34,7 @@
 
     NodeContext& context_;
     ControlPlane& control_;
-    BackendHome& home_;
+    BackendDispatcher& home_;
     EngineOrders& orders_;
     GenerationOwner& owner_;
     LimitDesk& limits_;
--- a/lib/Node/RecordCopying.cpp
+++ b/lib/Node/RecordCopying.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-    constexpr std::size_t mostReplicasTried = 3;
+    constexpr std::size_t maxReplicasTried = 3;
     // Without a replica the record is offered again this often.
     constexpr milliseconds replicaRetry { 1000 };
 
@@ -22,7 +22,7 @@
         wire::RecordProgress& message = *frame.mutable_record_progress();
         message.set_request_id(requestId);
         message.set_attempt(progress.attempt_);
-        message.set_is_finished(progress.isOver_);
+        message.set_is_finished(progress.hasEnded_);
         message.set_engine(progress.engine_);
         message.set_owner(owner.value_);
         if (progress.failure_)
@@ -39,8 +39,8 @@
 
 std::vector<VmId> GenerationOwner::replicaCandidates(const std::string& requestId, const std::set<VmId>& failed) const
 {
-    RecordLocation place { context_.self(), context_.settings_.dataCentre_, context_.settings_.region_ };
-    return rankReplicas(*context_.membership(), place, requestId, failed);
+    RecordLocation location { context_.self(), context_.settings_.dataCentre_, context_.settings_.region_ };
+    return rankReplicas(*context_.membership(), location, requestId, failed);
 }
 
 asio::awaitable<void> GenerationOwner::copyLoop(GenerationPtr generation)
@@ -49,22 +49,22 @@
     std::set<VmId> failed;
     for (;;) {
         auto candidates = replicaCandidates(key, failed);
-        if (candidates.size() > mostReplicasTried)
-            candidates.resize(mostReplicasTried);
-        bool isDone = false;
+        if (candidates.size() > maxReplicasTried)
+            candidates.resize(maxReplicasTried);
+        bool isCopyComplete = false;
         for (const VmId& candidate : candidates) {
-            isDone = co_await copyTo(generation, candidate);
-            if (isDone)
+            isCopyComplete = co_await copyTo(generation, candidate);
+            if (isCopyComplete)
                 break;
             failed.insert(candidate);
         }
-        if (isDone)
+        if (isCopyComplete)
             co_return;
         // Nobody takes a copy: the answer goes on without one, which is said.
         logger_.warn("Request " + generation->id() + " runs without a replica.");
         generation->setReplica({});
         generation->setReadableToEnd();
-        if (generation->isOver())
+        if (generation->hasEnded())
             co_return;
         co_await sleepFor(replicaRetry);
         failed.clear();
@@ -89,7 +89,7 @@
     generation->setReplica(replica.value_);
     generation->setReadable(copied);
     auto reader = std::make_shared<Generation::Signal>(context_.executor_, 1);
-    generation->watch(reader);
+    generation->addWatcher(reader);
     for (;;) {
         auto progress = generation->progressSince(copied);
         if (progress.isMoved_) {
@@ -97,7 +97,7 @@
             stream->finish();
             co_return true;
         }
-        if (progress.tokens_.empty() && !progress.isOver_) {
+        if (progress.tokens_.empty() && !progress.hasEnded_) {
             co_await reader->async_receive(asio::as_tuple(asio::use_awaitable));
             continue;
         }
@@ -112,7 +112,7 @@
             co_return false;
         context_.metrics_.observe(Histogram::CopyAcknowledged, steadyNow() - sentAt);
         generation->setReadable(copied);
-        if (!progress.isOver_)
+        if (!progress.hasEnded_)
             continue;
         generation->setReadableToEnd();
         stream->finish();
@@ -120,14 +120,14 @@
     }
 }
 
-asio::awaitable<void> GenerationOwner::handOverOne(GenerationPtr generation)
+asio::awaitable<void> GenerationOwner::handOverGeneration(GenerationPtr generation)
 {
     // The replica has the record already, so it comes first.
     std::vector<VmId> candidates { { generation->replica() } };
     for (const VmId& node : replicaCandidates(generation->id(), {}))
         candidates.push_back(node);
-    if (candidates.size() > mostReplicasTried)
-        candidates.resize(mostReplicasTried);
+    if (candidates.size() > maxReplicasTried)
+        candidates.resize(maxReplicasTried);
     wire::Frame frame;
     *frame.mutable_record_handover()->mutable_record() = generation->beginHandover();
     for (const VmId& candidate : candidates) {
@@ -148,8 +148,8 @@
 asio::awaitable<void> GenerationOwner::handOver()
 {
     for (const GenerationPtr& generation : all()) {
-        if (!generation->isOver())
-            co_await handOverOne(generation);
+        if (!generation->hasEnded())
+            co_await handOverGeneration(generation);
     }
 }
 
--- a/lib/Node/ReplicaStore.cpp
+++ b/lib/Node/ReplicaStore.cpp
@@ -12,7 +12,7 @@
 namespace {
 
     constexpr milliseconds ownerTimeout { 500 };
-    constexpr milliseconds watchPeriod { 250 };
+    constexpr milliseconds checkPeriod { 250 };
 
     wire::Frame ackFrame()
     {
@@ -26,9 +26,9 @@
 struct ReplicaStore::Replica {
     std::mutex mutex_;
     wire::GenerationRecord record_;
-    bool isOver_ = false;
+    bool hasEnded_ = false;
     /// Its owner is being asked, or has lost it to us.
-    std::atomic<bool> isChecked_ { false };
+    std::atomic<bool> isCheckingOwner_ { false };
     std::atomic<bool> isTakenOver_ { false };
     SteadyTime changedAt_ = steadyNow();
 };
@@ -42,7 +42,7 @@
 
 void ReplicaStore::start()
 {
-    context_.spawn(watchLoop());
+    context_.spawn(checkLoop());
 }
 
 ReplicaStore::ReplicaPtr ReplicaStore::find(const std::string& requestId) const
@@ -86,10 +86,10 @@
         if (!frame.value().has_record_progress() || !applyProgress(*replica, frame.value()))
             break;
         acknowledged = co_await stream->send(ackFrame());
-        if (replica->isOver_)
+        if (replica->hasEnded_)
             co_return;
     }
-    if (!replica->isOver_ && !replica->isChecked_.exchange(true))
+    if (!replica->hasEnded_ && !replica->isCheckingOwner_.exchange(true))
         context_.spawn(takeOverIfOrphaned(replica));
 }
 
@@ -109,14 +109,14 @@
     replica.changedAt_ = steadyNow();
     if (!progress.is_finished())
         return true;
-    replica.isOver_ = true;
+    replica.hasEnded_ = true;
     replica.record_.set_is_finished(!progress.has_failure());
     if (progress.has_failure())
         *replica.record_.mutable_failure() = progress.failure();
     return true;
 }
 
-asio::awaitable<bool> ReplicaStore::ownerStillRuns(std::string owner, std::string requestId)
+asio::awaitable<bool> ReplicaStore::ownerHasRecord(std::string owner, std::string requestId)
 {
     wire::Frame frame;
     frame.mutable_record_fetch()->set_request_id(requestId);
@@ -132,13 +132,13 @@
     std::string owner = replica->record_.owner();
     co_await sleepFor(jitter(context_.settings_.replica_.takeoverGrace_, randomBits()));
     // A newer copy, or an owner that answers, makes this copy a stale one.
-    bool isOwned = co_await ownerStillRuns(owner, requestId);
+    bool hasOwner = co_await ownerHasRecord(owner, requestId);
     if (find(requestId) != replica)
         co_return;
-    if (isOwned) {
+    if (hasOwner) {
         std::lock_guard lock(replica->mutex_);
         replica->changedAt_ = steadyNow();
-        replica->isChecked_ = false;
+        replica->isCheckingOwner_ = false;
         co_return;
     }
     replica->isTakenOver_ = true;
@@ -148,14 +148,14 @@
         record = replica->record_;
     }
     auto silent = std::chrono::duration_cast<milliseconds>(steadyNow() - replica->changedAt_);
-    std::uint64_t left = record.deadline_ms();
-    record.set_deadline_ms(left > static_cast<std::uint64_t>(silent.count()) ? left - static_cast<std::uint64_t>(silent.count()) : 0);
+    std::uint64_t remaining = record.deadline_ms();
+    record.set_deadline_ms(remaining > static_cast<std::uint64_t>(silent.count()) ? remaining - static_cast<std::uint64_t>(silent.count()) : 0);
     logger_.info("Request " + requestId + " was taken over from " + owner + ".");
     context_.metrics_.add(Counter::Takeovers);
     owner_.adopt(std::move(record));
 }
 
-wire::Frame ReplicaStore::takeHandover(const wire::RecordHandover& handover)
+wire::Frame ReplicaStore::acceptHandover(const wire::RecordHandover& handover)
 {
     {
         std::lock_guard lock(mutex_);
@@ -171,7 +171,7 @@
     if (generation && generation->read(0).isMoved_)
         generation = nullptr;
     auto replica = find(fetch.request_id());
-    if (!generation && replica && replica->isOver_) {
+    if (!generation && replica && replica->hasEnded_) {
         // A finished copy answers like a generation of our own.
         std::lock_guard lock(replica->mutex_);
         generation = std::make_shared<Generation>(replica->record_, context_.executor_);
@@ -191,19 +191,19 @@
     co_await sendAnswer(stream, generation, fetch.follow());
 }
 
-asio::awaitable<void> ReplicaStore::sendAnswer(std::shared_ptr<PeerStream> stream, GenerationPtr generation, bool doesFollow)
+asio::awaitable<void> ReplicaStore::sendAnswer(std::shared_ptr<PeerStream> stream, GenerationPtr generation, bool isFollowing)
 {
-    auto reader = doesFollow ? generation->addReader() : nullptr;
+    auto reader = isFollowing ? generation->addReader() : nullptr;
     wire::Frame head;
     wire::GenerationRecord& summary = *head.mutable_record();
     summary.set_request_id(generation->id());
     summary.set_organisation(generation->organisation());
     summary.set_model(generation->model());
     summary.set_engine(generation->engine());
-    summary.set_is_finished(generation->isOver());
+    summary.set_is_finished(generation->hasEnded());
     auto sent = co_await stream->send(head);
     std::size_t position = 0;
-    while (doesFollow && sent) {
+    while (isFollowing && sent) {
         AnswerPart part = co_await generation->next(reader, position);
         wire::Frame frame;
         for (std::string& text : part.tokens_) {
@@ -225,37 +225,37 @@
     }
 }
 
-std::vector<ReplicaStore::ReplicaPtr> ReplicaStore::silentReplicas() const
+std::vector<ReplicaStore::ReplicaPtr> ReplicaStore::replicasToCheck() const
 {
     std::vector<ReplicaPtr> silent;
     std::lock_guard lock(mutex_);
     for (const auto& [id, replica] : replicas_) {
         std::lock_guard inner(replica->mutex_);
-        if (!replica->isOver_ && !replica->isChecked_ && steadyNow() - replica->changedAt_ > context_.settings_.replica_.ownerSilence_)
+        if (!replica->hasEnded_ && !replica->isCheckingOwner_ && steadyNow() - replica->changedAt_ > context_.settings_.replica_.ownerSilence_)
             silent.push_back(replica);
     }
     return silent;
 }
 
-void ReplicaStore::dropOld()
+void ReplicaStore::removeExpired()
 {
     std::lock_guard lock(mutex_);
     std::erase_if(replicas_, [&](const auto& item) {
         std::lock_guard inner(item.second->mutex_);
-        milliseconds kept = context_.settings_.caller_.answersKept_;
-        milliseconds silence = item.second->isOver_ ? kept : kept + milliseconds(item.second->record_.deadline_ms());
-        return steadyNow() - item.second->changedAt_ > silence;
+        milliseconds answerRetention = context_.settings_.caller_.answersKept_;
+        milliseconds retention = item.second->hasEnded_ ? answerRetention : answerRetention + milliseconds(item.second->record_.deadline_ms());
+        return steadyNow() - item.second->changedAt_ > retention;
     });
 }
 
 // A frozen owner keeps its connections; only its silence tells.
-asio::awaitable<void> ReplicaStore::watchLoop()
+asio::awaitable<void> ReplicaStore::checkLoop()
 {
     for (;;) {
-        co_await sleepFor(watchPeriod);
-        dropOld();
-        for (const ReplicaPtr& replica : silentReplicas()) {
-            replica->isChecked_ = true;
+        co_await sleepFor(checkPeriod);
+        removeExpired();
+        for (const ReplicaPtr& replica : replicasToCheck()) {
+            replica->isCheckingOwner_ = true;
             context_.spawn(takeOverIfOrphaned(replica));
         }
     }
--- a/lib/Node/ReplicaStore.h
+++ b/lib/Node/ReplicaStore.h
@@ -26,7 +26,7 @@
     asio::awaitable<void> serveCopy(std::shared_ptr<PeerStream> stream, const wire::RecordCopy& copy);
     /// Sends the answer of a record that we own or hold finished.
     asio::awaitable<void> serveFetch(std::shared_ptr<PeerStream> stream, const wire::RecordFetch& fetch);
-    wire::Frame takeHandover(const wire::RecordHandover& handover);
+    wire::Frame acceptHandover(const wire::RecordHandover& handover);
     std::size_t size() const;
 
 private:
@@ -36,11 +36,11 @@
     ReplicaPtr find(const std::string& requestId) const;
     bool applyProgress(Replica& replica, const wire::Frame& frame);
     asio::awaitable<void> takeOverIfOrphaned(ReplicaPtr replica);
-    asio::awaitable<bool> ownerStillRuns(std::string owner, std::string requestId);
-    asio::awaitable<void> sendAnswer(std::shared_ptr<PeerStream> stream, GenerationPtr generation, bool doesFollow);
-    asio::awaitable<void> watchLoop();
-    std::vector<ReplicaPtr> silentReplicas() const;
-    void dropOld();
+    asio::awaitable<bool> ownerHasRecord(std::string owner, std::string requestId);
+    asio::awaitable<void> sendAnswer(std::shared_ptr<PeerStream> stream, GenerationPtr generation, bool isFollowing);
+    asio::awaitable<void> checkLoop();
+    std::vector<ReplicaPtr> replicasToCheck() const;
+    void removeExpired();
 
     NodeContext& context_;
     GenerationOwner& owner_;
--- a/lib/Node/ServiceRouter.cpp
+++ b/lib/Node/ServiceRouter.cpp
@@ -61,7 +61,7 @@
 asio::awaitable<wire::Frame> ServiceRouter::dispatchTo(wire::ServiceCall call, VmId backend)
 {
     auto view = context_.membership();
-    VmId home = router_.homeOf(*view, backend, {});
+    VmId home = router_.dispatcherOf(*view, backend, {});
     call.set_backend(backend.value_);
     wire::Frame frame;
     *frame.mutable_call() = call;
--- a/lib/Node/ServiceRouter.h
+++ b/lib/Node/ServiceRouter.h
@@ -6,7 +6,7 @@
 //===----------------------------------------------------------------------===//
 #pragma once
 
-#include "BackendHome.h"
+#include "BackendDispatcher.h"
 #include "EngineRouter.h"
 #include "RunKeeper.h"
 
--- a/lib/Node/SlotTable.cpp
+++ b/lib/Node/SlotTable.cpp
@@ -12,17 +12,17 @@
 
 namespace {
 
-    constexpr auto tokenOf = asio::as_tuple(asio::use_awaitable);
+    constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
     // Weight of the newest sample in the mean time a slot is held, one in eight.
-    constexpr int meanShift = 8;
-    constexpr milliseconds leastRetry { 50 };
+    constexpr int meanWeightDivisor = 8;
+    constexpr milliseconds minRetryAfter { 50 };
 
     using Signal = asio::experimental::concurrent_channel<void(boost::system::error_code)>;
 
 } // namespace
 
-struct SlotTable::Waiting {
-    Waiting(std::uint64_t id, ServiceClass serviceClass, const asio::any_io_executor& executor)
+struct SlotTable::Waiter {
+    Waiter(std::uint64_t id, ServiceClass serviceClass, const asio::any_io_executor& executor)
         : id_(id)
         , class_(serviceClass)
         , granted_(executor, 1)
@@ -39,21 +39,21 @@
     : table_(table)
     , server_(std::move(server))
     , class_(serviceClass)
-    , began_(steadyNow())
+    , startedAt_(steadyNow())
 {
 }
 
 Slot::~Slot()
 {
     if (table_)
-        table_->release(server_, class_, std::chrono::duration_cast<milliseconds>(steadyNow() - began_));
+        table_->release(server_, class_, std::chrono::duration_cast<milliseconds>(steadyNow() - startedAt_));
 }
 
 Slot::Slot(Slot&& other) noexcept
     : table_(std::exchange(other.table_, nullptr))
     , server_(std::move(other.server_))
     , class_(other.class_)
-    , began_(other.began_)
+    , startedAt_(other.startedAt_)
 {
 }
 
@@ -62,7 +62,7 @@
     std::swap(table_, other.table_);
     std::swap(server_, other.server_);
     std::swap(class_, other.class_);
-    std::swap(began_, other.began_);
+    std::swap(startedAt_, other.startedAt_);
     return *this;
 }
 
@@ -74,102 +74,102 @@
 milliseconds SlotTable::estimateWait(const Server& server, std::uint64_t capacity, ServiceClass serviceClass)
 {
     auto ahead = static_cast<std::int64_t>(server.queue_.ahead(serviceClass) + 1);
-    return server.held_ * ahead / static_cast<std::int64_t>(std::max<std::uint64_t>(1, capacity));
+    return server.meanHoldTime_ * ahead / static_cast<std::int64_t>(std::max<std::uint64_t>(1, capacity));
 }
 
-bool SlotTable::hasRoom(const Server& server, ServiceClass serviceClass)
+bool SlotTable::hasCapacity(const Server& server, ServiceClass serviceClass)
 {
-    std::uint64_t kept = serviceClass == ServiceClass::Trial ? server.paidReserve_ : 0;
-    return server.active_ + kept < server.capacity_;
+    std::uint64_t reserved = serviceClass == ServiceClass::Trial ? server.paidReserve_ : 0;
+    return server.active_ + reserved < server.capacity_;
 }
 
-bool SlotTable::needsRoom(const Server& server)
+bool SlotTable::needsPreemption(const Server& server)
 {
     return server.trialActive_ && server.active_ + server.paidReserve_ > server.capacity_;
 }
 
-void SlotTable::start(Server& server, ServiceClass serviceClass)
+void SlotTable::occupySlot(Server& server, ServiceClass serviceClass)
 {
     ++server.active_;
     server.trialActive_ += serviceClass == ServiceClass::Trial ? 1 : 0;
 }
 
-bool SlotTable::isRefused(const Server& server, const SlotRequest& request, milliseconds wait)
+bool SlotTable::isRejected(const Server& server, const SlotRequest& request, milliseconds wait)
 {
     std::size_t ahead = server.queue_.ahead(request.class_);
     // Each paid request that waits has a trial yield to it.
     bool canPreempt = request.class_ == ServiceClass::Paid && server.trialActive_ > ahead;
     if (canPreempt)
         return false;
-    return !request.mayQueue_ || ahead >= request.queueBound_ || wait > request.patience_;
+    return !request.mayQueue_ || ahead >= request.queueBound_ || wait > request.waitLimit_;
 }
 
 asio::awaitable<Result<Slot>> SlotTable::acquire(SlotRequest request)
 {
     auto executor = co_await asio::this_coro::executor;
-    std::shared_ptr<Waiting> waiting;
-    bool shallPreempt = false;
+    std::shared_ptr<Waiter> waiter;
+    bool shouldPreempt = false;
     {
         std::lock_guard lock(mutex_);
         Server& server = servers_[request.server_];
         server.capacity_ = request.capacity_;
         server.paidReserve_ = std::min(request.paidReserve_, request.capacity_ - 1);
-        bool hasStarted = hasRoom(server, request.class_) && !server.queue_.ahead(request.class_);
+        bool isAdmitted = hasCapacity(server, request.class_) && !server.queue_.ahead(request.class_);
         milliseconds wait = estimateWait(server, request.capacity_, request.class_);
-        if (!hasStarted && isRefused(server, request, wait))
-            co_return Error { Errc::Overloaded, "admit at home", request.server_.value_, "the backend server is full", Ran::No, std::max(leastRetry, wait) };
-        if (hasStarted) {
-            start(server, request.class_);
+        if (!isAdmitted && isRejected(server, request, wait))
+            co_return Error { Errc::Overloaded, "admit at home", request.server_.value_, "the backend server is full", Ran::No, std::max(minRetryAfter, wait) };
+        if (isAdmitted) {
+            occupySlot(server, request.class_);
         } else {
-            waiting = std::make_shared<Waiting>(nextId_++, request.class_, executor);
-            server.waiting_[waiting->id_] = waiting;
-            server.queue_.push({ waiting->id_, request.entry_, request.class_, request.weight_, request.cost_ });
+            waiter = std::make_shared<Waiter>(nextId_++, request.class_, executor);
+            server.waiters_[waiter->id_] = waiter;
+            server.queue_.push({ waiter->id_, request.entry_, request.class_, request.weight_, request.cost_ });
         }
-        shallPreempt = request.class_ == ServiceClass::Paid && (waiting || needsRoom(server));
+        shouldPreempt = request.class_ == ServiceClass::Paid && (waiter || needsPreemption(server));
     }
-    if (shallPreempt)
+    if (shouldPreempt)
         preempt_(request.server_);
-    if (!waiting)
+    if (!waiter)
         co_return Slot(this, request.server_, request.class_);
-    SteadyTimer timer(executor, request.patience_);
-    timer.async_wait([waiting](boost::system::error_code code) {
+    SteadyTimer timer(executor, request.waitLimit_);
+    timer.async_wait([waiter](boost::system::error_code code) {
         if (!code)
-            waiting->granted_.close();
+            waiter->granted_.close();
     });
-    co_await waiting->granted_.async_receive(tokenOf);
+    co_await waiter->granted_.async_receive(asTuple);
     timer.cancel();
     std::lock_guard lock(mutex_);
-    if (waiting->isGranted_)
+    if (waiter->isGranted_)
         co_return Slot(this, request.server_, request.class_);
     Server& server = servers_[request.server_];
-    server.waiting_.erase(waiting->id_);
-    server.queue_.remove(waiting->id_);
-    co_return Error { Errc::Overloaded, "wait at home", request.server_.value_, "no slot became free in time", Ran::No, std::max(leastRetry, server.held_) };
+    server.waiters_.erase(waiter->id_);
+    server.queue_.remove(waiter->id_);
+    co_return Error { Errc::Overloaded, "wait at home", request.server_.value_, "no slot became free in time", Ran::No, std::max(minRetryAfter, server.meanHoldTime_) };
 }
 
-void SlotTable::release(const VmId& serverId, ServiceClass serviceClass, milliseconds held)
+void SlotTable::release(const VmId& serverId, ServiceClass serviceClass, milliseconds holdTime)
 {
     std::lock_guard lock(mutex_);
     Server& server = servers_[serverId];
-    server.held_ += (held - server.held_) / meanShift;
+    server.meanHoldTime_ += (holdTime - server.meanHoldTime_) / meanWeightDivisor;
     --server.active_;
     server.trialActive_ -= serviceClass == ServiceClass::Trial ? 1 : 0;
-    startNext(server);
+    grantNext(server);
 }
 
-void SlotTable::startNext(Server& server)
+void SlotTable::grantNext(Server& server)
 {
     for (;;) {
         bool isPaidNext = server.queue_.ahead(ServiceClass::Paid) > 0;
-        if (!server.queue_.size() || !hasRoom(server, isPaidNext ? ServiceClass::Paid : ServiceClass::Trial))
+        if (!server.queue_.size() || !hasCapacity(server, isPaidNext ? ServiceClass::Paid : ServiceClass::Trial))
             return;
-        auto found = server.waiting_.find(server.queue_.pop()->id_);
-        if (found == server.waiting_.end())
+        auto found = server.waiters_.find(server.queue_.pop()->id_);
+        if (found == server.waiters_.end())
             continue;
-        start(server, found->second->class_);
+        occupySlot(server, found->second->class_);
         found->second->isGranted_ = true;
         found->second->granted_.try_send(boost::system::error_code {});
-        server.waiting_.erase(found);
+        server.waiters_.erase(found);
     }
 }
 
--- a/lib/Node/SlotTable.h
+++ b/lib/Node/SlotTable.h
@@ -31,7 +31,7 @@
     SlotTable* table_ = nullptr;
     VmId server_;
     ServiceClass class_ = ServiceClass::Paid;
-    SteadyTime began_;
+    SteadyTime startedAt_;
 };
 
 struct SlotRequest {
@@ -46,7 +46,7 @@
     std::uint64_t cost_ = 1;
     bool mayQueue_ = false;
     std::uint64_t queueBound_ = 0;
-    milliseconds patience_ {};
+    milliseconds waitLimit_ {};
 };
 
 class SlotTable {
@@ -64,25 +64,25 @@
 
 private:
     friend class Slot;
-    struct Waiting;
+    struct Waiter;
     struct Server {
         std::uint64_t active_ = 0;
         std::uint64_t trialActive_ = 0;
         std::uint64_t capacity_ = 1;
         std::uint64_t paidReserve_ = 0;
         FairQueue queue_;
-        std::map<std::uint64_t, std::shared_ptr<Waiting>> waiting_;
+        std::map<std::uint64_t, std::shared_ptr<Waiter>> waiters_;
         /// Mean time a slot is held, over the last few.
-        milliseconds held_ { 200 };
+        milliseconds meanHoldTime_ { 200 };
     };
 
-    void release(const VmId& server, ServiceClass serviceClass, milliseconds held);
-    static bool hasRoom(const Server& server, ServiceClass serviceClass);
-    static void start(Server& server, ServiceClass serviceClass);
-    static void startNext(Server& server);
+    void release(const VmId& server, ServiceClass serviceClass, milliseconds holdTime);
+    static bool hasCapacity(const Server& server, ServiceClass serviceClass);
+    static void occupySlot(Server& server, ServiceClass serviceClass);
+    static void grantNext(Server& server);
     /// Whether a trial should yield so that the next paid request finds room.
-    static bool needsRoom(const Server& server);
-    static bool isRefused(const Server& server, const SlotRequest& request, milliseconds wait);
+    static bool needsPreemption(const Server& server);
+    static bool isRejected(const Server& server, const SlotRequest& request, milliseconds wait);
     static milliseconds estimateWait(const Server& server, std::uint64_t capacity, ServiceClass serviceClass);
 
     PreemptHook preempt_;
--- a/unittests/Node/GenerationTest.cpp
+++ b/unittests/Node/GenerationTest.cpp
@@ -79,7 +79,7 @@
     struct ChunkCase {
         std::string name_;
         wire::TokenChunk chunk_;
-        bool isTaken_;
+        bool isAccepted_;
         std::size_t tokens_;
     };
     auto chunkCase = GENERATE(values<ChunkCase>({
@@ -98,7 +98,7 @@
     REQUIRE(generation.append(chunk(1, { 0 })));
     generation.startAttempt();
     REQUIRE(generation.append(chunk(2, { 1 })));
-    CHECK(static_cast<bool>(generation.append(chunkCase.chunk_)) == chunkCase.isTaken_);
+    CHECK(static_cast<bool>(generation.append(chunkCase.chunk_)) == chunkCase.isAccepted_);
     generation.setReadableToEnd();
     auto part = generation.read(0);
     REQUIRE(part.tokens_.size() == chunkCase.tokens_);
@@ -108,8 +108,8 @@
 
 TEST_CASE("a resumed answer goes on after the same text and starts again after another")
 {
-    EventWriter whole("r", std::nullopt);
-    std::string events = whole.tokens({ "a", "b", "c" });
+    EventWriter fullAnswer("r", std::nullopt);
+    std::string events = fullAnswer.tokens({ "a", "b", "c" });
     std::size_t begin = events.find("id: 2-") + 4;
     std::string second = events.substr(begin, events.find('\n', begin) - begin);
     auto id = parseEventId(second);
--- a/unittests/Node/SlotTableTest.cpp
+++ b/unittests/Node/SlotTableTest.cpp
@@ -16,7 +16,7 @@
 
 struct Fixture {
     /// Starts an acquisition and runs what can run now.
-    void ask(const std::string& name, ServiceClass serviceClass, bool mayQueue, std::uint64_t queueBound = 10)
+    void startAcquire(const std::string& name, ServiceClass serviceClass, bool mayQueue, std::uint64_t queueBound = 10)
     {
         SlotRequest request;
         request.server_ = server;
@@ -26,25 +26,25 @@
         request.class_ = serviceClass;
         request.mayQueue_ = mayQueue;
         request.queueBound_ = queueBound;
-        request.patience_ = milliseconds(60000);
+        request.waitLimit_ = milliseconds(60000);
         auto task = [this, name, request]() -> asio::awaitable<void> {
             auto slot = co_await table_.acquire(request);
             if (slot)
-                held_[name] = std::move(slot.value());
+                slots_[name] = std::move(slot.value());
             else
-                refused_.insert(name);
+                rejected_.insert(name);
         };
         asio::co_spawn(io_, task, asio::detached);
-        settle();
+        runReady();
     }
 
     void release(const std::string& name)
     {
-        held_.erase(name);
-        settle();
+        slots_.erase(name);
+        runReady();
     }
 
-    void settle()
+    void runReady()
     {
         io_.restart();
         io_.poll();
@@ -54,8 +54,8 @@
     asio::io_context io_;
     int yields_ = 0;
     SlotTable table_ { [this](const VmId&) { ++yields_; } };
-    std::map<std::string, Slot> held_;
-    std::set<std::string> refused_;
+    std::map<std::string, Slot> slots_;
+    std::set<std::string> rejected_;
 };
 
 } // namespace
@@ -64,28 +64,28 @@
 {
     Fixture fixture;
     for (const char* name : { "t1", "t2", "t3" })
-        fixture.ask(name, ServiceClass::Trial, false);
-    CHECK(fixture.held_.size() == 3);
+        fixture.startAcquire(name, ServiceClass::Trial, false);
+    CHECK(fixture.slots_.size() == 3);
     CHECK(fixture.table_.load(server, 3).trialSlots_ == 3);
-    fixture.ask("t4", ServiceClass::Trial, true);
+    fixture.startAcquire("t4", ServiceClass::Trial, true);
     // It need not be allowed to queue: a trial yields to it.
-    fixture.ask("p1", ServiceClass::Paid, false);
+    fixture.startAcquire("p1", ServiceClass::Paid, false);
     CHECK(fixture.yields_ == 1);
-    CHECK_FALSE(fixture.refused_.contains("p1"));
+    CHECK_FALSE(fixture.rejected_.contains("p1"));
     fixture.release("t2");
-    CHECK(fixture.held_.contains("p1"));
-    CHECK_FALSE(fixture.held_.contains("t4"));
-    fixture.ask("p2", ServiceClass::Paid, false);
-    fixture.ask("p3", ServiceClass::Paid, false);
+    CHECK(fixture.slots_.contains("p1"));
+    CHECK_FALSE(fixture.slots_.contains("t4"));
+    fixture.startAcquire("p2", ServiceClass::Paid, false);
+    fixture.startAcquire("p3", ServiceClass::Paid, false);
     // Every trial has one that waits for it: the next has to queue.
-    fixture.ask("p4", ServiceClass::Paid, false);
-    CHECK(fixture.refused_.contains("p4"));
+    fixture.startAcquire("p4", ServiceClass::Paid, false);
+    CHECK(fixture.rejected_.contains("p4"));
     fixture.release("t1");
     fixture.release("t3");
-    CHECK(fixture.held_.size() == 3);
+    CHECK(fixture.slots_.size() == 3);
     CHECK(fixture.table_.load(server, 3).trialSlots_ == 0);
     fixture.release("p1");
-    CHECK(fixture.held_.contains("t4"));
+    CHECK(fixture.slots_.contains("t4"));
 }
 
 TEST_CASE("trials leave the reserve to paid work, which has it restored")
@@ -93,19 +93,19 @@
     Fixture fixture;
     fixture.reserve_ = 1;
     for (const char* name : { "t1", "t2", "t3" })
-        fixture.ask(name, ServiceClass::Trial, true);
-    CHECK(fixture.held_.size() == 2);
-    fixture.ask("p1", ServiceClass::Paid, false);
-    CHECK(fixture.held_.contains("p1"));
+        fixture.startAcquire(name, ServiceClass::Trial, true);
+    CHECK(fixture.slots_.size() == 2);
+    fixture.startAcquire("p1", ServiceClass::Paid, false);
+    CHECK(fixture.slots_.contains("p1"));
     // The reserve is used up, so a trial is to make room for the next one.
     CHECK(fixture.yields_ == 1);
     fixture.release("t1");
-    CHECK_FALSE(fixture.held_.contains("t3"));
-    fixture.ask("p2", ServiceClass::Paid, false);
-    CHECK(fixture.held_.contains("p2"));
+    CHECK_FALSE(fixture.slots_.contains("t3"));
+    fixture.startAcquire("p2", ServiceClass::Paid, false);
+    CHECK(fixture.slots_.contains("p2"));
     fixture.release("p1");
     fixture.release("p2");
-    CHECK(fixture.held_.contains("t3"));
+    CHECK(fixture.slots_.contains("t3"));
     CHECK(fixture.table_.active(server) == 2);
 }
 
@@ -113,13 +113,13 @@
 {
     Fixture fixture;
     for (const char* name : { "p1", "p2", "p3" })
-        fixture.ask(name, ServiceClass::Paid, false);
+        fixture.startAcquire(name, ServiceClass::Paid, false);
     for (const char* name : { "t1", "t2", "t3" })
-        fixture.ask(name, ServiceClass::Trial, true, 2);
-    CHECK(fixture.refused_ == std::set<std::string> { "t3" });
-    fixture.ask("p4", ServiceClass::Paid, true, 1);
-    fixture.ask("p5", ServiceClass::Paid, true, 1);
-    CHECK(fixture.refused_ == std::set<std::string> { "p5", "t3" });
+        fixture.startAcquire(name, ServiceClass::Trial, true, 2);
+    CHECK(fixture.rejected_ == std::set<std::string> { "t3" });
+    fixture.startAcquire("p4", ServiceClass::Paid, true, 1);
+    fixture.startAcquire("p5", ServiceClass::Paid, true, 1);
+    CHECK(fixture.rejected_ == std::set<std::string> { "p5", "t3" });
     fixture.release("p1");
-    CHECK(fixture.held_.contains("p4"));
+    CHECK(fixture.slots_.contains("p4"));
 }
