--- a/lib/Node/AnswerFinder.cpp
+++ b/lib/Node/AnswerFinder.cpp
@@ -1,4 +1,4 @@
-//===- lib/Node/AnswerFinder.cpp - answers wherever they are ---------------===//
+//===- lib/Node/AnswerFinder.cpp - finding answers on any node ------------===//
 ///
 /// \file
 /// See AnswerFinder.h.
@@ -13,12 +13,12 @@
 
     constexpr std::size_t maxNodesQueried = 32;
     constexpr milliseconds queryTimeout { 500 };
-    // Longer than any silence of a running generation's owner.
+    // Longer than the owner of a running generation ever sends nothing.
     constexpr milliseconds followTimeout { 60000 };
 
     AnswerPart interruptedPart(const Error& error)
     {
-        // The record lives on elsewhere: the reader is to ask again.
+        // Another node still has the record, so the reader should look it up again.
         AnswerPart part;
         part.isMoved_ = true;
         part.failure_ = error;
@@ -89,7 +89,7 @@
         co_return Error { Errc::Protocol, "find request", node.value_, "unexpected frame", Ran::Unknown, {} };
     const wire::GenerationRecord& record = head.value().record();
     AnswerSource source { requestId, record.organisation(), record.model(), record.engine(), record.is_finished(), {} };
-    // The stream is reset when the last copy of the source goes.
+    // Resets the stream when the last copy of the source is destroyed.
     auto cancelGuard = std::shared_ptr<void>(nullptr, [stream](void*) { stream->cancel(); });
     source.next_ = [stream, cancelGuard, requestId] { return nextPartFromPeer(stream, requestId); };
     co_return source;
--- a/lib/Node/BackendDispatcher.cpp
+++ b/lib/Node/BackendDispatcher.cpp
@@ -1,7 +1,7 @@
-//===- lib/Node/BackendDispatcher.cpp - dispatching to backend servers -----------===//
+//===- lib/Node/BackendDispatcher.cpp - dispatching to backend servers ----===//
 ///
 /// \file
-/// Generations and service calls at the home of their backend server.
+/// Dispatches generations and service calls to backend servers.
 //===----------------------------------------------------------------------===//
 #include "BackendDispatcher.h"
 
@@ -17,7 +17,8 @@
     constexpr int statusUnavailable = 503;
     constexpr std::uint32_t maxYields = 8;
     constexpr milliseconds closedRetryAfter { 1000 };
-    // Told as the wait of an engine that is being changed, so that others are preferred.
+    // Reported as the wait of an engine that is being reconfigured, so that entry
+    // VMs prefer other engines.
     constexpr milliseconds closedWait { 10000 };
 
     EngineRequest makeEngineRequest(const wire::GenerateRequest& request)
@@ -36,8 +37,8 @@
         return engineRequest;
     }
 
-    // A trial that was accepted is answered too: one that has yielded so often
-    // is not made to yield again.
+    // A trial that has yielded maxYields times is scheduled as paid, so that every
+    // accepted trial completes.
     ServiceClass schedulingClassOf(const wire::GenerationRecord& record)
     {
         return record.is_paid() || record.yields() >= maxYields ? ServiceClass::Paid : ServiceClass::Trial;
@@ -119,7 +120,7 @@
     if (!request.kvHandle_.empty()) {
         auto imported = co_await context_.engines_.importCache_(endpoint, request.kvHandle_);
         if (!imported) {
-            logger_.warn("Cache import failed: " + describe(imported.error()) + ".");
+            logger_.warn("KV cache import failed: " + describe(imported.error()) + ".");
             request.kvHandle_.clear();
         }
     }
@@ -146,10 +147,12 @@
         (void)co_await owner->send(failureFrame(slot.error()));
         co_return;
     }
-    // Nobody would read it: its owner gave up on us, or died, while it queued.
+    // The owner aborted the attempt or crashed while the request was queued, so
+    // nothing would read the stream.
     if (owner->isClosed())
         co_return;
-    // Asked after the wait, so that what queued for such an engine goes on elsewhere.
+    // Checked after the wait, so that requests queued for an engine that no longer
+    // admits any retry on another one.
     if (auto rejection = checkAdmission(engine)) {
         scope.span().outcome_ = describe(*rejection);
         (void)co_await owner->send(failureFrame(*rejection));
@@ -204,7 +207,7 @@
                 end.set_kv_handle(event.value().text_);
             }
             if (event.value().type_ == EngineEvent::Type::Superseded)
-                *end.mutable_failure() = toWire({ Errc::Conflict, "read engine stream", running->engine_.value_, "a newer attempt took the stream", Ran::Unknown, {} });
+                *end.mutable_failure() = toWire({ Errc::Conflict, "read engine stream", running->engine_.value_, "a newer attempt took over the stream", Ran::Unknown, {} });
             break;
         }
         running->generated_ = event.value().position_ + 1;
@@ -218,8 +221,8 @@
         if (sent)
             continue;
         stream.close_();
-        // An owner that died is followed by another, who attaches; one that
-        // cancelled wants the engine's work to stop.
+        // If the owner crashed, the engine continues, since the node that takes over
+        // attaches to the stream. If the owner cancelled, the engine stops.
         if (sent.error().code_ == Errc::Cancelled)
             co_await cancelAtEngine(running->engine_, record.request_id(), record.attempt());
         co_return;
@@ -238,7 +241,7 @@
         co_return;
     auto cancelled = co_await context_.engines_.cancel_(*endpoint, std::move(requestId), attempt);
     if (!cancelled)
-        logger_.debug("Cancel failed: " + describe(cancelled.error()) + ".");
+        logger_.debug("Cancellation at the engine failed: " + describe(cancelled.error()) + ".");
 }
 
 void BackendDispatcher::describeEnd(const RunningStream& running, wire::AttemptEnd& end)
@@ -285,7 +288,7 @@
     bool isRejected = response.value().status_ == statusUnavailable && response.value().headers_.contains("x-leaving");
     if (isRejected) {
         control_.markLeaving({ { backend, std::nullopt } });
-        co_return failureFrame({ Errc::Leaving, "dispatch", backend.value_, "the backend server refused: it is leaving", Ran::No, {} });
+        co_return failureFrame({ Errc::Leaving, "dispatch", backend.value_, "the backend server rejected the request because it is leaving", Ran::No, {} });
     }
     wire::Frame frame;
     wire::ServiceAnswer& answer = *frame.mutable_answer();
@@ -301,7 +304,7 @@
     if (context_.membership()->isLeaving(engine))
         return Error { Errc::Leaving, "dispatch", engine.value_, "the engine is leaving", Ran::No, {} };
     if (isAdmissionClosed(engine))
-        return Error { Errc::Unavailable, "dispatch", engine.value_, "the engine is being changed", Ran::No, closedRetryAfter };
+        return Error { Errc::Unavailable, "dispatch", engine.value_, "the engine is being reconfigured", Ran::No, closedRetryAfter };
     return std::nullopt;
 }
 
--- a/lib/Node/BackendDispatcher.h
+++ b/lib/Node/BackendDispatcher.h
@@ -1,10 +1,11 @@
-//===- lib/Node/BackendDispatcher.h - the home of backend servers ----------------===//
+//===- lib/Node/BackendDispatcher.h - dispatcher of backend servers -------===//
 ///
 /// \file
-/// A node is the home of the backend servers that rendezvous hashing gives it.
-/// It alone dispatches to them, so their concurrency is exact, and it enforces
-/// their leaving. Two nodes that both believe to be a server's home may admit
-/// too much between them; the server's own queue then takes the difference.
+/// Rendezvous hashing assigns each backend server to one node, its dispatcher.
+/// Only the dispatcher sends requests to the server, so the server's concurrency
+/// is exact, and it moves streams off a server that is leaving. Two nodes that both
+/// consider themselves the dispatcher may together exceed the concurrency; the
+/// server's own queue then holds the excess.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -20,31 +21,37 @@
 
 namespace pistachioloom {
 
+/// Dispatches generations and service calls to the backend servers that are
+/// assigned to this node.
 class BackendDispatcher {
 public:
     BackendDispatcher(NodeContext& context, ControlPlane& control);
 
     void start();
 
-    /// Runs one attempt of a generation and streams it to its owner.
+    /// Runs one attempt of a generation and streams its tokens to \p owner. Failures
+    /// are sent to the owner.
     asio::awaitable<void> serveGeneration(std::shared_ptr<PeerStream> owner, const wire::GenerateRequest& request);
-    /// Dispatches one call to a plain service.
+    /// Dispatches one call to a service that is not a model engine. \returns the
+    /// answer or a failure.
     asio::awaitable<wire::Frame> callService(const wire::ServiceCall& call);
 
-    /// Load per model of the engines that are ours.
+    /// \returns the total load of this node's engines by model.
     std::map<std::string, ModelLoad> loads() const;
-    /// Generations running through this home.
+    /// \returns the number of generations that run through this dispatcher.
     std::size_t running() const;
-    /// Ends every stream such that its owner attaches through another home.
+    /// Ends every stream in a way that lets its owner attach to the engine through
+    /// another dispatcher.
     void handOverStreams();
 
-    /// Engines whose home we are.
+    /// \returns the engines whose dispatcher this node is.
     std::vector<VmId> ownEngines() const;
-    /// Requests that \p engine works on through us.
+    /// \returns the number of requests that \p engine runs for this dispatcher.
     std::uint64_t active(const VmId& engine) const { return slots_.active(engine); }
     enum class Admission {
         Open,
-        /// Nothing new is dispatched; what queues is told to go elsewhere.
+        /// Nothing new is dispatched. Queued requests are rejected, so that they
+        /// retry on another engine.
         Closed,
     };
     void setAdmission(const VmId& engine, Admission admission);
@@ -57,7 +64,7 @@
     std::vector<EngineLoad> engineLoads() const;
 
 private:
-    /// Why a running stream is to end here.
+    /// Why this dispatcher ends a running stream.
     enum class EndReason {
         None,
         MoveCache,
@@ -69,7 +76,7 @@
     struct RunningStream {
         std::string requestId_;
         VmId engine_;
-        /// Trial for whoever may be made to yield.
+        /// Trial if the stream may be made to yield.
         ServiceClass class_ = ServiceClass::Paid;
         std::uint32_t yields_ = 0;
         std::uint64_t promptTokens_ = 0;
@@ -82,7 +89,8 @@
     using RunningStreamPtr = std::shared_ptr<RunningStream>;
 
     static RunningStreamPtr makeRunningStream(const wire::GenerateRequest& request);
-    /// Imports the cache that \p request names, then starts or attaches.
+    /// Imports the KV cache that \p request names, if any, and then starts the
+    /// generation or attaches to it.
     asio::awaitable<Result<EngineStream>> openAtEngine(Endpoint endpoint, EngineRequest request);
     asio::awaitable<Result<Slot>> acquireSlot(const wire::GenerateRequest& request);
     asio::awaitable<void> forward(std::shared_ptr<PeerStream> owner, const wire::GenerateRequest& request, EngineStream stream, RunningStreamPtr running);
@@ -98,8 +106,9 @@
     std::uint64_t paidReserveOf(std::string_view backend) const;
     std::uint64_t concurrencyOf(std::string_view backend) const;
     bool isDispatcherOf(const VmId& server) const;
-    bool isAdmissionClosed(const VmId& engine) const;
+    /// \returns why \p engine admits no requests, or nullopt if it does.
     std::optional<Error> checkAdmission(const VmId& engine) const;
+    bool isAdmissionClosed(const VmId& engine) const;
 
     NodeContext& context_;
     ControlPlane& control_;
@@ -110,8 +119,8 @@
     std::set<VmId> closedEngines_;
 };
 
-/// Tokens that a prompt takes, as far as planning needs to know: one for every
-/// four bytes, the usual rule of thumb for text.
+/// Estimates the number of tokens of \p prompt at four bytes per token, the usual
+/// rule of thumb for text. The estimate is only used for scheduling.
 std::uint64_t promptTokens(std::string_view prompt);
 
 } // namespace pistachioloom
--- a/lib/Node/CompletionEvent.h
+++ b/lib/Node/CompletionEvent.h
@@ -1,7 +1,7 @@
-//===- lib/Node/CompletionEvent.h - many coroutines wait for one ----------------===//
+//===- lib/Node/CompletionEvent.h - one-time event for coroutines ---------===//
 ///
 /// \file
-/// Lets coroutines wait for something that one of them does for all.
+/// Lets coroutines wait for an operation that one of them performs for all.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -12,6 +12,7 @@
 
 namespace pistachioloom {
 
+/// An event that completes once and wakes all coroutines that wait for it.
 class CompletionEvent {
 public:
     explicit CompletionEvent(const asio::any_io_executor& executor)
@@ -19,7 +20,7 @@
     {
     }
 
-    /// Returns once open() was called.
+    /// Returns after complete() was called.
     asio::awaitable<void> wait() { co_await channel_.async_receive(asio::as_tuple(asio::use_awaitable)); }
     void complete() { channel_.close(); }
 
--- a/lib/Node/EngineOrders.cpp
+++ b/lib/Node/EngineOrders.cpp
@@ -1,4 +1,4 @@
-//===- lib/Node/EngineOrders.cpp - bringing engines to their configuration -===//
+//===- lib/Node/EngineOrders.cpp - configuration of engines ---------------===//
 ///
 /// \file
 /// See EngineOrders.h.
@@ -13,7 +13,7 @@
 
     const std::string claimsStream = "claims";
     constexpr milliseconds appendTimeout { 1000 };
-    // A settled engine is looked at once in so many periods.
+    // A settled engine is checked once in this number of periods.
     constexpr int settledCheckPeriods = 20;
 
 } // namespace
@@ -61,7 +61,8 @@
     }
     std::vector<VmId> due;
     std::lock_guard lock(mutex_);
-    // An engine that is not ours any more is its new home's to hold.
+    // Only the new dispatcher of an engine may close its admission, so this node
+    // opens the admission of engines that it no longer dispatches to.
     std::erase_if(managed_, [&](const auto& item) {
         bool isNoLongerOwn = !wantedByEngine.contains(item.first) && !item.second.isReconciling_;
         if (isNoLongerOwn)
@@ -116,7 +117,8 @@
     bool isDifferent = state.value().configuration_ != *entry->backend_->configuration_ || state.value().isLoading_;
     bool needsClaims = isDifferent;
     {
-        // The first look also finds a claim that a home before us left open.
+        // Claims are also read on the first reconciliation, since a previous dispatcher
+        // may have left one open.
         std::lock_guard lock(mutex_);
         needsClaims |= !managed_[engine].wasReconciled_ || claims_.find(engine);
     }
@@ -195,16 +197,16 @@
             managed_[engine].orderedAt_.reset();
     }
     context_.metrics_.add(Counter::LogAppends);
-    // Without an answer the next look at the log tells; a second claim of ours
-    // changes nothing.
+    // If the append is not confirmed, the next read of the log shows whether the
+    // claim was written. A second claim of this node has no effect.
     auto appended = co_await context_.log_.append_(claimsStream, encodeClaim(claim), appendTimeout);
     if (!appended)
-        logger_.warn("Claim on engine " + engine.value_ + " is not known to be written: " + describe(appended.error()) + ".");
+        logger_.warn("Claim on engine " + engine.value_ + " may not have been written: " + describe(appended.error()) + ".");
 }
 
 asio::awaitable<void> EngineOrders::order(VmId engine, Endpoint endpoint, FencingToken token, EngineConfiguration wanted)
 {
-    logger_.info("Engine " + engine.value_ + " is ordered to version " + wanted.version_ + " with token " + std::to_string(token.value_) + ".");
+    logger_.info("Ordering engine " + engine.value_ + " to run version " + wanted.version_ + " with token " + std::to_string(token.value_) + ".");
     context_.metrics_.add(Counter::EngineOrders);
     auto ordered = co_await context_.engines_.order_(std::move(endpoint), token, std::move(wanted));
     std::lock_guard lock(mutex_);
@@ -213,8 +215,8 @@
         managed.orderedAt_ = steadyNow();
         co_return;
     }
-    logger_.warn("Engine " + engine.value_ + " refused an order: " + describe(ordered.error()) + ".");
-    // A claim that the engine calls stale is given up for a new one.
+    logger_.warn("Engine " + engine.value_ + " rejected an order: " + describe(ordered.error()) + ".");
+    // If the engine rejects the claim's token as stale, a new claim replaces it.
     managed.claimedAt_ = {};
 }
 
--- a/lib/Node/EngineOrders.h
+++ b/lib/Node/EngineOrders.h
@@ -1,9 +1,10 @@
-//===- lib/Node/EngineOrders.h - bringing engines to their configuration ---===//
+//===- lib/Node/EngineOrders.h - configuration of engines -----------------===//
 ///
 /// \file
-/// A home reads the state of its engines and, where the catalogue states
-/// another configuration, does what the Orders library says: claim in the log,
-/// let the engine run empty, order, and end the claim when it is there.
+/// A dispatcher reads the state of its engines and reconciles each one whose
+/// configuration differs from the catalogue's. The Orders library chooses the steps:
+/// append a claim to the log, drain the engine, send the order, and end the claim
+/// when the engine runs the configuration.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -12,23 +13,25 @@
 
 namespace pistachioloom {
 
+/// Reconciles the configurations of this node's engines with the catalogue.
 class EngineOrders {
 public:
     EngineOrders(NodeContext& context, BackendDispatcher& dispatcher);
 
     void start();
 
-    /// What is known of an engine of ours.
+    /// State of one of this node's engines.
     struct Status {
         std::string version_;
         std::string wanted_;
         OrderStep step_ = OrderStep::Settled;
     };
-    /// Empty for an engine that the catalogue leaves as it is.
+    /// \returns nullopt for an engine that has not been reconciled yet or for which the
+    /// catalogue states no configuration.
     std::optional<Status> statusOf(const VmId& engine) const;
 
 private:
-    /// One engine whose home we are.
+    /// An engine whose dispatcher this node is.
     struct ManagedEngine {
         EngineConfiguration wanted_;
         SteadyTime claimedAt_;
@@ -40,7 +43,7 @@
     };
 
     asio::awaitable<void> loop();
-    /// Engines whose turn it is, marked as being visited.
+    /// \returns the engines that are due for reconciliation, marked as reconciling.
     std::vector<VmId> takeDueEngines();
     asio::awaitable<void> reconcile(VmId engine);
     asio::awaitable<void> advance(VmId engine, Endpoint endpoint, std::shared_ptr<const CatalogueEntry> entry);
--- a/lib/Node/EngineReclaim.cpp
+++ b/lib/Node/EngineReclaim.cpp
@@ -1,8 +1,8 @@
-//===- lib/Node/EngineReclaim.cpp - streams of engines that leave -------------===//
+//===- lib/Node/EngineReclaim.cpp - streams of leaving engines ------------===//
 ///
 /// \file
-/// Carries out the plans of the Reclaim library for the engines whose home we
-/// are, and makes room for paid work.
+/// Carries out the plans of the Reclaim library for this dispatcher's engines, and
+/// preempts trials for paid requests.
 //===----------------------------------------------------------------------===//
 #include "BackendDispatcher.h"
 
@@ -78,7 +78,7 @@
         std::uint64_t remaining = running->maxTokens_ > generated ? running->maxTokens_ - generated : 0;
         streams.push_back({ { running->requestId_ }, running->class_, running->promptTokens_, generated, remaining });
         byRequest[{ running->requestId_ }] = running;
-        // The pace of this engine, from the stream that tells most about it.
+        // The slowest stream determines the engine's time per token.
         auto elapsed = std::chrono::duration_cast<milliseconds>(steadyNow() - running->startedAt_);
         if (generated)
             cost.perToken_ = std::max(cost.perToken_, elapsed / static_cast<std::int64_t>(generated));
@@ -87,7 +87,7 @@
         RunningStreamPtr running = byRequest[step.request_];
         if (step.action_ == ReclaimAction::FinishInPlace)
             continue;
-        logger_.info("Request " + step.request_.value_ + " leaves engine " + engine.value_ + ": " + std::string(toString(step.action_)) + ".");
+        logger_.info("Request " + step.request_.value_ + " has to leave engine " + engine.value_ + ": " + std::string(toString(step.action_)) + ".");
         if (step.action_ == ReclaimAction::Recompute) {
             endStream(*running, EndReason::Recompute);
             continue;
@@ -106,12 +106,12 @@
     }
     auto handle = co_await context_.engines_.exportCache_(*endpoint, running->requestId_);
     if (!handle) {
-        logger_.warn("Cache export failed: " + describe(handle.error()) + ".");
+        logger_.warn("KV cache export failed: " + describe(handle.error()) + ".");
         endStream(*running, EndReason::Recompute);
         co_return;
     }
-    // The engine ends the stream itself, after the last token before the
-    // export, and that event brings the handle to forward().
+    // The engine ends the stream after the last token that precedes the export.
+    // The event of that end passes the handle to forward().
 }
 
 void BackendDispatcher::endStream(RunningStream& running, EndReason reason)
@@ -122,8 +122,8 @@
 
 void BackendDispatcher::preemptTrial(const VmId& engine)
 {
-    // Who has yielded least often, so that no trial starves; then whoever loses
-    // the fewest tokens.
+    // Prefers the trial that has yielded least often, so that none starves, and then
+    // the one that loses the fewest tokens.
     auto shouldYieldBefore = [](const RunningStream& left, const RunningStream& right) {
         return std::pair(left.yields_, left.generated_.load()) < std::pair(right.yields_, right.generated_.load());
     };
@@ -134,7 +134,7 @@
     }
     if (!chosen)
         return;
-    logger_.info("Trial request " + chosen->requestId_ + " yields engine " + engine.value_ + " to paid work.");
+    logger_.info("Trial request " + chosen->requestId_ + " yields its slot on engine " + engine.value_ + " to a paid request.");
     context_.metrics_.add(Counter::TrialsYielded);
     endStream(*chosen, EndReason::Preempted);
 }
--- a/lib/Node/EngineRouter.cpp
+++ b/lib/Node/EngineRouter.cpp
@@ -1,4 +1,4 @@
-//===- lib/Node/EngineRouter.cpp - candidates for a generation -------------===//
+//===- lib/Node/EngineRouter.cpp - candidates for a generation ------------===//
 ///
 /// \file
 /// See EngineRouter.h.
@@ -14,7 +14,8 @@
     constexpr std::size_t topRanked = 2;
     constexpr std::size_t others = 2;
     constexpr std::size_t maxExplanations = 512;
-    // Between data centres of one region; spilling must gain more than this.
+    // Network latency between the data centres of one region. A remote engine is
+    // preferred only if it saves more than this.
     constexpr milliseconds remoteNetworkLatency { 5 };
     constexpr milliseconds prefillPerBlock { 10 };
     constexpr ModelLoad unknownLoad { 1, 0, {}, 0 };
--- a/lib/Node/EngineRouter.h
+++ b/lib/Node/EngineRouter.h
@@ -1,8 +1,8 @@
-//===- lib/Node/EngineRouter.h - candidates for a generation ---------------===//
+//===- lib/Node/EngineRouter.h - candidates for a generation --------------===//
 ///
 /// \file
-/// Feeds the Routing library from the picture of membership, and remembers
-/// for operators why an engine was chosen.
+/// Passes the membership view to the Routing library, and keeps the estimates of
+/// recent choices for operators.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -15,27 +15,32 @@
 
 namespace pistachioloom {
 
+/// The request for which an engine is chosen.
 struct RoutingQuery {
     std::string requestId_;
     std::string model_;
     std::string prompt_;
     milliseconds latencyTarget_ {};
     bool isPaid_ = true;
-    /// Engines and homes that failed this request.
+    /// Engines and dispatchers that failed this request.
     std::set<VmId> excluded_;
 };
 
+/// Chooses engines for generations.
 class EngineRouter {
 public:
     explicit EngineRouter(NodeContext& context);
 
-    /// The engines to try, best first; none if no engine serves the model.
+    /// \returns the engines to try, best first; empty if no engine serves the model.
     std::vector<EngineCandidate> choose(const RoutingQuery& query);
-    /// Counts a request sent to \p dispatcher, until its next digest.
+    /// Counts a request sent to \p dispatcher. The count lasts until the
+    /// dispatcher's next digest.
     void countSent(const VmId& dispatcher, const std::string& model);
-    /// JSON of the candidates looked at for \p requestId, or an empty string.
+    /// \returns the candidates considered for \p requestId as JSON, or an empty string
+    /// if they are not known.
     std::string explain(const std::string& requestId) const;
-    /// The node that takes the role of home for \p server, outside \p excluded.
+    /// \returns the dispatcher of \p server among the nodes that are not in
+    /// \p excluded; empty if there is none.
     VmId dispatcherOf(const MembershipView& view, const VmId& server, const std::set<VmId>& excluded) const;
 
 private:
--- a/lib/Node/EventStream.cpp
+++ b/lib/Node/EventStream.cpp
@@ -1,4 +1,4 @@
-//===- lib/Node/EventStream.cpp - answers as server-sent events ------------===//
+//===- lib/Node/EventStream.cpp - answers as server-sent events -----------===//
 ///
 /// \file
 /// See EventStream.h.
@@ -95,7 +95,8 @@
     resume_.reset();
     if (skipped_.empty())
         return {};
-    // Not the text that the caller has: it is to drop that and take this.
+    // The caller has another text. It has to discard that text and read this one
+    // from the start.
     std::string events = event("restart", "0-0", "{}");
     EventId id;
     for (const std::string& text : skipped_) {
@@ -108,7 +109,7 @@
 
 std::string EventWriter::done()
 {
-    // An answer shorter than what the caller claims to have is another answer.
+    // An answer with fewer tokens than the caller states to have is another text.
     bool callerHasNothing = resume_ && !resume_->tokens_;
     std::string events = resume_ && !callerHasNothing ? flushSkipped() : std::string();
     return events + event({}, {}, "[DONE]");
--- a/lib/Node/EventStream.h
+++ b/lib/Node/EventStream.h
@@ -1,10 +1,10 @@
-//===- lib/Node/EventStream.h - answers as server-sent events --------------===//
+//===- lib/Node/EventStream.h - answers as server-sent events -------------===//
 ///
 /// \file
-/// The event id names how much of which text a caller has: the count of tokens
-/// and a hash of all text up to there. A caller that comes back with an id gets
-/// the rest only if this answer begins with the same text; otherwise it is told
-/// to start again, so two attempts' texts never mix.
+/// An event id states which text a caller has: the number of tokens and a hash of
+/// their text. A caller that reconnects with an id receives only the tokens that
+/// follow if this answer begins with the same text. Otherwise a restart event
+/// precedes the complete answer, so that the texts of two attempts never mix.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -14,26 +14,30 @@
 
 namespace pistachioloom {
 
+/// Identifies the tokens of an answer up to an event.
 struct EventId {
     std::size_t tokens_ = 0;
+    /// Hash of the text of the first `tokens_` tokens.
     std::uint64_t textHash_ = 0;
 
     std::string toString() const;
 };
 
-/// Reads an event id; nullopt for anything else.
+/// Parses an event id. \returns nullopt if \p text is not one.
 std::optional<EventId> parseEventId(std::string_view text);
 
-/// Turns an answer's tokens into events, skipping what the caller has.
+/// Turns the tokens of an answer into events and skips those that the caller has.
 class EventWriter {
 public:
     EventWriter(std::string requestId, std::optional<EventId> resume);
 
     std::string accepted(const std::string& engine);
-    /// Events for the next tokens of the answer, counted from its first.
+    /// \returns the events for the next tokens. The first call passes the answer's first
+    /// tokens, also when the caller resumes.
     std::string tokens(const std::vector<std::string>& texts);
     std::string done();
-    /// The answer goes on at `/v1/requests/ID`.
+    /// \returns the event that refers the caller to `/v1/requests/ID` for the rest of the
+    /// answer.
     std::string moved();
     std::string failed(const Error& error);
 
@@ -43,7 +47,7 @@
     std::string requestId_;
     std::optional<EventId> resume_;
     EventId position_;
-    /// Tokens that the caller should have, kept until its hash was checked.
+    /// Tokens that the caller should have, kept until the hash of its id is checked.
     std::vector<std::string> skipped_;
 };
 
--- a/lib/Node/Generation.cpp
+++ b/lib/Node/Generation.cpp
@@ -1,7 +1,8 @@
-//===- lib/Node/Generation.cpp - the state of one generation ---------------===//
+//===- lib/Node/Generation.cpp - the state of one generation --------------===//
 ///
 /// \file
-/// Tokens, readers and the rule of what may be read.
+/// Implements the state of a generation: its tokens, its readers, and which tokens
+/// may be read.
 //===----------------------------------------------------------------------===//
 #include "Generation.h"
 
@@ -186,11 +187,11 @@
 Result<std::size_t> Generation::append(const wire::TokenChunk& chunk)
 {
     std::lock_guard lock(mutex_);
-    auto reject = [&](const std::string& reason) { return Error { Errc::Protocol, "take tokens", record_->engine(), reason, Ran::Unknown, {} }; };
+    auto reject = [&](const std::string& reason) { return Error { Errc::Protocol, "receive tokens", record_->engine(), reason, Ran::Unknown, {} }; };
     if (chunk.request_id() != id_)
-        return reject("tokens of another request");
+        return reject("the tokens belong to another request");
     if (chunk.attempt() != record_->attempt())
-        return reject("tokens of another attempt");
+        return reject("the tokens belong to another attempt");
     std::size_t added = 0;
     for (const wire::Token& token : chunk.tokens()) {
         auto count = static_cast<std::uint64_t>(record_->tokens_size());
--- a/lib/Node/Generation.h
+++ b/lib/Node/Generation.h
@@ -1,10 +1,11 @@
-//===- lib/Node/Generation.h - an accepted generation and its owner --------===//
+//===- lib/Node/Generation.h - a generation and its owner -----------------===//
 ///
 /// \file
-/// A generation belongs to a record, not to a connection. Its owner runs
-/// attempts until the answer is whole, copies every token to a replica in
-/// another data centre, and lets callers read what the replica acknowledged:
-/// nothing a caller has seen can be lost with the owner.
+/// The state of a generation is a record that does not depend on a connection. The
+/// node that owns the record runs attempts until the answer is complete, and copies
+/// every token to a replica in another data centre. Callers read only tokens that
+/// the replica has acknowledged, so a crash of the owner loses none that a caller
+/// has received.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -21,11 +22,11 @@
 
 namespace pistachioloom {
 
-/// What a reader of an answer gets next.
+/// The next part of an answer for a reader.
 struct AnswerPart {
     std::vector<std::string> tokens_;
     bool isFinished_ = false;
-    /// The answer goes on at another node.
+    /// Another node has the rest of the answer.
     bool isMoved_ = false;
     std::optional<Error> failure_;
 };
@@ -34,7 +35,7 @@
 class Generation : public std::enable_shared_from_this<Generation> {
 public:
     using Signal = asio::experimental::concurrent_channel<void(boost::system::error_code)>;
-    /// Wakes its holder whenever the generation changes.
+    /// A signal that is sent whenever the generation changes.
     using Reader = std::shared_ptr<Signal>;
 
     Generation(const wire::GenerationRecord& record, asio::any_io_executor executor);
@@ -45,28 +46,30 @@
     const std::string& entry() const { return entry_; }
     const std::string& model() const { return model_; }
 
-    /// Registers a reader; while one is held the caller counts as connected.
+    /// Registers a reader. The caller counts as connected while a reader exists.
     Reader addReader();
-    /// Wakes \p watcher as well, without counting it as a caller.
+    /// Registers a signal that does not count as a connected caller.
     void addWatcher(const Reader& watcher);
-    /// What may be read from token \p from on, without waiting.
+    /// \returns what may be read from token \p from, without waiting.
     AnswerPart read(std::size_t from) const;
-    /// read(), after waiting for something new.
+    /// Waits for new tokens or the end, and returns what read() does.
     asio::awaitable<AnswerPart> next(Reader reader, std::size_t from);
-    /// Waits until an engine took the request, or it failed before.
+    /// Waits until an engine has started the request and a replica has the record or
+    /// none is available. \returns the failure if the generation fails before that.
     asio::awaitable<std::optional<Error>> waitAccepted(Reader reader);
     bool hasReaders() const;
 
-    // The owner's side.
+    // Functions for the owner.
     wire::GenerationRecord record() const;
-    /// The record to hand over. Until the hand-over is abandoned nothing beyond
-    /// it may be read, since the successor may compute other tokens there.
+    /// \returns the record to hand over. Until abandonHandover() is called, readers get
+    /// no tokens beyond this record, since the successor may compute different ones.
     wire::GenerationRecord beginHandover();
     void abandonHandover();
     std::uint32_t startAttempt();
     void countYield();
-    /// Appends what \p chunk brings beyond what is there. \returns an error for
-    /// a gap or for the tokens of another attempt.
+    /// Appends the tokens of \p chunk that the record does not have yet. \returns their
+    /// number, or an error if there is a gap or the tokens belong to another request
+    /// or attempt.
     Result<std::size_t> append(const wire::TokenChunk& chunk);
     void setEngine(const std::string& engine);
     std::string engine() const;
@@ -76,19 +79,21 @@
     void fail(Error error);
     void markMoved();
     bool isMoved() const;
-    /// Finished, failed or moved.
+    /// \returns whether the generation has finished, failed or moved to another node.
     bool hasEnded() const;
     std::size_t tokenCount() const;
-    /// Tokens up to \p count may be read; all of them, if there is no replica.
+    /// Lets readers read the first \p count tokens, which a replica has acknowledged.
     void setReadable(std::size_t count);
+    /// Lets readers read all tokens: to the end if the generation has ended, otherwise
+    /// until setReadable() is called again.
     void setReadableToEnd();
     void setReplica(const std::string& replica);
     std::string replica() const;
-    /// Tokens and state beyond what a replica has.
+    /// The tokens that a replica does not have yet, and the state.
     struct Progress {
         std::vector<std::string> tokens_;
         std::uint32_t attempt_ = 0;
-        /// Finished or failed.
+        /// The generation has finished or failed.
         bool hasEnded_ = false;
         bool isMoved_ = false;
         std::optional<Error> failure_;
@@ -121,12 +126,14 @@
     mutable SteadyTime lastRead_;
     SteadyTime changedAt_;
     std::size_t readableTokens_ = 0;
-    /// Tokens of the record that a successor is being given.
+    /// Number of tokens in the record that is being handed over.
     std::optional<std::size_t> handedOverTokens_;
-    /// A replica has acknowledged the record.
+    /// Whether a replica has acknowledged the record.
     bool isCopied_ = false;
-    /// No node takes a replica at present.
+    /// Whether all tokens may be read because no node accepts a replica at present.
     bool isCopyOptional_ = false;
+    /// Whether a replica has the end of the answer, or the answer ended while no node
+    /// accepted one.
     bool isEndCopied_ = false;
     bool isAccepted_ = false;
     bool isFinished_ = false;
@@ -136,7 +143,7 @@
 
 using GenerationPtr = std::shared_ptr<Generation>;
 
-/// Runs generations and keeps their answers for a while.
+/// Runs generations and keeps their answers for a limited time.
 class GenerationOwner {
 public:
     using FinishedHook = std::function<void(const std::string& entry, std::uint64_t unusedTokens)>;
@@ -144,33 +151,35 @@
     GenerationOwner(NodeContext& context, EngineRouter& router, FinishedHook onFinished);
 
     void start();
-    /// Begins a new generation under a new id.
+    /// Starts a generation under a new request id.
     GenerationPtr begin(wire::GenerationRecord record);
-    /// Takes over a record that another node owned. \returns the one we run
-    /// already, if we do.
+    /// Takes over a record that another node owned and continues its generation.
+    /// \returns the existing generation if this node runs it already.
     GenerationPtr adopt(wire::GenerationRecord record);
     GenerationPtr find(const std::string& requestId) const;
     std::vector<GenerationPtr> all() const;
     std::size_t running() const;
-    /// Hands what still runs to successors; readers are told to move.
+    /// Hands running generations over to successors. Their readers are told that the
+    /// answers have moved.
     asio::awaitable<void> handOver();
 
 private:
     enum class AttemptOutcome {
         Ended,
-        /// Go on at once: the engine ended the attempt in an orderly way.
+        /// The attempt ended early. The next one starts without a delay.
         RetryNow,
-        /// Go on after a pause.
+        /// The next attempt starts after a delay.
         RetryLater,
-        /// This engine did not take the request; another may.
+        /// This engine rejected the request; another one may accept it.
         TryNext,
     };
     enum class Origin {
-        /// Admitted here, so its place in the entry's limits is given back here.
+        /// This node admitted the request, so it also releases the request's share of
+        /// the entry's limits.
         Admitted,
         Adopted,
     };
-    /// Where the next attempt should go first.
+    /// The engine and the KV cache that the next attempt should use first.
     struct Preference {
         VmId engine_;
         std::string kvHandle_;
@@ -198,10 +207,10 @@
     std::map<std::string, GenerationPtr> generations_;
 };
 
-/// Request ids carry hints of the owner and the first replica, so that any node
-/// finds the record with one or two questions. The hints are hashes.
+/// \returns a request id with hints to the owner and the first replica, so that any
+/// node can find the record with one or two queries. The hints are hashes.
 std::string makeRequestId(const std::string& uuid, const VmId& owner, const VmId& replica);
-/// The VMs among \p nodes that \p requestId hints at, owner first.
+/// \returns the VMs among \p nodes to which \p requestId has hints, the owner first.
 std::vector<VmId> hintedNodes(const std::string& requestId, const std::vector<VmId>& nodes);
 
 } // namespace pistachioloom
--- a/lib/Node/GenerationOwner.cpp
+++ b/lib/Node/GenerationOwner.cpp
@@ -1,8 +1,8 @@
-//===- lib/Node/GenerationOwner.cpp - attempts at engines ------------------===//
+//===- lib/Node/GenerationOwner.cpp - attempts at engines -----------------===//
 ///
 /// \file
-/// Runs generations to their end: attempts, one at a time, each continuing from
-/// the tokens that are there.
+/// Runs the attempts of a generation one after the other until it ends. Each attempt
+/// continues from the tokens of the record.
 //===----------------------------------------------------------------------===//
 #include "Generation.h"
 
@@ -15,12 +15,13 @@
     constexpr std::size_t maxEnginesTried = 3;
     constexpr milliseconds openTimeout { 1000 };
     constexpr milliseconds startTimeout { 10000 };
-    // Silence of a home that forwards tokens; the engine's own timeout is shorter.
+    // Timeout for the next token from a dispatcher. The dispatcher's timeout for the
+    // engine is shorter.
     constexpr milliseconds tokenTimeout { 40000 };
     constexpr milliseconds retryDelay { 100 };
     constexpr milliseconds reapPeriod { 250 };
-    // A new owner's attempts come after any that the old one may have made without
-    // telling its replica.
+    // Added to the attempt number on a takeover, so that the new owner's attempts have
+    // greater numbers than any that the old owner did not report to its replica.
     constexpr std::uint32_t takeoverAttempts = 1000;
 
     milliseconds timeLeft(const Generation& generation)
@@ -106,8 +107,8 @@
 asio::awaitable<void> GenerationOwner::run(GenerationPtr generation, Preference preference, Origin origin)
 {
     SpanScope scope(context_.tracer_, parseTraceparent(generation->record().traceparent()), "owner", generation->id());
-    // The copy and the first attempt start together; the caller is told
-    // "accepted" only when both have succeeded.
+    // The copy and the first attempt start concurrently. The caller receives the
+    // "accepted" event only after both have succeeded.
     context_.spawn(copyLoop(generation));
     while (!generation->hasEnded()) {
         AttemptOutcome outcome = co_await attempt(generation, preference);
@@ -137,12 +138,12 @@
         if (!dispatcher.isEmpty() && !context_.membership()->isLeaving(engine)) {
             Error rejection;
             auto outcome = co_await tryEngine(generation, engine, dispatcher, true, preference, rejection);
-            // The home fell silent: the engine may still run the stream.
+            // The dispatcher did not reply, but the engine may still run the stream.
             if (outcome == AttemptOutcome::RetryLater && preference.excluded_.size() < maxEnginesTried)
                 preference.engine_ = engine;
             if (outcome != AttemptOutcome::TryNext)
                 co_return outcome;
-            logger_.info("Request " + generation->id() + " could not go on at engine " + engine.value_ + ": " + describe(rejection) + ".");
+            logger_.info("Request " + generation->id() + " could not continue on engine " + engine.value_ + ": " + describe(rejection) + ".");
         }
         preference.isAttach_ = false;
     }
@@ -153,7 +154,8 @@
         candidates.resize(maxEnginesTried);
     preference.excluded_.clear();
     Error rejection { Errc::Unavailable, "choose engine", {}, "no engine serves the model", Ran::No, milliseconds(1000) };
-    // First whoever has a free slot; then the best one's queue.
+    // The first pass accepts only free slots. The second one allows queueing, starting
+    // with the best candidate.
     for (bool mayQueue : { false, true }) {
         for (const EngineCandidate& candidate : candidates) {
             router_.countSent(candidate.dispatcher_, generation->model());
@@ -199,7 +201,7 @@
         generation->setEngine(engine.value_);
         generation->markAccepted();
         auto outcome = co_await receiveTokens(generation, stream, engine, dispatcher, preference);
-        // Whoever owns the generation now attaches to what the engine runs.
+        // The new owner of a generation that moved attaches to the engine's stream.
         if (generation->isMoved())
             stream->release();
         else
@@ -218,9 +220,9 @@
     scope.span().outcome_ = describe(rejection);
     if (rejection.ran_ == Ran::No)
         co_return AttemptOutcome::TryNext;
-    // A generation may be computed again, so what is unknown is tried again too;
-    // the engine drops the older attempt when it sees the newer one. The engine stays
-    // a candidate: it may be as good as before behind another home.
+    // A generation may be computed twice, so an attempt with an unknown outcome is
+    // retried; the engine cancels the older attempt when it receives the newer one. The
+    // engine stays a candidate, since another dispatcher may still reach it.
     preference.excluded_.insert(dispatcher);
     co_return AttemptOutcome::RetryLater;
 }
@@ -233,8 +235,8 @@
         if (generation->hasEnded())
             co_return AttemptOutcome::Ended;
         if (!frame) {
-            // The home is gone; the engine may still run the stream.
-            logger_.warn("Request " + generation->id() + " lost its home: " + describe(frame.error()) + ".");
+            // The dispatcher is unreachable, but the engine may still run the stream.
+            logger_.warn("Request " + generation->id() + " lost its dispatcher: " + describe(frame.error()) + ".");
             preference.excluded_.insert(dispatcher);
             preference.engine_ = engine;
             preference.isAttach_ = true;
@@ -247,7 +249,7 @@
         bool isFirst = !generation->tokenCount();
         auto added = generation->append(frame.value().tokens());
         if (!added) {
-            logger_.warn("Request " + generation->id() + " refused tokens: " + describe(added.error()) + ".");
+            logger_.warn("Request " + generation->id() + " rejected tokens: " + describe(added.error()) + ".");
             co_return AttemptOutcome::RetryNow;
         }
         context_.metrics_.add(Counter::TokensDelivered, added.value());
@@ -277,7 +279,7 @@
     Error failure = fromWire(end.failure());
     logger_.warn("Request " + generation->id() + " lost engine " + engine.value_ + ": " + describe(failure) + ".");
     if (failure.code_ == Errc::Conflict) {
-        // A newer owner took the stream over while we were frozen or cut off.
+        // A newer owner took over the stream while this node was frozen or partitioned.
         generation->markMoved();
         return AttemptOutcome::Ended;
     }
@@ -297,7 +299,7 @@
             }
             bool isAbandoned = !generation->hasEnded() && !generation->hasReaders() && steadyNow() - generation->lastRead() > settings.reconnectGrace_;
             if (isAbandoned && generation->isAccepted())
-                generation->fail({ Errc::Cancelled, "wait for caller", {}, "the caller went away and did not come back", Ran::Unknown, {} });
+                generation->fail({ Errc::Cancelled, "wait for caller", {}, "the caller disconnected and did not reconnect in time", Ran::Unknown, {} });
         }
         co_await sleepFor(reapPeriod);
     }
--- a/lib/Node/RecordCopying.cpp
+++ b/lib/Node/RecordCopying.cpp
@@ -1,8 +1,8 @@
-//===- lib/Node/RecordCopying.cpp - the owner's copies and hand-over -------===//
+//===- lib/Node/RecordCopying.cpp - replication and handover of records ---===//
 ///
 /// \file
-/// Keeps a replica of each record in another data centre, and hands records to
-/// successors when this node leaves.
+/// Maintains a replica of each record in another data centre, and hands records over
+/// to successors when this node leaves.
 //===----------------------------------------------------------------------===//
 #include "Generation.h"
 
@@ -13,7 +13,7 @@
 namespace {
 
     constexpr std::size_t maxReplicasTried = 3;
-    // Without a replica the record is offered again this often.
+    // Interval between attempts to find a replica if no node accepts one.
     constexpr milliseconds replicaRetry { 1000 };
 
     wire::Frame progressFrame(const std::string& requestId, const VmId& owner, const Generation::Progress& progress, std::size_t firstPosition)
@@ -60,7 +60,7 @@
         }
         if (isCopyComplete)
             co_return;
-        // Nobody takes a copy: the answer goes on without one, which is said.
+        // No node accepts a replica, so the generation continues without one.
         logger_.warn("Request " + generation->id() + " runs without a replica.");
         generation->setReplica({});
         generation->setReadableToEnd();
@@ -71,7 +71,8 @@
     }
 }
 
-// Returns whether the replica has the record to its end.
+// Returns true if the replica has the complete record or the generation has moved,
+// and false if the replica failed.
 asio::awaitable<bool> GenerationOwner::copyTo(GenerationPtr generation, VmId replica)
 {
     milliseconds timeout = context_.settings_.replica_.copyTimeout_;
@@ -93,7 +94,8 @@
     for (;;) {
         auto progress = generation->progressSince(copied);
         if (progress.isMoved_) {
-            // Its new owner makes copies of its own; ending our side drops this one.
+            // The new owner makes its own replica. The replica's node removes this one
+            // when the stream ends.
             stream->finish();
             co_return true;
         }
@@ -122,7 +124,7 @@
 
 asio::awaitable<void> GenerationOwner::handOverGeneration(GenerationPtr generation)
 {
-    // The replica has the record already, so it comes first.
+    // The replica's node is tried first, since it has most of the record.
     std::vector<VmId> candidates { { generation->replica() } };
     for (const VmId& node : replicaCandidates(generation->id(), {}))
         candidates.push_back(node);
@@ -137,7 +139,7 @@
         if (!reply || !reply.value().has_ack())
             continue;
         context_.metrics_.add(Counter::Handovers);
-        logger_.info("Request " + generation->id() + " was handed to " + candidate.value_ + ".");
+        logger_.info("Request " + generation->id() + " was handed over to " + candidate.value_ + ".");
         generation->markMoved();
         co_return;
     }
--- a/lib/Node/ReplicaStore.cpp
+++ b/lib/Node/ReplicaStore.cpp
@@ -1,4 +1,4 @@
-//===- lib/Node/ReplicaStore.cpp - copies of other nodes' records ----------===//
+//===- lib/Node/ReplicaStore.cpp - replicas of other nodes' records -------===//
 ///
 /// \file
 /// See ReplicaStore.h.
@@ -27,7 +27,7 @@
     std::mutex mutex_;
     wire::GenerationRecord record_;
     bool hasEnded_ = false;
-    /// Its owner is being asked, or has lost it to us.
+    /// Whether the owner is being checked, or this node has taken over the record.
     std::atomic<bool> isCheckingOwner_ { false };
     std::atomic<bool> isTakenOver_ { false };
     SteadyTime changedAt_ = steadyNow();
@@ -70,7 +70,7 @@
     while (acknowledged) {
         auto frame = co_await stream->receive();
         if (!frame && frame.error().code_ == Errc::NotFound) {
-            // The owner ended the copy in order: the record lives elsewhere now.
+            // The owner closed the stream, because the record has moved to another node.
             std::lock_guard lock(mutex_);
             if (auto found = replicas_.find(copy.record().request_id()); found != replicas_.end() && found->second == replica)
                 replicas_.erase(found);
@@ -79,7 +79,8 @@
         if (!frame)
             break;
         if (replica->isTakenOver_) {
-            // Its old owner woke up; it is to find another replica or give way.
+            // The previous owner is responsive again. The reset makes it choose another
+            // replica; it stops if an attempt of the new owner supersedes its own.
             stream->cancel();
             co_return;
         }
@@ -131,7 +132,8 @@
     std::string requestId = replica->record_.request_id();
     std::string owner = replica->record_.owner();
     co_await sleepFor(jitter(context_.settings_.replica_.takeoverGrace_, randomBits()));
-    // A newer copy, or an owner that answers, makes this copy a stale one.
+    // This node does not take over if a newer copy replaced this one or the owner
+    // replies that it has the record.
     bool hasOwner = co_await ownerHasRecord(owner, requestId);
     if (find(requestId) != replica)
         co_return;
@@ -147,9 +149,9 @@
         std::lock_guard lock(replica->mutex_);
         record = replica->record_;
     }
-    auto silent = std::chrono::duration_cast<milliseconds>(steadyNow() - replica->changedAt_);
+    auto sinceChange = std::chrono::duration_cast<milliseconds>(steadyNow() - replica->changedAt_);
     std::uint64_t remaining = record.deadline_ms();
-    record.set_deadline_ms(remaining > static_cast<std::uint64_t>(silent.count()) ? remaining - static_cast<std::uint64_t>(silent.count()) : 0);
+    record.set_deadline_ms(remaining > static_cast<std::uint64_t>(sinceChange.count()) ? remaining - static_cast<std::uint64_t>(sinceChange.count()) : 0);
     logger_.info("Request " + requestId + " was taken over from " + owner + ".");
     context_.metrics_.add(Counter::Takeovers);
     owner_.adopt(std::move(record));
@@ -172,7 +174,7 @@
         generation = nullptr;
     auto replica = find(fetch.request_id());
     if (!generation && replica && replica->hasEnded_) {
-        // A finished copy answers like a generation of our own.
+        // A finished replica is served like a generation that this node owns.
         std::lock_guard lock(replica->mutex_);
         generation = std::make_shared<Generation>(replica->record_, context_.executor_);
         generation->markAccepted();
@@ -184,7 +186,7 @@
     }
     if (!generation) {
         wire::Frame frame;
-        *frame.mutable_failure() = toWire({ Errc::NotFound, "find request", context_.self().value_, "not known here", Ran::Unknown, {} });
+        *frame.mutable_failure() = toWire({ Errc::NotFound, "find request", context_.self().value_, "this node does not have the request", Ran::Unknown, {} });
         (void)co_await stream->send(frame);
         co_return;
     }
@@ -227,14 +229,14 @@
 
 std::vector<ReplicaStore::ReplicaPtr> ReplicaStore::replicasToCheck() const
 {
-    std::vector<ReplicaPtr> silent;
+    std::vector<ReplicaPtr> result;
     std::lock_guard lock(mutex_);
     for (const auto& [id, replica] : replicas_) {
         std::lock_guard inner(replica->mutex_);
         if (!replica->hasEnded_ && !replica->isCheckingOwner_ && steadyNow() - replica->changedAt_ > context_.settings_.replica_.ownerSilence_)
-            silent.push_back(replica);
+            result.push_back(replica);
     }
-    return silent;
+    return result;
 }
 
 void ReplicaStore::removeExpired()
@@ -248,7 +250,7 @@
     });
 }
 
-// A frozen owner keeps its connections; only its silence tells.
+// A frozen owner keeps its connections open, so only missing progress reveals it.
 asio::awaitable<void> ReplicaStore::checkLoop()
 {
     for (;;) {
--- a/lib/Node/ReplicaStore.h
+++ b/lib/Node/ReplicaStore.h
@@ -1,9 +1,10 @@
-//===- lib/Node/ReplicaStore.h - copies of other nodes' records ------------===//
+//===- lib/Node/ReplicaStore.h - replicas of other nodes' records ---------===//
 ///
 /// \file
-/// Holds replicas of generations that other nodes own, and takes one over when
-/// its owner is gone. A take-over of a record whose owner still lives (a cut)
-/// costs a second computation; each caller still reads one lineage of tokens.
+/// Holds replicas of generations that other nodes own, and takes one over when its
+/// owner is unresponsive. If the owner is still running behind a network partition,
+/// the takeover costs a second computation, but each caller still reads the tokens
+/// of a single line of attempts.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -17,15 +18,18 @@
 
 namespace pistachioloom {
 
+/// Stores replicas of records and takes over those whose owners are unresponsive.
 class ReplicaStore {
 public:
     ReplicaStore(NodeContext& context, GenerationOwner& owner);
 
     void start();
-    /// Takes a copy and its progress until the owner ends the stream.
+    /// Stores \p copy and applies its progress until the owner ends the stream.
     asio::awaitable<void> serveCopy(std::shared_ptr<PeerStream> stream, const wire::RecordCopy& copy);
-    /// Sends the answer of a record that we own or hold finished.
+    /// Sends the answer of a record that this node owns or of which it has a finished
+    /// replica; otherwise sends NotFound.
     asio::awaitable<void> serveFetch(std::shared_ptr<PeerStream> stream, const wire::RecordFetch& fetch);
+    /// Takes over a record that its owner hands over. \returns an acknowledgement.
     wire::Frame acceptHandover(const wire::RecordHandover& handover);
     std::size_t size() const;
 
@@ -34,11 +38,13 @@
     using ReplicaPtr = std::shared_ptr<Replica>;
 
     ReplicaPtr find(const std::string& requestId) const;
+    /// \returns false if the progress does not continue the record.
     bool applyProgress(Replica& replica, const wire::Frame& frame);
     asio::awaitable<void> takeOverIfOrphaned(ReplicaPtr replica);
     asio::awaitable<bool> ownerHasRecord(std::string owner, std::string requestId);
     asio::awaitable<void> sendAnswer(std::shared_ptr<PeerStream> stream, GenerationPtr generation, bool isFollowing);
     asio::awaitable<void> checkLoop();
+    /// \returns unfinished replicas without progress for the configured time.
     std::vector<ReplicaPtr> replicasToCheck() const;
     void removeExpired();
 
--- a/lib/Node/SlotTable.cpp
+++ b/lib/Node/SlotTable.cpp
@@ -1,4 +1,4 @@
-//===- lib/Node/SlotTable.cpp - exact concurrency of backend servers -------===//
+//===- lib/Node/SlotTable.cpp - concurrency of backend servers ------------===//
 ///
 /// \file
 /// See SlotTable.h.
@@ -13,7 +13,7 @@
 namespace {
 
     constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
-    // Weight of the newest sample in the mean time a slot is held, one in eight.
+    // The newest sample contributes one eighth to the mean hold time of a slot.
     constexpr int meanWeightDivisor = 8;
     constexpr milliseconds minRetryAfter { 50 };
 
@@ -21,8 +21,8 @@
 
 } // namespace
 
-struct SlotTable::Waiter {
-    Waiter(std::uint64_t id, ServiceClass serviceClass, const asio::any_io_executor& executor)
+struct SlotTable::PendingRequest {
+    PendingRequest(std::uint64_t id, ServiceClass serviceClass, const asio::any_io_executor& executor)
         : id_(id)
         , class_(serviceClass)
         , granted_(executor, 1)
@@ -97,7 +97,7 @@
 bool SlotTable::isRejected(const Server& server, const SlotRequest& request, milliseconds wait)
 {
     std::size_t ahead = server.queue_.ahead(request.class_);
-    // Each paid request that waits has a trial yield to it.
+    // One trial yields to each waiting paid request.
     bool canPreempt = request.class_ == ServiceClass::Paid && server.trialActive_ > ahead;
     if (canPreempt)
         return false;
@@ -107,7 +107,7 @@
 asio::awaitable<Result<Slot>> SlotTable::acquire(SlotRequest request)
 {
     auto executor = co_await asio::this_coro::executor;
-    std::shared_ptr<Waiter> waiter;
+    std::shared_ptr<PendingRequest> pending;
     bool shouldPreempt = false;
     {
         std::lock_guard lock(mutex_);
@@ -117,34 +117,34 @@
         bool isAdmitted = hasCapacity(server, request.class_) && !server.queue_.ahead(request.class_);
         milliseconds wait = estimateWait(server, request.capacity_, request.class_);
         if (!isAdmitted && isRejected(server, request, wait))
-            co_return Error { Errc::Overloaded, "admit at home", request.server_.value_, "the backend server is full", Ran::No, std::max(minRetryAfter, wait) };
+            co_return Error { Errc::Overloaded, "admit at dispatcher", request.server_.value_, "the backend server is full", Ran::No, std::max(minRetryAfter, wait) };
         if (isAdmitted) {
             occupySlot(server, request.class_);
         } else {
-            waiter = std::make_shared<Waiter>(nextId_++, request.class_, executor);
-            server.waiters_[waiter->id_] = waiter;
-            server.queue_.push({ waiter->id_, request.entry_, request.class_, request.weight_, request.cost_ });
+            pending = std::make_shared<PendingRequest>(nextId_++, request.class_, executor);
+            server.pending_[pending->id_] = pending;
+            server.queue_.push({ pending->id_, request.entry_, request.class_, request.weight_, request.cost_ });
         }
-        shouldPreempt = request.class_ == ServiceClass::Paid && (waiter || needsPreemption(server));
+        shouldPreempt = request.class_ == ServiceClass::Paid && (pending || needsPreemption(server));
     }
     if (shouldPreempt)
         preempt_(request.server_);
-    if (!waiter)
+    if (!pending)
         co_return Slot(this, request.server_, request.class_);
     SteadyTimer timer(executor, request.waitLimit_);
-    timer.async_wait([waiter](boost::system::error_code code) {
+    timer.async_wait([pending](boost::system::error_code code) {
         if (!code)
-            waiter->granted_.close();
+            pending->granted_.close();
     });
-    co_await waiter->granted_.async_receive(asTuple);
+    co_await pending->granted_.async_receive(asTuple);
     timer.cancel();
     std::lock_guard lock(mutex_);
-    if (waiter->isGranted_)
+    if (pending->isGranted_)
         co_return Slot(this, request.server_, request.class_);
     Server& server = servers_[request.server_];
-    server.waiters_.erase(waiter->id_);
-    server.queue_.remove(waiter->id_);
-    co_return Error { Errc::Overloaded, "wait at home", request.server_.value_, "no slot became free in time", Ran::No, std::max(minRetryAfter, server.meanHoldTime_) };
+    server.pending_.erase(pending->id_);
+    server.queue_.remove(pending->id_);
+    co_return Error { Errc::Overloaded, "wait for slot", request.server_.value_, "no slot became free in time", Ran::No, std::max(minRetryAfter, server.meanHoldTime_) };
 }
 
 void SlotTable::release(const VmId& serverId, ServiceClass serviceClass, milliseconds holdTime)
@@ -163,13 +163,13 @@
         bool isPaidNext = server.queue_.ahead(ServiceClass::Paid) > 0;
         if (!server.queue_.size() || !hasCapacity(server, isPaidNext ? ServiceClass::Paid : ServiceClass::Trial))
             return;
-        auto found = server.waiters_.find(server.queue_.pop()->id_);
-        if (found == server.waiters_.end())
+        auto found = server.pending_.find(server.queue_.pop()->id_);
+        if (found == server.pending_.end())
             continue;
         occupySlot(server, found->second->class_);
         found->second->isGranted_ = true;
         found->second->granted_.try_send(boost::system::error_code {});
-        server.waiters_.erase(found);
+        server.pending_.erase(found);
     }
 }
 
--- a/lib/Node/SlotTable.h
+++ b/lib/Node/SlotTable.h
@@ -1,9 +1,9 @@
-//===- lib/Node/SlotTable.h - exact concurrency of backend servers ---------===//
+//===- lib/Node/SlotTable.h - concurrency of backend servers --------------===//
 ///
 /// \file
-/// The home of a backend server counts what runs there and queues the rest:
-/// paid before trial, fair among entries, refused early when the wait would
-/// outlast the caller's patience.
+/// The dispatcher of a backend server counts the requests that run on it and queues
+/// the others. Paid requests precede trials, and entries share the slots fairly. A
+/// request is rejected early if its estimated wait exceeds its wait limit.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -16,7 +16,7 @@
 
 class SlotTable;
 
-/// A place on a backend server; given back when destroyed.
+/// A concurrency slot of a backend server, which the destructor releases.
 class Slot {
 public:
     Slot() = default;
@@ -34,11 +34,12 @@
     SteadyTime startedAt_;
 };
 
+/// Parameters of a request for a slot.
 struct SlotRequest {
     VmId server_;
     std::uint64_t capacity_ = 1;
-    /// Slots that trial work leaves free, so that paid work need not wait until
-    /// a trial has yielded.
+    /// Slots that trials leave free, so that paid requests need not wait until a trial
+    /// has yielded.
     std::uint64_t paidReserve_ = 0;
     EntryName entry_;
     ServiceClass class_ = ServiceClass::Paid;
@@ -49,30 +50,33 @@
     milliseconds waitLimit_ {};
 };
 
+/// Grants the slots of backend servers.
 class SlotTable {
 public:
-    /// Asked to make room on a full server for paid work.
+    /// Called to make a trial on \p server yield its slot to a paid request.
     using PreemptHook = std::function<void(const VmId& server)>;
 
     explicit SlotTable(PreemptHook preempt);
 
-    /// Errors: Overloaded with the estimated wait as its retry delay, `ran_` No.
+    /// Waits for a slot. Errors: Overloaded, with the estimated wait as its retry delay
+    /// and `ran_` No.
     asio::awaitable<Result<Slot>> acquire(SlotRequest request);
-    /// Load of \p server for digests.
+    /// \returns the load of \p server for digests.
     ModelLoad load(const VmId& server, std::uint64_t capacity) const;
+    /// \returns the number of requests that run on \p server.
     std::uint64_t active(const VmId& server) const;
 
 private:
     friend class Slot;
-    struct Waiter;
+    struct PendingRequest;
     struct Server {
         std::uint64_t active_ = 0;
         std::uint64_t trialActive_ = 0;
         std::uint64_t capacity_ = 1;
         std::uint64_t paidReserve_ = 0;
         FairQueue queue_;
-        std::map<std::uint64_t, std::shared_ptr<Waiter>> waiters_;
-        /// Mean time a slot is held, over the last few.
+        std::map<std::uint64_t, std::shared_ptr<PendingRequest>> pending_;
+        /// Moving average of the time for which a slot is held.
         milliseconds meanHoldTime_ { 200 };
     };
 
@@ -80,7 +84,7 @@
     static bool hasCapacity(const Server& server, ServiceClass serviceClass);
     static void occupySlot(Server& server, ServiceClass serviceClass);
     static void grantNext(Server& server);
-    /// Whether a trial should yield so that the next paid request finds room.
+    /// \returns whether a trial should yield to restore the paid reserve.
     static bool needsPreemption(const Server& server);
     static bool isRejected(const Server& server, const SlotRequest& request, milliseconds wait);
     static milliseconds estimateWait(const Server& server, std::uint64_t capacity, ServiceClass serviceClass);
--- a/unittests/Node/GenerationTest.cpp
+++ b/unittests/Node/GenerationTest.cpp
@@ -1,8 +1,8 @@
-//===- unittests/Node/GenerationTest.cpp - what of an answer may be read ---===//
+//===- unittests/Node/GenerationTest.cpp - tests of generations -----------===//
 ///
 /// \file
-/// The rule that a caller reads only what a replica acknowledged, and that no
-/// attempt's tokens get into another's; event ids and resumption.
+/// Tests that a caller reads only tokens that a replica has acknowledged, that the
+/// tokens of two attempts never mix, and that event ids resume an answer.
 //===----------------------------------------------------------------------===//
 #include "Generation.h"
 #include "EventStream.h"
@@ -43,7 +43,7 @@
 
 } // namespace
 
-TEST_CASE("nothing is read that no replica has acknowledged")
+TEST_CASE("readers get only tokens that a replica has acknowledged")
 {
     Fixture fixture;
     Generation& generation = *fixture.generation_;
@@ -54,14 +54,14 @@
     CHECK(generation.read(0).tokens_.size() == 2);
     CHECK(generation.read(1).tokens_.size() == 1);
     generation.finish();
-    // Finished, but its end is not copied yet.
+    // The generation is finished, but its end is not copied yet.
     CHECK_FALSE(generation.read(0).isFinished_);
     generation.setReadableToEnd();
     CHECK(generation.read(0).isFinished_);
     CHECK(generation.read(0).tokens_.size() == 3);
 }
 
-TEST_CASE("without any replica the answer goes on, until there is one again")
+TEST_CASE("without a replica all tokens are readable, until a replica acknowledges again")
 {
     Fixture fixture;
     Generation& generation = *fixture.generation_;
@@ -74,7 +74,7 @@
     CHECK(generation.read(0).tokens_.size() == 2);
 }
 
-TEST_CASE("tokens late, doubled, missing, of another attempt or request never mix in")
+TEST_CASE("late, duplicate, missing and foreign tokens never enter the answer")
 {
     struct ChunkCase {
         std::string name_;
@@ -83,12 +83,12 @@
         std::size_t tokens_;
     };
     auto chunkCase = GENERATE(values<ChunkCase>({
-        { "the next", chunk(2, { 2 }), true, 3 },
-        { "doubled", chunk(2, { 1 }), true, 2 },
-        { "overlapping", chunk(2, { 0, 1, 2, 3 }), true, 4 },
+        { "the next token", chunk(2, { 2 }), true, 3 },
+        { "a duplicate", chunk(2, { 1 }), true, 2 },
+        { "an overlapping chunk", chunk(2, { 0, 1, 2, 3 }), true, 4 },
         { "a gap", chunk(2, { 3 }), false, 2 },
         { "a stale attempt", chunk(1, { 2 }), false, 2 },
-        { "an attempt not begun", chunk(3, { 2 }), false, 2 },
+        { "an attempt that has not started", chunk(3, { 2 }), false, 2 },
         { "another request", chunk(2, { 2 }, "other"), false, 2 },
     }));
     INFO(chunkCase.name_);
@@ -106,7 +106,7 @@
     CHECK(part.tokens_[1] == "t1a2");
 }
 
-TEST_CASE("a resumed answer goes on after the same text and starts again after another")
+TEST_CASE("a resumed answer continues after the same text and restarts after a different one")
 {
     EventWriter fullAnswer("r", std::nullopt);
     std::string events = fullAnswer.tokens({ "a", "b", "c" });
@@ -131,7 +131,7 @@
         CHECK_FALSE(parseEventId(bad));
 }
 
-TEST_CASE("request ids lead to owner and replica")
+TEST_CASE("request ids have hints to the owner and the replica")
 {
     std::vector<VmId> nodes { { "a" }, { "b" }, { "c" } };
     auto hinted = hintedNodes(makeRequestId("uuid", { "c" }, { "a" }), nodes);
@@ -139,7 +139,7 @@
     CHECK(hintedNodes("no-hints", nodes).empty());
 }
 
-TEST_CASE("what is read after a hand-over began is in the record that was handed over")
+TEST_CASE("after the start of a handover readers get only tokens of the record that is handed over")
 {
     bool isCopyOptional = GENERATE(true, false);
     Fixture fixture;
@@ -159,7 +159,7 @@
     generation.setReadableToEnd();
     CHECK(generation.read(0).tokens_.size() == handedOver);
     CHECK_FALSE(generation.read(0).isFinished_);
-    // Nobody took it: the answer goes on here.
+    // No node accepted the record, so the generation continues on this node.
     generation.abandonHandover();
     CHECK(generation.read(0).tokens_.size() == 5);
     CHECK(generation.read(0).isFinished_);
--- a/unittests/Node/SlotTableTest.cpp
+++ b/unittests/Node/SlotTableTest.cpp
@@ -1,7 +1,8 @@
-//===- unittests/Node/SlotTableTest.cpp - slots of a backend server --------===//
+//===- unittests/Node/SlotTableTest.cpp - slots of a backend server -------===//
 ///
 /// \file
-/// Who gets a slot, who waits, who is refused, and when a trial has to yield.
+/// Tests which requests get a slot, wait or are rejected, and when a trial has to
+/// yield.
 //===----------------------------------------------------------------------===//
 #include "SlotTable.h"
 
@@ -15,7 +16,7 @@
 const VmId server { "engine" };
 
 struct Fixture {
-    /// Starts an acquisition and runs what can run now.
+    /// Starts to acquire a slot and runs all handlers that are ready.
     void startAcquire(const std::string& name, ServiceClass serviceClass, bool mayQueue, std::uint64_t queueBound = 10)
     {
         SlotRequest request;
@@ -60,7 +61,7 @@
 
 } // namespace
 
-TEST_CASE("paid work finds room where trials run, and goes before them")
+TEST_CASE("paid requests preempt running trials and precede waiting ones")
 {
     Fixture fixture;
     for (const char* name : { "t1", "t2", "t3" })
@@ -68,7 +69,7 @@
     CHECK(fixture.slots_.size() == 3);
     CHECK(fixture.table_.load(server, 3).trialSlots_ == 3);
     fixture.startAcquire("t4", ServiceClass::Trial, true);
-    // It need not be allowed to queue: a trial yields to it.
+    // A paid request that may not queue is admitted, since a trial yields to it.
     fixture.startAcquire("p1", ServiceClass::Paid, false);
     CHECK(fixture.yields_ == 1);
     CHECK_FALSE(fixture.rejected_.contains("p1"));
@@ -77,7 +78,7 @@
     CHECK_FALSE(fixture.slots_.contains("t4"));
     fixture.startAcquire("p2", ServiceClass::Paid, false);
     fixture.startAcquire("p3", ServiceClass::Paid, false);
-    // Every trial has one that waits for it: the next has to queue.
+    // A paid request already waits for each trial, so another one has to queue.
     fixture.startAcquire("p4", ServiceClass::Paid, false);
     CHECK(fixture.rejected_.contains("p4"));
     fixture.release("t1");
@@ -88,7 +89,7 @@
     CHECK(fixture.slots_.contains("t4"));
 }
 
-TEST_CASE("trials leave the reserve to paid work, which has it restored")
+TEST_CASE("trials leave the reserve free and yield to restore it")
 {
     Fixture fixture;
     fixture.reserve_ = 1;
@@ -97,7 +98,7 @@
     CHECK(fixture.slots_.size() == 2);
     fixture.startAcquire("p1", ServiceClass::Paid, false);
     CHECK(fixture.slots_.contains("p1"));
-    // The reserve is used up, so a trial is to make room for the next one.
+    // The reserve is used up, so a trial has to yield to restore it.
     CHECK(fixture.yields_ == 1);
     fixture.release("t1");
     CHECK_FALSE(fixture.slots_.contains("t3"));
@@ -109,7 +110,7 @@
     CHECK(fixture.table_.active(server) == 2);
 }
 
-TEST_CASE("a queue of trials takes no place from paid work")
+TEST_CASE("queued trials do not count against the queue bound of paid requests")
 {
     Fixture fixture;
     for (const char* name : { "p1", "p2", "p3" })
