--- a/lib/Node/BackendDispatcher.h
+++ b/lib/Node/BackendDispatcher.h
@@ -106,9 +106,9 @@
     std::uint64_t paidReserveOf(std::string_view backend) const;
     std::uint64_t concurrencyOf(std::string_view backend) const;
     bool isDispatcherOf(const VmId& server) const;
+    bool isAdmissionClosed(const VmId& engine) const;
     /// \returns why \p engine admits no requests, or nullopt if it does.
     std::optional<Error> checkAdmission(const VmId& engine) const;
-    bool isAdmissionClosed(const VmId& engine) const;
 
     NodeContext& context_;
     ControlPlane& control_;
