--- a/lib/Node/AnswerFinder.cpp
+++ b/lib/Node/AnswerFinder.cpp
@@ -13,7 +13,7 @@
 
     constexpr std::size_t maxNodesQueried = 32;
     constexpr milliseconds queryTimeout { 500 };
-    // Longer than the owner of a running generation ever sends nothing.
+    // Longer than the longest gap between the frames of a running generation's owner.
     constexpr milliseconds followTimeout { 60000 };
 
     AnswerPart interruptedPart(const Error& error)
--- a/lib/Node/Generation.h
+++ b/lib/Node/Generation.h
@@ -159,8 +159,8 @@
     GenerationPtr find(const std::string& requestId) const;
     std::vector<GenerationPtr> all() const;
     std::size_t running() const;
-    /// Hands running generations over to successors. Their readers are told that the
-    /// answers have moved.
+    /// Hands running generations over to successors. Readers then get a part with
+    /// `isMoved_` set.
     asio::awaitable<void> handOver();
 
 private:
--- a/lib/Node/SlotTable.h
+++ b/lib/Node/SlotTable.h
@@ -84,7 +84,8 @@
     static bool hasCapacity(const Server& server, ServiceClass serviceClass);
     static void occupySlot(Server& server, ServiceClass serviceClass);
     static void grantNext(Server& server);
-    /// \returns whether a trial should yield to restore the paid reserve.
+    /// \returns whether a trial should yield to restore the paid reserve, so that the
+    /// next paid request finds a free slot.
     static bool needsPreemption(const Server& server);
     static bool isRejected(const Server& server, const SlotRequest& request, milliseconds wait);
     static milliseconds estimateWait(const Server& server, std::uint64_t capacity, ServiceClass serviceClass);
