--- a/lib/Node/SharedWait.h
+++ b/lib/Node/CompletionEvent.h
@@ -1,7 +1,7 @@
-//===- lib/Node/SharedWait.h - many coroutines wait for one ----------------===//
+//===- lib/Node/CompletionEvent.h - one-time event for coroutines ---------===//
 ///
 /// \file
-/// Lets coroutines wait for something that one of them does for all.
+/// Lets coroutines wait for an operation that one of them performs for all.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -12,16 +12,17 @@
 
 namespace pistachioloom {
 
-class SharedWait {
+/// An event that completes once and wakes all coroutines that wait for it.
+class CompletionEvent {
 public:
-    explicit SharedWait(const asio::any_io_executor& executor)
+    explicit CompletionEvent(const asio::any_io_executor& executor)
         : channel_(executor)
     {
     }
 
-    /// Returns once open() was called.
+    /// Returns after complete() was called.
     asio::awaitable<void> wait() { co_await channel_.async_receive(asio::as_tuple(asio::use_awaitable)); }
-    void open() { channel_.close(); }
+    void complete() { channel_.close(); }
 
 private:
     asio::experimental::concurrent_channel<void(boost::system::error_code)> channel_;
--- a/lib/Node/EventStream.cpp
+++ b/lib/Node/EventStream.cpp
@@ -1,4 +1,4 @@
-//===- lib/Node/EventStream.cpp - answers as server-sent events ------------===//
+//===- lib/Node/EventStream.cpp - answers as server-sent events -----------===//
 ///
 /// \file
 /// See EventStream.h.
@@ -54,8 +54,8 @@
     const char* last = text.data() + text.size();
     auto count = std::from_chars(text.data(), middle, id.tokens_);
     auto hash = std::from_chars(middle + 1, last, id.textHash_, hexBase);
-    bool isGood = count.ec == std::errc {} && count.ptr == middle && hash.ec == std::errc {} && hash.ptr == last;
-    return isGood ? std::optional(id) : std::nullopt;
+    bool isValid = count.ec == std::errc {} && count.ptr == middle && hash.ec == std::errc {} && hash.ptr == last;
+    return isValid ? std::optional(id) : std::nullopt;
 }
 
 EventWriter::EventWriter(std::string requestId, std::optional<EventId> resume)
@@ -95,7 +95,8 @@
     resume_.reset();
     if (skipped_.empty())
         return {};
-    // Not the text that the caller has: it is to drop that and take this.
+    // The caller has another text. It has to discard that text and read this one
+    // from the start.
     std::string events = event("restart", "0-0", "{}");
     EventId id;
     for (const std::string& text : skipped_) {
@@ -108,9 +109,9 @@
 
 std::string EventWriter::done()
 {
-    // An answer shorter than what the caller claims to have is another answer.
-    bool hasNothing = resume_ && !resume_->tokens_;
-    std::string events = resume_ && !hasNothing ? flushSkipped() : std::string();
+    // An answer with fewer tokens than the caller states to have is another text.
+    bool callerHasNothing = resume_ && !resume_->tokens_;
+    std::string events = resume_ && !callerHasNothing ? flushSkipped() : std::string();
     return events + event({}, {}, "[DONE]");
 }
 
--- a/lib/Node/LimitDesk.h
+++ b/lib/Node/LimitDesk.h
@@ -7,8 +7,8 @@
 //===----------------------------------------------------------------------===//
 #pragma once
 
+#include "CompletionEvent.h"
 #include "LimitKeeper.h"
-#include "SharedWait.h"
 
 namespace pistachioloom {
 
@@ -45,7 +45,7 @@
     Logger logger_;
     mutable std::mutex mutex_;
     Admission admission_;
-    std::map<EntryName, std::shared_ptr<SharedWait>> asking_;
+    std::map<EntryName, std::shared_ptr<CompletionEvent>> asking_;
 };
 
 } // namespace pistachioloom
--- a/lib/Node/ReplicaStore.cpp
+++ b/lib/Node/ReplicaStore.cpp
@@ -1,4 +1,4 @@
-//===- lib/Node/ReplicaStore.cpp - copies of other nodes' records ----------===//
+//===- lib/Node/ReplicaStore.cpp - replicas of other nodes' records -------===//
 ///
 /// \file
 /// See ReplicaStore.h.
@@ -12,7 +12,7 @@
 namespace {
 
     constexpr milliseconds ownerTimeout { 500 };
-    constexpr milliseconds watchPeriod { 250 };
+    constexpr milliseconds checkPeriod { 250 };
 
     wire::Frame ackFrame()
     {
@@ -26,9 +26,9 @@
 struct ReplicaStore::Replica {
     std::mutex mutex_;
     wire::GenerationRecord record_;
-    bool isOver_ = false;
-    /// Its owner is being asked, or has lost it to us.
-    std::atomic<bool> isChecked_ { false };
+    bool hasEnded_ = false;
+    /// Whether the owner is being checked, or this node has taken over the record.
+    std::atomic<bool> isCheckingOwner_ { false };
     std::atomic<bool> isTakenOver_ { false };
     SteadyTime changedAt_ = steadyNow();
 };
@@ -42,7 +42,7 @@
 
 void ReplicaStore::start()
 {
-    context_.spawn(watchLoop());
+    context_.spawn(checkLoop());
 }
 
 ReplicaStore::ReplicaPtr ReplicaStore::find(const std::string& requestId) const
@@ -70,7 +70,7 @@
     while (acknowledged) {
         auto frame = co_await stream->receive();
         if (!frame && frame.error().code_ == Errc::NotFound) {
-            // The owner ended the copy in order: the record lives elsewhere now.
+            // The owner closed the stream, because the record has moved to another node.
             std::lock_guard lock(mutex_);
             if (auto found = replicas_.find(copy.record().request_id()); found != replicas_.end() && found->second == replica)
                 replicas_.erase(found);
@@ -79,17 +79,18 @@
         if (!frame)
             break;
         if (replica->isTakenOver_) {
-            // Its old owner woke up; it is to find another replica or give way.
+            // The previous owner is responsive again. The reset makes it choose another
+            // replica; it stops if an attempt of the new owner supersedes its own.
             stream->cancel();
             co_return;
         }
         if (!frame.value().has_record_progress() || !applyProgress(*replica, frame.value()))
             break;
         acknowledged = co_await stream->send(ackFrame());
-        if (replica->isOver_)
+        if (replica->hasEnded_)
             co_return;
     }
-    if (!replica->isOver_ && !replica->isChecked_.exchange(true))
+    if (!replica->hasEnded_ && !replica->isCheckingOwner_.exchange(true))
         context_.spawn(takeOverIfOrphaned(replica));
 }
 
@@ -109,14 +110,14 @@
     replica.changedAt_ = steadyNow();
     if (!progress.is_finished())
         return true;
-    replica.isOver_ = true;
+    replica.hasEnded_ = true;
     replica.record_.set_is_finished(!progress.has_failure());
     if (progress.has_failure())
         *replica.record_.mutable_failure() = progress.failure();
     return true;
 }
 
-asio::awaitable<bool> ReplicaStore::ownerStillRuns(std::string owner, std::string requestId)
+asio::awaitable<bool> ReplicaStore::ownerHasRecord(std::string owner, std::string requestId)
 {
     wire::Frame frame;
     frame.mutable_record_fetch()->set_request_id(requestId);
@@ -131,14 +132,15 @@
     std::string requestId = replica->record_.request_id();
     std::string owner = replica->record_.owner();
     co_await sleepFor(jitter(context_.settings_.replica_.takeoverGrace_, randomBits()));
-    // A newer copy, or an owner that answers, makes this copy a stale one.
-    bool isOwned = co_await ownerStillRuns(owner, requestId);
+    // This node does not take over if a newer copy replaced this one or the owner
+    // replies that it has the record.
+    bool hasOwner = co_await ownerHasRecord(owner, requestId);
     if (find(requestId) != replica)
         co_return;
-    if (isOwned) {
+    if (hasOwner) {
         std::lock_guard lock(replica->mutex_);
         replica->changedAt_ = steadyNow();
-        replica->isChecked_ = false;
+        replica->isCheckingOwner_ = false;
         co_return;
     }
     replica->isTakenOver_ = true;
@@ -147,15 +149,15 @@
         std::lock_guard lock(replica->mutex_);
         record = replica->record_;
     }
-    auto silent = std::chrono::duration_cast<milliseconds>(steadyNow() - replica->changedAt_);
-    std::uint64_t left = record.deadline_ms();
-    record.set_deadline_ms(left > static_cast<std::uint64_t>(silent.count()) ? left - static_cast<std::uint64_t>(silent.count()) : 0);
+    auto sinceChange = std::chrono::duration_cast<milliseconds>(steadyNow() - replica->changedAt_);
+    std::uint64_t remaining = record.deadline_ms();
+    record.set_deadline_ms(remaining > static_cast<std::uint64_t>(sinceChange.count()) ? remaining - static_cast<std::uint64_t>(sinceChange.count()) : 0);
     logger_.info("Request " + requestId + " was taken over from " + owner + ".");
     context_.metrics_.add(Counter::Takeovers);
     owner_.adopt(std::move(record));
 }
 
-wire::Frame ReplicaStore::takeHandover(const wire::RecordHandover& handover)
+wire::Frame ReplicaStore::acceptHandover(const wire::RecordHandover& handover)
 {
     {
         std::lock_guard lock(mutex_);
@@ -171,8 +173,8 @@
     if (generation && generation->read(0).isMoved_)
         generation = nullptr;
     auto replica = find(fetch.request_id());
-    if (!generation && replica && replica->isOver_) {
-        // A finished copy answers like a generation of our own.
+    if (!generation && replica && replica->hasEnded_) {
+        // A finished replica is served like a generation that this node owns.
         std::lock_guard lock(replica->mutex_);
         generation = std::make_shared<Generation>(replica->record_, context_.executor_);
         generation->markAccepted();
@@ -184,26 +186,26 @@
     }
     if (!generation) {
         wire::Frame frame;
-        *frame.mutable_failure() = toWire({ Errc::NotFound, "find request", context_.self().value_, "not known here", Ran::Unknown, {} });
+        *frame.mutable_failure() = toWire({ Errc::NotFound, "find request", context_.self().value_, "this node does not have the request", Ran::Unknown, {} });
         (void)co_await stream->send(frame);
         co_return;
     }
     co_await sendAnswer(stream, generation, fetch.follow());
 }
 
-asio::awaitable<void> ReplicaStore::sendAnswer(std::shared_ptr<PeerStream> stream, GenerationPtr generation, bool doesFollow)
+asio::awaitable<void> ReplicaStore::sendAnswer(std::shared_ptr<PeerStream> stream, GenerationPtr generation, bool isFollowing)
 {
-    auto reader = doesFollow ? generation->addReader() : nullptr;
+    auto reader = isFollowing ? generation->addReader() : nullptr;
     wire::Frame head;
     wire::GenerationRecord& summary = *head.mutable_record();
     summary.set_request_id(generation->id());
     summary.set_organisation(generation->organisation());
     summary.set_model(generation->model());
     summary.set_engine(generation->engine());
-    summary.set_is_finished(generation->isOver());
+    summary.set_is_finished(generation->hasEnded());
     auto sent = co_await stream->send(head);
     std::size_t position = 0;
-    while (doesFollow && sent) {
+    while (isFollowing && sent) {
         AnswerPart part = co_await generation->next(reader, position);
         wire::Frame frame;
         for (std::string& text : part.tokens_) {
@@ -225,37 +227,37 @@
     }
 }
 
-std::vector<ReplicaStore::ReplicaPtr> ReplicaStore::silentReplicas() const
+std::vector<ReplicaStore::ReplicaPtr> ReplicaStore::replicasToCheck() const
 {
-    std::vector<ReplicaPtr> silent;
+    std::vector<ReplicaPtr> result;
     std::lock_guard lock(mutex_);
     for (const auto& [id, replica] : replicas_) {
         std::lock_guard inner(replica->mutex_);
-        if (!replica->isOver_ && !replica->isChecked_ && steadyNow() - replica->changedAt_ > context_.settings_.replica_.ownerSilence_)
-            silent.push_back(replica);
+        if (!replica->hasEnded_ && !replica->isCheckingOwner_ && steadyNow() - replica->changedAt_ > context_.settings_.replica_.ownerSilence_)
+            result.push_back(replica);
     }
-    return silent;
+    return result;
 }
 
-void ReplicaStore::dropOld()
+void ReplicaStore::removeExpired()
 {
     std::lock_guard lock(mutex_);
     std::erase_if(replicas_, [&](const auto& item) {
         std::lock_guard inner(item.second->mutex_);
-        milliseconds kept = context_.settings_.caller_.answersKept_;
-        milliseconds silence = item.second->isOver_ ? kept : kept + milliseconds(item.second->record_.deadline_ms());
-        return steadyNow() - item.second->changedAt_ > silence;
+        milliseconds answerRetention = context_.settings_.caller_.answersKept_;
+        milliseconds retention = item.second->hasEnded_ ? answerRetention : answerRetention + milliseconds(item.second->record_.deadline_ms());
+        return steadyNow() - item.second->changedAt_ > retention;
     });
 }
 
-// A frozen owner keeps its connections; only its silence tells.
-asio::awaitable<void> ReplicaStore::watchLoop()
+// A frozen owner keeps its connections open, so only missing progress reveals it.
+asio::awaitable<void> ReplicaStore::checkLoop()
 {
     for (;;) {
-        co_await sleepFor(watchPeriod);
-        dropOld();
-        for (const ReplicaPtr& replica : silentReplicas()) {
-            replica->isChecked_ = true;
+        co_await sleepFor(checkPeriod);
+        removeExpired();
+        for (const ReplicaPtr& replica : replicasToCheck()) {
+            replica->isCheckingOwner_ = true;
             context_.spawn(takeOverIfOrphaned(replica));
         }
     }
