--- a/lib/Node/CallerApi.cpp
+++ b/lib/Node/CallerApi.cpp
@@ -16,11 +16,11 @@
     constexpr std::uint64_t defaultMaxTokens = 256;
     constexpr std::string_view requestsPath = "/v1/requests/";
     constexpr std::string_view servicesPath = "/services/";
-    constexpr std::size_t longestIdempotencyKey = 256;
-    constexpr milliseconds drainRetry { 1000 };
-    constexpr milliseconds leastDeadline { 1 };
+    constexpr std::size_t maxIdempotencyKeySize = 256;
+    constexpr milliseconds notReadyRetryAfter { 1000 };
+    constexpr milliseconds minDeadline { 1 };
 
-    Error badInput(const std::string& message)
+    Error invalidInput(const std::string& message)
     {
         return { Errc::InvalidInput, "read request", {}, message, Ran::No, {} };
     }
@@ -29,15 +29,15 @@
     {
         const boost::json::array* messages = arrayField(body, "messages");
         if (!messages || messages->empty())
-            return badInput("messages: expected a list with at least one message");
+            return invalidInput("messages: expected a list with at least one message");
         std::string prompt;
         for (const boost::json::value& value : *messages) {
             if (!value.is_object())
-                return badInput("messages: expected objects with role and content");
+                return invalidInput("messages: expected objects with role and content");
             std::string role = textField(value.as_object(), "role");
             std::string content = textField(value.as_object(), "content");
             if (role.empty() || content.empty())
-                return badInput("messages: expected a role and a content in each");
+                return invalidInput("messages: expected a role and a content in each");
             prompt.append(role).append(": ").append(content).append("\n");
         }
         return prompt;
@@ -52,7 +52,7 @@
     bool isStream_ = false;
 };
 
-CallerApi::CallerApi(NodeContext& context, GenerationOwner& owner, AnswerFinder& finder, LimitDesk& limits, ServiceRouter& services, GaugesHook gauges)
+CallerApi::CallerApi(NodeContext& context, GenerationOwner& owner, AnswerFinder& finder, LimitClient& limits, ServiceRouter& services, GaugesHook gauges)
     : context_(context)
     , owner_(owner)
     , finder_(finder)
@@ -86,7 +86,7 @@
         return Error { Errc::Unauthorised, "authenticate", {}, "expected 'Authorization: Bearer KEY'", Ran::No, {} };
     auto catalogue = context_.catalogue();
     if (!catalogue->nextOffset_.value_)
-        return Error { Errc::Unavailable, "authenticate", context_.self().value_, "the catalogue is not known here yet", Ran::No, drainRetry };
+        return Error { Errc::Unavailable, "authenticate", context_.self().value_, "the catalogue is not known here yet", Ran::No, notReadyRetryAfter };
     auto entry = catalogue->findByApiKey(std::string_view(authorization).substr(scheme.size()));
     if (!entry)
         return Error { Errc::Unauthorised, "authenticate", {}, "unknown API key", Ran::No, {} };
@@ -104,7 +104,7 @@
         bool isReady = !context_.isDraining_ && context_.catalogue()->nextOffset_.value_;
         if (isReady)
             co_return co_await exchange.respond(jsonResponse(200, "{\"status\":\"ready\"}"));
-        co_return Error { context_.isDraining_ ? Errc::Leaving : Errc::Unavailable, "readiness", context_.self().value_, "takes no new callers", Ran::No, drainRetry };
+        co_return Error { context_.isDraining_ ? Errc::Leaving : Errc::Unavailable, "readiness", context_.self().value_, "takes no new callers", Ran::No, notReadyRetryAfter };
     }
     if (path == "/metrics" && isGet) {
         HttpResponse response { 200, { { "content-type", "text/plain; version=0.0.4" } }, context_.metrics_.render(gauges_()) };
@@ -144,18 +144,18 @@
     std::string text = request.header("x-deadline-ms");
     if (text.empty() || text.size() > 9 || text.find_first_not_of("0123456789") != std::string::npos)
         return limit;
-    return std::clamp(milliseconds(std::stoll(text)), leastDeadline, limit);
+    return std::clamp(milliseconds(std::stoll(text)), minDeadline, limit);
 }
 
 Result<CallerApi::CompletionRequest> CallerApi::parseCompletion(const HttpRequest& request, const CatalogueEntry& entry, bool isChat) const
 {
     auto body = parseJsonObject(request.body_);
     if (!body)
-        return badInput("body: expected a JSON object");
+        return invalidInput("body: expected a JSON object");
     CompletionRequest completion;
     completion.model_ = textField(*body, "model");
     if (completion.model_.empty())
-        return badInput("model: expected a text");
+        return invalidInput("model: expected a text");
     const auto& allowed = entry.workload_->models_;
     if (std::find(allowed.begin(), allowed.end(), completion.model_) == allowed.end())
         return Error { Errc::NotFound, "find model", completion.model_, "this entry has no such model", Ran::No, {} };
@@ -167,12 +167,12 @@
     } else {
         completion.prompt_ = textField(*body, "prompt");
         if (completion.prompt_.empty())
-            return badInput("prompt: expected a text");
+            return invalidInput("prompt: expected a text");
     }
     completion.maxTokens_ = body->contains("max_tokens") ? numberField(*body, "max_tokens") : defaultMaxTokens;
-    std::uint64_t most = context_.settings_.caller_.mostTokens_;
-    if (!completion.maxTokens_ || completion.maxTokens_ > most)
-        return badInput("max_tokens: expected a whole number from 1 to " + std::to_string(most));
+    std::uint64_t tokenLimit = context_.settings_.caller_.mostTokens_;
+    if (!completion.maxTokens_ || completion.maxTokens_ > tokenLimit)
+        return invalidInput("max_tokens: expected a whole number from 1 to " + std::to_string(tokenLimit));
     completion.isStream_ = flagField(*body, "stream");
     return completion;
 }
@@ -204,16 +204,16 @@
     GenerationPtr generation = owner_.begin(std::move(record));
     SpanScope scope(context_.tracer_, trace, "entry", generation->id());
     auto source = readGeneration(generation);
-    auto refused = co_await generation->waitAccepted(generation->addReader());
-    if (refused) {
-        scope.span().outcome_ = describe(*refused);
-        co_return *refused;
+    auto rejection = co_await generation->waitAccepted(generation->addReader());
+    if (rejection) {
+        scope.span().outcome_ = describe(*rejection);
+        co_return *rejection;
     }
     context_.metrics_.add(Counter::RequestsAccepted);
     source.engine_ = generation->engine();
     if (completion.isStream_)
         co_return co_await sendEvents(exchange, std::move(source));
-    co_return co_await sendWhole(exchange, std::move(source));
+    co_return co_await sendFullAnswer(exchange, std::move(source));
 }
 
 asio::awaitable<Result<void>> CallerApi::sendEvents(HttpExchange& exchange, AnswerSource source)
@@ -242,7 +242,7 @@
     co_return sent;
 }
 
-asio::awaitable<Result<void>> CallerApi::sendWhole(HttpExchange& exchange, AnswerSource source)
+asio::awaitable<Result<void>> CallerApi::sendFullAnswer(HttpExchange& exchange, AnswerSource source)
 {
     std::string text;
     std::size_t count = 0;
@@ -288,7 +288,7 @@
     bool wantsEvents = exchange.request().header("accept").find("text/event-stream") != std::string::npos;
     if (wantsEvents || !exchange.request().header("last-event-id").empty())
         co_return co_await sendEvents(exchange, std::move(source.value()));
-    co_return co_await sendWhole(exchange, std::move(source.value()));
+    co_return co_await sendFullAnswer(exchange, std::move(source.value()));
 }
 
 asio::awaitable<Result<void>> CallerApi::callService(HttpExchange& exchange, EntryPtr entry)
@@ -306,8 +306,8 @@
     if (!isKnown || std::find(allowed.begin(), allowed.end(), name) == allowed.end())
         co_return Error { Errc::NotFound, "find service", name, "this entry has no such service", Ran::No, {} };
     std::string key = request.header("idempotency-key");
-    if (!backend->backend_->isRepeatable_ && (key.empty() || key.size() > longestIdempotencyKey))
-        co_return badInput("Idempotency-Key: expected 1 to 256 characters, since this service's calls may not be repeated");
+    if (!backend->backend_->isRepeatable_ && (key.empty() || key.size() > maxIdempotencyKeySize))
+        co_return invalidInput("Idempotency-Key: expected 1 to 256 characters, since this service's calls may not be repeated");
     auto admitted = co_await limits_.admit(entry, 0);
     if (!admitted)
         co_return admitted.error();
--- a/lib/Node/CallerApi.h
+++ b/lib/Node/CallerApi.h
@@ -7,7 +7,7 @@
 #pragma once
 
 #include "AnswerFinder.h"
-#include "LimitDesk.h"
+#include "LimitClient.h"
 #include "ServiceRouter.h"
 
 namespace pistachioloom {
@@ -17,7 +17,7 @@
     /// Gauges for `/metrics`.
     using GaugesHook = std::function<std::map<std::string, double>()>;
 
-    CallerApi(NodeContext& context, GenerationOwner& owner, AnswerFinder& finder, LimitDesk& limits, ServiceRouter& services, GaugesHook gauges);
+    CallerApi(NodeContext& context, GenerationOwner& owner, AnswerFinder& finder, LimitClient& limits, ServiceRouter& services, GaugesHook gauges);
 
     asio::awaitable<void> handle(HttpExchange& exchange);
     /// Requests being answered.
@@ -32,7 +32,7 @@
     asio::awaitable<Result<void>> fetchAnswer(HttpExchange& exchange, EntryPtr entry);
     asio::awaitable<Result<void>> callService(HttpExchange& exchange, EntryPtr entry);
     asio::awaitable<Result<void>> sendEvents(HttpExchange& exchange, AnswerSource source);
-    asio::awaitable<Result<void>> sendWhole(HttpExchange& exchange, AnswerSource source);
+    asio::awaitable<Result<void>> sendFullAnswer(HttpExchange& exchange, AnswerSource source);
     HttpResponse listModels(const CatalogueEntry& entry) const;
     Result<EntryPtr> authenticate(const HttpRequest& request) const;
     Result<CompletionRequest> parseCompletion(const HttpRequest& request, const CatalogueEntry& entry, bool isChat) const;
@@ -41,7 +41,7 @@
     NodeContext& context_;
     GenerationOwner& owner_;
     AnswerFinder& finder_;
-    LimitDesk& limits_;
+    LimitClient& limits_;
     ServiceRouter& services_;
     GaugesHook gauges_;
     Logger logger_;
--- a/lib/Node/ControlPlane.cpp
+++ b/lib/Node/ControlPlane.cpp
@@ -15,9 +15,9 @@
     const std::string catalogueStream = "catalogue";
     constexpr milliseconds logWait { 2000 };
     constexpr milliseconds noticeWait { 2000 };
-    constexpr milliseconds platformRetry { 300 };
+    constexpr milliseconds platformRetryDelay { 300 };
     constexpr milliseconds appendTimeout { 1000 };
-    constexpr milliseconds leavingKept { 900000 };
+    constexpr milliseconds leavingRetention { 900000 };
 
     // Greater after each start: the wall clock orders the incarnations of a VM,
     // and a wrong one only delays how soon its first heartbeats are believed.
@@ -66,7 +66,7 @@
             bool wasReachable = false;
             {
                 std::lock_guard lock(mutex_);
-                wasReachable = std::exchange(isListReachable_, static_cast<bool>(list));
+                wasReachable = std::exchange(isVmListReachable_, static_cast<bool>(list));
             }
             if (static_cast<bool>(list) != wasReachable)
                 logger_.warn(list ? std::string("VM list is reachable again.") : "VM list is unreachable: " + describe(list.error()) + ".");
@@ -85,7 +85,7 @@
         }
         auto read = co_await context_.vmList_.notices_(since, noticeWait);
         if (!read) {
-            co_await sleepFor(platformRetry);
+            co_await sleepFor(platformRetryDelay);
             continue;
         }
         since = read.value().next_;
@@ -98,24 +98,24 @@
 
 void ControlPlane::markLeaving(const std::vector<LeavingVm>& vms)
 {
-    bool isNews = false;
+    bool isUpdate = false;
     {
         std::lock_guard lock(mutex_);
         for (const LeavingVm& leaving : vms) {
             auto stopsAt = leaving.remaining_ ? std::optional(steadyNow() + *leaving.remaining_) : std::nullopt;
             bool isNewVm = leaving_.markLeaving(leaving.vm_, stopsAt, steadyNow());
-            isNews |= isNewVm;
+            isUpdate |= isNewVm;
             if (isNewVm)
                 logger_.info("VM " + leaving.vm_.value_ + " is leaving.");
         }
     }
-    if (!isNews)
+    if (!isUpdate)
         return;
     publishMembership();
     gossipEverywhere();
 }
 
-std::optional<milliseconds> ControlPlane::noticeLeft(const VmId& vm) const
+std::optional<milliseconds> ControlPlane::remainingNotice(const VmId& vm) const
 {
     std::lock_guard lock(mutex_);
     auto markedAt = leaving_.markedAt(vm);
@@ -168,7 +168,7 @@
     MembershipView view;
     {
         std::lock_guard lock(mutex_);
-        leaving_.forgetOld(leavingKept, steadyNow());
+        leaving_.forgetOld(leavingRetention, steadyNow());
         view = buildView(vmIndex_, gossip_, leaving_, context_.settings_.dataCentre_, steadyNow());
     }
     context_.publish(std::move(view));
@@ -188,13 +188,13 @@
 
 void ControlPlane::applyRecords(const std::vector<std::pair<LogOffset, std::string>>& records)
 {
-    bool hasMoved = false;
+    bool hasAdvanced = false;
     {
         std::lock_guard lock(mutex_);
         LogOffset before = catalogue_.nextOffset();
         for (const auto& [offset, record] : records)
             catalogue_.apply(offset, record);
-        hasMoved = catalogue_.nextOffset() > before;
+        hasAdvanced = catalogue_.nextOffset() > before;
         if (catalogue_.lastSnapshot() != snapshotSeen_) {
             snapshotSeen_ = catalogue_.lastSnapshot();
             snapshotSeenAt_ = steadyNow();
@@ -202,7 +202,7 @@
         if (!catalogue_.hasGap())
             catalogueCurrentAt_ = steadyNow();
     }
-    if (!hasMoved)
+    if (!hasAdvanced)
         return;
     context_.metrics_.add(Counter::CatalogueRecords, records.size());
     publishCatalogue();
@@ -239,7 +239,7 @@
             logger_.warn(read ? std::string("Log is reachable again.") : "Log is unreachable: " + describe(read.error()) + ".");
         isReachable = static_cast<bool>(read);
         if (!read)
-            co_await sleepFor(jitter(platformRetry, randomBits()));
+            co_await sleepFor(jitter(platformRetryDelay, randomBits()));
         else
             co_await appendSnapshotIfDue();
     }
@@ -281,7 +281,7 @@
             co_return error;
         }
         // The same edit id again: whichever copy comes first in the log counts.
-        co_await sleepFor(jitter(platformRetry, randomBits()));
+        co_await sleepFor(jitter(platformRetryDelay, randomBits()));
     }
 }
 
@@ -299,9 +299,9 @@
                 co_return *outcome;
         }
         if (!read || !appended)
-            co_await sleepFor(platformRetry);
+            co_await sleepFor(platformRetryDelay);
     } while (steadyNow() < until);
-    co_return Error { Errc::OutcomeUnknown, "read back edit", context_.settings_.log_.toString(), "edit " + edit.id_.value_ + " was sent; ask again with the same edit id", Ran::Unknown, platformRetry };
+    co_return Error { Errc::OutcomeUnknown, "read back edit", context_.settings_.log_.toString(), "edit " + edit.id_.value_ + " was sent; ask again with the same edit id", Ran::Unknown, platformRetryDelay };
 }
 
 std::vector<CatalogueChange> ControlPlane::history() const
--- a/lib/Node/ControlPlane.h
+++ b/lib/Node/ControlPlane.h
@@ -33,7 +33,7 @@
     wire::Frame answerCatalogueFetch(const wire::CatalogueFetch& fetch);
     wire::Frame answerVmListFetch(const wire::VmListFetch& fetch);
     /// Takes a list that a peer pushed because ours is older.
-    wire::Frame takeVmList(const wire::VmListUpdate& update);
+    wire::Frame applyVmList(const wire::VmListUpdate& update);
 
     struct LeavingVm {
         VmId vm_;
@@ -45,7 +45,7 @@
     void markLeaving(const std::vector<LeavingVm>& vms);
     /// Time until a leaving VM stops: what its notice told, or else the default
     /// counted from when it was marked. nullopt for a VM that stays.
-    std::optional<milliseconds> noticeLeft(const VmId& vm) const;
+    std::optional<milliseconds> remainingNotice(const VmId& vm) const;
     /// Tells all peers that this node leaves.
     void announceLeaving();
 
@@ -61,7 +61,7 @@
     asio::awaitable<void> vmListLoop();
     asio::awaitable<void> noticeLoop();
     asio::awaitable<void> catalogueLoop();
-    asio::awaitable<void> exchange(VmId peer);
+    asio::awaitable<void> exchangeGossip(VmId peer);
     asio::awaitable<void> syncCatalogue(VmId peer);
     asio::awaitable<void> syncVmList(VmId peer);
     asio::awaitable<void> pushVmList(VmId peer, std::uint64_t knownVersion);
@@ -75,11 +75,11 @@
     /// One node of each other data centre.
     std::vector<VmId> remoteContacts() const;
     /// The next few of them, in turn.
-    std::vector<VmId> contactsInTurn();
+    std::vector<VmId> nextContacts();
     wire::Frame makeGossip() const;
     /// \returns whether a VM was newly found to leave.
     bool mergeGossip(const wire::Gossip& gossip);
-    void followUp(const wire::Gossip& gossip);
+    void pullUpdates(const wire::Gossip& gossip);
     void applyRecords(const std::vector<std::pair<LogOffset, std::string>>& records);
     /// \p adopt takes it into the store; what is newer is published and told.
     void adoptVmList(const std::function<bool(VmListStore&)>& adopt);
@@ -100,8 +100,8 @@
     SteadyTime snapshotSeenAt_;
     LogOffset snapshotSeen_;
     SteadyTime catalogueCurrentAt_;
-    std::size_t contactTurn_ = 0;
-    bool isListReachable_ = true;
+    std::size_t nextContact_ = 0;
+    bool isVmListReachable_ = true;
     bool isSyncingCatalogue_ = false;
     bool isSyncingVmList_ = false;
     // Keeps publications in the order of the states they show.
--- a/lib/Node/Gossiping.cpp
+++ b/lib/Node/Gossiping.cpp
@@ -16,7 +16,7 @@
     constexpr milliseconds gossipTimeout { 1000 };
     constexpr milliseconds syncTimeout { 3000 };
     // A VM found to leave is told of for this long; all have heard it by then.
-    constexpr milliseconds leavingTold { 60000 };
+    constexpr milliseconds leavingGossipPeriod { 60000 };
 
     std::uint32_t shortHash(const VmId& vm)
     {
@@ -89,23 +89,23 @@
     return contacts;
 }
 
-std::vector<VmId> ControlPlane::contactsInTurn()
+std::vector<VmId> ControlPlane::nextContacts()
 {
     std::vector<VmId> contacts = remoteContacts();
-    std::size_t most = context_.settings_.membership_.relayFanout_;
-    if (contacts.size() <= most)
+    std::size_t maxContacts = context_.settings_.membership_.relayFanout_;
+    if (contacts.size() <= maxContacts)
         return contacts;
     std::vector<VmId> chosen;
-    for (std::size_t i = 0; i < most; ++i)
-        chosen.push_back(contacts[(contactTurn_ + i) % contacts.size()]);
-    contactTurn_ = (contactTurn_ + most) % contacts.size();
+    for (std::size_t i = 0; i < maxContacts; ++i)
+        chosen.push_back(contacts[(nextContact_ + i) % contacts.size()]);
+    nextContact_ = (nextContact_ + maxContacts) % contacts.size();
     return chosen;
 }
 
 void ControlPlane::gossipTo(const std::vector<VmId>& peers)
 {
     for (const VmId& peer : peers)
-        context_.spawn(exchange(peer));
+        context_.spawn(exchangeGossip(peer));
 }
 
 void ControlPlane::gossipEverywhere()
@@ -132,7 +132,7 @@
             peers.erase(peers.begin() + static_cast<std::ptrdiff_t>(randomBits() % peers.size()));
         gossipTo(peers);
         if (isRelay())
-            gossipTo(contactsInTurn());
+            gossipTo(nextContacts());
         co_await sleepFor(settings.heartbeat_);
     }
 }
@@ -158,7 +158,7 @@
     for (const NodeDigest& digest : gossip_.digests(steadyNow()))
         encodeDigest(digest, *gossip.add_digests());
     for (const auto& [vm, leaving] : leaving_.all()) {
-        if (steadyNow() - leaving.markedAt_ > leavingTold)
+        if (steadyNow() - leaving.markedAt_ > leavingGossipPeriod)
             continue;
         wire::LeavingVm& encoded = *gossip.add_leaving();
         encoded.set_vm(vm.value_);
@@ -171,7 +171,7 @@
     return frame;
 }
 
-asio::awaitable<void> ControlPlane::exchange(VmId peer)
+asio::awaitable<void> ControlPlane::exchangeGossip(VmId peer)
 {
     context_.metrics_.add(Counter::GossipMessages);
     wire::Frame request = makeGossip();
@@ -180,12 +180,12 @@
         co_return;
     if (mergeGossip(reply.value().gossip()))
         publishMembership();
-    followUp(reply.value().gossip());
+    pullUpdates(reply.value().gossip());
     // A peer with an old list may not find us in it, so it cannot pull.
-    std::uint64_t theirs = reply.value().gossip().vm_list_version();
-    bool isOurs = reply.value().gossip().data_centre() == context_.settings_.dataCentre_.value_;
-    if (isOurs && theirs < context_.membership()->index_->version_)
-        co_await pushVmList(peer, theirs);
+    std::uint64_t peerVersion = reply.value().gossip().vm_list_version();
+    bool isSameDataCentre = reply.value().gossip().data_centre() == context_.settings_.dataCentre_.value_;
+    if (isSameDataCentre && peerVersion < context_.membership()->index_->version_)
+        co_await pushVmList(peer, peerVersion);
 }
 
 asio::awaitable<void> ControlPlane::pushVmList(VmId peer, std::uint64_t knownVersion)
@@ -196,7 +196,7 @@
     (void)co_await context_.call(peer, update, syncTimeout);
 }
 
-wire::Frame ControlPlane::takeVmList(const wire::VmListUpdate& update)
+wire::Frame ControlPlane::applyVmList(const wire::VmListUpdate& update)
 {
     adoptVmChanges(update);
     wire::Frame frame;
@@ -209,7 +209,7 @@
     context_.metrics_.add(Counter::GossipMessages);
     if (mergeGossip(gossip))
         publishMembership();
-    followUp(gossip);
+    pullUpdates(gossip);
     return makeGossip();
 }
 
@@ -217,18 +217,18 @@
 {
     std::lock_guard lock(mutex_);
     bool isLocal = gossip.data_centre() == context_.settings_.dataCentre_.value_;
-    bool isNews = false;
+    bool isUpdate = false;
     auto local = vmIndex_->entryVms_.find(context_.settings_.dataCentre_);
     if (isLocal && local != vmIndex_->entryVms_.end())
         gossip_.merge(decodeDigests(gossip, local->second), steadyNow());
     for (const wire::LeavingVm& leaving : gossip.leaving()) {
         auto stopsAt = leaving.has_deadline() ? std::optional(steadyNow() + milliseconds(leaving.remaining_ms())) : std::nullopt;
-        isNews |= leaving_.markLeaving({ leaving.vm() }, stopsAt, steadyNow());
+        isUpdate |= leaving_.markLeaving({ leaving.vm() }, stopsAt, steadyNow());
     }
-    return isNews;
+    return isUpdate;
 }
 
-void ControlPlane::followUp(const wire::Gossip& gossip)
+void ControlPlane::pullUpdates(const wire::Gossip& gossip)
 {
     bool needsCatalogue = false;
     bool needsVmList = false;
@@ -237,8 +237,8 @@
         needsCatalogue = gossip.catalogue_offset() > catalogue_.nextOffset().value_ && !isSyncingCatalogue_;
         // Addresses may look different from another data centre, so its list
         // is taken only when the platform does not give us ours.
-        bool isOurs = gossip.data_centre() == context_.settings_.dataCentre_.value_;
-        needsVmList = gossip.vm_list_version() > vmIndex_->version_ && !isSyncingVmList_ && (isOurs || !isListReachable_);
+        bool isSameDataCentre = gossip.data_centre() == context_.settings_.dataCentre_.value_;
+        needsVmList = gossip.vm_list_version() > vmIndex_->version_ && !isSyncingVmList_ && (isSameDataCentre || !isVmListReachable_);
         isSyncingCatalogue_ |= needsCatalogue;
         isSyncingVmList_ |= needsVmList;
     }
--- a/lib/Node/LimitDesk.cpp
+++ b/lib/Node/LimitClient.cpp
@@ -1,9 +1,9 @@
-//===- lib/Node/LimitDesk.cpp - admission of a node ------------------------===//
+//===- lib/Node/LimitClient.cpp - admission of a node ------------------------===//
 ///
 /// \file
-/// See LimitDesk.h.
+/// See LimitClient.h.
 //===----------------------------------------------------------------------===//
-#include "LimitDesk.h"
+#include "LimitClient.h"
 
 #include "generated/Peer.pb.h"
 #include <boost/asio.hpp>
@@ -14,88 +14,88 @@
 
     // A keeper may have to borrow from another data centre first.
     constexpr milliseconds grantTimeout { 1500 };
-    constexpr milliseconds limitRetry { 500 };
-    constexpr int mostAsked = 4;
+    constexpr milliseconds limitRetryAfter { 500 };
+    constexpr int maxGrantRequests = 4;
 
 } // namespace
 
-LimitDesk::LimitDesk(NodeContext& context, LimitKeeper& keeper)
+LimitClient::LimitClient(NodeContext& context, LimitCoordinator& coordinator)
     : context_(context)
-    , keeper_(keeper)
+    , coordinator_(coordinator)
     , logger_("limits")
 {
 }
 
-void LimitDesk::start()
+void LimitClient::start()
 {
     context_.spawn(renewLoop());
 }
 
-asio::awaitable<Result<void>> LimitDesk::admit(std::shared_ptr<const CatalogueEntry> entry, std::uint64_t tokens)
+asio::awaitable<Result<void>> LimitClient::admit(std::shared_ptr<const CatalogueEntry> entry, std::uint64_t tokens)
 {
-    auto verdict = Admission::Decision::Admitted;
+    auto decision = Admission::Decision::Admitted;
     {
         std::lock_guard lock(mutex_);
-        verdict = admission_.tryStart(*entry, tokens, steadyNow());
-        if (verdict == Admission::Decision::Admitted)
+        decision = admission_.tryStart(*entry, tokens, steadyNow());
+        if (decision == Admission::Decision::Admitted)
             co_return boost::outcome_v2::success();
         admission_.beginWait(entry->name_, tokens);
     }
     // Others that arrive at the same time may take what the keeper granted on
     // our word, so it is asked again before the request is refused.
-    for (int asked = 0; asked < mostAsked && verdict != Admission::Decision::Admitted; ++asked) {
-        co_await askOrJoin(entry);
+    for (int requestCount = 0; requestCount < maxGrantRequests && decision != Admission::Decision::Admitted; ++requestCount) {
+        co_await requestOrJoin(entry);
         std::lock_guard lock(mutex_);
-        verdict = admission_.tryStart(*entry, tokens, steadyNow());
+        decision = admission_.tryStart(*entry, tokens, steadyNow());
     }
     std::lock_guard lock(mutex_);
     admission_.endWait(entry->name_, tokens);
-    if (verdict == Admission::Decision::Admitted)
+    if (decision == Admission::Decision::Admitted)
         co_return boost::outcome_v2::success();
-    co_return refusal(*entry, verdict);
+    co_return rejection(*entry, decision);
 }
 
-Error LimitDesk::refusal(const CatalogueEntry& entry, Admission::Decision verdict) const
+Error LimitClient::rejection(const CatalogueEntry& entry, Admission::Decision decision) const
 {
-    bool isForTokens = verdict == Admission::Decision::NeedsTokens;
-    milliseconds wait = isForTokens ? std::max(admission_.tokenWait(entry.name_), limitRetry) : limitRetry;
+    bool isForTokens = decision == Admission::Decision::NeedsTokens;
+    milliseconds wait = isForTokens ? std::max(admission_.tokenWait(entry.name_), limitRetryAfter) : limitRetryAfter;
     std::string reason = isForTokens ? "tokens a second are used up" : "requests in progress are at the limit";
     return { Errc::LimitReached, "admit", entry.name_.value_, std::move(reason), Ran::No, jitter(wait, randomBits()) };
 }
 
-void LimitDesk::finish(const EntryName& entry, std::uint64_t unusedTokens)
+void LimitClient::finish(const EntryName& entry, std::uint64_t unusedTokens)
 {
     std::lock_guard lock(mutex_);
     admission_.finish(entry, unusedTokens);
 }
 
-asio::awaitable<void> LimitDesk::askOrJoin(EntryPtr entry)
+asio::awaitable<void> LimitClient::requestOrJoin(EntryPtr entry)
 {
-    std::shared_ptr<SharedWait> other;
+    std::shared_ptr<SharedWait> pending;
     {
         std::lock_guard lock(mutex_);
-        auto found = asking_.find(entry->name_);
-        if (found != asking_.end())
-            other = found->second;
+        auto found = pendingRequests_.find(entry->name_);
+        if (found != pendingRequests_.end())
+            pending = found->second;
     }
-    if (other) {
-        co_await other->wait();
+    if (pending) {
+        co_await pending->wait();
         co_return;
     }
-    VmId keeper = keeper_.keeperOf(entry->name_);
+    VmId coordinator = coordinator_.coordinatorOf(entry->name_);
     std::vector<EntryPtr> entries { entry };
-    co_await askKeeper(std::move(keeper), std::move(entries));
+    co_await requestGrants(std::move(coordinator), std::move(entries));
 }
 
-asio::awaitable<void> LimitDesk::askKeeper(VmId keeper, std::vector<EntryPtr> entries)
+asio::awaitable<void> LimitClient::requestGrants(VmId coordinator, std::vector<EntryPtr> entries)
 {
     wire::Frame frame;
     wire::GrantRequest& request = *frame.mutable_grant_request();
     request.set_node(context_.self().value_);
-    auto asking = std::make_shared<SharedWait>(context_.executor_);
+    auto completion = std::make_shared<SharedWait>(context_.executor_);
     {
         std::lock_guard lock(mutex_);
-        std::erase_if(entries, [&](const EntryPtr& entry) { return !asking_.emplace(entry->name_, asking).second; });
+        std::erase_if(entries, [&](const EntryPtr& entry) { return !pendingRequests_.emplace(entry->name_, completion).second; });
         for (const EntryPtr& entry : entries) {
             auto demand = admission_.makeDemand(*entry, context_.settings_.limits_.grantAhead_);
             wire::EntryDemand& encoded = *request.add_demands();
@@ -110,25 +110,25 @@
     }
     if (entries.empty())
         co_return;
-    SteadyTime askedAt = steadyNow();
+    SteadyTime sentAt = steadyNow();
     context_.metrics_.add(Counter::GrantMessages);
-    auto reply = co_await context_.call(keeper, frame, grantTimeout);
+    auto reply = co_await context_.call(coordinator, frame, grantTimeout);
     bool isGrant = reply && reply.value().has_grant_reply();
     if (!isGrant)
-        logger_.warn("Limit keeper " + keeper.value_ + " does not answer.");
+        logger_.warn("Limit keeper " + coordinator.value_ + " does not answer.");
     std::lock_guard lock(mutex_);
     if (isGrant) {
         // Counted from before the question, so that we end before the keeper does.
-        SteadyTime expires = askedAt + milliseconds(reply.value().grant_reply().valid_ms());
+        SteadyTime expires = sentAt + milliseconds(reply.value().grant_reply().valid_ms());
         for (const wire::EntryGrant& grant : reply.value().grant_reply().grants())
             admission_.applyGrant({ grant.entry() }, { grant.slots(), grant.tokens(), expires, milliseconds(grant.token_wait_ms()) });
     }
     for (const EntryPtr& entry : entries)
-        asking_.erase(entry->name_);
-    asking->open();
+        pendingRequests_.erase(entry->name_);
+    completion->open();
 }
 
-asio::awaitable<void> LimitDesk::renewLoop()
+asio::awaitable<void> LimitClient::renewLoop()
 {
     for (;;) {
         co_await sleepFor(context_.settings_.limits_.grantValidity_ / 2);
@@ -138,18 +138,18 @@
             active = admission_.activeEntries();
         }
         // One message for all entries of a keeper.
-        std::map<VmId, std::vector<EntryPtr>> byKeeper;
+        std::map<VmId, std::vector<EntryPtr>> byCoordinator;
         for (const EntryName& name : active) {
             auto entry = context_.catalogue()->findEntry(name);
             if (entry && entry->workload_)
-                byKeeper[keeper_.keeperOf(name)].push_back(entry);
+                byCoordinator[coordinator_.coordinatorOf(name)].push_back(entry);
         }
-        for (auto& [keeper, entries] : byKeeper)
-            context_.spawn(askKeeper(keeper, std::move(entries)));
+        for (auto& [coordinator, entries] : byCoordinator)
+            context_.spawn(requestGrants(coordinator, std::move(entries)));
     }
 }
 
-std::vector<LimitDesk::EntryUse> LimitDesk::uses() const
+std::vector<LimitClient::EntryUse> LimitClient::uses() const
 {
     std::vector<EntryUse> uses;
     auto catalogue = context_.catalogue();
@@ -157,7 +157,7 @@
         if (!entry->workload_)
             continue;
         std::lock_guard lock(mutex_);
-        uses.push_back({ name, admission_.inProgress(name), admission_.held(name, steadyNow()), keeper_.shareOf(*entry), keeper_.keeperOf(name) });
+        uses.push_back({ name, admission_.inProgress(name), admission_.held(name, steadyNow()), coordinator_.shareOf(*entry), coordinator_.coordinatorOf(name) });
     }
     return uses;
 }
--- a/lib/Node/LimitDesk.h
+++ b/lib/Node/LimitClient.h
@@ -1,4 +1,4 @@
-//===- lib/Node/LimitDesk.h - admission of a node --------------------------===//
+//===- lib/Node/LimitClient.h - admission of a node --------------------------===//
 ///
 /// \file
 /// A node's side of the limits: it asks the keepers of entries for slots and
@@ -7,14 +7,14 @@
 //===----------------------------------------------------------------------===//
 #pragma once
 
-#include "LimitKeeper.h"
+#include "LimitCoordinator.h"
 #include "SharedWait.h"
 
 namespace pistachioloom {
 
-class LimitDesk {
+class LimitClient {
 public:
-    LimitDesk(NodeContext& context, LimitKeeper& keeper);
+    LimitClient(NodeContext& context, LimitCoordinator& coordinator);
 
     void start();
     /// Admits a request of \p entry that may use \p tokens. Errors:
@@ -27,25 +27,25 @@
         std::uint64_t inProgress_ = 0;
         std::uint64_t held_ = 0;
         std::uint64_t share_ = 0;
-        VmId keeper_;
+        VmId coordinator_;
     };
     std::vector<EntryUse> uses() const;
 
 private:
     using EntryPtr = std::shared_ptr<const CatalogueEntry>;
 
-    Error refusal(const CatalogueEntry& entry, Admission::Decision verdict) const;
+    Error rejection(const CatalogueEntry& entry, Admission::Decision decision) const;
     /// Asks the keeper of \p entry, or waits for the answer to who did already.
-    asio::awaitable<void> askOrJoin(EntryPtr entry);
-    asio::awaitable<void> askKeeper(VmId keeper, std::vector<EntryPtr> entries);
+    asio::awaitable<void> requestOrJoin(EntryPtr entry);
+    asio::awaitable<void> requestGrants(VmId coordinator, std::vector<EntryPtr> entries);
     asio::awaitable<void> renewLoop();
 
     NodeContext& context_;
-    LimitKeeper& keeper_;
+    LimitCoordinator& coordinator_;
     Logger logger_;
     mutable std::mutex mutex_;
     Admission admission_;
-    std::map<EntryName, std::shared_ptr<SharedWait>> asking_;
+    std::map<EntryName, std::shared_ptr<SharedWait>> pendingRequests_;
 };
 
 } // namespace pistachioloom
--- a/lib/Node/Node.cpp
+++ b/lib/Node/Node.cpp
@@ -14,9 +14,9 @@
 
 namespace {
 
-    constexpr milliseconds watchPeriod { 50 };
+    constexpr milliseconds pollPeriod { 50 };
     // Frames already on their way leave the sockets before they close.
-    constexpr milliseconds closingPause { 200 };
+    constexpr milliseconds closingDelay { 200 };
 
 } // namespace
 
@@ -27,24 +27,24 @@
     asio::awaitable<void> servePeer(std::shared_ptr<PeerStream> stream);
     asio::awaitable<void> answerPeer(PeerStream& stream, const wire::Frame& frame);
     asio::awaitable<void> watchOwnNotice();
-    asio::awaitable<void> drain(std::optional<milliseconds> left);
-    asio::awaitable<void> waitIdle(SteadyTime until);
-    void requestDrain(std::optional<milliseconds> left);
+    asio::awaitable<void> drain(std::optional<milliseconds> remaining);
+    asio::awaitable<void> waitUntilIdle(SteadyTime until);
+    void requestDrain(std::optional<milliseconds> remaining);
     bool isIdle() const;
 
     asio::io_context io_;
     NodeContext context_;
     ControlPlane control_;
-    BackendHome home_;
+    BackendHome dispatcher_;
     EngineOrders orders_;
     EngineRouter router_;
-    LimitKeeper limitKeeper_;
-    LimitDesk limits_;
+    LimitCoordinator limitCoordinator_;
+    LimitClient limits_;
     GenerationOwner owner_;
     ReplicaStore replicas_;
     AnswerFinder finder_;
     ServiceRouter services_;
-    RunKeeper keeper_;
+    RunOnceCoordinator runOnceCoordinator_;
     CallerApi callerApi_;
     OperatorApi operatorApi_;
     PeerServer peerServer_;
@@ -58,20 +58,20 @@
 Node::State::State(Settings settings)
     : io_(static_cast<int>(settings.threads_))
     , context_(std::move(settings), io_.get_executor())
-    , control_(context_, [this] { return home_.loads(); })
-    , home_(context_, control_)
-    , orders_(context_, home_)
+    , control_(context_, [this] { return dispatcher_.loads(); })
+    , dispatcher_(context_, control_)
+    , orders_(context_, dispatcher_)
     , router_(context_)
-    , limitKeeper_(context_)
-    , limits_(context_, limitKeeper_)
+    , limitCoordinator_(context_)
+    , limits_(context_, limitCoordinator_)
     , owner_(context_, router_, [this](const std::string& entry, std::uint64_t unused) { limits_.finish({ entry }, unused); })
     , replicas_(context_, owner_)
     , finder_(context_, owner_)
     , services_(context_, router_)
-    , keeper_(context_, [this](wire::ServiceCall call) { return services_.dispatch(std::move(call)); })
+    , runOnceCoordinator_(context_, [this](wire::ServiceCall call) { return services_.dispatch(std::move(call)); })
     , callerApi_(context_, owner_, finder_, limits_, services_, [this] { return gauges(); })
     , operatorApi_(
-          context_, control_, home_, orders_, owner_, limits_, router_, [this](std::optional<milliseconds> left) { requestDrain(left); }, [this] { return gauges(); })
+          context_, control_, dispatcher_, orders_, owner_, limits_, router_, [this](std::optional<milliseconds> remaining) { requestDrain(remaining); }, [this] { return gauges(); })
     , peerServer_(
           io_.get_executor(), context_.settings_.peerCredential_, [this](std::shared_ptr<PeerStream> stream) { return servePeer(std::move(stream)); },
           [this](const Error& error) {
@@ -91,9 +91,9 @@
 {
     return {
         { "generations_running", static_cast<double>(owner_.running()) },
-        { "streams_homed", static_cast<double>(home_.running()) },
+        { "streams_homed", static_cast<double>(dispatcher_.running()) },
         { "replicas_held", static_cast<double>(replicas_.size()) },
-        { "ledger_keys", static_cast<double>(keeper_.keys()) },
+        { "ledger_keys", static_cast<double>(runOnceCoordinator_.keyCount()) },
         { "peer_bytes_sent", static_cast<double>(context_.peers_.bytesSent().value_ + peerServer_.bytesSent().value_) },
         { "peer_bytes_received", static_cast<double>(context_.peers_.bytesReceived().value_ + peerServer_.bytesReceived().value_) },
         { "catalogue_offset", static_cast<double>(context_.catalogue()->nextOffset_.value_) },
@@ -115,20 +115,20 @@
     auto shared = stream.shared();
     bool isWork = frame.has_generate() || frame.has_call() || frame.has_run_once() || frame.has_record_copy() || frame.has_record_handover();
     if (isWork && context_.isDraining_) {
-        wire::Frame refusal;
-        *refusal.mutable_failure() = toWire({ Errc::Leaving, "take work", context_.self().value_, "this node is leaving", Ran::No, {} });
-        (void)co_await stream.send(refusal);
+        wire::Frame rejection;
+        *rejection.mutable_failure() = toWire({ Errc::Leaving, "take work", context_.self().value_, "this node is leaving", Ran::No, {} });
+        (void)co_await stream.send(rejection);
         co_return;
     }
     switch (frame.body_case()) {
     case wire::Frame::kGenerate:
-        co_await home_.serveGeneration(shared, frame.generate());
+        co_await dispatcher_.serveGeneration(shared, frame.generate());
         co_return;
     case wire::Frame::kCall:
-        (void)co_await stream.send(co_await home_.callService(frame.call()));
+        (void)co_await stream.send(co_await dispatcher_.callService(frame.call()));
         co_return;
     case wire::Frame::kRunOnce:
-        (void)co_await stream.send(co_await keeper_.runOnce(frame.run_once()));
+        (void)co_await stream.send(co_await runOnceCoordinator_.runOnce(frame.run_once()));
         co_return;
     case wire::Frame::kGossip:
         (void)co_await stream.send(control_.answerGossip(frame.gossip()));
@@ -140,7 +140,7 @@
         (void)co_await stream.send(control_.answerVmListFetch(frame.vm_list_fetch()));
         co_return;
     case wire::Frame::kVmListUpdate:
-        (void)co_await stream.send(control_.takeVmList(frame.vm_list_update()));
+        (void)co_await stream.send(control_.applyVmList(frame.vm_list_update()));
         co_return;
     case wire::Frame::kRecordCopy:
         co_await replicas_.serveCopy(shared, frame.record_copy());
@@ -152,10 +152,10 @@
         (void)co_await stream.send(replicas_.takeHandover(frame.record_handover()));
         co_return;
     case wire::Frame::kGrantRequest:
-        (void)co_await stream.send(co_await limitKeeper_.answerGrants(frame.grant_request()));
+        (void)co_await stream.send(co_await limitCoordinator_.answerGrants(frame.grant_request()));
         co_return;
     case wire::Frame::kLoanRequest:
-        (void)co_await stream.send(limitKeeper_.answerLoan(frame.loan_request()));
+        (void)co_await stream.send(limitCoordinator_.answerLoan(frame.loan_request()));
         co_return;
     case wire::Frame::kFailure:
     case wire::Frame::kStarted:
@@ -177,52 +177,52 @@
     stream.cancel();
 }
 
-void Node::State::requestDrain(std::optional<milliseconds> left)
+void Node::State::requestDrain(std::optional<milliseconds> remaining)
 {
     if (!isDrainRequested_.exchange(true))
-        context_.spawn(drain(left));
+        context_.spawn(drain(remaining));
 }
 
 asio::awaitable<void> Node::State::watchOwnNotice()
 {
     while (!isDrainRequested_) {
-        co_await sleepFor(watchPeriod);
-        auto left = control_.noticeLeft(context_.self());
-        if (left)
-            requestDrain(left);
+        co_await sleepFor(pollPeriod);
+        auto remaining = control_.remainingNotice(context_.self());
+        if (remaining)
+            requestDrain(remaining);
     }
 }
 
 bool Node::State::isIdle() const
 {
-    return !callerApi_.running() && !owner_.running() && !home_.running() && !keeper_.running();
+    return !callerApi_.running() && !owner_.running() && !dispatcher_.running() && !runOnceCoordinator_.running();
 }
 
-asio::awaitable<void> Node::State::waitIdle(SteadyTime until)
+asio::awaitable<void> Node::State::waitUntilIdle(SteadyTime until)
 {
     while (!isIdle() && steadyNow() < until)
-        co_await sleepFor(watchPeriod);
+        co_await sleepFor(pollPeriod);
 }
 
-asio::awaitable<void> Node::State::drain(std::optional<milliseconds> left)
+asio::awaitable<void> Node::State::drain(std::optional<milliseconds> remaining)
 {
     const DrainSettings& settings = context_.settings_.drain_;
-    SteadyTime until = steadyNow() + left.value_or(settings.timeout_);
-    SteadyTime handoverAt = until - std::min(settings.handoverMargin_, left.value_or(settings.timeout_));
+    SteadyTime until = steadyNow() + remaining.value_or(settings.timeout_);
+    SteadyTime handoverAt = until - std::min(settings.handoverMargin_, remaining.value_or(settings.timeout_));
     logger_.info("Draining.");
     context_.isDraining_ = true;
     control_.announceLeaving();
     // The balancer goes on sending for a while; those callers are served.
     co_await sleepFor(std::min(settings.balancerGrace_, std::chrono::duration_cast<milliseconds>(std::max(SteadyTime::duration {}, handoverAt - steadyNow()))));
     callerServer_.stopAccepting();
-    co_await waitIdle(handoverAt);
+    co_await waitUntilIdle(handoverAt);
     if (!isIdle()) {
-        home_.passOnStreams();
+        dispatcher_.passOnStreams();
         co_await owner_.handOver();
-        co_await waitIdle(until);
+        co_await waitUntilIdle(until);
     }
     peerServer_.refuseNewStreams();
-    co_await sleepFor(closingPause);
+    co_await sleepFor(closingDelay);
     logger_.info(isIdle() ? "Drained." : "Stopped with work left.");
     io_.stop();
 }
@@ -248,9 +248,9 @@
     if (!operators)
         return operators.error();
     state_->control_.start();
-    state_->home_.start();
+    state_->dispatcher_.start();
     state_->orders_.start();
-    state_->limitKeeper_.start();
+    state_->limitCoordinator_.start();
     state_->limits_.start();
     state_->owner_.start();
     state_->replicas_.start();
--- a/lib/Node/OperatorApi.cpp
+++ b/lib/Node/OperatorApi.cpp
@@ -32,10 +32,10 @@
 
 } // namespace
 
-OperatorApi::OperatorApi(NodeContext& context, ControlPlane& control, BackendHome& home, EngineOrders& orders, GenerationOwner& owner, LimitDesk& limits, EngineRouter& router, DrainHook drain, CallerApi::GaugesHook gauges)
+OperatorApi::OperatorApi(NodeContext& context, ControlPlane& control, BackendHome& dispatcher, EngineOrders& orders, GenerationOwner& owner, LimitClient& limits, EngineRouter& router, DrainHook drain, CallerApi::GaugesHook gauges)
     : context_(context)
     , control_(control)
-    , home_(home)
+    , dispatcher_(dispatcher)
     , orders_(orders)
     , owner_(owner)
     , limits_(limits)
@@ -68,8 +68,8 @@
     std::string path = request.path();
     bool isGet = request.method_ == "GET";
     if (path == "/drain" && request.method_ == "POST") {
-        auto left = parseDuration(request.query("notice"));
-        drain_(left);
+        auto remaining = parseDuration(request.query("notice"));
+        drain_(remaining);
         co_return ok(json::object { { "draining", context_.self().value_ } });
     }
     if (path.starts_with(cataloguePath) && request.method_ == "PUT")
@@ -128,12 +128,12 @@
     auto catalogue = context_.catalogue();
     json::array entries;
     for (const auto& [name, entry] : catalogue->entries_) {
-        json::object line { { "name", name.value_ }, { "kind", kindName(*entry) }, { "version", entry->version_.value_ } };
+        json::object item { { "name", name.value_ }, { "kind", kindName(*entry) }, { "version", entry->version_.value_ } };
         if (entry->workload_) {
-            line["owner"] = entry->workload_->owner_.value_;
-            line["class"] = toString(entry->workload_->class_);
+            item["owner"] = entry->workload_->owner_.value_;
+            item["class"] = toString(entry->workload_->class_);
         }
-        entries.push_back(std::move(line));
+        entries.push_back(std::move(item));
     }
     return ok(json::object { { "offset", catalogue->nextOffset_.value_ }, { "age_ms", control_.catalogueAge().count() }, { "entries", std::move(entries) } });
 }
@@ -161,14 +161,14 @@
     for (const auto& [dataCentre, ids] : view->index_->entryVms_) {
         for (const VmId& id : ids) {
             const Vm* vm = view->find(id);
-            json::object line { { "node", id.value_ }, { "data_centre", dataCentre.value_ }, { "leaving", view->isLeaving(id) } };
-            line["operator"] = vm->host_ + ":" + std::to_string(vm->operatorPort_);
-            bool takesRoles = std::binary_search(view->localNodes_.begin(), view->localNodes_.end(), id);
+            json::object item { { "node", id.value_ }, { "data_centre", dataCentre.value_ }, { "leaving", view->isLeaving(id) } };
+            item["operator"] = vm->host_ + ":" + std::to_string(vm->operatorPort_);
+            bool isLive = std::binary_search(view->localNodes_.begin(), view->localNodes_.end(), id);
             bool isLocal = dataCentre == view->dataCentre_;
-            line["state"] = isLocal ? (takesRoles ? "live" : "out") : "remote";
+            item["state"] = isLocal ? (isLive ? "live" : "out") : "remote";
             if (auto digest = view->digests_.find(id); digest != view->digests_.end())
-                line["catalogue_offset"] = digest->second.catalogueOffset_.value_;
-            nodes.push_back(std::move(line));
+                item["catalogue_offset"] = digest->second.catalogueOffset_.value_;
+            nodes.push_back(std::move(item));
         }
     }
     return ok(json::object { { "self", context_.self().value_ }, { "relay", control_.isRelay() }, { "catalogue_offset", context_.catalogue()->nextOffset_.value_ }, { "nodes", std::move(nodes) } });
@@ -178,7 +178,7 @@
 {
     json::array engines;
     auto view = context_.membership();
-    for (const auto& load : home_.engineLoads()) {
+    for (const auto& load : dispatcher_.engineLoads()) {
         const Vm* vm = view->find(load.engine_);
         auto status = orders_.statusOf(load.engine_).value_or(EngineOrders::Status {});
         engines.push_back(json::object {
@@ -222,7 +222,7 @@
             { "in_progress", use.inProgress_ },
             { "held", use.held_ },
             { "share_of_data_centre", use.share_ },
-            { "keeper", use.keeper_.value_ },
+            { "keeper", use.coordinator_.value_ },
         });
     }
     return ok(json::object { { "node", context_.self().value_ }, { "entries", std::move(entries) } });
--- a/lib/Node/OperatorApi.h
+++ b/lib/Node/OperatorApi.h
@@ -17,7 +17,7 @@
     /// Asked to stop gracefully; the duration is the time left, zero for none.
     using DrainHook = std::function<void(std::optional<milliseconds>)>;
 
-    OperatorApi(NodeContext& context, ControlPlane& control, BackendHome& home, EngineOrders& orders, GenerationOwner& owner, LimitDesk& limits, EngineRouter& router, DrainHook drain, CallerApi::GaugesHook gauges);
+    OperatorApi(NodeContext& context, ControlPlane& control, BackendHome& dispatcher, EngineOrders& orders, GenerationOwner& owner, LimitClient& limits, EngineRouter& router, DrainHook drain, CallerApi::GaugesHook gauges);
 
     asio::awaitable<void> handle(HttpExchange& exchange);
 
@@ -34,10 +34,10 @@
 
     NodeContext& context_;
     ControlPlane& control_;
-    BackendHome& home_;
+    BackendHome& dispatcher_;
     EngineOrders& orders_;
     GenerationOwner& owner_;
-    LimitDesk& limits_;
+    LimitClient& limits_;
     EngineRouter& router_;
     DrainHook drain_;
     CallerApi::GaugesHook gauges_;
--- a/lib/Node/Reclaiming.cpp
+++ b/lib/Node/Reclaiming.cpp
@@ -46,7 +46,7 @@
         for (const VmId& engine : engines) {
             if (!view->isLeaving(engine))
                 continue;
-            auto notice = control_.noticeLeft(engine);
+            auto notice = control_.remainingNotice(engine);
             planLeaving(engine, notice.value_or(context_.settings_.membership_.defaultNotice_));
         }
         co_await sleepFor(reclaimPeriod);
--- a/lib/Node/RunKeeper.cpp
+++ b/lib/Node/RunOnceCoordinator.cpp
@@ -1,9 +1,9 @@
-//===- lib/Node/RunKeeper.cpp - keeper of calls that run at most once ------===//
+//===- lib/Node/RunOnceCoordinator.cpp - keeper of calls that run at most once ------===//
 ///
 /// \file
-/// See RunKeeper.h.
+/// See RunOnceCoordinator.h.
 //===----------------------------------------------------------------------===//
-#include "RunKeeper.h"
+#include "RunOnceCoordinator.h"
 
 #include "generated/Peer.pb.h"
 #include "pistachioloom/Limits.h"
@@ -14,15 +14,15 @@
 
 namespace {
 
-    constexpr auto tokenOf = asio::as_tuple(asio::use_awaitable);
-    constexpr milliseconds appendRetry { 100 };
-    constexpr milliseconds unavailableRetry { 2000 };
-    constexpr milliseconds startedRetry { 1000 };
+    constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
+    constexpr milliseconds appendRetryDelay { 100 };
+    constexpr milliseconds unavailableRetryAfter { 2000 };
+    constexpr milliseconds startedRetryAfter { 1000 };
     constexpr std::uint64_t appendBurst = 8;
     // A closing record that cannot be written holds its caller no longer than this.
-    constexpr milliseconds closingPatience { 1500 };
+    constexpr milliseconds finalRecordWaitLimit { 1500 };
     // Larger answers are remembered by their fate only.
-    constexpr std::size_t largestStoredBody = 64UL * 1024;
+    constexpr std::size_t maxStoredBodySize = 64UL * 1024;
 
     std::string streamOf(std::uint32_t shard)
     {
@@ -31,7 +31,7 @@
 
 } // namespace
 
-struct RunKeeper::Append {
+struct RunOnceCoordinator::Append {
     Append(const asio::any_io_executor& executor, LedgerItem item, bool needsRead)
         : item_(std::move(item))
         , needsRead_(needsRead)
@@ -47,7 +47,7 @@
     asio::experimental::concurrent_channel<void(boost::system::error_code)> done_;
 };
 
-struct RunKeeper::Shard {
+struct RunOnceCoordinator::Shard {
     LogOffset nextOffset()
     {
         std::lock_guard lock(mutex_);
@@ -64,32 +64,32 @@
     }
 
     // How long the next append has to wait for its share of the log's rate.
-    milliseconds appendPause(std::uint64_t rate)
+    milliseconds appendDelay(std::uint64_t rate)
     {
         std::lock_guard lock(mutex_);
-        if (!appends_)
-            appends_.emplace(rate, appendBurst, steadyNow());
-        appends_->setRate(rate, appendBurst);
-        return appends_->tryTake(1, steadyNow()) ? milliseconds {} : appends_->wait(steadyNow());
+        if (!appendLimiter_)
+            appendLimiter_.emplace(rate, appendBurst, steadyNow());
+        appendLimiter_->setRate(rate, appendBurst);
+        return appendLimiter_->tryTake(1, steadyNow()) ? milliseconds {} : appendLimiter_->wait(steadyNow());
     }
 
     // Nothing waiting ends the flush; the next item starts another.
     std::vector<std::shared_ptr<Append>> takeBatch()
     {
         std::lock_guard lock(mutex_);
-        auto batch = std::exchange(waiting_, {});
+        auto batch = std::exchange(pendingAppends_, {});
         isFlushing_ = !batch.empty();
         return batch;
     }
 
     std::mutex mutex_;
     LedgerShard state_;
-    std::vector<std::shared_ptr<Append>> waiting_;
+    std::vector<std::shared_ptr<Append>> pendingAppends_;
     bool isFlushing_ = false;
-    std::optional<TokenBucket> appends_;
+    std::optional<TokenBucket> appendLimiter_;
 };
 
-RunKeeper::RunKeeper(NodeContext& context, DispatchHook dispatch)
+RunOnceCoordinator::RunOnceCoordinator(NodeContext& context, DispatchHook dispatch)
     : context_(context)
     , dispatch_(std::move(dispatch))
     , logger_("keeper")
@@ -98,9 +98,9 @@
         shards_.push_back(std::make_unique<Shard>());
 }
 
-RunKeeper::~RunKeeper() = default;
+RunOnceCoordinator::~RunOnceCoordinator() = default;
 
-std::size_t RunKeeper::keys() const
+std::size_t RunOnceCoordinator::keyCount() const
 {
     std::size_t count = 0;
     for (const auto& shard : shards_) {
@@ -110,38 +110,38 @@
     return count;
 }
 
-std::shared_ptr<RunKeeper::Append> RunKeeper::enqueue(std::uint32_t index, const LedgerItem& item, bool needsRead)
+std::shared_ptr<RunOnceCoordinator::Append> RunOnceCoordinator::enqueue(std::uint32_t index, const LedgerItem& item, bool needsRead)
 {
     auto append = std::make_shared<Append>(context_.executor_, item, needsRead);
     Shard& shard = *shards_[index];
     std::lock_guard lock(shard.mutex_);
-    shard.waiting_.push_back(append);
+    shard.pendingAppends_.push_back(append);
     if (!std::exchange(shard.isFlushing_, true))
         context_.spawn(flushLoop(index));
     return append;
 }
 
-asio::awaitable<Result<LogOffset>> RunKeeper::appendRecord(const std::string& stream, const std::string& record)
+asio::awaitable<Result<LogOffset>> RunOnceCoordinator::appendRecord(const std::string& stream, const std::string& record)
 {
     const LedgerSettings& settings = context_.settings_.ledger_;
     SteadyTime until = steadyNow() + settings.appendPatience_;
     for (;;) {
-        SteadyTime began = steadyNow();
+        SteadyTime startedAt = steadyNow();
         context_.metrics_.add(Counter::LogAppends);
         auto appended = co_await context_.log_.append_(stream, record, settings.appendTimeout_);
         if (appended) {
-            context_.metrics_.observe(Histogram::LogAppend, steadyNow() - began);
+            context_.metrics_.observe(Histogram::LogAppend, steadyNow() - startedAt);
             co_return appended;
         }
         if (steadyNow() >= until)
             co_return appended;
         // Items are told by key and attempt, so a record that arrives twice
         // counts once.
-        co_await sleepFor(jitter(appendRetry, randomBits()));
+        co_await sleepFor(jitter(appendRetryDelay, randomBits()));
     }
 }
 
-asio::awaitable<Result<void>> RunKeeper::readUpTo(Shard& shard, const std::string& stream, LogOffset offset)
+asio::awaitable<Result<void>> RunOnceCoordinator::readUpTo(Shard& shard, const std::string& stream, LogOffset offset)
 {
     for (;;) {
         LogOffset from = shard.nextOffset();
@@ -157,14 +157,14 @@
     }
 }
 
-asio::awaitable<void> RunKeeper::flushLoop(std::uint32_t index)
+asio::awaitable<void> RunOnceCoordinator::flushLoop(std::uint32_t index)
 {
     Shard& shard = *shards_[index];
     std::string stream = streamOf(index);
     for (;;) {
-        std::size_t keepers = std::max<std::size_t>(1, context_.membership()->index_->entryVms_.size()) * shards_.size();
-        std::uint64_t rate = std::max<std::uint64_t>(1, context_.settings_.ledger_.appendsPerSecond_ / keepers);
-        milliseconds pause = shard.appendPause(rate);
+        std::size_t coordinators = std::max<std::size_t>(1, context_.membership()->index_->entryVms_.size()) * shards_.size();
+        std::uint64_t rate = std::max<std::uint64_t>(1, context_.settings_.ledger_.appendsPerSecond_ / coordinators);
+        milliseconds pause = shard.appendDelay(rate);
         if (pause.count()) {
             co_await sleepFor(pause);
             continue;
@@ -190,14 +190,14 @@
     }
 }
 
-asio::awaitable<wire::Frame> RunKeeper::runOnce(const wire::ServiceCall& call)
+asio::awaitable<wire::Frame> RunOnceCoordinator::runOnce(const wire::ServiceCall& call)
 {
     SpanScope scope(context_.tracer_, parseTraceparent(call.traceparent()), "keeper", call.request_id());
     CountGuard counted(running_);
     CallKey key = makeCallKey({ call.organisation() }, { call.service() }, { call.idempotency_key() });
     std::uint32_t shard = shardOf(key, static_cast<std::uint32_t>(shards_.size()));
     RunOnceCall run(key, { makeUuid() }, call.body_hash());
-    SteadyTime asked = steadyNow();
+    SteadyTime receivedAt = steadyNow();
     while (run.step() != RunOnceCall::Step::Done) {
         switch (run.step()) {
         case RunOnceCall::Step::AppendIntent:
@@ -205,11 +205,11 @@
             co_await writeIntent(run, shard);
             break;
         case RunOnceCall::Step::Dispatch:
-            co_await dispatch(run, call, asked);
+            co_await dispatch(run, call, receivedAt);
             break;
         case RunOnceCall::Step::AppendOutcome:
         case RunOnceCall::Step::AppendRelease:
-            co_await writeClosing(run, shard);
+            co_await writeFinalRecord(run, shard);
             break;
         case RunOnceCall::Step::Done:
             break;
@@ -220,10 +220,10 @@
 }
 
 // The flush that appends an intent reads the log up to it as well.
-asio::awaitable<void> RunKeeper::writeIntent(RunOnceCall& run, std::uint32_t shard)
+asio::awaitable<void> RunOnceCoordinator::writeIntent(RunOnceCall& run, std::uint32_t shard)
 {
     auto append = enqueue(shard, run.item(), true);
-    co_await append->done_.async_receive(tokenOf);
+    co_await append->done_.async_receive(asTuple);
     if (!append->offset_) {
         run.intentFailed(append->offset_.error());
         co_return;
@@ -237,9 +237,9 @@
     run.logRead(shards_[shard]->state_);
 }
 
-asio::awaitable<void> RunKeeper::dispatch(RunOnceCall& run, const wire::ServiceCall& call, SteadyTime asked)
+asio::awaitable<void> RunOnceCoordinator::dispatch(RunOnceCall& run, const wire::ServiceCall& call, SteadyTime receivedAt)
 {
-    if (steadyNow() - asked > context_.settings_.ledger_.dispatchGuard_) {
+    if (steadyNow() - receivedAt > context_.settings_.ledger_.dispatchGuard_) {
         run.intentExpired();
         co_return;
     }
@@ -253,23 +253,23 @@
     run.dispatchFailed(std::move(failure));
 }
 
-asio::awaitable<void> RunKeeper::writeClosing(RunOnceCall& run, std::uint32_t shard)
+asio::awaitable<void> RunOnceCoordinator::writeFinalRecord(RunOnceCall& run, std::uint32_t shard)
 {
     LedgerItem item = run.item();
-    if (item.outcome_.body_.size() > largestStoredBody)
+    if (item.outcome_.body_.size() > maxStoredBodySize)
         item.outcome_.body_ = "{\"note\":\"the answer was too large to be kept\"}";
     // The record goes on being written after the caller has its answer.
     auto append = enqueue(shard, item, false);
-    SteadyTimer timer(co_await asio::this_coro::executor, closingPatience);
+    SteadyTimer timer(co_await asio::this_coro::executor, finalRecordWaitLimit);
     timer.async_wait([append](boost::system::error_code code) {
         if (!code)
             append->done_.try_send(boost::system::error_code {});
     });
-    co_await append->done_.async_receive(tokenOf);
+    co_await append->done_.async_receive(asTuple);
     run.recordWritten();
 }
 
-wire::Frame RunKeeper::makeAnswer(const RunOnceCall& run) const
+wire::Frame RunOnceCoordinator::makeAnswer(const RunOnceCall& run) const
 {
     wire::Frame frame;
     auto fail = [&](Errc code, const std::string& message, Ran ran, milliseconds retryAfter) {
@@ -289,16 +289,16 @@
         break;
     }
     case RunOnceCall::Answer::StartedElsewhere:
-        fail(Errc::OutcomeUnknown, "started before, outcome unknown, not repeated", Ran::Unknown, startedRetry);
+        fail(Errc::OutcomeUnknown, "started before, outcome unknown, not repeated", Ran::Unknown, startedRetryAfter);
         break;
     case RunOnceCall::Answer::KeyReused:
         fail(Errc::KeyReused, "the idempotency key was used with another body", Ran::No, {});
         break;
     case RunOnceCall::Answer::NotRun:
-        fail(Errc::Unavailable, describe(run.failure()), Ran::No, jitter(std::max(unavailableRetry, run.failure().retryAfter_), randomBits()));
+        fail(Errc::Unavailable, describe(run.failure()), Ran::No, jitter(std::max(unavailableRetryAfter, run.failure().retryAfter_), randomBits()));
         break;
     case RunOnceCall::Answer::OutcomeUnknown:
-        fail(Errc::OutcomeUnknown, "started, answer lost: " + describe(run.failure()), Ran::Unknown, startedRetry);
+        fail(Errc::OutcomeUnknown, "started, answer lost: " + describe(run.failure()), Ran::Unknown, startedRetryAfter);
         break;
     case RunOnceCall::Answer::None:
         fail(Errc::Internal, "no answer", Ran::Unknown, {});
--- a/lib/Node/RunKeeper.h
+++ b/lib/Node/RunOnceCoordinator.h
@@ -1,4 +1,4 @@
-//===- lib/Node/RunKeeper.h - keeper of calls that run at most once --------===//
+//===- lib/Node/RunOnceCoordinator.h - keeper of calls that run at most once --------===//
 ///
 /// \file
 /// Drives RunOnceCall against the log. A keeper appends the intents that wait
@@ -21,20 +21,20 @@
 /// The step named by failures that are a keeper's own answer.
 inline constexpr std::string_view runOnceStep = "run once";
 
-class RunKeeper {
+class RunOnceCoordinator {
 public:
     /// Sends a call to a backend server; the reply is an answer or a failure.
     using DispatchHook = std::function<asio::awaitable<wire::Frame>(wire::ServiceCall call)>;
 
-    RunKeeper(NodeContext& context, DispatchHook dispatch);
-    ~RunKeeper();
-    RunKeeper(const RunKeeper&) = delete;
-    RunKeeper& operator=(const RunKeeper&) = delete;
+    RunOnceCoordinator(NodeContext& context, DispatchHook dispatch);
+    ~RunOnceCoordinator();
+    RunOnceCoordinator(const RunOnceCoordinator&) = delete;
+    RunOnceCoordinator& operator=(const RunOnceCoordinator&) = delete;
 
     /// Runs \p call at most once and gives the frame for the entry.
     asio::awaitable<wire::Frame> runOnce(const wire::ServiceCall& call);
     /// Keys known in all shards.
-    std::size_t keys() const;
+    std::size_t keyCount() const;
     std::size_t running() const { return running_; }
 
 private:
@@ -46,8 +46,8 @@
     asio::awaitable<Result<LogOffset>> appendRecord(const std::string& stream, const std::string& record);
     asio::awaitable<Result<void>> readUpTo(Shard& shard, const std::string& stream, LogOffset offset);
     asio::awaitable<void> writeIntent(RunOnceCall& run, std::uint32_t shard);
-    asio::awaitable<void> dispatch(RunOnceCall& run, const wire::ServiceCall& call, SteadyTime asked);
-    asio::awaitable<void> writeClosing(RunOnceCall& run, std::uint32_t shard);
+    asio::awaitable<void> dispatch(RunOnceCall& run, const wire::ServiceCall& call, SteadyTime receivedAt);
+    asio::awaitable<void> writeFinalRecord(RunOnceCall& run, std::uint32_t shard);
     wire::Frame makeAnswer(const RunOnceCall& run) const;
 
     NodeContext& context_;
--- a/lib/Node/ServiceRouter.cpp
+++ b/lib/Node/ServiceRouter.cpp
@@ -11,16 +11,16 @@
 
 namespace {
 
-    constexpr std::size_t mostBackendsTried = 3;
-    constexpr std::size_t mostKeepersTried = 3;
+    constexpr std::size_t maxBackendsTried = 3;
+    constexpr std::size_t maxCoordinatorsTried = 3;
     // One retry for every five calls, and ten at once.
     constexpr double retryRatio = 0.2;
     constexpr double retryReserve = 10;
     // A keeper that is silent for this long is asked through another one, which
     // the log makes safe.
-    constexpr milliseconds keeperTimeout { 8000 };
+    constexpr milliseconds coordinatorTimeout { 8000 };
     constexpr milliseconds hopMargin { 500 };
-    constexpr milliseconds serviceRetry { 1000 };
+    constexpr milliseconds serviceRetryAfter { 1000 };
 
     wire::Frame failureFrame(const Error& error)
     {
@@ -61,11 +61,11 @@
 asio::awaitable<wire::Frame> ServiceRouter::dispatchTo(wire::ServiceCall call, VmId backend)
 {
     auto view = context_.membership();
-    VmId home = router_.homeOf(*view, backend, {});
+    VmId dispatcher = router_.homeOf(*view, backend, {});
     call.set_backend(backend.value_);
     wire::Frame frame;
     *frame.mutable_call() = call;
-    auto reply = co_await context_.call(home, frame, milliseconds(call.deadline_ms()) + hopMargin);
+    auto reply = co_await context_.call(dispatcher, frame, milliseconds(call.deadline_ms()) + hopMargin);
     if (!reply)
         co_return failureFrame(reply.error());
     co_return std::move(reply.value());
@@ -74,8 +74,8 @@
 asio::awaitable<wire::Frame> ServiceRouter::dispatch(wire::ServiceCall call)
 {
     auto backends = backendsOf(call.service(), call.request_id());
-    wire::Frame last = failureFrame({ Errc::Unavailable, "choose service", call.service(), "no backend server serves it", Ran::No, serviceRetry });
-    for (std::size_t i = 0; i < std::min(backends.size(), mostBackendsTried); ++i) {
+    wire::Frame last = failureFrame({ Errc::Unavailable, "choose service", call.service(), "no backend server serves it", Ran::No, serviceRetryAfter });
+    for (std::size_t i = 0; i < std::min(backends.size(), maxBackendsTried); ++i) {
         if (i && !tryRetry())
             break;
         last = co_await dispatchTo(call, backends[i]);
@@ -92,8 +92,8 @@
         retries_.countRequest();
     }
     auto reply = co_await dispatch(call);
-    bool isWorthRepeating = reply.has_failure() && reply.failure().may_have_run() && tryRetry();
-    if (isWorthRepeating)
+    bool shouldRetry = reply.has_failure() && reply.failure().may_have_run() && tryRetry();
+    if (shouldRetry)
         reply = co_await dispatch(call);
     co_return reply;
 }
@@ -102,13 +102,13 @@
 {
     CallKey key = makeCallKey({ call.organisation() }, { call.service() }, { call.idempotency_key() });
     std::uint32_t shard = shardOf(key, static_cast<std::uint32_t>(context_.settings_.ledger_.shards_));
-    auto keepers = rankByRendezvous("run/" + std::to_string(shard), context_.membership()->localNodes_);
+    auto coordinators = rankByRendezvous("run/" + std::to_string(shard), context_.membership()->localNodes_);
     wire::Frame request;
     *request.mutable_run_once() = call;
     wire::Frame last = failureFrame(unavailable("choose keeper", {}, "no node takes the role"));
     bool mayHaveRun = false;
-    for (std::size_t i = 0; i < std::min(keepers.size(), mostKeepersTried); ++i) {
-        auto reply = co_await context_.call(keepers[i], request, std::max(keeperTimeout, milliseconds(call.deadline_ms()) + 2 * hopMargin));
+    for (std::size_t i = 0; i < std::min(coordinators.size(), maxCoordinatorsTried); ++i) {
+        auto reply = co_await context_.call(coordinators[i], request, std::max(coordinatorTimeout, milliseconds(call.deadline_ms()) + 2 * hopMargin));
         if (reply)
             co_return std::move(reply.value());
         last = failureFrame(reply.error());
--- a/lib/Node/ServiceRouter.h
+++ b/lib/Node/ServiceRouter.h
@@ -8,7 +8,7 @@
 
 #include "BackendHome.h"
 #include "EngineRouter.h"
-#include "RunKeeper.h"
+#include "RunOnceCoordinator.h"
 
 namespace pistachioloom {
 
