--- a/include/pistachioloom/Node.h
+++ b/include/pistachioloom/Node.h
@@ -1,8 +1,8 @@
-//===- pistachioloom/Node.h - a whole node ---------------------------------===//
+//===- pistachioloom/Node.h - the node's daemon ---------------------------===//
 ///
 /// \file
-/// The daemon's library: all roles wired together. A node runs until it has
-/// drained; it keeps nothing that its peers or the platform's log do not have.
+/// The daemon's library: all roles of a node. A node runs until it has drained.
+/// It stores nothing that its peers or the platform's log do not have.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -12,13 +12,14 @@
 
 namespace pistachioloom {
 
-/// The ports that a node listens on, as bound.
+/// The ports to which a node's listeners are bound.
 struct NodePorts {
     std::uint16_t callers_ = 0;
     std::uint16_t peers_ = 0;
     std::uint16_t operators_ = 0;
 };
 
+/// One node with all its roles.
 class Node {
 public:
     explicit Node(Settings settings);
@@ -26,10 +27,10 @@
     Node(const Node&) = delete;
     Node& operator=(const Node&) = delete;
 
-    /// Binds the ports and starts the roles.
+    /// Binds the ports and starts the roles. Errors: a port cannot be bound.
     Result<NodePorts> start();
-    /// Works until drained, on as many threads as the settings say. SIGTERM and
-    /// SIGINT drain.
+    /// Runs until the node has drained, on the number of threads in the
+    /// settings. SIGTERM and SIGINT start the drain.
     void run();
 
 private:
--- a/lib/Node/CallerApi.h
+++ b/lib/Node/CallerApi.h
@@ -1,8 +1,8 @@
-//===- lib/Node/CallerApi.h - the callers' HTTP interface ------------------===//
+//===- lib/Node/CallerApi.h - HTTP interface for callers ------------------===//
 ///
 /// \file
-/// Completions, chat completions, finished and running answers, models, plain
-/// services, health and metrics. See docs/API.md.
+/// Serves completions, chat completions, finished and running answers, models,
+/// plain services, health and metrics. See docs/API.md.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -12,15 +12,16 @@
 
 namespace pistachioloom {
 
+/// Handles the requests of callers.
 class CallerApi {
 public:
-    /// Gauges for `/metrics`.
+    /// Returns the gauges for `/metrics`, by name.
     using GaugesHook = std::function<std::map<std::string, double>()>;
 
     CallerApi(NodeContext& context, GenerationOwner& owner, AnswerFinder& finder, LimitClient& limits, ServiceRouter& services, GaugesHook gauges);
 
     asio::awaitable<void> handle(HttpExchange& exchange);
-    /// Requests being answered.
+    /// Number of requests that are being handled.
     std::size_t running() const { return running_; }
 
 private:
--- a/lib/Node/ControlPlane.cpp
+++ b/lib/Node/ControlPlane.cpp
@@ -1,7 +1,7 @@
-//===- lib/Node/ControlPlane.cpp - catalogue and VM list of a node ---------===//
+//===- lib/Node/ControlPlane.cpp - membership and catalogue of a node -----===//
 ///
 /// \file
-/// The relay's side: reading the platform, and publishing what was read.
+/// The relay's part: reads the platform and publishes the results.
 //===----------------------------------------------------------------------===//
 #include "ControlPlane.h"
 
@@ -19,8 +19,9 @@
     constexpr milliseconds appendTimeout { 1000 };
     constexpr milliseconds leavingRetention { 900000 };
 
-    // Greater after each start: the wall clock orders the incarnations of a VM,
-    // and a wrong one only delays how soon its first heartbeats are believed.
+    // Increases with each start, because the wall clock orders the incarnations
+    // of a VM. A wrong clock only delays the acceptance of the first
+    // heartbeats.
     std::uint64_t makeIncarnation()
     {
         return static_cast<std::uint64_t>(std::chrono::system_clock::now().time_since_epoch() / milliseconds(1));
@@ -57,7 +58,7 @@
 asio::awaitable<void> ControlPlane::vmListLoop()
 {
     for (;;) {
-        // A node that knows no list yet asks for itself.
+        // A node without a list reads it itself, even if it is not the relay.
         std::uint64_t known = context_.membership()->index_->version_;
         if (isRelay() || !known) {
             auto list = co_await context_.vmList_.list_(known);
@@ -157,7 +158,7 @@
         }
     }
     publishMembership();
-    // One node tells all; the others would only tell what is known already.
+    // Only the relay gossips a new list, since other nodes would repeat it.
     if (isRelay())
         gossipTo(localPeers());
 }
@@ -206,7 +207,7 @@
         return;
     context_.metrics_.add(Counter::CatalogueRecords, records.size());
     publishCatalogue();
-    // One node tells all; the others would only tell what is known already.
+    // Only the relay gossips a new offset, since other nodes would repeat it.
     if (isRelay())
         gossipEverywhere();
 }
@@ -250,8 +251,8 @@
     std::string snapshot;
     {
         std::lock_guard lock(mutex_);
-        // The relays of other data centres do the same; the draw lets one of
-        // them come first, and the rest then see its snapshot.
+        // The relays of other data centres append snapshots too. Jitter lets
+        // one relay append first; the others then read its snapshot.
         auto interval = context_.settings_.catalogue_.snapshotInterval_;
         bool isDue = steadyNow() - snapshotSeenAt_ > jitter(interval, randomBits()) + interval / 2;
         if (!isDue || catalogue_.hasGap() || !catalogue_.nextOffset().value_)
@@ -262,7 +263,7 @@
     context_.metrics_.add(Counter::LogAppends);
     auto appended = co_await context_.log_.append_(catalogueStream, snapshot, appendTimeout);
     if (appended)
-        logger_.info("Catalogue snapshot is at offset " + std::to_string(appended.value().value_) + ".");
+        logger_.info("Catalogue snapshot was appended at offset " + std::to_string(appended.value().value_) + ".");
 }
 
 asio::awaitable<Result<LogOffset>> ControlPlane::appendEdit(const CatalogueEdit& edit, SteadyTime until)
@@ -280,7 +281,8 @@
             error.ran_ = mayHaveRun ? Ran::Unknown : Ran::No;
             co_return error;
         }
-        // The same edit id again: whichever copy comes first in the log counts.
+        // The retry has the same edit id; only the first copy in the log
+        // counts.
         co_await sleepFor(jitter(platformRetryDelay, randomBits()));
     }
 }
@@ -301,7 +303,7 @@
         if (!read || !appended)
             co_await sleepFor(platformRetryDelay);
     } while (steadyNow() < until);
-    co_return Error { Errc::OutcomeUnknown, "read back edit", context_.settings_.log_.toString(), "edit " + edit.id_.value_ + " was sent; ask again with the same edit id", Ran::Unknown, platformRetryDelay };
+    co_return Error { Errc::OutcomeUnknown, "read back edit", context_.settings_.log_.toString(), "edit " + edit.id_.value_ + " was sent, but its outcome is unknown; retry with the same edit id", Ran::Unknown, platformRetryDelay };
 }
 
 std::vector<CatalogueChange> ControlPlane::history() const
--- a/lib/Node/ControlPlane.h
+++ b/lib/Node/ControlPlane.h
@@ -1,10 +1,11 @@
-//===- lib/Node/ControlPlane.h - membership and catalogue of a node --------===//
+//===- lib/Node/ControlPlane.h - membership and catalogue of a node -------===//
 ///
 /// \file
-/// Keeps the pictures of membership and catalogue up to date: gossip inside the
-/// data centre, one relay of each data centre towards the platform and the
-/// other data centres, and pulls from whichever peer is ahead. Every node runs
-/// the same code; two relays at once cost messages and nothing else.
+/// Keeps a node's views of membership and catalogue up to date: gossip inside
+/// the data centre, one relay in each data centre that reads the platform and
+/// gossips with the other data centres, and pulls from peers with newer state.
+/// All nodes run the same code. Two simultaneous relays cause duplicate
+/// messages but no errors.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -21,8 +22,10 @@
 
 namespace pistachioloom {
 
+/// Maintains the membership and the catalogue of a node.
 class ControlPlane {
 public:
+    /// Returns this node's load by model, which gossip carries.
     using LoadsHook = std::function<std::map<std::string, ModelLoad>()>;
 
     ControlPlane(NodeContext& context, LoadsHook loads);
@@ -32,28 +35,32 @@
     wire::Frame answerGossip(const wire::Gossip& gossip);
     wire::Frame answerCatalogueFetch(const wire::CatalogueFetch& fetch);
     wire::Frame answerVmListFetch(const wire::VmListFetch& fetch);
-    /// Takes a list that a peer pushed because ours is older.
+    /// Applies a VM list that a peer pushed because this node's list is older.
     wire::Frame applyVmList(const wire::VmListUpdate& update);
 
     struct LeavingVm {
         VmId vm_;
-        /// Until it stops, if the notice told.
+        /// Time until the VM stops, if the notice states it.
         std::optional<milliseconds> remaining_;
     };
 
-    /// Takes the word of notices or of the VMs themselves, and tells the peers.
+    /// Marks VMs as leaving, after a reclaim notice or a report of the VM
+    /// itself, and gossips it if any of them was not marked before.
     void markLeaving(const std::vector<LeavingVm>& vms);
-    /// Time until a leaving VM stops: what its notice told, or else the default
-    /// counted from when it was marked. nullopt for a VM that stays.
+    /// Time until a leaving VM stops: from its notice, or otherwise the default
+    /// notice counted from the time at which the VM was marked. nullopt for a
+    /// VM that is not leaving.
     std::optional<milliseconds> remainingNotice(const VmId& vm) const;
-    /// Tells all peers that this node leaves.
+    /// Gossips to all peers that this node is leaving.
     void announceLeaving();
 
-    /// Appends an edit and reads the log up to it.
+    /// Appends an edit and reads the log up to it. Errors: OutcomeUnknown if
+    /// the edit may have been appended but was not read back in time.
     asio::awaitable<Result<EditOutcome>> edit(CatalogueEdit edit);
     std::vector<CatalogueChange> history() const;
+    /// Whether this node is the relay of its data centre.
     bool isRelay() const;
-    /// How long ago the catalogue was last known to be current.
+    /// Time since the catalogue was last known to be current.
     milliseconds catalogueAge() const;
 
 private:
@@ -74,14 +81,17 @@
     std::vector<VmId> localPeers() const;
     /// One node of each other data centre.
     std::vector<VmId> remoteContacts() const;
-    /// The next few of them, in turn.
+    /// Up to the relay fan-out of remote contacts, round-robin over data
+    /// centres.
     std::vector<VmId> nextContacts();
     wire::Frame makeGossip() const;
-    /// \returns whether a VM was newly found to leave.
+    /// \returns whether a VM is leaving that was not known to leave before.
     bool mergeGossip(const wire::Gossip& gossip);
+    /// Pulls catalogue and VM list from the sender if its versions are newer.
     void pullUpdates(const wire::Gossip& gossip);
     void applyRecords(const std::vector<std::pair<LogOffset, std::string>>& records);
-    /// \p adopt takes it into the store; what is newer is published and told.
+    /// Calls \p adopt on the store. If it changed the list, publishes the
+    /// membership and, on the relay, gossips it.
     void adoptVmList(const std::function<bool(VmListStore&)>& adopt);
     void adoptVmChanges(const wire::VmListUpdate& update);
     void publishMembership();
@@ -90,7 +100,7 @@
     NodeContext& context_;
     LoadsHook loads_;
     Logger logger_;
-    // Guards what follows; held for short computations only.
+    // Guards the members below; held for short computations only.
     mutable std::mutex mutex_;
     GossipTable gossip_;
     LeavingTable leaving_;
@@ -104,7 +114,8 @@
     bool isVmListReachable_ = true;
     bool isSyncingCatalogue_ = false;
     bool isSyncingVmList_ = false;
-    // Keeps publications in the order of the states they show.
+    // Serialises publications, so that an older state never replaces a newer
+    // one.
     std::mutex publishMutex_;
 };
 
--- a/lib/Node/Gossiping.cpp
+++ b/lib/Node/Gossiping.cpp
@@ -1,8 +1,8 @@
-//===- lib/Node/Gossiping.cpp - the peers' side of the control plane -------===//
+//===- lib/Node/Gossiping.cpp - gossip of the control plane ---------------===//
 ///
 /// \file
-/// Heartbeats, digests, and pulling catalogue and VM list from whoever is
-/// ahead of us.
+/// The control plane towards peers: heartbeats, digests, and pulls of catalogue
+/// and VM list from peers with newer versions.
 //===----------------------------------------------------------------------===//
 #include "ControlPlane.h"
 
@@ -15,7 +15,8 @@
 
     constexpr milliseconds gossipTimeout { 1000 };
     constexpr milliseconds syncTimeout { 3000 };
-    // A VM found to leave is told of for this long; all have heard it by then.
+    // Time for which a leaving VM is gossiped; all nodes have received it by
+    // then.
     constexpr milliseconds leavingGossipPeriod { 60000 };
 
     std::uint32_t shortHash(const VmId& vm)
@@ -31,9 +32,9 @@
         message.set_is_leaving(digest.isLeaving_);
     }
 
-    // Two VMs of one data centre whose hashes collide are told apart by nobody:
-    // the chance at 60 nodes is one in two million, and then both seem alive
-    // while one of them is.
+    // VMs of one data centre whose hashes collide cannot be distinguished. With
+    // 60 nodes the probability is one in two million. Both VMs then count as
+    // alive while either of them is.
     std::vector<NodeDigest> decodeDigests(const wire::Gossip& gossip, const std::vector<VmId>& known)
     {
         std::vector<NodeDigest> digests;
@@ -181,7 +182,7 @@
     if (mergeGossip(reply.value().gossip()))
         publishMembership();
     pullUpdates(reply.value().gossip());
-    // A peer with an old list may not find us in it, so it cannot pull.
+    // A peer's old list may not contain this node, so the peer cannot pull.
     std::uint64_t peerVersion = reply.value().gossip().vm_list_version();
     bool isSameDataCentre = reply.value().gossip().data_centre() == context_.settings_.dataCentre_.value_;
     if (isSameDataCentre && peerVersion < context_.membership()->index_->version_)
@@ -235,8 +236,8 @@
     {
         std::lock_guard lock(mutex_);
         needsCatalogue = gossip.catalogue_offset() > catalogue_.nextOffset().value_ && !isSyncingCatalogue_;
-        // Addresses may look different from another data centre, so its list
-        // is taken only when the platform does not give us ours.
+        // Addresses may differ between data centres, so the list of another
+        // data centre is pulled only while the platform's list is unreachable.
         bool isSameDataCentre = gossip.data_centre() == context_.settings_.dataCentre_.value_;
         needsVmList = gossip.vm_list_version() > vmIndex_->version_ && !isSyncingVmList_ && (isSameDataCentre || !isVmListReachable_);
         isSyncingCatalogue_ |= needsCatalogue;
@@ -266,7 +267,7 @@
             records.emplace_back(LogOffset { update.offsets(i) }, update.records(i));
     }
     if (hasAdopted) {
-        logger_.info("Catalogue was taken from peer " + peer.value_ + ".");
+        logger_.info("Catalogue snapshot was adopted from peer " + peer.value_ + ".");
         publishCatalogue();
     }
     applyRecords(records);
--- a/lib/Node/Lending.cpp
+++ b/lib/Node/Lending.cpp
@@ -1,8 +1,8 @@
-//===- lib/Node/Lending.cpp - limits lent between data centres -------------===//
+//===- lib/Node/Lending.cpp - limits lent between data centres ------------===//
 ///
 /// \file
-/// The limit keeper towards the keepers of other data centres: borrowing what
-/// its own nodes are short of, lending what they do not use.
+/// The limit coordinator towards the coordinators of other data centres:
+/// borrows what its own nodes are short of, and lends what they do not use.
 //===----------------------------------------------------------------------===//
 #include "LimitTable.h"
 
@@ -14,12 +14,13 @@
 namespace {
 
     constexpr milliseconds loanTimeout { 400 };
-    // A data centre that did not answer is not asked again so soon.
+    // No loan is requested for this time from a data centre that did not reply.
     constexpr milliseconds unreachableBackoff { 5000 };
-    // After nobody lent anything, and between two transfers of tokens.
+    // Limits requests after no data centre lent anything, and spaces out
+    // transfers of tokens.
     constexpr milliseconds minBorrowInterval { 50 };
     constexpr std::size_t maxLendersAsked = 4;
-    // A data centre that uses its share keeps one part in so many free of loans.
+    // A data centre that uses its share does not lend one part in this many.
     constexpr std::uint64_t reserveDivisor = 4;
 
     std::uint64_t slotReserve(std::uint64_t share, std::uint64_t granted)
@@ -129,13 +130,15 @@
         co_return;
     }
     const wire::LoanReply& loan = reply.value().loan_reply();
-    // Counted from before the question, so that we end before the lender does.
+    // The validity counts from the time of sending, so that the loan expires
+    // here before it expires at the lender.
     table->loans_.setBorrowed(lender, loan.slots(), sentAt + milliseconds(loan.valid_ms()));
     if (table->tokens_)
         table->tokens_->giveBack(loan.tokens());
 }
 
-// A question overtaken by a newer one of the same keeper promises nothing.
+// A request that arrives after a newer one of the same coordinator is ignored,
+// because it no longer limits what the borrower uses.
 bool LimitCoordinator::isNewest(LimitTable& table, const wire::LoanRequest& request)
 {
     std::uint64_t& last = table.lastSequence_[{ request.node() }];
@@ -164,8 +167,9 @@
     std::uint64_t granted = table->grants_.granted(entry->name_, now);
     std::uint64_t used = granted + table->loans_.lent(now) + slotReserve(share, granted);
     std::uint64_t free = share > used ? share - used : 0;
-    // A new keeper does not know yet what is granted and lent; one whose own
-    // nodes are short lets loans shrink as their requests end.
+    // A new coordinator does not yet know all grants and loans, so it lends
+    // nothing new. During a shortage of this data centre's nodes, loans shrink
+    // to the slots that are in use.
     bool mayLend = !isNewCoordinator(*table, now);
     bool hasShortage = table->shortageAt_ && now - *table->shortageAt_ < 2 * grantValidity();
     LoanTable::Request loanRequest { request.in_use(), mayLend && !hasShortage ? request.wanted() : request.in_use() };
--- a/lib/Node/LimitClient.cpp
+++ b/lib/Node/LimitClient.cpp
@@ -1,4 +1,4 @@
-//===- lib/Node/LimitClient.cpp - admission of a node ------------------------===//
+//===- lib/Node/LimitClient.cpp - admission of requests on a node ---------===//
 ///
 /// \file
 /// See LimitClient.h.
@@ -12,7 +12,8 @@
 
 namespace {
 
-    // A keeper may have to borrow from another data centre first.
+    // Includes the time in which a coordinator may borrow from other data
+    // centres.
     constexpr milliseconds grantTimeout { 1500 };
     constexpr milliseconds limitRetryAfter { 500 };
     constexpr int maxGrantRequests = 4;
@@ -41,8 +42,8 @@
             co_return boost::outcome_v2::success();
         admission_.beginWait(entry->name_, tokens);
     }
-    // Others that arrive at the same time may take what the keeper granted on
-    // our word, so it is asked again before the request is refused.
+    // Concurrent requests may use up what the coordinator granted for this one,
+    // so the grant is requested again before this request is rejected.
     for (int requestCount = 0; requestCount < maxGrantRequests && decision != Admission::Decision::Admitted; ++requestCount) {
         co_await requestOrJoin(entry);
         std::lock_guard lock(mutex_);
@@ -59,7 +60,7 @@
 {
     bool isForTokens = decision == Admission::Decision::NeedsTokens;
     milliseconds wait = isForTokens ? std::max(admission_.tokenWait(entry.name_), limitRetryAfter) : limitRetryAfter;
-    std::string reason = isForTokens ? "tokens a second are used up" : "requests in progress are at the limit";
+    std::string reason = isForTokens ? "the limit of tokens per second is used up" : "the limit of requests in progress is reached";
     return { Errc::LimitReached, "admit", entry.name_.value_, std::move(reason), Ran::No, jitter(wait, randomBits()) };
 }
 
@@ -115,10 +116,11 @@
     auto reply = co_await context_.call(coordinator, frame, grantTimeout);
     bool isGrant = reply && reply.value().has_grant_reply();
     if (!isGrant)
-        logger_.warn("Limit keeper " + coordinator.value_ + " does not answer.");
+        logger_.warn("Limit coordinator " + coordinator.value_ + " did not reply.");
     std::lock_guard lock(mutex_);
     if (isGrant) {
-        // Counted from before the question, so that we end before the keeper does.
+        // The validity counts from the time of sending, so that the grant
+        // expires on this node before it expires at the coordinator.
         SteadyTime expires = sentAt + milliseconds(reply.value().grant_reply().valid_ms());
         for (const wire::EntryGrant& grant : reply.value().grant_reply().grants())
             admission_.applyGrant({ grant.entry() }, { grant.slots(), grant.tokens(), expires, milliseconds(grant.token_wait_ms()) });
@@ -137,7 +139,7 @@
             std::lock_guard lock(mutex_);
             active = admission_.activeEntries();
         }
-        // One message for all entries of a keeper.
+        // One message for all entries of a coordinator.
         std::map<VmId, std::vector<EntryPtr>> byCoordinator;
         for (const EntryName& name : active) {
             auto entry = context_.catalogue()->findEntry(name);
--- a/lib/Node/LimitClient.h
+++ b/lib/Node/LimitClient.h
@@ -1,9 +1,10 @@
-//===- lib/Node/LimitClient.h - admission of a node --------------------------===//
+//===- lib/Node/LimitClient.h - admission of requests on a node -----------===//
 ///
 /// \file
-/// A node's side of the limits: it asks the keepers of entries for slots and
-/// tokens, a few ahead, and admits requests on what it holds. One question at a
-/// time is under way for an entry; whoever needs more meanwhile waits for it.
+/// The node's side of the limits: requests slots and tokens from the limit
+/// coordinators of entries, a few in advance, and admits requests within what
+/// it holds. At most one request for an entry is pending at a time. Callers
+/// that need more meanwhile wait for its reply.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -12,32 +13,40 @@
 
 namespace pistachioloom {
 
+/// Admits requests on a node within the slots and tokens that coordinators
+/// grant.
 class LimitClient {
 public:
     LimitClient(NodeContext& context, LimitCoordinator& coordinator);
 
     void start();
     /// Admits a request of \p entry that may use \p tokens. Errors:
-    /// LimitReached with the time after which to come back.
+    /// LimitReached with the time after which to retry.
     asio::awaitable<Result<void>> admit(std::shared_ptr<const CatalogueEntry> entry, std::uint64_t tokens);
+    /// Ends an admitted request and returns the tokens that it did not use.
     void finish(const EntryName& entry, std::uint64_t unusedTokens);
 
     struct EntryUse {
         EntryName entry_;
         std::uint64_t inProgress_ = 0;
+        /// Slots that this node holds.
         std::uint64_t held_ = 0;
+        /// Guaranteed share of this data centre.
         std::uint64_t share_ = 0;
         VmId coordinator_;
     };
+    /// The use of the limits by this node, for each workload entry.
     std::vector<EntryUse> uses() const;
 
 private:
     using EntryPtr = std::shared_ptr<const CatalogueEntry>;
 
     Error rejection(const CatalogueEntry& entry, Admission::Decision decision) const;
-    /// Asks the keeper of \p entry, or waits for the answer to who did already.
+    /// Requests a grant from the coordinator of \p entry, or waits for the
+    /// reply to a pending request.
     asio::awaitable<void> requestOrJoin(EntryPtr entry);
     asio::awaitable<void> requestGrants(VmId coordinator, std::vector<EntryPtr> entries);
+    /// Renews the grants of active entries.
     asio::awaitable<void> renewLoop();
 
     NodeContext& context_;
--- a/lib/Node/LimitCoordinator.cpp
+++ b/lib/Node/LimitCoordinator.cpp
@@ -1,7 +1,7 @@
-//===- lib/Node/LimitCoordinator.cpp - the keeper of entries' limits ------------===//
+//===- lib/Node/LimitCoordinator.cpp - limits of a data centre ------------===//
 ///
 /// \file
-/// Books and grants; see Lending.cpp for the loans.
+/// Tables and grants; see Lending.cpp for the loans.
 //===----------------------------------------------------------------------===//
 #include "LimitCoordinator.h"
 
@@ -13,8 +13,8 @@
 
 namespace {
 
-    // A loan outlasts so many grants, so that grants can be made on it while
-    // it is renewed.
+    // Validity of a loan in grant validities, so that grants can be made on a
+    // loan while it is renewed.
     constexpr int grantsPerLoan = 3;
 
 } // namespace
@@ -61,8 +61,8 @@
     return guaranteedShare(entry.workload_->limits_.requestsInProgress_, rank, count);
 }
 
-// The keeper before us may have grants out when we became keeper by a change of
-// nodes; a book that we kept through the change knows all of them.
+// After a change of nodes, grants of the previous coordinator may still be
+// valid. A table that existed before the change contains all valid grants.
 bool LimitCoordinator::isNewCoordinator(const LimitTable& table, SteadyTime now) const
 {
     return table.createdAt_ >= nodesChangedAt_ && now - nodesChangedAt_ < grantValidity();
@@ -71,8 +71,8 @@
 void LimitCoordinator::updateNodes()
 {
     auto view = context_.membership();
-    // After a freeze we may have been replaced and be back without a change of
-    // nodes that we saw.
+    // While this process was suspended, another node may have coordinated its
+    // entries, without a change of nodes that is visible here.
     bool wasSuspended = steadyNow() - nodesCheckedAt_ > grantValidity();
     nodesCheckedAt_ = steadyNow();
     if (view->localNodes_ == nodes_ && !wasSuspended)
@@ -94,7 +94,7 @@
     auto [rank, count] = rankOfDataCentre();
     std::uint64_t rate = std::max<std::uint64_t>(1, guaranteedShare(limits.tokensPerSecond_, rank, count));
     std::uint64_t burst = std::max<std::uint64_t>(1, guaranteedShare(limits.burst_, rank, count));
-    // The keeper before us may have given out the burst already.
+    // The previous coordinator may already have granted the burst.
     if (!table->tokens_)
         table->tokens_.emplace(rate, std::min(rate, burst), steadyNow());
     table->tokens_->setRate(rate, burst);
@@ -108,11 +108,12 @@
         std::uint64_t lent = table.loans_.lent(now);
         return (share > lent ? share - lent : 0) + table.loans_.borrowed(now + grantValidity());
     }
-    // Every node gets an equal part until the grants before us have ended.
+    // Until the previous coordinator's grants have expired, every node gets an
+    // equal part.
     auto view = context_.membership();
     auto rank = std::find(view->localNodes_.begin(), view->localNodes_.end(), node) - view->localNodes_.begin();
     std::uint64_t part = guaranteedShare(share, static_cast<std::size_t>(rank), view->localNodes_.size());
-    // The table takes off what the other nodes hold.
+    // GrantTable::request() subtracts what the other nodes hold.
     return part + table.grants_.grantedToOthers(entry.name_, node, now);
 }
 
@@ -135,8 +136,8 @@
     return shortage;
 }
 
-// May be called twice for one demand, the second time after borrowing; tokens
-// granted before are kept in the grant.
+// May be called twice for one demand, the second time after borrowing. Tokens
+// of the first call remain in the grant.
 void LimitCoordinator::fillTokenGrant(const CatalogueEntry& entry, LimitTable& table, const wire::EntryDemand& demand, wire::EntryGrant& grant, Shortage& shortage)
 {
     SteadyTime now = steadyNow();
@@ -146,7 +147,8 @@
     std::uint64_t taken = wanted ? table.tokens_->takeForRequests(first, wanted, now) : 0;
     grant.set_tokens(before + taken);
     grant.set_token_wait_ms(taken < first ? static_cast<std::uint64_t>(table.tokens_->wait(now).count()) : 0);
-    // Others give as much as would go on for a moment, not only what is missing.
+    // Requests at least the tokens for a short time, not only the missing
+    // tokens, so that requests can continue.
     constexpr std::uint64_t transfersPerSecond = 4;
     if (taken < wanted)
         shortage.tokens_ = std::max(wanted - taken, entry.workload_->limits_.tokensPerSecond_ / transfersPerSecond);
--- a/lib/Node/LimitTable.h
+++ b/lib/Node/LimitTable.h
@@ -1,7 +1,8 @@
-//===- lib/Node/LimitTable.h - a limit keeper's book on one entry -----------===//
+//===- lib/Node/LimitTable.h - limits of one entry ------------------------===//
 ///
 /// \file
-/// What a keeper has granted, lent and borrowed of one entry's limits.
+/// What a limit coordinator has granted, lent and borrowed of one entry's
+/// limits.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -10,18 +11,22 @@
 
 namespace pistachioloom {
 
-/// Guarded by the keeper's mutex.
+/// Grants, loans and tokens of one entry. Guarded by the coordinator's mutex.
 struct LimitCoordinator::LimitTable {
     SteadyTime createdAt_ = steadyNow();
     GrantTable grants_;
     LoanTable loans_;
     std::optional<TokenBucket> tokens_;
-    /// Our own nodes wanted more than there was.
+    /// When a node of this data centre last needed more slots than were
+    /// available.
     std::optional<SteadyTime> shortageAt_;
+    /// No loan is requested for a shortage before this time.
     SteadyTime nextBorrowAt_;
     std::map<DataCentreId, SteadyTime> unreachableUntil_;
+    /// Set while this coordinator sends loan requests for the entry.
     std::shared_ptr<SharedWait> borrowing_;
-    /// Of each keeper that borrows from us.
+    /// Sequence number of the newest loan request of each borrowing
+    /// coordinator.
     std::map<VmId, std::uint64_t> lastSequence_;
 };
 
--- a/lib/Node/Node.cpp
+++ b/lib/Node/Node.cpp
@@ -1,7 +1,7 @@
-//===- lib/Node/Node.cpp - a whole node ------------------------------------===//
+//===- lib/Node/Node.cpp - the node's daemon ------------------------------===//
 ///
 /// \file
-/// Wires the parts together and drains them in order.
+/// Connects the parts of a node and drains them in order.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Node.h"
 
@@ -15,7 +15,7 @@
 namespace {
 
     constexpr milliseconds pollPeriod { 50 };
-    // Frames already on their way leave the sockets before they close.
+    // Lets frames in flight leave the sockets before they close.
     constexpr milliseconds closingDelay { 200 };
 
 } // namespace
@@ -76,7 +76,7 @@
           io_.get_executor(), context_.settings_.peerCredential_, [this](std::shared_ptr<PeerStream> stream) { return servePeer(std::move(stream)); },
           [this](const Error& error) {
               context_.metrics_.add(Counter::PeerErrors);
-              logger_.warn("Peer was refused: " + describe(error) + ".");
+              logger_.warn("Peer connection was rejected: " + describe(error) + ".");
           },
           context_.keepAlive_)
     , callerServer_(
@@ -116,7 +116,7 @@
     bool isWork = frame.has_generate() || frame.has_call() || frame.has_run_once() || frame.has_record_copy() || frame.has_record_handover();
     if (isWork && context_.isDraining_) {
         wire::Frame rejection;
-        *rejection.mutable_failure() = toWire({ Errc::Leaving, "take work", context_.self().value_, "this node is leaving", Ran::No, {} });
+        *rejection.mutable_failure() = toWire({ Errc::Leaving, "accept work", context_.self().value_, "this node is leaving", Ran::No, {} });
         (void)co_await stream.send(rejection);
         co_return;
     }
@@ -173,7 +173,7 @@
     case wire::Frame::BODY_NOT_SET:
         break;
     }
-    logger_.warn("Peer " + stream.peer() + " opened a stream with a frame that asks nothing.");
+    logger_.warn("Peer " + stream.peer() + " opened a stream with a frame that is not a request.");
     stream.cancel();
 }
 
@@ -212,7 +212,7 @@
     logger_.info("Draining.");
     context_.isDraining_ = true;
     control_.announceLeaving();
-    // The balancer goes on sending for a while; those callers are served.
+    // The load balancer continues to send callers for a while; they are served.
     co_await sleepFor(std::min(settings.balancerGrace_, std::chrono::duration_cast<milliseconds>(std::max(SteadyTime::duration {}, handoverAt - steadyNow()))));
     callerServer_.stopAccepting();
     co_await waitUntilIdle(handoverAt);
@@ -223,7 +223,7 @@
     }
     peerServer_.refuseNewStreams();
     co_await sleepFor(closingDelay);
-    logger_.info(isIdle() ? "Drained." : "Stopped with work left.");
+    logger_.info(isIdle() ? "Drained." : "Stopped with unfinished work.");
     io_.stop();
 }
 
--- a/lib/Node/NodeContext.cpp
+++ b/lib/Node/NodeContext.cpp
@@ -1,4 +1,4 @@
-//===- lib/Node/NodeContext.cpp - what the parts of a node share -----------===//
+//===- lib/Node/NodeContext.cpp - state shared by the parts of a node -----===//
 ///
 /// \file
 /// See NodeContext.h.
@@ -97,11 +97,11 @@
         try {
             std::rethrow_exception(failure);
         } catch (const std::exception& exception) {
-            logger.error(std::string("Task ended by an exception: ") + exception.what() + ".");
+            logger.error(std::string("Task ended with an exception: ") + exception.what() + ".");
         }
     };
-    // co_spawn alone may run the task at once, inside whatever lock the caller
-    // holds; a posted one starts later.
+    // co_spawn alone may run the task immediately, while the caller holds a
+    // lock. Posting it defers the start.
     auto strand = asio::make_strand(executor_);
     asio::post(strand, [strand, report, task = std::move(task)]() mutable { asio::co_spawn(strand, std::move(task), report); });
 }
--- a/lib/Node/NodeContext.h
+++ b/lib/Node/NodeContext.h
@@ -1,8 +1,8 @@
-//===- lib/Node/NodeContext.h - what the parts of a node share -------------===//
+//===- lib/Node/NodeContext.h - state shared by the parts of a node -------===//
 ///
 /// \file
-/// Settings, telemetry, outside interfaces, and the pictures of catalogue and
-/// membership that requests read without a lock.
+/// Settings, telemetry, clients of external services, and the views of
+/// catalogue and membership, which requests read without a lock.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -20,6 +20,7 @@
 using MembershipPtr = std::shared_ptr<const MembershipView>;
 using CataloguePtr = std::shared_ptr<const CatalogueView>;
 
+/// Shared by all parts of a node; created before them and destroyed after them.
 class NodeContext {
 public:
     NodeContext(Settings settings, const asio::any_io_executor& executor);
@@ -41,15 +42,20 @@
     void publish(CatalogueView view);
 
     const VmId& self() const { return settings_.vm_; }
-    /// Where \p vm listens for peers.
+    /// The endpoint at which entry VM \p vm listens for peers; nullopt if the
+    /// VM list has no such entry VM.
     std::optional<Endpoint> peerEndpoint(const VmId& vm) const;
-    /// Where a backend server serves.
+    /// The endpoint of backend server \p vm; nullopt if the VM list does not
+    /// have it.
     std::optional<Endpoint> backendEndpoint(const VmId& vm) const;
-    /// Calls \p vm over the wire; an unknown VM is an error with `ran_` No.
+    /// Calls \p vm over the wire protocol. Errors: `ran_` is No if the VM is
+    /// not in the VM list.
     asio::awaitable<Result<wire::Frame>> call(VmId vm, const wire::Frame& request, milliseconds timeout);
+    /// Opens a stream to \p vm; errors as for call().
     asio::awaitable<Result<std::shared_ptr<PeerStream>>> open(VmId vm, const wire::Frame& request, milliseconds timeout);
 
-    /// Runs \p task on a strand of its own.
+    /// Starts \p task on its own strand. The task never runs before spawn()
+    /// returns, so the caller may hold a lock.
     void spawn(asio::awaitable<void> task) const;
 
 private:
@@ -58,7 +64,8 @@
     Logger logger_;
 };
 
-/// The error for something that this node does not know or cannot reach.
+/// Makes an Unavailable error for something that this node does not know or
+/// cannot reach. Its `ran_` is No.
 Error unavailable(std::string step, std::string peer, std::string message);
 
 } // namespace pistachioloom
--- a/lib/Node/OperatorApi.h
+++ b/lib/Node/OperatorApi.h
@@ -1,8 +1,8 @@
-//===- lib/Node/OperatorApi.h - the operators' HTTP interface --------------===//
+//===- lib/Node/OperatorApi.h - HTTP interface for operators --------------===//
 ///
 /// \file
-/// What pistachioloomctl talks to: catalogue, nodes, engines, requests, limits,
-/// traces, and the order to drain. See docs/OPERATIONS.md.
+/// Serves pistachioloomctl: catalogue, nodes, engines, requests, limits,
+/// traces, and the request to drain. See docs/OPERATIONS.md.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -12,9 +12,11 @@
 
 namespace pistachioloom {
 
+/// Handles the requests of operators.
 class OperatorApi {
 public:
-    /// Asked to stop gracefully; the duration is the time left, zero for none.
+    /// Called to drain the node. The duration is the remaining time; nullopt
+    /// means the drain timeout of the settings.
     using DrainHook = std::function<void(std::optional<milliseconds>)>;
 
     OperatorApi(NodeContext& context, ControlPlane& control, BackendHome& dispatcher, EngineOrders& orders, GenerationOwner& owner, LimitClient& limits, EngineRouter& router, DrainHook drain, CallerApi::GaugesHook gauges);
--- a/lib/Node/RunOnceCoordinator.cpp
+++ b/lib/Node/RunOnceCoordinator.cpp
@@ -1,4 +1,4 @@
-//===- lib/Node/RunOnceCoordinator.cpp - keeper of calls that run at most once ------===//
+//===- lib/Node/RunOnceCoordinator.cpp - at-most-once calls ---------------===//
 ///
 /// \file
 /// See RunOnceCoordinator.h.
@@ -19,9 +19,10 @@
     constexpr milliseconds unavailableRetryAfter { 2000 };
     constexpr milliseconds startedRetryAfter { 1000 };
     constexpr std::uint64_t appendBurst = 8;
-    // A closing record that cannot be written holds its caller no longer than this.
+    // Maximum delay of the caller's answer by an outcome or release that cannot
+    // be appended.
     constexpr milliseconds finalRecordWaitLimit { 1500 };
-    // Larger answers are remembered by their fate only.
+    // Of a larger answer, status and content type are stored but not the body.
     constexpr std::size_t maxStoredBodySize = 64UL * 1024;
 
     std::string streamOf(std::uint32_t shard)
@@ -41,7 +42,7 @@
 
     LedgerItem item_;
     bool needsRead_;
-    // Written before done_ is signalled.
+    // Set before done_ is signalled.
     Result<LogOffset> offset_ = Error {};
     Result<void> read_ = Error {};
     asio::experimental::concurrent_channel<void(boost::system::error_code)> done_;
@@ -57,13 +58,14 @@
     void apply(const LogRead& read)
     {
         std::lock_guard lock(mutex_);
-        // What was trimmed is older than the window in which a key counts.
+        // Trimmed records are older than the retention window of keys.
         state_.trim(read.first_);
         for (const auto& [position, record] : read.records_)
             state_.apply(position, decodeLedgerRecord(record));
     }
 
-    // How long the next append has to wait for its share of the log's rate.
+    // Time until the next append may start within this shard's share of the
+    // log's append rate.
     milliseconds appendDelay(std::uint64_t rate)
     {
         std::lock_guard lock(mutex_);
@@ -73,7 +75,7 @@
         return appendLimiter_->tryTake(1, steadyNow()) ? milliseconds {} : appendLimiter_->wait(steadyNow());
     }
 
-    // Nothing waiting ends the flush; the next item starts another.
+    // An empty batch ends the flush loop; the next item starts a new one.
     std::vector<std::shared_ptr<Append>> takeBatch()
     {
         std::lock_guard lock(mutex_);
@@ -135,8 +137,8 @@
         }
         if (steadyNow() >= until)
             co_return appended;
-        // Items are told by key and attempt, so a record that arrives twice
-        // counts once.
+        // Items are identified by key and attempt, so a record that is appended
+        // twice counts once.
         co_await sleepFor(jitter(appendRetryDelay, randomBits()));
     }
 }
@@ -153,7 +155,7 @@
             co_return read.error();
         shard.apply(read.value());
         if (read.value().records_.empty() && shard.nextOffset() <= offset)
-            co_return unavailable("read ledger", context_.settings_.log_.toString(), "the log does not show our record");
+            co_return unavailable("read ledger", context_.settings_.log_.toString(), "the log does not return the appended record");
     }
 }
 
@@ -219,7 +221,7 @@
     co_return makeAnswer(run);
 }
 
-// The flush that appends an intent reads the log up to it as well.
+// The flush loop that appends an intent also reads the log up to it.
 asio::awaitable<void> RunOnceCoordinator::writeIntent(RunOnceCall& run, std::uint32_t shard)
 {
     auto append = enqueue(shard, run.item(), true);
@@ -258,7 +260,8 @@
     LedgerItem item = run.item();
     if (item.outcome_.body_.size() > maxStoredBodySize)
         item.outcome_.body_ = "{\"note\":\"the answer was too large to be kept\"}";
-    // The record goes on being written after the caller has its answer.
+    // The append continues if the timer expires and the caller gets its answer
+    // first.
     auto append = enqueue(shard, item, false);
     SteadyTimer timer(co_await asio::this_coro::executor, finalRecordWaitLimit);
     timer.async_wait([append](boost::system::error_code code) {
@@ -289,16 +292,16 @@
         break;
     }
     case RunOnceCall::Answer::StartedElsewhere:
-        fail(Errc::OutcomeUnknown, "started before, outcome unknown, not repeated", Ran::Unknown, startedRetryAfter);
+        fail(Errc::OutcomeUnknown, "the call was started before; its outcome is unknown and it is not repeated", Ran::Unknown, startedRetryAfter);
         break;
     case RunOnceCall::Answer::KeyReused:
-        fail(Errc::KeyReused, "the idempotency key was used with another body", Ran::No, {});
+        fail(Errc::KeyReused, "the idempotency key was already used with a different request body", Ran::No, {});
         break;
     case RunOnceCall::Answer::NotRun:
         fail(Errc::Unavailable, describe(run.failure()), Ran::No, jitter(std::max(unavailableRetryAfter, run.failure().retryAfter_), randomBits()));
         break;
     case RunOnceCall::Answer::OutcomeUnknown:
-        fail(Errc::OutcomeUnknown, "started, answer lost: " + describe(run.failure()), Ran::Unknown, startedRetryAfter);
+        fail(Errc::OutcomeUnknown, "the call was started, but its response was lost: " + describe(run.failure()), Ran::Unknown, startedRetryAfter);
         break;
     case RunOnceCall::Answer::None:
         fail(Errc::Internal, "no answer", Ran::Unknown, {});
--- a/lib/Node/RunOnceCoordinator.h
+++ b/lib/Node/RunOnceCoordinator.h
@@ -1,9 +1,10 @@
-//===- lib/Node/RunOnceCoordinator.h - keeper of calls that run at most once --------===//
+//===- lib/Node/RunOnceCoordinator.h - at-most-once calls -----------------===//
 ///
 /// \file
-/// Drives RunOnceCall against the log. A keeper appends the intents that wait
-/// for one shard as one record, reads the shard up to it and tells each call.
-/// Any number of keepers of one shard, frozen or not, are safe together.
+/// Drives RunOnceCall against the log. A coordinator appends the pending
+/// intents of a shard as one record, reads the shard up to that record and
+/// passes the result to each call. Any number of coordinators of one shard,
+/// suspended or not, are safe together.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -18,12 +19,13 @@
 
 namespace pistachioloom {
 
-/// The step named by failures that are a keeper's own answer.
+/// The step of failures that a coordinator itself reports.
 inline constexpr std::string_view runOnceStep = "run once";
 
+/// Coordinates calls that run at most once.
 class RunOnceCoordinator {
 public:
-    /// Sends a call to a backend server; the reply is an answer or a failure.
+    /// Sends a call to a backend server. The reply is an answer or a failure.
     using DispatchHook = std::function<asio::awaitable<wire::Frame>(wire::ServiceCall call)>;
 
     RunOnceCoordinator(NodeContext& context, DispatchHook dispatch);
@@ -31,10 +33,11 @@
     RunOnceCoordinator(const RunOnceCoordinator&) = delete;
     RunOnceCoordinator& operator=(const RunOnceCoordinator&) = delete;
 
-    /// Runs \p call at most once and gives the frame for the entry.
+    /// Runs \p call at most once. \returns the frame for the entry VM.
     asio::awaitable<wire::Frame> runOnce(const wire::ServiceCall& call);
-    /// Keys known in all shards.
+    /// Number of keys known in all shards.
     std::size_t keyCount() const;
+    /// Number of calls in progress.
     std::size_t running() const { return running_; }
 
 private:
@@ -42,11 +45,13 @@
     struct Append;
 
     std::shared_ptr<Append> enqueue(std::uint32_t shard, const LedgerItem& item, bool needsRead);
+    /// Appends the pending items of a shard until none is left.
     asio::awaitable<void> flushLoop(std::uint32_t index);
     asio::awaitable<Result<LogOffset>> appendRecord(const std::string& stream, const std::string& record);
     asio::awaitable<Result<void>> readUpTo(Shard& shard, const std::string& stream, LogOffset offset);
     asio::awaitable<void> writeIntent(RunOnceCall& run, std::uint32_t shard);
     asio::awaitable<void> dispatch(RunOnceCall& run, const wire::ServiceCall& call, SteadyTime receivedAt);
+    /// Appends the outcome or the release of a call.
     asio::awaitable<void> writeFinalRecord(RunOnceCall& run, std::uint32_t shard);
     wire::Frame makeAnswer(const RunOnceCall& run) const;
 
--- a/lib/Node/ServiceRouter.cpp
+++ b/lib/Node/ServiceRouter.cpp
@@ -1,4 +1,4 @@
-//===- lib/Node/ServiceRouter.cpp - calls to plain services ----------------===//
+//===- lib/Node/ServiceRouter.cpp - calls to plain services ---------------===//
 ///
 /// \file
 /// See ServiceRouter.h.
@@ -13,11 +13,11 @@
 
     constexpr std::size_t maxBackendsTried = 3;
     constexpr std::size_t maxCoordinatorsTried = 3;
-    // One retry for every five calls, and ten at once.
+    // One retry for every five calls, with a burst of ten.
     constexpr double retryRatio = 0.2;
     constexpr double retryReserve = 10;
-    // A keeper that is silent for this long is asked through another one, which
-    // the log makes safe.
+    // After this time without a reply, another coordinator gets the call; the
+    // log makes this safe.
     constexpr milliseconds coordinatorTimeout { 8000 };
     constexpr milliseconds hopMargin { 500 };
     constexpr milliseconds serviceRetryAfter { 1000 };
@@ -74,7 +74,7 @@
 asio::awaitable<wire::Frame> ServiceRouter::dispatch(wire::ServiceCall call)
 {
     auto backends = backendsOf(call.service(), call.request_id());
-    wire::Frame last = failureFrame({ Errc::Unavailable, "choose service", call.service(), "no backend server serves it", Ran::No, serviceRetryAfter });
+    wire::Frame last = failureFrame({ Errc::Unavailable, "choose service", call.service(), "no backend server of this service is known", Ran::No, serviceRetryAfter });
     for (std::size_t i = 0; i < std::min(backends.size(), maxBackendsTried); ++i) {
         if (i && !tryRetry())
             break;
@@ -105,7 +105,7 @@
     auto coordinators = rankByRendezvous("run/" + std::to_string(shard), context_.membership()->localNodes_);
     wire::Frame request;
     *request.mutable_run_once() = call;
-    wire::Frame last = failureFrame(unavailable("choose keeper", {}, "no node takes the role"));
+    wire::Frame last = failureFrame(unavailable("choose coordinator", {}, "no live node is known"));
     bool mayHaveRun = false;
     for (std::size_t i = 0; i < std::min(coordinators.size(), maxCoordinatorsTried); ++i) {
         auto reply = co_await context_.call(coordinators[i], request, std::max(coordinatorTimeout, milliseconds(call.deadline_ms()) + 2 * hopMargin));
@@ -113,8 +113,8 @@
             co_return std::move(reply.value());
         last = failureFrame(reply.error());
         mayHaveRun |= reply.error().ran_ == Ran::Unknown;
-        // What another keeper says of its own attempt says nothing of an
-        // attempt that may still run at one that fell silent.
+        // A coordinator's failure covers only its own attempt. An attempt at an
+        // unresponsive coordinator may still run.
         last.mutable_failure()->set_may_have_run(mayHaveRun);
         if (reply.error().step_ == runOnceStep)
             co_return last;
--- a/lib/Node/ServiceRouter.h
+++ b/lib/Node/ServiceRouter.h
@@ -1,8 +1,9 @@
-//===- lib/Node/ServiceRouter.h - calls to plain services ------------------===//
+//===- lib/Node/ServiceRouter.h - calls to plain services -----------------===//
 ///
 /// \file
-/// The entry's side of service calls: a repeatable one goes to the home of a
-/// backend server, one that may not be repeated to the keeper of its key.
+/// The entry VM's side of service calls. A repeatable call goes to the
+/// dispatcher of a backend server, any other call to the coordinator of its
+/// key.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -12,20 +13,25 @@
 
 namespace pistachioloom {
 
+/// Sends service calls to dispatchers and coordinators.
 class ServiceRouter {
 public:
     ServiceRouter(NodeContext& context, EngineRouter& router);
 
     /// Calls a service whose calls may be repeated.
     asio::awaitable<wire::Frame> callRepeatable(wire::ServiceCall call);
-    /// Asks keepers, one after another, to run the call at most once.
+    /// Sends the call to coordinators, one after another, to run it at most
+    /// once.
     asio::awaitable<wire::Frame> callOnce(wire::ServiceCall call);
-    /// Sends a call to one backend server, trying others only while it is known
-    /// not to have run. The keeper dispatches through this.
+    /// Sends a call to a backend server, and to others only while the call is
+    /// known not to have run. Coordinators dispatch calls through this
+    /// function.
     asio::awaitable<wire::Frame> dispatch(wire::ServiceCall call);
 
 private:
     asio::awaitable<wire::Frame> dispatchTo(wire::ServiceCall call, VmId backend);
+    /// Backend servers of \p service, ranked by \p key, those of this data
+    /// centre first.
     std::vector<VmId> backendsOf(const std::string& service, const std::string& key) const;
     bool tryRetry();
 
