--- a/lib/Node/CallerApi.cpp
+++ b/lib/Node/CallerApi.cpp
@@ -170,9 +170,9 @@
             return invalidInput("prompt: expected a text");
     }
     completion.maxTokens_ = body->contains("max_tokens") ? numberField(*body, "max_tokens") : defaultMaxTokens;
-    std::uint64_t tokenLimit = context_.settings_.caller_.mostTokens_;
-    if (!completion.maxTokens_ || completion.maxTokens_ > tokenLimit)
-        return invalidInput("max_tokens: expected a whole number from 1 to " + std::to_string(tokenLimit));
+    std::uint64_t maxTokensAllowed = context_.settings_.caller_.mostTokens_;
+    if (!completion.maxTokens_ || completion.maxTokens_ > maxTokensAllowed)
+        return invalidInput("max_tokens: expected a whole number from 1 to " + std::to_string(maxTokensAllowed));
     completion.isStream_ = flagField(*body, "stream");
     return completion;
 }
