--- a/lib/Node/ControlPlane.cpp
+++ b/lib/Node/ControlPlane.cpp
@@ -1,7 +1,7 @@
-//===- lib/Node/ControlPlane.cpp - catalogue and VM list of a node ---------===//
+//===- lib/Node/ControlPlane.cpp - membership and catalogue of a node -----===//
 ///
 /// \file
-/// The relay's side: reading the platform, and publishing what was read.
+/// The relay's part: reads the platform and publishes the results.
 //===----------------------------------------------------------------------===//
 #include "ControlPlane.h"
 
@@ -15,12 +15,13 @@
     const std::string catalogueStream = "catalogue";
     constexpr milliseconds logWait { 2000 };
     constexpr milliseconds noticeWait { 2000 };
-    constexpr milliseconds platformRetry { 300 };
+    constexpr milliseconds platformRetryDelay { 300 };
     constexpr milliseconds appendTimeout { 1000 };
-    constexpr milliseconds leavingKept { 900000 };
+    constexpr milliseconds leavingRetention { 900000 };
 
-    // Greater after each start: the wall clock orders the incarnations of a VM,
-    // and a wrong one only delays how soon its first heartbeats are believed.
+    // Increases with each start, because the wall clock orders the incarnations
+    // of a VM. A wrong clock only delays the acceptance of the first
+    // heartbeats.
     std::uint64_t makeIncarnation()
     {
         return static_cast<std::uint64_t>(std::chrono::system_clock::now().time_since_epoch() / milliseconds(1));
@@ -57,7 +58,7 @@
 asio::awaitable<void> ControlPlane::vmListLoop()
 {
     for (;;) {
-        // A node that knows no list yet asks for itself.
+        // A node without a list reads it itself, even if it is not the relay.
         std::uint64_t known = context_.membership()->index_->version_;
         if (isRelay() || !known) {
             auto list = co_await context_.vmList_.list_(known);
@@ -66,7 +67,7 @@
             bool wasReachable = false;
             {
                 std::lock_guard lock(mutex_);
-                wasReachable = std::exchange(isListReachable_, static_cast<bool>(list));
+                wasReachable = std::exchange(isVmListReachable_, static_cast<bool>(list));
             }
             if (static_cast<bool>(list) != wasReachable)
                 logger_.warn(list ? std::string("VM list is reachable again.") : "VM list is unreachable: " + describe(list.error()) + ".");
@@ -85,7 +86,7 @@
         }
         auto read = co_await context_.vmList_.notices_(since, noticeWait);
         if (!read) {
-            co_await sleepFor(platformRetry);
+            co_await sleepFor(platformRetryDelay);
             continue;
         }
         since = read.value().next_;
@@ -98,24 +99,24 @@
 
 void ControlPlane::markLeaving(const std::vector<LeavingVm>& vms)
 {
-    bool isNews = false;
+    bool isUpdate = false;
     {
         std::lock_guard lock(mutex_);
         for (const LeavingVm& leaving : vms) {
             auto stopsAt = leaving.remaining_ ? std::optional(steadyNow() + *leaving.remaining_) : std::nullopt;
             bool isNewVm = leaving_.markLeaving(leaving.vm_, stopsAt, steadyNow());
-            isNews |= isNewVm;
+            isUpdate |= isNewVm;
             if (isNewVm)
                 logger_.info("VM " + leaving.vm_.value_ + " is leaving.");
         }
     }
-    if (!isNews)
+    if (!isUpdate)
         return;
     publishMembership();
     gossipEverywhere();
 }
 
-std::optional<milliseconds> ControlPlane::noticeLeft(const VmId& vm) const
+std::optional<milliseconds> ControlPlane::remainingNotice(const VmId& vm) const
 {
     std::lock_guard lock(mutex_);
     auto markedAt = leaving_.markedAt(vm);
@@ -157,7 +158,7 @@
         }
     }
     publishMembership();
-    // One node tells all; the others would only tell what is known already.
+    // Only the relay gossips a new list, since other nodes would repeat it.
     if (isRelay())
         gossipTo(localPeers());
 }
@@ -168,7 +169,7 @@
     MembershipView view;
     {
         std::lock_guard lock(mutex_);
-        leaving_.forgetOld(leavingKept, steadyNow());
+        leaving_.forgetOld(leavingRetention, steadyNow());
         view = buildView(vmIndex_, gossip_, leaving_, context_.settings_.dataCentre_, steadyNow());
     }
     context_.publish(std::move(view));
@@ -188,13 +189,13 @@
 
 void ControlPlane::applyRecords(const std::vector<std::pair<LogOffset, std::string>>& records)
 {
-    bool hasMoved = false;
+    bool hasAdvanced = false;
     {
         std::lock_guard lock(mutex_);
         LogOffset before = catalogue_.nextOffset();
         for (const auto& [offset, record] : records)
             catalogue_.apply(offset, record);
-        hasMoved = catalogue_.nextOffset() > before;
+        hasAdvanced = catalogue_.nextOffset() > before;
         if (catalogue_.lastSnapshot() != snapshotSeen_) {
             snapshotSeen_ = catalogue_.lastSnapshot();
             snapshotSeenAt_ = steadyNow();
@@ -202,11 +203,11 @@
         if (!catalogue_.hasGap())
             catalogueCurrentAt_ = steadyNow();
     }
-    if (!hasMoved)
+    if (!hasAdvanced)
         return;
     context_.metrics_.add(Counter::CatalogueRecords, records.size());
     publishCatalogue();
-    // One node tells all; the others would only tell what is known already.
+    // Only the relay gossips a new offset, since other nodes would repeat it.
     if (isRelay())
         gossipEverywhere();
 }
@@ -239,7 +240,7 @@
             logger_.warn(read ? std::string("Log is reachable again.") : "Log is unreachable: " + describe(read.error()) + ".");
         isReachable = static_cast<bool>(read);
         if (!read)
-            co_await sleepFor(jitter(platformRetry, randomBits()));
+            co_await sleepFor(jitter(platformRetryDelay, randomBits()));
         else
             co_await appendSnapshotIfDue();
     }
@@ -250,8 +251,8 @@
     std::string snapshot;
     {
         std::lock_guard lock(mutex_);
-        // The relays of other data centres do the same; the draw lets one of
-        // them come first, and the rest then see its snapshot.
+        // The relays of other data centres append snapshots too. Jitter lets
+        // one relay append first; the others then read its snapshot.
         auto interval = context_.settings_.catalogue_.snapshotInterval_;
         bool isDue = steadyNow() - snapshotSeenAt_ > jitter(interval, randomBits()) + interval / 2;
         if (!isDue || catalogue_.hasGap() || !catalogue_.nextOffset().value_)
@@ -262,7 +263,7 @@
     context_.metrics_.add(Counter::LogAppends);
     auto appended = co_await context_.log_.append_(catalogueStream, snapshot, appendTimeout);
     if (appended)
-        logger_.info("Catalogue snapshot is at offset " + std::to_string(appended.value().value_) + ".");
+        logger_.info("Catalogue snapshot was appended at offset " + std::to_string(appended.value().value_) + ".");
 }
 
 asio::awaitable<Result<LogOffset>> ControlPlane::appendEdit(const CatalogueEdit& edit, SteadyTime until)
@@ -280,8 +281,9 @@
             error.ran_ = mayHaveRun ? Ran::Unknown : Ran::No;
             co_return error;
         }
-        // The same edit id again: whichever copy comes first in the log counts.
-        co_await sleepFor(jitter(platformRetry, randomBits()));
+        // The retry has the same edit id; only the first copy in the log
+        // counts.
+        co_await sleepFor(jitter(platformRetryDelay, randomBits()));
     }
 }
 
@@ -299,9 +301,9 @@
                 co_return *outcome;
         }
         if (!read || !appended)
-            co_await sleepFor(platformRetry);
+            co_await sleepFor(platformRetryDelay);
     } while (steadyNow() < until);
-    co_return Error { Errc::OutcomeUnknown, "read back edit", context_.settings_.log_.toString(), "edit " + edit.id_.value_ + " was sent; ask again with the same edit id", Ran::Unknown, platformRetry };
+    co_return Error { Errc::OutcomeUnknown, "read back edit", context_.settings_.log_.toString(), "edit " + edit.id_.value_ + " was sent, but its outcome is unknown; retry with the same edit id", Ran::Unknown, platformRetryDelay };
 }
 
 std::vector<CatalogueChange> ControlPlane::history() const
--- a/lib/Node/OperatorApi.h
+++ b/lib/Node/OperatorApi.h
@@ -1,8 +1,8 @@
-//===- lib/Node/OperatorApi.h - the operators' HTTP interface --------------===//
+//===- lib/Node/OperatorApi.h - HTTP interface for operators --------------===//
 ///
 /// \file
-/// What pistachioloomctl talks to: catalogue, nodes, engines, requests, limits,
-/// traces, and the order to drain. See docs/OPERATIONS.md.
+/// Serves pistachioloomctl: catalogue, nodes, engines, requests, limits,
+/// traces, and the request to drain. See docs/OPERATIONS.md.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -12,12 +12,14 @@
 
 namespace pistachioloom {
 
+/// Handles the requests of operators.
 class OperatorApi {
 public:
-    /// Asked to stop gracefully; the duration is the time left, zero for none.
+    /// Called to drain the node. The duration is the remaining time; nullopt
+    /// means the drain timeout of the settings.
     using DrainHook = std::function<void(std::optional<milliseconds>)>;
 
-    OperatorApi(NodeContext& context, ControlPlane& control, BackendDispatcher& home, EngineOrders& orders, GenerationOwner& owner, LimitDesk& limits, EngineRouter& router, DrainHook drain, CallerApi::GaugesHook gauges);
+    OperatorApi(NodeContext& context, ControlPlane& control, BackendDispatcher& dispatcher, EngineOrders& orders, GenerationOwner& owner, LimitClient& limits, EngineRouter& router, DrainHook drain, CallerApi::GaugesHook gauges);
 
     asio::awaitable<void> handle(HttpExchange& exchange);
 
@@ -34,10 +36,10 @@
 
     NodeContext& context_;
     ControlPlane& control_;
-    BackendDispatcher& home_;
+    BackendDispatcher& dispatcher_;
     EngineOrders& orders_;
     GenerationOwner& owner_;
-    LimitDesk& limits_;
+    LimitClient& limits_;
     EngineRouter& router_;
     DrainHook drain_;
     CallerApi::GaugesHook gauges_;
