--- a/include/pistachioloom/Platform.h
+++ b/include/pistachioloom/Platform.h
@@ -56,7 +56,7 @@
     std::uint64_t maxTokens_ = 0;
     std::uint64_t priority_ = 0;
     /// Continue the stream that the engine already runs for this request.
-    bool isAttach_ = false;
+    bool attachesToStream_ = false;
     /// A cache exported by another engine.
     std::string kvHandle_;
 };
@@ -79,7 +79,7 @@
     /// The token's text, or the handle of an exported cache.
     std::string text_;
     /// Tokens this engine had to compute that were computed before.
-    std::uint64_t recomputed_ = 0;
+    std::uint64_t recomputedTokens_ = 0;
 };
 
 /// A stream being read; cancel() closes the connection only.
--- a/include/pistachioloom/Settings.h
+++ b/include/pistachioloom/Settings.h
@@ -36,14 +36,14 @@
     std::uint64_t appendsPerSecond_ = 200;
     milliseconds appendTimeout_ { 1000 };
     /// How long an append without answer is tried again.
-    milliseconds appendPatience_ { 2500 };
+    milliseconds appendWaitLimit_ { 2500 };
 };
 
 struct CatalogueSettings {
     /// A snapshot is appended when none was seen for this long.
     milliseconds snapshotInterval_ { 3600000 };
     /// How long an edit waits for its own record to come back.
-    milliseconds editPatience_ { 3000 };
+    milliseconds editWaitLimit_ { 3000 };
 };
 
 struct CallerSettings {
@@ -51,8 +51,8 @@
     /// A generation whose caller is gone runs on for this long.
     milliseconds reconnectGrace_ { 10000 };
     /// Finished answers are kept for this long.
-    milliseconds answersKept_ { 60000 };
-    std::uint64_t mostTokens_ = 8192;
+    milliseconds answerRetention_ { 60000 };
+    std::uint64_t maxTokens_ = 8192;
 };
 
 struct DrainSettings {
@@ -69,7 +69,7 @@
     /// Silence of an owner whose connection broke before its replica takes over.
     milliseconds takeoverGrace_ { 1000 };
     /// Silence after which an owner is asked whether it is still there.
-    milliseconds ownerSilence_ { 2000 };
+    milliseconds ownerTimeout_ { 2000 };
 };
 
 struct LimitSettings {
@@ -113,7 +113,7 @@
     OrderSettings orders_;
     PeerSettings peerLinks_;
     LogSettings logs_;
-    std::uint64_t spansKept_ = 4096;
+    std::uint64_t maxSpans_ = 4096;
 };
 
 /// Parses settings; nullopt if \p errors got any.
--- a/lib/Node/BackendHome.cpp
+++ b/lib/Node/BackendHome.cpp
@@ -29,7 +29,7 @@
         engineRequest.prompt_ = record.prompt();
         engineRequest.maxTokens_ = record.max_tokens();
         engineRequest.priority_ = static_cast<std::uint64_t>(record.priority());
-        engineRequest.isAttach_ = request.attach();
+        engineRequest.attachesToStream_ = request.attach();
         engineRequest.kvHandle_ = request.kv_handle();
         for (const wire::Token& token : record.tokens())
             engineRequest.prefix_.push_back(token.text());
@@ -196,7 +196,7 @@
             break;
         }
         if (event.value().type_ != EngineEvent::Type::Token) {
-            end.set_computed_tokens(event.value().recomputed_);
+            end.set_computed_tokens(event.value().recomputedTokens_);
             end.set_is_complete(event.value().type_ == EngineEvent::Type::Done);
             end.set_is_interrupted(event.value().type_ == EngineEvent::Type::Interrupted);
             if (event.value().type_ == EngineEvent::Type::Exported) {
--- a/lib/Node/CallerApi.cpp
+++ b/lib/Node/CallerApi.cpp
@@ -170,7 +170,7 @@
             return badInput("prompt: expected a text");
     }
     completion.maxTokens_ = body->contains("max_tokens") ? numberField(*body, "max_tokens") : defaultMaxTokens;
-    std::uint64_t most = context_.settings_.caller_.mostTokens_;
+    std::uint64_t most = context_.settings_.caller_.maxTokens_;
     if (!completion.maxTokens_ || completion.maxTokens_ > most)
         return badInput("max_tokens: expected a whole number from 1 to " + std::to_string(most));
     completion.isStream_ = flagField(*body, "stream");
--- a/lib/Node/ControlPlane.cpp
+++ b/lib/Node/ControlPlane.cpp
@@ -287,7 +287,7 @@
 
 asio::awaitable<Result<EditOutcome>> ControlPlane::edit(CatalogueEdit edit)
 {
-    SteadyTime until = steadyNow() + context_.settings_.catalogue_.editPatience_;
+    SteadyTime until = steadyNow() + context_.settings_.catalogue_.editWaitLimit_;
     auto appended = co_await appendEdit(edit, until);
     if (!appended && appended.error().ran_ == Ran::No)
         co_return appended.error();
--- a/lib/Node/Generation.h
+++ b/lib/Node/Generation.h
@@ -174,7 +174,7 @@
     struct Preference {
         VmId engine_;
         std::string kvHandle_;
-        bool isAttach_ = false;
+        bool attachesToStream_ = false;
         std::set<VmId> excluded_;
     };
 
--- a/lib/Node/GenerationOwner.cpp
+++ b/lib/Node/GenerationOwner.cpp
@@ -93,7 +93,7 @@
         return known;
     Preference preference;
     preference.engine_ = { record.engine() };
-    preference.isAttach_ = !record.engine().empty();
+    preference.attachesToStream_ = !record.engine().empty();
     record.set_owner(context_.self().value_);
     record.set_attempt(record.attempt() + takeoverAttempts);
     auto generation = std::make_shared<Generation>(record, context_.executor_);
@@ -144,7 +144,7 @@
                 co_return outcome;
             logger_.info("Request " + generation->id() + " could not go on at engine " + engine.value_ + ": " + describe(refusal) + ".");
         }
-        preference.isAttach_ = false;
+        preference.attachesToStream_ = false;
     }
     wire::GenerationRecord record = generation->record();
     RoutingQuestion question { generation->id(), generation->model(), record.prompt(), milliseconds(record.latency_target_ms()), record.is_paid(), preference.excluded_ };
@@ -182,7 +182,7 @@
     *request.mutable_record() = generation->record();
     request.set_engine(engine.value_);
     request.set_kv_handle(std::exchange(preference.kvHandle_, {}));
-    request.set_attach(preference.isAttach_);
+    request.set_attach(preference.attachesToStream_);
     request.set_may_queue(mayQueue);
     request.set_traceparent(scope.context().toHeader());
     auto opened = co_await context_.open(home, frame, openTimeout);
@@ -237,7 +237,7 @@
             logger_.warn("Request " + generation->id() + " lost its home: " + describe(frame.error()) + ".");
             preference.excluded_.insert(home);
             preference.engine_ = engine;
-            preference.isAttach_ = true;
+            preference.attachesToStream_ = true;
             co_return AttemptOutcome::Continue;
         }
         if (frame.value().has_end())
@@ -271,7 +271,7 @@
     if (end.is_interrupted()) {
         preference.kvHandle_ = end.kv_handle();
         preference.engine_ = { end.target_engine() };
-        preference.isAttach_ = end.is_attachable();
+        preference.attachesToStream_ = end.is_attachable();
         return AttemptOutcome::Continue;
     }
     Error failure = fromWire(end.failure());
@@ -290,7 +290,7 @@
     const CallerSettings& settings = context_.settings_.caller_;
     for (;;) {
         for (const GenerationPtr& generation : all()) {
-            if (generation->isOver() && steadyNow() - generation->changedAt() > settings.answersKept_ && !generation->hasReaders()) {
+            if (generation->isOver() && steadyNow() - generation->changedAt() > settings.answerRetention_ && !generation->hasReaders()) {
                 std::lock_guard lock(mutex_);
                 generations_.erase(generation->id());
                 continue;
--- a/lib/Node/ReplicaStore.cpp
+++ b/lib/Node/ReplicaStore.cpp
@@ -231,7 +231,7 @@
     std::lock_guard lock(mutex_);
     for (const auto& [id, replica] : replicas_) {
         std::lock_guard inner(replica->mutex_);
-        if (!replica->isOver_ && !replica->isChecked_ && steadyNow() - replica->changedAt_ > context_.settings_.replica_.ownerSilence_)
+        if (!replica->isOver_ && !replica->isChecked_ && steadyNow() - replica->changedAt_ > context_.settings_.replica_.ownerTimeout_)
             silent.push_back(replica);
     }
     return silent;
@@ -242,7 +242,7 @@
     std::lock_guard lock(mutex_);
     std::erase_if(replicas_, [&](const auto& item) {
         std::lock_guard inner(item.second->mutex_);
-        milliseconds kept = context_.settings_.caller_.answersKept_;
+        milliseconds kept = context_.settings_.caller_.answerRetention_;
         milliseconds silence = item.second->isOver_ ? kept : kept + milliseconds(item.second->record_.deadline_ms());
         return steadyNow() - item.second->changedAt_ > silence;
     });
--- a/lib/Node/RunKeeper.cpp
+++ b/lib/Node/RunKeeper.cpp
@@ -124,7 +124,7 @@
 asio::awaitable<Result<LogOffset>> RunKeeper::appendRecord(const std::string& stream, const std::string& record)
 {
     const LedgerSettings& settings = context_.settings_.ledger_;
-    SteadyTime until = steadyNow() + settings.appendPatience_;
+    SteadyTime until = steadyNow() + settings.appendWaitLimit_;
     for (;;) {
         SteadyTime began = steadyNow();
         context_.metrics_.add(Counter::LogAppends);
--- a/lib/Platform/EngineService.cpp
+++ b/lib/Platform/EngineService.cpp
@@ -15,7 +15,7 @@
     constexpr milliseconds openTimeout { 10000 };
     // Longest silence between two tokens before the stream is given up.
     constexpr milliseconds tokenTimeout { 30000 };
-    constexpr milliseconds orderTimeout { 2000 };
+    constexpr milliseconds callTimeout { 2000 };
 
     std::string encode(const EngineRequest& request)
     {
@@ -29,7 +29,7 @@
             { "prefix", std::move(prefix) },
             { "max_tokens", request.maxTokens_ },
             { "priority", request.priority_ },
-            { "attach", request.isAttach_ },
+            { "attach", request.attachesToStream_ },
             { "kv_handle", request.kvHandle_ },
         });
     }
@@ -40,7 +40,7 @@
         if (!object)
             return std::nullopt;
         EngineEvent event;
-        event.recomputed_ = numberField(*object, "recomputed");
+        event.recomputedTokens_ = numberField(*object, "recomputed");
         std::string type = textField(*object, "type");
         if (type == "token") {
             event.position_ = numberField(*object, "position");
@@ -85,7 +85,7 @@
             co_return opened.error();
         auto reader = opened.value();
         if (reader->status() != 200) {
-            auto body = co_await reader->readAll(orderTimeout);
+            auto body = co_await reader->readAll(callTimeout);
             HttpResponse response { reader->status(), reader->headers(), body ? body.value() : std::string() };
             co_return errorFromResponse(response, "start generation", peer);
         }
@@ -95,10 +95,10 @@
         co_return stream;
     }
 
-    asio::awaitable<Result<std::string>> order(Endpoint engine, std::string target, boost::json::object fields)
+    asio::awaitable<Result<std::string>> postJson(Endpoint engine, std::string target, boost::json::object fields)
     {
         HttpRequest request { "POST", target, {}, boost::json::serialize(fields) };
-        auto response = co_await callHttp(engine, std::move(request), orderTimeout);
+        auto response = co_await callHttp(engine, std::move(request), callTimeout);
         if (!response)
             co_return response.error();
         if (response.value().status_ != 200)
@@ -106,9 +106,9 @@
         co_return std::move(response.value().body_);
     }
 
-    asio::awaitable<Result<void>> orderOnly(Endpoint engine, std::string target, boost::json::object fields)
+    asio::awaitable<Result<void>> postCommand(Endpoint engine, std::string target, boost::json::object fields)
     {
-        auto done = co_await order(std::move(engine), std::move(target), std::move(fields));
+        auto done = co_await postJson(std::move(engine), std::move(target), std::move(fields));
         if (!done)
             co_return done.error();
         co_return boost::outcome_v2::success();
@@ -117,7 +117,7 @@
     asio::awaitable<Result<std::string>> exportCache(Endpoint engine, std::string requestId)
     {
         boost::json::object fields { { "request", requestId } };
-        auto body = co_await order(engine, "/v1/cache/export", std::move(fields));
+        auto body = co_await postJson(engine, "/v1/cache/export", std::move(fields));
         if (!body)
             co_return body.error();
         auto object = parseJsonObject(body.value());
@@ -131,13 +131,13 @@
     {
         boost::json::array adapters(wanted.adapters_.begin(), wanted.adapters_.end());
         boost::json::object fields { { "token", token.value_ }, { "version", wanted.version_ }, { "role", wanted.role_ }, { "adapters", std::move(adapters) } };
-        co_return co_await orderOnly(std::move(engine), "/v1/order", std::move(fields));
+        co_return co_await postCommand(std::move(engine), "/v1/order", std::move(fields));
     }
 
     asio::awaitable<Result<EngineState>> readState(Endpoint engine)
     {
         HttpRequest request { "GET", "/v1/state", {}, {} };
-        auto response = co_await callHttp(engine, std::move(request), orderTimeout);
+        auto response = co_await callHttp(engine, std::move(request), callTimeout);
         if (!response)
             co_return response.error();
         auto object = parseJsonObject(response.value().body_);
@@ -163,10 +163,10 @@
     EngineService service;
     service.generate_ = generate;
     service.cancel_ = [](Endpoint engine, std::string requestId, std::uint32_t attempt) {
-        return orderOnly(std::move(engine), "/v1/cancel", { { "request", requestId }, { "attempt", attempt } });
+        return postCommand(std::move(engine), "/v1/cancel", { { "request", requestId }, { "attempt", attempt } });
     };
     service.exportCache_ = exportCache;
-    service.importCache_ = [](Endpoint engine, std::string handle) { return orderOnly(std::move(engine), "/v1/cache/import", { { "handle", handle } }); };
+    service.importCache_ = [](Endpoint engine, std::string handle) { return postCommand(std::move(engine), "/v1/cache/import", { { "handle", handle } }); };
     service.order_ = orderConfiguration;
     service.state_ = readState;
     return service;
--- a/lib/Settings/Settings.cpp
+++ b/lib/Settings/Settings.cpp
@@ -15,9 +15,9 @@
 namespace {
 
     constexpr milliseconds oneDay { 24LL * 3600 * 1000 };
-    constexpr std::uint64_t mostThreads = 256;
-    constexpr std::uint64_t mostShards = 1024;
-    constexpr std::size_t shortestCredential = 16;
+    constexpr std::uint64_t maxThreads = 256;
+    constexpr std::uint64_t maxShards = 1024;
+    constexpr std::size_t minCredentialLength = 16;
 
     Endpoint endpoint(YamlMap& map, const std::string& key)
     {
@@ -31,7 +31,7 @@
     std::string credential(YamlMap& map, const std::string& key)
     {
         std::string text = map.text(key);
-        if (!text.empty() && text.size() < shortestCredential)
+        if (!text.empty() && text.size() < minCredentialLength)
             map.fail(key, "expected at least 16 characters");
         return text;
     }
@@ -41,7 +41,7 @@
         settings.vm_ = { map.text("vm") };
         settings.dataCentre_ = { map.text("data_centre") };
         settings.region_ = { map.text("region", "") };
-        settings.threads_ = map.integer("threads", 1, mostThreads, settings.threads_);
+        settings.threads_ = map.integer("threads", 1, maxThreads, settings.threads_);
         map.finish();
     }
 
@@ -82,18 +82,18 @@
 
     void parseLedger(YamlMap map, LedgerSettings& settings)
     {
-        settings.shards_ = map.integer("shards", 1, mostShards, settings.shards_);
+        settings.shards_ = map.integer("shards", 1, maxShards, settings.shards_);
         settings.dispatchGuard_ = map.duration("dispatch_guard", milliseconds(100), milliseconds(60000), settings.dispatchGuard_);
         settings.appendsPerSecond_ = map.integer("appends_per_second", 1, 100000, settings.appendsPerSecond_);
         settings.appendTimeout_ = map.duration("append_timeout", milliseconds(10), milliseconds(60000), settings.appendTimeout_);
-        settings.appendPatience_ = map.duration("append_patience", milliseconds(10), milliseconds(60000), settings.appendPatience_);
+        settings.appendWaitLimit_ = map.duration("append_patience", milliseconds(10), milliseconds(60000), settings.appendWaitLimit_);
         map.finish();
     }
 
     void parseCatalogue(YamlMap map, CatalogueSettings& settings)
     {
         settings.snapshotInterval_ = map.duration("snapshot_interval", milliseconds(100), oneDay, settings.snapshotInterval_);
-        settings.editPatience_ = map.duration("edit_patience", milliseconds(100), milliseconds(60000), settings.editPatience_);
+        settings.editWaitLimit_ = map.duration("edit_patience", milliseconds(100), milliseconds(60000), settings.editWaitLimit_);
         map.finish();
     }
 
@@ -103,8 +103,8 @@
         settings.bounds_.body_ = map.size("body", { 1024 }, { 64UL * 1024 * 1024 }, settings.bounds_.body_);
         settings.bounds_.idle_ = map.duration("idle", milliseconds(100), milliseconds(3600000), settings.bounds_.idle_);
         settings.reconnectGrace_ = map.duration("reconnect_grace", milliseconds(0), oneDay, settings.reconnectGrace_);
-        settings.answersKept_ = map.duration("answers_kept", milliseconds(100), oneDay, settings.answersKept_);
-        settings.mostTokens_ = map.integer("most_tokens", 1, 1000000, settings.mostTokens_);
+        settings.answerRetention_ = map.duration("answers_kept", milliseconds(100), oneDay, settings.answerRetention_);
+        settings.maxTokens_ = map.integer("most_tokens", 1, 1000000, settings.maxTokens_);
         map.finish();
     }
 
@@ -120,7 +120,7 @@
     {
         settings.copyTimeout_ = map.duration("copy_timeout", milliseconds(10), milliseconds(60000), settings.copyTimeout_);
         settings.takeoverGrace_ = map.duration("takeover_grace", milliseconds(10), milliseconds(600000), settings.takeoverGrace_);
-        settings.ownerSilence_ = map.duration("owner_silence", milliseconds(10), milliseconds(600000), settings.ownerSilence_);
+        settings.ownerTimeout_ = map.duration("owner_silence", milliseconds(10), milliseconds(600000), settings.ownerTimeout_);
         map.finish();
     }
 
@@ -188,7 +188,7 @@
 
 std::optional<Settings> parseSettings(const std::string& text, const std::string& file, InputErrors& errors)
 {
-    std::size_t before = errors.size();
+    std::size_t initialErrorCount = errors.size();
     auto root = YamlMap::parse(text, file, errors);
     if (!root)
         return std::nullopt;
@@ -221,9 +221,9 @@
         parsePeers(std::move(*map), settings.peerLinks_);
     if (auto map = root->map("logs"))
         parseLogSettings(std::move(*map), settings.logs_);
-    settings.spansKept_ = root->integer("spans_kept", 1, 1000000, settings.spansKept_);
+    settings.maxSpans_ = root->integer("spans_kept", 1, 1000000, settings.maxSpans_);
     root->finish();
-    if (errors.size() != before)
+    if (errors.size() != initialErrorCount)
         return std::nullopt;
     return settings;
 }
--- a/unittests/Fuzz/FuzzTest.cpp
+++ b/unittests/Fuzz/FuzzTest.cpp
@@ -22,17 +22,17 @@
 namespace {
 
 // Some seconds of CI under the sanitizers.
-constexpr std::uint64_t standardRuns = 30000;
-constexpr std::uint64_t standardSeed = 20261202;
+constexpr std::uint64_t defaultRunCount = 30000;
+constexpr std::uint64_t defaultSeed = 20261202;
 
-std::uint64_t runs()
+std::uint64_t runCount()
 {
-    return fuzzSetting("PISTACHIOLOOM_FUZZ_RUNS", standardRuns);
+    return fuzzSetting("PISTACHIOLOOM_FUZZ_RUNS", defaultRunCount);
 }
 
 std::uint64_t seed()
 {
-    return fuzzSetting("PISTACHIOLOOM_FUZZ_SEED", standardSeed);
+    return fuzzSetting("PISTACHIOLOOM_FUZZ_SEED", defaultSeed);
 }
 
 struct Parsed {
@@ -84,20 +84,20 @@
     CallerBounds bounds;
     bounds.header_ = { 300 };
     bounds.body_ = { 60 };
-    for (std::uint64_t run = 0; run < runs(); ++run) {
+    for (std::uint64_t run = 0; run < runCount(); ++run) {
         std::string bytes = mutator.next();
-        Parsed whole = parse({ bytes }, bounds);
-        Parsed inPieces = parse(mutator.pieces(bytes), bounds);
+        Parsed unsplit = parse({ bytes }, bounds);
+        Parsed split = parse(mutator.pieces(bytes), bounds);
         CAPTURE(run, bytes);
-        REQUIRE(whole.progress_ == inPieces.progress_);
-        REQUIRE(whole.request_.method_ == inPieces.request_.method_);
-        REQUIRE(whole.request_.target_ == inPieces.request_.target_);
-        REQUIRE(whole.request_.body_ == inPieces.request_.body_);
-        REQUIRE(whole.request_.body_.size() <= bounds.body_.value_);
-        if (whole.progress_ == RequestReader::Progress::Done)
-            REQUIRE(whole.rest_ == inPieces.rest_);
-        if (whole.progress_ == RequestReader::Progress::Bad)
-            REQUIRE(whole.status_ / 100 == 4);
+        REQUIRE(unsplit.progress_ == split.progress_);
+        REQUIRE(unsplit.request_.method_ == split.request_.method_);
+        REQUIRE(unsplit.request_.target_ == split.request_.target_);
+        REQUIRE(unsplit.request_.body_ == split.request_.body_);
+        REQUIRE(unsplit.request_.body_.size() <= bounds.body_.value_);
+        if (unsplit.progress_ == RequestReader::Progress::Done)
+            REQUIRE(unsplit.rest_ == split.rest_);
+        if (unsplit.progress_ == RequestReader::Progress::Bad)
+            REQUIRE(unsplit.status_ / 100 == 4);
     }
 }
 
@@ -108,17 +108,17 @@
                                 "id: 1\r\ndata: a\r\n\r\nid: 2\r\ndata: b\r\n\r\n",
                                 "data: without\n\n: comment\n\nid:4\ndata\n\n",
                             });
-    for (std::uint64_t run = 0; run < runs(); ++run) {
+    for (std::uint64_t run = 0; run < runCount(); ++run) {
         std::string bytes = mutator.next();
         std::optional<std::uint64_t> last;
-        if (mutator.below(2))
-            last = mutator.below(4);
+        if (mutator.randomBelow(2))
+            last = mutator.randomBelow(4);
         EventSplitter splitter(last);
-        EventSplitter other(last);
+        EventSplitter splitInputSplitter(last);
         std::string events = splitEvents({ bytes }, last, splitter);
         CAPTURE(run, bytes);
-        REQUIRE(events == splitEvents(mutator.pieces(bytes), last, other));
-        REQUIRE(splitter.hasGap() == other.hasGap());
+        REQUIRE(events == splitEvents(mutator.pieces(bytes), last, splitInputSplitter));
+        REQUIRE(splitter.hasGap() == splitInputSplitter.hasGap());
         REQUIRE(events.size() <= bytes.size());
         if (last && splitter.last())
             REQUIRE(*splitter.last() >= *last);
@@ -128,7 +128,7 @@
 TEST_CASE("header values of any kind are read or left", "[fuzz]")
 {
     Mutator mutator(seed(), { "12000,480", "a:512,b:4870,c:6610", "close, X-Own", "timeout=5" });
-    for (std::uint64_t run = 0; run < runs(); ++run) {
+    for (std::uint64_t run = 0; run < runCount(); ++run) {
         std::string text = mutator.next();
         (void)parseTokenCounts(text);
         (void)connectionOptions({ { "Connection", text } });
@@ -149,7 +149,7 @@
                                 R"({"service":"e","address":"10.0.0.1:80","zone":"a","version":"v1","slot_count":8,"phase":"up","cold_left_ms":0,"call_seq":3,"born":1764720000000,"spot":true})",
                                 R"({"version":7,"routes":[{"name":"q","hostname":"H","path_prefix":"/q/","type":"stream","timeout_ms":3000,"goal_ms":500,"priority":0,"service":"e","attempts":1}],"services":[{"name":"e","max_conns":3,"scale":{"min_count":1,"max_count":2,"boot_s":4.0,"zone_prices":{"a":0.85}}}],"limits":{"max_body_bytes":9},"tenants":[{"name":"n","api_keys":["k"],"rate_per_s":1.5}]})",
                             });
-    for (std::uint64_t run = 0; run < runs(); ++run) {
+    for (std::uint64_t run = 0; run < runCount(); ++run) {
         std::string bytes = mutator.next();
         CAPTURE(run, bytes);
         auto read = platform::decodeLog(bytes, { 5 });
@@ -190,23 +190,23 @@
     relayed.mutable_relayed()->set_data_centre("far");
     *relayed.mutable_relayed()->mutable_sums() = sumsOf(report.report());
     Mutator mutator(seed(), { report.SerializeAsString(), relayed.SerializeAsString() });
-    RelayBook book(milliseconds(5000));
+    RelayBook aggregator(milliseconds(5000));
     QuarantineTable quarantine({});
     SteadyTime now { std::chrono::hours(1) };
-    for (std::uint64_t run = 0; run < runs(); ++run) {
+    for (std::uint64_t run = 0; run < runCount(); ++run) {
         std::string bytes = mutator.next();
-        now += milliseconds(mutator.below(400));
+        now += milliseconds(mutator.randomBelow(400));
         wire::Datagram datagram;
         if (!datagram.ParseFromString(bytes))
             continue;
         if (datagram.has_report()) {
-            book.takeReport(datagram.report(), now);
+            aggregator.takeReport(datagram.report(), now);
             quarantine.take(suspectsOf(datagram.report().suspects(), now), now);
             REQUIRE(quarantine.told(now, run).size() <= 24);
         }
         if (datagram.has_relayed())
-            book.takeSummary(datagram.relayed(), now);
+            aggregator.takeSummary(datagram.relayed(), now);
         // All that is told may be told on.
-        REQUIRE(book.digestFor({ "a" }, book.totals(now), now).IsInitialized());
+        REQUIRE(aggregator.digestFor({ "a" }, aggregator.totals(now), now).IsInitialized());
     }
 }
--- a/unittests/Fuzz/Mutator.h
+++ b/unittests/Fuzz/Mutator.h
@@ -29,14 +29,14 @@
     {
     }
 
-    std::size_t below(std::size_t bound) { return bound ? random_() % bound : 0; }
+    std::size_t randomBelow(std::size_t bound) { return bound ? random_() % bound : 0; }
 
     /// One of the corpus, with up to six changes.
     std::string next()
     {
-        std::string bytes = corpus_[below(corpus_.size())];
-        for (std::size_t i = below(7); i; --i)
-            change(bytes);
+        std::string bytes = corpus_[randomBelow(corpus_.size())];
+        for (std::size_t i = randomBelow(7); i; --i)
+            mutate(bytes);
         return bytes;
     }
 
@@ -44,40 +44,40 @@
     std::vector<std::string> pieces(const std::string& bytes)
     {
         std::vector<std::string> pieces;
-        for (std::size_t at = 0; at < bytes.size();) {
-            std::size_t length = 1 + below(below(4) ? 8 : bytes.size());
-            pieces.push_back(bytes.substr(at, length));
-            at += length;
+        for (std::size_t position = 0; position < bytes.size();) {
+            std::size_t length = 1 + randomBelow(randomBelow(4) ? 8 : bytes.size());
+            pieces.push_back(bytes.substr(position, length));
+            position += length;
         }
         return pieces;
     }
 
 private:
-    void change(std::string& bytes)
+    void mutate(std::string& bytes)
     {
         constexpr const char* tokens[] = { "\r\n", "\n", "\r\n\r\n", ":", " ", "\t", "0", "-1", "18446744073709551616", "id: ", "data: ", "{", "}", "[", "]", "\"", ",", "Content-Length: 5\r\n", "Transfer-Encoding: chunked\r\n", "null", "1e999", "\\u0000" };
-        std::size_t at = below(bytes.size() + 1);
-        switch (below(6)) {
+        std::size_t position = randomBelow(bytes.size() + 1);
+        switch (randomBelow(6)) {
         case 0:
-            if (at < bytes.size())
-                bytes[at] = static_cast<char>(bytes[at] ^ (1 << below(8)));
+            if (position < bytes.size())
+                bytes[position] = static_cast<char>(bytes[position] ^ (1 << randomBelow(8)));
             return;
         case 1:
-            bytes.insert(at, 1, static_cast<char>(random_()));
+            bytes.insert(position, 1, static_cast<char>(random_()));
             return;
         case 2:
-            bytes.erase(at, 1 + below(10));
+            bytes.erase(position, 1 + randomBelow(10));
             return;
         case 3:
-            bytes.insert(at, tokens[below(std::size(tokens))]);
+            bytes.insert(position, tokens[randomBelow(std::size(tokens))]);
             return;
         case 4:
-            bytes.resize(at);
+            bytes.resize(position);
             return;
         default: {
             // A part of another one.
-            const std::string& other = corpus_[below(corpus_.size())];
-            bytes.insert(at, other.substr(below(other.size() + 1), below(60)));
+            const std::string& other = corpus_[randomBelow(corpus_.size())];
+            bytes.insert(position, other.substr(randomBelow(other.size() + 1), randomBelow(60)));
         }
         }
     }
--- a/unittests/Settings/SettingsTest.cpp
+++ b/unittests/Settings/SettingsTest.cpp
@@ -71,12 +71,12 @@
     InputErrors errors;
     CHECK_FALSE(parseSettings(text, "entry.yaml", errors));
     bool isFound = false;
-    std::string all;
+    std::string allErrors;
     for (const InputError& error : errors) {
         isFound |= error.key_ == mistake.key_ && error.message_.starts_with(mistake.expected_) && error.line_ > 0;
-        all += error.toString() + "\n";
+        allErrors += error.toString() + "\n";
     }
-    INFO(all);
+    INFO(allErrors);
     CHECK(isFound);
 }
 
--- a/unittests/UsersPlatform/DecodingTest.cpp
+++ b/unittests/UsersPlatform/DecodingTest.cpp
@@ -48,7 +48,7 @@
     struct Row {
         const char* from_;
         const char* to_;
-        const char* complaint_;
+        const char* expectedError_;
     };
     auto row = GENERATE(values<Row>({
         { "{\"version\":7", "[7", "configuration" },
@@ -62,21 +62,21 @@
     auto decoded = decodeConfiguration(text);
     REQUIRE_FALSE(decoded);
     CAPTURE(describe(decoded.error()));
-    CHECK(decoded.error().step_.find(row.complaint_) != std::string::npos);
+    CHECK(decoded.error().step_.find(row.expectedError_) != std::string::npos);
 }
 
 static const std::string registration = R"({"service":"e","address":"10.128.0.9:8080","zone":"a","version":"v1","slot_count":64,"phase":"draining","cold_left_ms":0,"call_seq":4,"born":1764720000123,"spot":true,"new_field":[1]})";
 
 TEST_CASE("a registration is decoded", "[platform]")
 {
-    auto good = decodeRegistration({ "i-1" }, registration);
-    REQUIRE(good);
-    CHECK(good.value().endpoint_.toString() == "10.128.0.9:8080");
-    CHECK(good.value().isLeaving_);
-    CHECK(good.value().isReclaimable_);
-    CHECK(good.value().name_.value_ == "i-1");
-    CHECK(good.value().startTime_.value_ == 1764720000123);
-    CHECK(good.value().id_ == backendId({ "i-1" }, { 1764720000123 }));
+    auto decoded = decodeRegistration({ "i-1" }, registration);
+    REQUIRE(decoded);
+    CHECK(decoded.value().endpoint_.toString() == "10.128.0.9:8080");
+    CHECK(decoded.value().isLeaving_);
+    CHECK(decoded.value().isReclaimable_);
+    CHECK(decoded.value().name_.value_ == "i-1");
+    CHECK(decoded.value().startTime_.value_ == 1764720000123);
+    CHECK(decoded.value().id_ == backendId({ "i-1" }, { 1764720000123 }));
 }
 
 TEST_CASE("an entry of another writer is refused with the field that is wrong", "[platform]")
@@ -84,7 +84,7 @@
     struct Row {
         const char* from_;
         const char* to_;
-        const char* complaint_;
+        const char* expectedError_;
     };
     auto row = GENERATE(values<Row>({
         { "{\"service\"", "[\"service\"", "JSON" },
@@ -111,14 +111,14 @@
     auto decoded = decodeRegistration({ "i-1" }, text);
     CAPTURE(text);
     REQUIRE_FALSE(decoded);
-    CHECK(describe(decoded.error()).find(row.complaint_) != std::string::npos);
+    CHECK(describe(decoded.error()).find(row.expectedError_) != std::string::npos);
 }
 
 TEST_CASE("an order of a roll-out is decoded, or refused with the field that is wrong", "[platform]")
 {
     struct Row {
         const char* text_;
-        const char* complaint_;
+        const char* expectedError_;
     };
     const Row rows[] = {
         { R"({"service":"s","target":"v2","period_s":12.5})", "" },
@@ -131,9 +131,9 @@
     for (const Row& row : rows) {
         CAPTURE(row.text_);
         auto order = decodeRollout("s", row.text_, { 41 });
-        REQUIRE(order.has_value() == std::string(row.complaint_).empty());
+        REQUIRE(order.has_value() == std::string(row.expectedError_).empty());
         if (!order) {
-            CHECK(describe(order.error()).find(row.complaint_) != std::string::npos);
+            CHECK(describe(order.error()).find(row.expectedError_) != std::string::npos);
             continue;
         }
         CHECK(order.value().number_.value_ == 42);
