--- a/include/pistachioloom/Platform.h
+++ b/include/pistachioloom/Platform.h
@@ -1,8 +1,8 @@
-//===- pistachioloom/Platform.h - the outside world, as hooks --------------===//
+//===- pistachioloom/Platform.h - hooks of the outside services -----------===//
 ///
 /// \file
-/// One struct of hooks for each outside interface, and one adapter that fills
-/// it by HTTP. Another test bench is attached by writing adapters only.
+/// Declares one struct of hooks for each outside service, and one adapter that
+/// implements it over HTTP. Another test environment needs only its own adapters.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -11,20 +11,20 @@
 
 namespace pistachioloom {
 
-/// Records of one stream, from the offset asked for.
+/// Records of one stream, starting at the requested offset.
 struct LogRead {
-    /// The oldest record still kept.
+    /// The offset of the oldest record that is still stored.
     LogOffset first_;
-    /// Where to read on.
+    /// The offset at which the next read starts.
     LogOffset next_;
     std::vector<std::pair<LogOffset, std::string>> records_;
 };
 
 /// The platform's append-only log.
 struct LogService {
-    /// An error whose `ran_` is Unknown means that the record may yet appear.
+    /// After an error whose `ran_` is Unknown, the record may still appear.
     std::function<asio::awaitable<Result<LogOffset>>(std::string stream, std::string record, milliseconds timeout)> append_;
-    /// Waits up to \p wait for a record at \p from or later.
+    /// Reads the records from \p from on. Waits up to \p wait for the first one.
     std::function<asio::awaitable<Result<LogRead>>(std::string stream, LogOffset from, milliseconds wait)> read_;
 };
 
@@ -34,30 +34,33 @@
     milliseconds remaining_ {};
 };
 
+/// Notices that follow those read before.
 struct NoticeRead {
+    /// The value of `since` for the next read.
     std::uint64_t next_ = 0;
     std::vector<ReclaimNotice> notices_;
 };
 
-/// The platform's VM list and notices.
+/// The platform's list of VMs and its reclaim notices.
 struct VmListService {
-    /// JSON of the list, or nullopt if it is still at \p knownVersion.
+    /// \returns the list as JSON, or nullopt if its version is still \p knownVersion.
     std::function<asio::awaitable<Result<std::optional<std::string>>>(std::uint64_t knownVersion)> list_;
+    /// Reads the notices from \p since on. Waits up to \p wait for the first one.
     std::function<asio::awaitable<Result<NoticeRead>>(std::uint64_t since, milliseconds wait)> notices_;
 };
 
-/// What an engine is asked to generate.
+/// A request to an engine to generate tokens.
 struct EngineRequest {
     std::string requestId_;
     std::uint32_t attempt_ = 0;
     std::string prompt_;
-    /// Tokens that were delivered already; the engine goes on after them.
+    /// Tokens that were already delivered. The engine continues after them.
     std::vector<std::string> prefix_;
     std::uint64_t maxTokens_ = 0;
     std::uint64_t priority_ = 0;
-    /// Continue the stream that the engine already runs for this request.
+    /// Whether to continue the stream that the engine already runs for this request.
     bool attachesToStream_ = false;
-    /// A cache exported by another engine.
+    /// The handle of a KV cache that another engine exported.
     std::string kvHandle_;
 };
 
@@ -65,43 +68,47 @@
 struct EngineEvent {
     enum class Type {
         Token,
-        /// The answer is whole.
+        /// The answer is complete.
         Done,
-        /// The cache was exported; the stream goes on elsewhere.
+        /// The KV cache was exported. The stream continues on another engine.
         Exported,
-        /// A newer attempt took the stream.
+        /// A newer attempt has taken over the stream.
         Superseded,
-        /// The engine gives the stream up.
+        /// The engine aborted the stream.
         Interrupted,
     };
     Type type_ = Type::Token;
     std::uint64_t position_ = 0;
-    /// The token's text, or the handle of an exported cache.
+    /// The token's text, or the handle of the exported KV cache.
     std::string text_;
-    /// Tokens this engine had to compute that were computed before.
+    /// The number of tokens that this engine computed although they had been computed
+    /// before.
     std::uint64_t recomputedTokens_ = 0;
 };
 
-/// A stream being read; cancel() closes the connection only.
+/// A stream that is being read.
 struct EngineStream {
     std::function<asio::awaitable<Result<EngineEvent>>()> next_;
+    /// Closes the connection only. The engine is not told to cancel the request.
     std::function<void()> close_;
 };
 
-/// A model engine, by its address.
+/// Calls to a model engine, which is identified by its address.
 struct EngineService {
     std::function<asio::awaitable<Result<EngineStream>>(Endpoint engine, EngineRequest request)> generate_;
-    /// The engine ignores it if it knows a newer attempt.
+    /// Cancels an attempt. The engine ignores the call if it knows a newer attempt.
     std::function<asio::awaitable<Result<void>>(Endpoint engine, std::string requestId, std::uint32_t attempt)> cancel_;
-    /// \returns the handle for an import.
+    /// Exports a request's KV cache. \returns the handle for importCache_.
     std::function<asio::awaitable<Result<std::string>>(Endpoint engine, std::string requestId)> exportCache_;
+    /// Imports the KV cache that exportCache_ returned \p handle for.
     std::function<asio::awaitable<Result<void>>(Endpoint engine, std::string handle)> importCache_;
-    /// Conflict means that the engine has obeyed a newer token.
+    /// Orders the engine to change to \p wanted. Errc::Conflict: the engine has already
+    /// obeyed an order with a newer token.
     std::function<asio::awaitable<Result<void>>(Endpoint engine, FencingToken token, EngineConfiguration wanted)> order_;
     std::function<asio::awaitable<Result<EngineState>>(Endpoint engine)> state_;
 };
 
-/// \p dataCentre is told to the platform with each call.
+/// The hooks send \p dataCentre to the platform with each call.
 LogService makeHttpLogService(const Endpoint& endpoint, const std::string& dataCentre);
 VmListService makeHttpVmListService(const Endpoint& endpoint, const std::string& dataCentre);
 EngineService makeHttpEngineService();
--- a/include/pistachioloom/Settings.h
+++ b/include/pistachioloom/Settings.h
@@ -1,8 +1,9 @@
-//===- pistachioloom/Settings.h - settings of a daemon ---------------------===//
+//===- pistachioloom/Settings.h - settings of a daemon --------------------===//
 ///
 /// \file
-/// What a process is told when it starts: who it is, where it listens, where
-/// the platform is. Everything else is in the catalogue.
+/// Declares the settings that a process reads at its start: its identity, the
+/// addresses it listens on and those of the platform. All other configuration is
+/// in the catalogue.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -13,92 +14,119 @@
 
 namespace pistachioloom {
 
+/// Settings of the gossip protocol and of polling the VM list.
 struct MembershipSettings {
+    /// Time between two heartbeats.
     milliseconds heartbeat_ { 500 };
-    /// Silence after which a node is suspected, plus a heartbeat for each
-    /// doubling of the data centre's nodes.
+    /// Time without a heartbeat after which a node is suspected. One heartbeat
+    /// interval is added for each doubling of the data centre's number of nodes.
     milliseconds suspectAfter_ { 1500 };
-    /// Peers of the data centre told at each heartbeat.
+    /// The number of peers in the same data centre that receive each heartbeat.
     std::uint64_t fanout_ = 1;
-    /// Other data centres that a relay tells at each heartbeat, in turn.
+    /// The number of other data centres to which a relay sends each heartbeat, in
+    /// rotation.
     std::uint64_t relayFanout_ = 3;
+    /// Time between two polls of the VM list.
     milliseconds vmListPoll_ { 500 };
-    /// Assumed for a leaving VM whose notice names no time.
+    /// The time until a leaving VM stops, if its notice states none.
     milliseconds defaultNotice_ { 30000 };
 };
 
+/// Settings of the run-once ledger.
 struct LedgerSettings {
-    /// The same on every node of a deployment.
+    /// The number of shards, which must be the same on every node of a deployment.
     std::uint64_t shards_ = 8;
-    /// Longest time between intent and dispatch.
+    /// The maximum time from the start of a call, which appends the intent, to its
+    /// dispatch. After this time the call is not dispatched.
     milliseconds dispatchGuard_ { 5000 };
-    /// Appends of the whole system; divided among keepers.
+    /// The maximum number of appends per second of the whole system, divided among the
+    /// run-once coordinators.
     std::uint64_t appendsPerSecond_ = 200;
+    /// Time limit of one append.
     milliseconds appendTimeout_ { 1000 };
-    /// How long an append without answer is tried again.
+    /// The time during which an append that failed is repeated.
     milliseconds appendWaitLimit_ { 2500 };
 };
 
+/// Settings of the catalogue.
 struct CatalogueSettings {
-    /// A snapshot is appended when none was seen for this long.
+    /// The time without a snapshot after which a node appends one.
     milliseconds snapshotInterval_ { 3600000 };
-    /// How long an edit waits for its own record to come back.
+    /// The maximum time that an edit waits until its own record is read from the log.
     milliseconds editWaitLimit_ { 3000 };
 };
 
+/// Settings of the callers' interface.
 struct CallerSettings {
     HttpBounds bounds_;
-    /// A generation whose caller is gone runs on for this long.
+    /// The time for which a generation continues after its caller has disconnected.
     milliseconds reconnectGrace_ { 10000 };
-    /// Finished answers are kept for this long.
+    /// The time for which finished answers are retained.
     milliseconds answerRetention_ { 60000 };
+    /// The maximum number of tokens that a request may ask for.
     std::uint64_t maxTokens_ = 8192;
 };
 
+/// Settings of a node's shutdown.
 struct DrainSettings {
-    /// The balancer may send new requests for this long after readiness is off.
+    /// The time during which the load balancer may send new requests after readiness is
+    /// off.
     milliseconds balancerGrace_ { 2000 };
-    /// A stop without notice waits for running requests this long at most.
+    /// The maximum time that a stop without a reclaim notice waits for running requests.
     milliseconds timeout_ { 600000 };
-    /// Before the VM stops, what still runs is handed over this early.
+    /// How long before the VM stops the requests that still run are handed over.
     milliseconds handoverMargin_ { 1500 };
 };
 
+/// Settings of the replicas of generations.
 struct ReplicaSettings {
+    /// Time limit of copying a record to a replica.
     milliseconds copyTimeout_ { 500 };
-    /// Silence of an owner whose connection broke before its replica takes over.
+    /// The time after a break of the owner's connection before its replica checks the
+    /// owner and takes over.
     milliseconds takeoverGrace_ { 1000 };
-    /// Silence after which an owner is asked whether it is still there.
+    /// The time without an update after which a replica probes the owner.
     milliseconds ownerTimeout_ { 2000 };
 };
 
+/// Settings of the grants of limited slots.
 struct LimitSettings {
+    /// The time for which a grant is valid.
     milliseconds grantValidity_ { 4000 };
-    /// Slots asked for beyond those in use.
+    /// The number of slots requested in addition to those in use.
     std::uint64_t grantAhead_ = 4;
 };
 
+/// Settings of the orders to model engines.
 struct OrderSettings {
-    /// How often an engine that is to change is looked at.
+    /// Time between two checks of an engine whose configuration is to change.
     milliseconds period_ { 500 };
     OrderTiming timing_;
 };
 
+/// Settings of the links to other nodes.
 struct PeerSettings {
-    /// A link that brings nothing for so long is pinged.
+    /// The time without received data after which a link is pinged.
     milliseconds keepAlive_ { 1000 };
-    /// Silence after which a link is given up, and its streams with it.
+    /// The time without received data after which a link is closed together with its
+    /// streams.
     milliseconds deadAfter_ { 3000 };
 };
 
+/// All settings of a node.
 struct Settings {
     VmId vm_;
     DataCentreId dataCentre_;
     RegionId region_;
+    /// Address to listen on for callers.
     Endpoint callers_;
+    /// Address to listen on for other nodes.
     Endpoint peers_;
+    /// Address to listen on for operators.
     Endpoint operators_;
+    /// Address of the platform's log.
     Endpoint log_;
+    /// Address of the platform's VM list.
     Endpoint vmList_;
     std::string peerCredential_;
     std::string operatorCredential_;
@@ -113,19 +141,20 @@
     OrderSettings orders_;
     PeerSettings peerLinks_;
     LogSettings logs_;
+    /// The number of trace spans kept in memory.
     std::uint64_t maxSpans_ = 4096;
 };
 
-/// Parses settings; nullopt if \p errors got any.
+/// Parses settings. \returns nullopt if it added any errors to \p errors.
 std::optional<Settings> parseSettings(const std::string& text, const std::string& file, InputErrors& errors);
 
-/// Reads and parses a file.
+/// Reads and parses a file. \returns nullopt if it added any errors to \p errors.
 std::optional<Settings> loadSettings(const std::string& file, InputErrors& errors);
 
-/// Parses the section of log settings.
+/// Parses the section of log settings. Errors are added to those of \p map.
 void parseLogSettings(YamlMap map, LogSettings& settings);
 
-/// Reads `IP:PORT`; the host must be an IP number.
+/// Parses `IP:PORT`. \returns nullopt for any other text, including a host name.
 std::optional<Endpoint> parseEndpoint(const std::string& text);
 
 } // namespace pistachioloom
--- a/lib/Platform/EngineService.cpp
+++ b/lib/Platform/EngineService.cpp
@@ -1,7 +1,7 @@
-//===- lib/Platform/EngineService.cpp - model engines by HTTP --------------===//
+//===- lib/Platform/EngineService.cpp - model engines over HTTP -----------===//
 ///
 /// \file
-/// Fills the EngineService hooks. An engine streams one JSON line per event.
+/// Implements the EngineService hooks. An engine streams one line of JSON per event.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Platform.h"
 
@@ -13,7 +13,7 @@
 namespace {
 
     constexpr milliseconds openTimeout { 10000 };
-    // Longest silence between two tokens before the stream is given up.
+    // Maximum time between two tokens. A stream that exceeds it fails.
     constexpr milliseconds tokenTimeout { 30000 };
     constexpr milliseconds callTimeout { 2000 };
 
--- a/lib/Platform/LogService.cpp
+++ b/lib/Platform/LogService.cpp
@@ -1,7 +1,7 @@
-//===- lib/Platform/LogService.cpp - the platform's log by HTTP ------------===//
+//===- lib/Platform/LogService.cpp - the platform's log over HTTP ---------===//
 ///
 /// \file
-/// Fills the LogService hooks.
+/// Implements the LogService hooks.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Platform.h"
 
@@ -12,6 +12,7 @@
 
 namespace {
 
+    // Added to the requested wait to get the time limit of a read.
     constexpr milliseconds readMargin { 1000 };
 
     asio::awaitable<Result<LogOffset>> append(Endpoint endpoint, std::string dataCentre, std::string stream, std::string record, milliseconds timeout)
--- a/lib/Platform/VmListService.cpp
+++ b/lib/Platform/VmListService.cpp
@@ -1,7 +1,7 @@
-//===- lib/Platform/VmListService.cpp - VM list and notices by HTTP --------===//
+//===- lib/Platform/VmListService.cpp - VM list and notices over HTTP -----===//
 ///
 /// \file
-/// Fills the VmListService hooks.
+/// Implements the VmListService hooks.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Platform.h"
 
@@ -12,6 +12,7 @@
 
 namespace {
 
+    // Also added to the requested wait to get the time limit of a read of notices.
     constexpr milliseconds listTimeout { 2000 };
     constexpr int notModified = 304;
 
--- a/lib/Settings/Settings.cpp
+++ b/lib/Settings/Settings.cpp
@@ -1,7 +1,7 @@
-//===- lib/Settings/Settings.cpp - parsing of a daemon's settings ----------===//
+//===- lib/Settings/Settings.cpp - parsing of a daemon's settings ---------===//
 ///
 /// \file
-/// One function per section; every key has its range here.
+/// Parses each section in a function of its own, which states the range of every key.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Settings.h"
 
--- a/unittests/CatchMain.cpp
+++ b/unittests/CatchMain.cpp
@@ -1,7 +1,7 @@
 //===- unittests/CatchMain.cpp - Catch2's main, compiled once --------------===//
 ///
 /// \file
-/// The entry point of every unit test program.
+/// Defines the entry point of every unit test program.
 //===----------------------------------------------------------------------===//
 #define CATCH_CONFIG_MAIN
 #include <catch2/catch.hpp>
--- a/unittests/Fuzz/FuzzTest.cpp
+++ b/unittests/Fuzz/FuzzTest.cpp
@@ -1,9 +1,9 @@
-//===- unittests/Fuzz/FuzzTest.cpp - parsers that face others --------------===//
+//===- unittests/Fuzz/FuzzTest.cpp - fuzz tests of the parsers ------------===//
 ///
 /// \file
-/// Requests of callers, event streams of engines, records of the platform and
-/// datagrams of peers, changed at random, under the sanitizers. What is read must
-/// not depend on the pieces in which it came.
+/// Mutates requests of callers, event streams of engines, records of the platform
+/// and datagrams of peers at random, and parses them under the sanitizers. The
+/// result must not depend on how the input is split into pieces.
 //===----------------------------------------------------------------------===//
 #include "EventSplitter.h"
 #include "Mutator.h"
@@ -21,7 +21,7 @@
 
 namespace {
 
-// Some seconds of CI under the sanitizers.
+// Takes a few seconds in CI under the sanitizers.
 constexpr std::uint64_t defaultRunCount = 30000;
 constexpr std::uint64_t defaultSeed = 20261202;
 
@@ -60,7 +60,8 @@
     return parsed;
 }
 
-/// Events of \p bytes as a splitter passes them on, in \p pieces.
+/// Resets \p splitter to continue after \p last. \returns the events that it outputs for
+/// input that arrives in \p pieces.
 std::string splitEvents(const std::vector<std::string>& pieces, std::optional<std::uint64_t> last, EventSplitter& splitter)
 {
     splitter = EventSplitter(last);
@@ -72,7 +73,7 @@
 
 } // namespace
 
-TEST_CASE("requests mean the same in whatever pieces they come, within their bounds", "[fuzz]")
+TEST_CASE("requests are parsed the same however they are split, within the bounds", "[fuzz]")
 {
     Mutator mutator(seed(), {
                                 "GET /a?b=1 HTTP/1.1\r\nHost: h\r\n\r\n",
@@ -87,7 +88,7 @@
     for (std::uint64_t run = 0; run < runCount(); ++run) {
         std::string bytes = mutator.next();
         Parsed unsplit = parse({ bytes }, bounds);
-        Parsed split = parse(mutator.pieces(bytes), bounds);
+        Parsed split = parse(mutator.splitRandomly(bytes), bounds);
         CAPTURE(run, bytes);
         REQUIRE(unsplit.progress_ == split.progress_);
         REQUIRE(unsplit.request_.method_ == split.request_.method_);
@@ -101,7 +102,7 @@
     }
 }
 
-TEST_CASE("events come whole and in order, whatever an engine sends", "[fuzz]")
+TEST_CASE("any input of an engine yields only complete events in order", "[fuzz]")
 {
     Mutator mutator(seed(), {
                                 "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n",
@@ -117,7 +118,7 @@
         EventSplitter splitInputSplitter(last);
         std::string events = splitEvents({ bytes }, last, splitter);
         CAPTURE(run, bytes);
-        REQUIRE(events == splitEvents(mutator.pieces(bytes), last, splitInputSplitter));
+        REQUIRE(events == splitEvents(mutator.splitRandomly(bytes), last, splitInputSplitter));
         REQUIRE(splitter.hasGap() == splitInputSplitter.hasGap());
         REQUIRE(events.size() <= bytes.size());
         if (last && splitter.last())
@@ -125,7 +126,7 @@
     }
 }
 
-TEST_CASE("header values of any kind are read or left", "[fuzz]")
+TEST_CASE("any header value is parsed or ignored", "[fuzz]")
 {
     Mutator mutator(seed(), { "12000,480", "a:512,b:4870,c:6610", "close, X-Own", "timeout=5" });
     for (std::uint64_t run = 0; run < runCount(); ++run) {
@@ -138,7 +139,7 @@
     }
 }
 
-TEST_CASE("what the platform sends is decoded or refused with a reason", "[fuzz]")
+TEST_CASE("any input of the platform is decoded or rejected with a reason", "[fuzz]")
 {
     std::string log(16, '\0');
     log += platform::frameRecord("record") + platform::frameRecord("") + platform::frameRecord(std::string("\x03key", 4) + "value");
@@ -165,7 +166,7 @@
             REQUIRE_FALSE(configuration.error().message_.empty());
         if (!registration)
             REQUIRE_FALSE(registration.error().message_.empty());
-        // Whatever is used can be sent to.
+        // A registration that is accepted has all fields that are needed to send requests.
         if (registration) {
             REQUIRE_FALSE(registration.value().service_.isEmpty());
             REQUIRE_FALSE(registration.value().dataCentre_.isEmpty());
@@ -177,7 +178,7 @@
     }
 }
 
-TEST_CASE("datagrams of any content are summed or refused", "[fuzz]")
+TEST_CASE("any datagram is aggregated or rejected", "[fuzz]")
 {
     google::protobuf::LogSilencer silencer;
     wire::Datagram report;
@@ -206,7 +207,7 @@
         }
         if (datagram.has_relayed())
             aggregator.takeSummary(datagram.relayed(), now);
-        // All that is told may be told on.
+        // Everything that was received can be included in a message to another node.
         REQUIRE(aggregator.digestFor({ "a" }, aggregator.totals(now), now).IsInitialized());
     }
 }
--- a/unittests/Fuzz/Mutator.h
+++ b/unittests/Fuzz/Mutator.h
@@ -1,8 +1,8 @@
-//===- unittests/Fuzz/Mutator.h - bytes that are nearly right --------------===//
+//===- unittests/Fuzz/Mutator.h - random changes to valid inputs ----------===//
 ///
 /// \file
-/// Changes good inputs at random, from a seed, so that parsers meet what a
-/// faulty or hostile peer may send.
+/// Mutates valid inputs at random from a seed. The results resemble what a faulty
+/// or hostile peer may send to a parser.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -13,14 +13,16 @@
 
 namespace pistachioloom::test {
 
-/// A number from the environment, or \p fallback. PISTACHIOLOOM_FUZZ_RUNS and
-/// PISTACHIOLOOM_FUZZ_SEED make longer or other runs than CI's.
+/// \returns the number in environment variable \p name, or \p fallback if it is not set.
+/// PISTACHIOLOOM_FUZZ_RUNS and PISTACHIOLOOM_FUZZ_SEED set the number of runs and the
+/// seed to others than those of CI.
 inline std::uint64_t fuzzSetting(const char* name, std::uint64_t fallback)
 {
     const char* text = std::getenv(name);
     return text ? std::strtoull(text, nullptr, 10) : fallback;
 }
 
+/// Produces random inputs from a corpus. The same seed gives the same inputs.
 class Mutator {
 public:
     Mutator(std::uint64_t seed, std::vector<std::string> corpus)
@@ -29,9 +31,10 @@
     {
     }
 
+    /// \returns a random number below \p bound, or 0 if \p bound is 0.
     std::size_t randomBelow(std::size_t bound) { return bound ? random_() % bound : 0; }
 
-    /// One of the corpus, with up to six changes.
+    /// \returns a random input of the corpus with up to six mutations.
     std::string next()
     {
         std::string bytes = corpus_[randomBelow(corpus_.size())];
@@ -40,8 +43,8 @@
         return bytes;
     }
 
-    /// \p bytes in pieces of random lengths.
-    std::vector<std::string> pieces(const std::string& bytes)
+    /// \returns \p bytes split into pieces of random lengths.
+    std::vector<std::string> splitRandomly(const std::string& bytes)
     {
         std::vector<std::string> pieces;
         for (std::size_t position = 0; position < bytes.size();) {
@@ -75,7 +78,7 @@
             bytes.resize(position);
             return;
         default: {
-            // A part of another one.
+            // Inserts a part of another input of the corpus.
             const std::string& other = corpus_[randomBelow(corpus_.size())];
             bytes.insert(position, other.substr(randomBelow(other.size() + 1), randomBelow(60)));
         }
--- a/unittests/Settings/SettingsTest.cpp
+++ b/unittests/Settings/SettingsTest.cpp
@@ -1,7 +1,8 @@
-//===- unittests/Settings/SettingsTest.cpp - settings are checked ----------===//
+//===- unittests/Settings/SettingsTest.cpp - validation of settings -------===//
 ///
 /// \file
-/// The documented example stays valid; each kind of mistake has its line.
+/// Checks that the documented example is valid, and that each kind of mistake is
+/// reported as one error with its line.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Settings.h"
 
@@ -30,7 +31,7 @@
 
 } // namespace
 
-TEST_CASE("the documented example is valid and says what it means")
+TEST_CASE("the documented example is valid and yields the documented values")
 {
     InputErrors errors;
     auto settings = loadSettings(PISTACHIOLOOM_EXAMPLE, errors);
@@ -43,7 +44,7 @@
     CHECK(settings->logs_.parts_.at("wire") == LogLevel::Warn);
 }
 
-TEST_CASE("each mistake is one line with file, line, key and what was expected")
+TEST_CASE("each mistake is reported with its line, its key and the expected value")
 {
     auto mistake = GENERATE(values<Mistake>({
         { "data_centre: caxias-a", "data_center: caxias-a", "node.data_centre", "missing; expected text" },
@@ -80,7 +81,7 @@
     CHECK(isFound);
 }
 
-TEST_CASE("a file that cannot be read or is no map is an error")
+TEST_CASE("a file that cannot be read or is not a map is an error")
 {
     InputErrors errors;
     CHECK_FALSE(loadSettings("/nowhere/at/all.yaml", errors));
--- a/unittests/UsersPlatform/DecodingTest.cpp
+++ b/unittests/UsersPlatform/DecodingTest.cpp
@@ -1,7 +1,8 @@
-//===- unittests/UsersPlatform/DecodingTest.cpp - the platform's entries ---===//
+//===- unittests/UsersPlatform/DecodingTest.cpp - decoding of entries -----===//
 ///
 /// \file
-/// Configurations and registrations as the platform spells them.
+/// Tests decoding of configurations, registrations and orders of roll-outs in the
+/// platform's JSON.
 //===----------------------------------------------------------------------===//
 #include "platform/Platform.h"
 
@@ -43,7 +44,7 @@
     CHECK(value.bounds_.idleTimeout_ == milliseconds(15000));
 }
 
-TEST_CASE("a configuration that cannot be decoded is refused with the reason", "[platform]")
+TEST_CASE("an invalid configuration is rejected, and the error names the invalid part", "[platform]")
 {
     struct Row {
         const char* from_;
@@ -79,7 +80,7 @@
     CHECK(decoded.value().id_ == backendId({ "i-1" }, { 1764720000123 }));
 }
 
-TEST_CASE("an entry of another writer is refused with the field that is wrong", "[platform]")
+TEST_CASE("an invalid registration is rejected, and the error names the invalid field", "[platform]")
 {
     struct Row {
         const char* from_;
@@ -114,7 +115,7 @@
     CHECK(describe(decoded.error()).find(row.expectedError_) != std::string::npos);
 }
 
-TEST_CASE("an order of a roll-out is decoded, or refused with the field that is wrong", "[platform]")
+TEST_CASE("an order of a roll-out is decoded, or rejected with an error that names the field", "[platform]")
 {
     struct Row {
         const char* text_;
