--- a/include/pistachioloom/Platform.h
+++ b/include/pistachioloom/Platform.h
@@ -34,7 +34,7 @@
     milliseconds remaining_ {};
 };
 
-/// Notices that follow those read before.
+/// Reclaim notices, starting at the requested position.
 struct NoticeRead {
     /// The value of `since` for the next read.
     std::uint64_t next_ = 0;
@@ -89,7 +89,7 @@
 /// A stream that is being read.
 struct EngineStream {
     std::function<asio::awaitable<Result<EngineEvent>>()> next_;
-    /// Closes the connection only. The engine is not told to cancel the request.
+    /// Closes the connection. This does not cancel the request at the engine.
     std::function<void()> close_;
 };
 
@@ -105,6 +105,7 @@
     /// Orders the engine to change to \p wanted. Errc::Conflict: the engine has already
     /// obeyed an order with a newer token.
     std::function<asio::awaitable<Result<void>>(Endpoint engine, FencingToken token, EngineConfiguration wanted)> order_;
+    /// Reads the configuration that the engine reports, and whether it is loading.
     std::function<asio::awaitable<Result<EngineState>>(Endpoint engine)> state_;
 };
 
--- a/include/pistachioloom/Settings.h
+++ b/include/pistachioloom/Settings.h
@@ -86,7 +86,7 @@
     /// owner and takes over.
     milliseconds takeoverGrace_ { 1000 };
     /// The time without an update after which a replica probes the owner.
-    milliseconds ownerTimeout_ { 2000 };
+    milliseconds ownerUpdateTimeout_ { 2000 };
 };
 
 /// Settings of the grants of limited slots.
--- a/lib/Node/ReplicaStore.cpp
+++ b/lib/Node/ReplicaStore.cpp
@@ -231,7 +231,7 @@
     std::lock_guard lock(mutex_);
     for (const auto& [id, replica] : replicas_) {
         std::lock_guard inner(replica->mutex_);
-        if (!replica->isOver_ && !replica->isChecked_ && steadyNow() - replica->changedAt_ > context_.settings_.replica_.ownerTimeout_)
+        if (!replica->isOver_ && !replica->isChecked_ && steadyNow() - replica->changedAt_ > context_.settings_.replica_.ownerUpdateTimeout_)
             silent.push_back(replica);
     }
     return silent;
--- a/lib/Settings/Settings.cpp
+++ b/lib/Settings/Settings.cpp
@@ -120,7 +120,7 @@
     {
         settings.copyTimeout_ = map.duration("copy_timeout", milliseconds(10), milliseconds(60000), settings.copyTimeout_);
         settings.takeoverGrace_ = map.duration("takeover_grace", milliseconds(10), milliseconds(600000), settings.takeoverGrace_);
-        settings.ownerTimeout_ = map.duration("owner_silence", milliseconds(10), milliseconds(600000), settings.ownerTimeout_);
+        settings.ownerUpdateTimeout_ = map.duration("owner_silence", milliseconds(10), milliseconds(600000), settings.ownerUpdateTimeout_);
         map.finish();
     }
 
--- a/unittests/Fuzz/FuzzTest.cpp
+++ b/unittests/Fuzz/FuzzTest.cpp
@@ -115,11 +115,11 @@
         if (mutator.randomBelow(2))
             last = mutator.randomBelow(4);
         EventSplitter splitter(last);
-        EventSplitter splitInputSplitter(last);
+        EventSplitter pieceSplitter(last);
         std::string events = splitEvents({ bytes }, last, splitter);
         CAPTURE(run, bytes);
-        REQUIRE(events == splitEvents(mutator.splitRandomly(bytes), last, splitInputSplitter));
-        REQUIRE(splitter.hasGap() == splitInputSplitter.hasGap());
+        REQUIRE(events == splitEvents(mutator.splitRandomly(bytes), last, pieceSplitter));
+        REQUIRE(splitter.hasGap() == pieceSplitter.hasGap());
         REQUIRE(events.size() <= bytes.size());
         if (last && splitter.last())
             REQUIRE(*splitter.last() >= *last);
