--- a/lib/Node/BackendDispatcher.cpp
+++ b/lib/Node/BackendDispatcher.cpp
@@ -30,7 +30,7 @@
         engineRequest.prompt_ = record.prompt();
         engineRequest.maxTokens_ = record.max_tokens();
         engineRequest.priority_ = static_cast<std::uint64_t>(record.priority());
-        engineRequest.isAttach_ = request.attach();
+        engineRequest.attachesToStream_ = request.attach();
         engineRequest.kvHandle_ = request.kv_handle();
         for (const wire::Token& token : record.tokens())
             engineRequest.prefix_.push_back(token.text());
@@ -199,7 +199,7 @@
             break;
         }
         if (event.value().type_ != EngineEvent::Type::Token) {
-            end.set_computed_tokens(event.value().recomputed_);
+            end.set_computed_tokens(event.value().recomputedTokens_);
             end.set_is_complete(event.value().type_ == EngineEvent::Type::Done);
             end.set_is_interrupted(event.value().type_ == EngineEvent::Type::Interrupted);
             if (event.value().type_ == EngineEvent::Type::Exported) {
--- a/lib/Node/ReplicaStore.cpp
+++ b/lib/Node/ReplicaStore.cpp
@@ -233,7 +233,7 @@
     std::lock_guard lock(mutex_);
     for (const auto& [id, replica] : replicas_) {
         std::lock_guard inner(replica->mutex_);
-        if (!replica->hasEnded_ && !replica->isCheckingOwner_ && steadyNow() - replica->changedAt_ > context_.settings_.replica_.ownerSilence_)
+        if (!replica->hasEnded_ && !replica->isCheckingOwner_ && steadyNow() - replica->changedAt_ > context_.settings_.replica_.ownerUpdateTimeout_)
             result.push_back(replica);
     }
     return result;
@@ -244,7 +244,7 @@
     std::lock_guard lock(mutex_);
     std::erase_if(replicas_, [&](const auto& item) {
         std::lock_guard inner(item.second->mutex_);
-        milliseconds answerRetention = context_.settings_.caller_.answersKept_;
+        milliseconds answerRetention = context_.settings_.caller_.answerRetention_;
         milliseconds retention = item.second->hasEnded_ ? answerRetention : answerRetention + milliseconds(item.second->record_.deadline_ms());
         return steadyNow() - item.second->changedAt_ > retention;
     });
--- a/lib/Node/RunOnceCoordinator.cpp
+++ b/lib/Node/RunOnceCoordinator.cpp
@@ -126,7 +126,7 @@
 asio::awaitable<Result<LogOffset>> RunOnceCoordinator::appendRecord(const std::string& stream, const std::string& record)
 {
     const LedgerSettings& settings = context_.settings_.ledger_;
-    SteadyTime until = steadyNow() + settings.appendPatience_;
+    SteadyTime until = steadyNow() + settings.appendWaitLimit_;
     for (;;) {
         SteadyTime startedAt = steadyNow();
         context_.metrics_.add(Counter::LogAppends);
--- a/unittests/Fuzz/FuzzTest.cpp
+++ b/unittests/Fuzz/FuzzTest.cpp
@@ -1,9 +1,9 @@
-//===- unittests/Fuzz/FuzzTest.cpp - parsers that face others --------------===//
+//===- unittests/Fuzz/FuzzTest.cpp - fuzz tests of the parsers ------------===//
 ///
 /// \file
-/// Requests of callers, event streams of engines, records of the platform and
-/// datagrams of peers, changed at random, under the sanitizers. What is read must
-/// not depend on the pieces in which it came.
+/// Mutates requests of callers, event streams of engines, records of the platform
+/// and datagrams of peers at random, and parses them under the sanitizers. The
+/// result must not depend on how the input is split into pieces.
 //===----------------------------------------------------------------------===//
 #include "EventSplitter.h"
 #include "Mutator.h"
@@ -21,18 +21,18 @@
 
 namespace {
 
-// Some seconds of CI under the sanitizers.
-constexpr std::uint64_t standardRuns = 30000;
-constexpr std::uint64_t standardSeed = 20261202;
+// Takes a few seconds in CI under the sanitizers.
+constexpr std::uint64_t defaultRunCount = 30000;
+constexpr std::uint64_t defaultSeed = 20261202;
 
-std::uint64_t runs()
+std::uint64_t runCount()
 {
-    return fuzzSetting("PISTACHIOLOOM_FUZZ_RUNS", standardRuns);
+    return fuzzSetting("PISTACHIOLOOM_FUZZ_RUNS", defaultRunCount);
 }
 
 std::uint64_t seed()
 {
-    return fuzzSetting("PISTACHIOLOOM_FUZZ_SEED", standardSeed);
+    return fuzzSetting("PISTACHIOLOOM_FUZZ_SEED", defaultSeed);
 }
 
 struct Parsed {
@@ -60,7 +60,8 @@
     return parsed;
 }
 
-/// Events of \p bytes as a splitter passes them on, in \p pieces.
+/// Resets \p splitter to continue after \p last. \returns the events that it outputs for
+/// input that arrives in \p pieces.
 std::string splitEvents(const std::vector<std::string>& pieces, std::optional<std::uint64_t> last, EventSplitter& splitter)
 {
     splitter = EventSplitter(last);
@@ -72,7 +73,7 @@
 
 } // namespace
 
-TEST_CASE("requests mean the same in whatever pieces they come, within their bounds", "[fuzz]")
+TEST_CASE("requests are parsed the same however they are split, within the bounds", "[fuzz]")
 {
     Mutator mutator(seed(), {
                                 "GET /a?b=1 HTTP/1.1\r\nHost: h\r\n\r\n",
@@ -84,51 +85,51 @@
     CallerBounds bounds;
     bounds.header_ = { 300 };
     bounds.body_ = { 60 };
-    for (std::uint64_t run = 0; run < runs(); ++run) {
+    for (std::uint64_t run = 0; run < runCount(); ++run) {
         std::string bytes = mutator.next();
-        Parsed whole = parse({ bytes }, bounds);
-        Parsed inPieces = parse(mutator.pieces(bytes), bounds);
+        Parsed unsplit = parse({ bytes }, bounds);
+        Parsed split = parse(mutator.splitRandomly(bytes), bounds);
         CAPTURE(run, bytes);
-        REQUIRE(whole.progress_ == inPieces.progress_);
-        REQUIRE(whole.request_.method_ == inPieces.request_.method_);
-        REQUIRE(whole.request_.target_ == inPieces.request_.target_);
-        REQUIRE(whole.request_.body_ == inPieces.request_.body_);
-        REQUIRE(whole.request_.body_.size() <= bounds.body_.value_);
-        if (whole.progress_ == RequestReader::Progress::Done)
-            REQUIRE(whole.rest_ == inPieces.rest_);
-        if (whole.progress_ == RequestReader::Progress::Bad)
-            REQUIRE(whole.status_ / 100 == 4);
+        REQUIRE(unsplit.progress_ == split.progress_);
+        REQUIRE(unsplit.request_.method_ == split.request_.method_);
+        REQUIRE(unsplit.request_.target_ == split.request_.target_);
+        REQUIRE(unsplit.request_.body_ == split.request_.body_);
+        REQUIRE(unsplit.request_.body_.size() <= bounds.body_.value_);
+        if (unsplit.progress_ == RequestReader::Progress::Done)
+            REQUIRE(unsplit.rest_ == split.rest_);
+        if (unsplit.progress_ == RequestReader::Progress::Bad)
+            REQUIRE(unsplit.status_ / 100 == 4);
     }
 }
 
-TEST_CASE("events come whole and in order, whatever an engine sends", "[fuzz]")
+TEST_CASE("any input of an engine yields only complete events in order", "[fuzz]")
 {
     Mutator mutator(seed(), {
                                 "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n",
                                 "id: 1\r\ndata: a\r\n\r\nid: 2\r\ndata: b\r\n\r\n",
                                 "data: without\n\n: comment\n\nid:4\ndata\n\n",
                             });
-    for (std::uint64_t run = 0; run < runs(); ++run) {
+    for (std::uint64_t run = 0; run < runCount(); ++run) {
         std::string bytes = mutator.next();
         std::optional<std::uint64_t> last;
-        if (mutator.below(2))
-            last = mutator.below(4);
+        if (mutator.randomBelow(2))
+            last = mutator.randomBelow(4);
         EventSplitter splitter(last);
-        EventSplitter other(last);
+        EventSplitter pieceSplitter(last);
         std::string events = splitEvents({ bytes }, last, splitter);
         CAPTURE(run, bytes);
-        REQUIRE(events == splitEvents(mutator.pieces(bytes), last, other));
-        REQUIRE(splitter.hasGap() == other.hasGap());
+        REQUIRE(events == splitEvents(mutator.splitRandomly(bytes), last, pieceSplitter));
+        REQUIRE(splitter.hasGap() == pieceSplitter.hasGap());
         REQUIRE(events.size() <= bytes.size());
         if (last && splitter.last())
             REQUIRE(*splitter.last() >= *last);
     }
 }
 
-TEST_CASE("header values of any kind are read or left", "[fuzz]")
+TEST_CASE("any header value is parsed or ignored", "[fuzz]")
 {
     Mutator mutator(seed(), { "12000,480", "a:512,b:4870,c:6610", "close, X-Own", "timeout=5" });
-    for (std::uint64_t run = 0; run < runs(); ++run) {
+    for (std::uint64_t run = 0; run < runCount(); ++run) {
         std::string text = mutator.next();
         (void)parseTokenCounts(text);
         (void)connectionOptions({ { "Connection", text } });
@@ -138,7 +139,7 @@
     }
 }
 
-TEST_CASE("what the platform sends is decoded or refused with a reason", "[fuzz]")
+TEST_CASE("any input of the platform is decoded or rejected with a reason", "[fuzz]")
 {
     std::string log(16, '\0');
     log += platform::frameRecord("record") + platform::frameRecord("") + platform::frameRecord(std::string("\x03key", 4) + "value");
@@ -149,7 +150,7 @@
                                 R"({"service":"e","address":"10.0.0.1:80","zone":"a","version":"v1","slot_count":8,"phase":"up","cold_left_ms":0,"call_seq":3,"born":1764720000000,"spot":true})",
                                 R"({"version":7,"routes":[{"name":"q","hostname":"H","path_prefix":"/q/","type":"stream","timeout_ms":3000,"goal_ms":500,"priority":0,"service":"e","attempts":1}],"services":[{"name":"e","max_conns":3,"scale":{"min_count":1,"max_count":2,"boot_s":4.0,"zone_prices":{"a":0.85}}}],"limits":{"max_body_bytes":9},"tenants":[{"name":"n","api_keys":["k"],"rate_per_s":1.5}]})",
                             });
-    for (std::uint64_t run = 0; run < runs(); ++run) {
+    for (std::uint64_t run = 0; run < runCount(); ++run) {
         std::string bytes = mutator.next();
         CAPTURE(run, bytes);
         auto read = platform::decodeLog(bytes, { 5 });
@@ -165,7 +166,7 @@
             REQUIRE_FALSE(configuration.error().message_.empty());
         if (!registration)
             REQUIRE_FALSE(registration.error().message_.empty());
-        // Whatever is used can be sent to.
+        // A registration that is accepted has all fields that are needed to send requests.
         if (registration) {
             REQUIRE_FALSE(registration.value().service_.isEmpty());
             REQUIRE_FALSE(registration.value().dataCentre_.isEmpty());
@@ -177,7 +178,7 @@
     }
 }
 
-TEST_CASE("datagrams of any content are summed or refused", "[fuzz]")
+TEST_CASE("any datagram is aggregated or rejected", "[fuzz]")
 {
     google::protobuf::LogSilencer silencer;
     wire::Datagram report;
@@ -190,23 +191,23 @@
     relayed.mutable_relayed()->set_data_centre("far");
     *relayed.mutable_relayed()->mutable_sums() = sumsOf(report.report());
     Mutator mutator(seed(), { report.SerializeAsString(), relayed.SerializeAsString() });
-    ReportAggregator book(milliseconds(5000));
+    ReportAggregator aggregator(milliseconds(5000));
     QuarantineTable quarantine({});
     SteadyTime now { std::chrono::hours(1) };
-    for (std::uint64_t run = 0; run < runs(); ++run) {
+    for (std::uint64_t run = 0; run < runCount(); ++run) {
         std::string bytes = mutator.next();
-        now += milliseconds(mutator.below(400));
+        now += milliseconds(mutator.randomBelow(400));
         wire::Datagram datagram;
         if (!datagram.ParseFromString(bytes))
             continue;
         if (datagram.has_report()) {
-            book.applyReport(datagram.report(), now);
+            aggregator.applyReport(datagram.report(), now);
             quarantine.take(suspectsOf(datagram.report().suspects(), now), now);
             REQUIRE(quarantine.told(now, run).size() <= 24);
         }
         if (datagram.has_relayed())
-            book.applySummary(datagram.relayed(), now);
-        // All that is told may be told on.
-        REQUIRE(book.digestFor({ "a" }, book.totals(now), now).IsInitialized());
+            aggregator.applySummary(datagram.relayed(), now);
+        // Everything that was received can be included in a message to another node.
+        REQUIRE(aggregator.digestFor({ "a" }, aggregator.totals(now), now).IsInitialized());
     }
 }
