--- a/include/pistachioloom/Http.h
+++ b/include/pistachioloom/Http.h
@@ -77,7 +77,7 @@
 
     const HttpRequest& request() const { return request_; }
     /// Whether any part of an answer was written.
-    bool hasBegun() const { return hasBegun_; }
+    bool hasStartedAnswer() const { return hasStartedAnswer_; }
 
     /// Writes a whole answer.
     virtual asio::awaitable<Result<void>> respond(HttpResponse response) = 0;
@@ -92,7 +92,7 @@
 
 protected:
     HttpRequest request_;
-    bool hasBegun_ = false;
+    bool hasStartedAnswer_ = false;
 };
 
 using HttpHandler = std::function<asio::awaitable<void>(HttpExchange&)>;
@@ -152,8 +152,8 @@
 Result<HttpResponse> callHttpBlocking(const Endpoint& endpoint, const HttpRequest& request, milliseconds timeout);
 
 /// Connects to \p endpoint and closes again. \returns why that failed, or no error;
-/// operation_aborted after \p patience.
-asio::awaitable<boost::system::error_code> tryConnection(Endpoint endpoint, milliseconds patience);
+/// operation_aborted after \p timeout.
+asio::awaitable<boost::system::error_code> tryConnection(Endpoint endpoint, milliseconds timeout);
 
 /// The `Keep-Alive` header of a connection that closes after \p idle without a request:
 /// four fifths of it in whole seconds. A request sent until then arrives before the close
--- a/include/pistachioloom/Json.h
+++ b/include/pistachioloom/Json.h
@@ -25,6 +25,6 @@
 /// The objects of array \p key; other elements are left out.
 std::vector<boost::json::object> objectsField(const boost::json::object& object, const char* key);
 /// The same objects where they are, as long as \p object is.
-std::vector<const boost::json::object*> objectsInField(const boost::json::object& object, const char* key);
+std::vector<const boost::json::object*> objectPointersField(const boost::json::object& object, const char* key);
 
 } // namespace pistachioloom
--- a/include/pistachioloom/Support.h
+++ b/include/pistachioloom/Support.h
@@ -157,8 +157,8 @@
 /// \p text as a zlib stream, at the speed that costs least time.
 std::string compress(std::string_view text);
 /// What compress() made \p bytes of. Errc::Protocol if it is no whole stream, or holds
-/// more than \p most.
-Result<std::string> decompress(std::string_view bytes, ByteCount most);
+/// more than \p maxSize.
+Result<std::string> decompress(std::string_view bytes, ByteCount maxSize);
 
 /// 64-bit hash of \p bytes, the same on every node.
 std::uint64_t stableHash(std::string_view bytes, std::uint64_t seed = 0);
--- a/include/pistachioloom/Telemetry.h
+++ b/include/pistachioloom/Telemetry.h
@@ -191,7 +191,7 @@
 private:
     Tracer& tracer_;
     Span span_;
-    SteadyTime began_;
+    SteadyTime startedAt_;
 };
 
 } // namespace pistachioloom
--- a/include/pistachioloom/Wire.h
+++ b/include/pistachioloom/Wire.h
@@ -19,7 +19,7 @@
 /// The version of the frames, part of the request path.
 inline constexpr std::string_view wirePath = "/pistachioloom/1";
 /// The longest frame that is read; a longer one resets its stream.
-inline constexpr ByteCount longestFrame { 8UL * 1024 * 1024 };
+inline constexpr ByteCount maxFrameSize { 8UL * 1024 * 1024 };
 
 /// One exchange with a peer. All members may be used from any strand, but
 /// send() and receive() by one coroutine each at a time.
@@ -35,9 +35,9 @@
     virtual asio::awaitable<Result<wire::Frame>> receive() = 0;
     /// receive() that resets the stream when \p timeout passes first.
     virtual asio::awaitable<Result<wire::Frame>> receiveWithin(milliseconds timeout) = 0;
-    /// receive() of a long frame: resets the stream when no byte comes for \p silence,
-    /// or the frame is not whole after \p longest.
-    virtual asio::awaitable<Result<wire::Frame>> receiveWithin(milliseconds silence, milliseconds longest) = 0;
+    /// receive() of a long frame: resets the stream when no byte comes for \p idleTimeout,
+    /// or the frame is not whole after \p totalTimeout.
+    virtual asio::awaitable<Result<wire::Frame>> receiveWithin(milliseconds idleTimeout, milliseconds totalTimeout) = 0;
     /// Ends our side after what was sent.
     virtual void finish() = 0;
     /// Resets the stream: the work is not wanted any more. The peer's send()
@@ -64,7 +64,7 @@
 struct KeepAlive {
     milliseconds interval_ { 1000 };
     /// Silent intervals in a row before the link is closed.
-    int mostSilent_ = 3;
+    int maxIdleIntervals_ = 3;
 };
 
 /// Accepts peers that know the credential.
--- a/include/pistachioloom/Yaml.h
+++ b/include/pistachioloom/Yaml.h
@@ -46,13 +46,13 @@
     YamlMap& operator=(YamlMap&&) = delete;
 
     std::string text(const std::string& key, const std::optional<std::string>& fallback = std::nullopt);
-    std::uint64_t integer(const std::string& key, std::uint64_t least, std::uint64_t most, std::optional<std::uint64_t> fallback = std::nullopt);
-    double number(const std::string& key, double least, double most, std::optional<double> fallback = std::nullopt);
+    std::uint64_t integer(const std::string& key, std::uint64_t min, std::uint64_t max, std::optional<std::uint64_t> fallback = std::nullopt);
+    double number(const std::string& key, double min, double max, std::optional<double> fallback = std::nullopt);
     bool flag(const std::string& key, std::optional<bool> fallback = std::nullopt);
     /// A duration with unit: `5ms`, `2s`, `10min`, `1h`.
-    milliseconds duration(const std::string& key, milliseconds least, milliseconds most, std::optional<milliseconds> fallback = std::nullopt);
+    milliseconds duration(const std::string& key, milliseconds min, milliseconds max, std::optional<milliseconds> fallback = std::nullopt);
     /// A size with unit: `512B`, `64KiB`, `32MiB`.
-    ByteCount size(const std::string& key, ByteCount least, ByteCount most, std::optional<ByteCount> fallback = std::nullopt);
+    ByteCount size(const std::string& key, ByteCount min, ByteCount max, std::optional<ByteCount> fallback = std::nullopt);
     /// One of \p allowed; \returns its index.
     std::size_t choice(const std::string& key, const std::vector<std::string>& allowed, std::optional<std::size_t> fallback = std::nullopt);
     std::vector<std::string> list(const std::string& key, bool isRequired = false);
@@ -62,9 +62,9 @@
     bool has(const std::string& key) const;
 
     /// Reports a mistake in \p key found by the caller.
-    void fail(const std::string& key, const std::string& message);
+    void addError(const std::string& key, const std::string& message);
     /// Reports the keys that nobody asked for.
-    void finish();
+    void reportUnknownKeys();
 
 private:
     struct State;
--- a/lib/Catalogue/CatalogueEntry.cpp
+++ b/lib/Catalogue/CatalogueEntry.cpp
@@ -38,7 +38,7 @@
         limits.queueBound_ = map.integer("queue_bound", 0, maxRequests, 0);
         limits.deadline_ = map.duration("deadline", minDeadline, maxDeadline, defaultDeadline);
         limits.latencyTarget_ = map.duration("latency_target", milliseconds(1), maxDeadline, defaultLatencyTarget);
-        map.finish();
+        map.reportUnknownKeys();
         return limits;
     }
 
@@ -49,11 +49,11 @@
         workload.class_ = static_cast<ServiceClass>(map.choice("class", { "paid", "trial" }));
         workload.apiKeyHash_ = map.text("api_key_sha256");
         if (workload.apiKeyHash_.size() != hashLength || workload.apiKeyHash_.find_first_not_of("0123456789abcdef") != std::string::npos)
-            map.fail("api_key_sha256", "expected 64 lower-case hexadecimal digits");
+            map.addError("api_key_sha256", "expected 64 lower-case hexadecimal digits");
         workload.models_ = map.list("models");
         workload.services_ = map.list("services");
         if (workload.models_.empty() && workload.services_.empty())
-            map.fail("models", "expected at least one model or service");
+            map.addError("models", "expected at least one model or service");
         if (auto limits = map.map("limits", true))
             workload.limits_ = parseLimits(std::move(*limits));
         workload.weight_ = map.integer("weight", 1, maxWeight, 1);
@@ -66,13 +66,13 @@
         backend.honoursFencing_ = map.flag("honours_fencing", false);
         backend.paidReserve_ = map.integer("paid_reserve", 0, maxConcurrency, 0);
         if (backend.paidReserve_ && backend.paidReserve_ >= backend.concurrency_)
-            map.fail("paid_reserve", "expected less than 'concurrency'");
+            map.addError("paid_reserve", "expected less than 'concurrency'");
         backend.maxLoading_ = map.integer("most_loading", 1, maxLoading, 1);
         EngineConfiguration configuration { map.text("version", ""), map.list("adapters"), map.text("role", "") };
         if (!configuration.version_.empty())
             backend.configuration_ = std::move(configuration);
         else if (!configuration.adapters_.empty() || !configuration.role_.empty())
-            map.fail("version", "expected the version that goes with 'adapters' and 'role'");
+            map.addError("version", "expected the version that goes with 'adapters' and 'role'");
     }
 
     Backend parseBackend(YamlMap& map, Backend::Kind kind)
@@ -104,13 +104,13 @@
     entry.text_ = text;
     entry.name_ = { map->text("name") };
     if (!isName(entry.name_.value_))
-        map->fail("name", "expected 1 to 64 letters, digits, '-', '_' or '.'");
+        map->addError("name", "expected 1 to 64 letters, digits, '-', '_' or '.'");
     std::size_t kind = map->choice("kind", { "workload", "engine", "service" });
     if (!kind)
         entry.workload_ = parseWorkload(*map);
     else
         entry.backend_ = parseBackend(*map, kind == 1 ? Backend::Kind::ModelEngine : Backend::Kind::Service);
-    map->finish();
+    map->reportUnknownKeys();
     if (errors.size() != before)
         return std::nullopt;
     return entry;
--- a/lib/Gateway/GatewaySettings.cpp
+++ b/lib/Gateway/GatewaySettings.cpp
@@ -23,7 +23,7 @@
         std::string text = map.text(key);
         auto parsed = parseEndpoint(text);
         if (!parsed && !text.empty())
-            map.fail(key, "expected IP:PORT, found '" + text + "'");
+            map.addError(key, "expected IP:PORT, found '" + text + "'");
         return parsed.value_or(Endpoint {});
     }
 
@@ -34,7 +34,7 @@
         settings.peers_ = endpoint(map, "peers");
         settings.gossip_ = endpoint(map, "gossip");
         settings.metrics_ = endpoint(map, "metrics");
-        map.finish();
+        map.reportUnknownKeys();
     }
 
     void parseFleet(YamlMap map, FleetSettings& settings)
@@ -50,7 +50,7 @@
         settings.settleTime_ = map.duration("settling", milliseconds(0), oneDay, settings.settleTime_);
         settings.dismissalCooldown_ = map.duration("caution", milliseconds(0), oneDay, settings.dismissalCooldown_);
         settings.repeatInterval_ = map.duration("repeat", milliseconds(100), oneDay, settings.repeatInterval_);
-        map.finish();
+        map.reportUnknownKeys();
     }
 
     void parseGossip(YamlMap map, GossipSettings& settings)
@@ -60,7 +60,7 @@
         settings.relays_ = map.integer("relays", 1, 16, settings.relays_);
         settings.silence_ = map.duration("silence", milliseconds(50), oneMinute, settings.silence_);
         settings.forget_ = map.duration("forget", milliseconds(1000), oneDay, settings.forget_);
-        map.finish();
+        map.reportUnknownKeys();
     }
 
     void parseFeed(YamlMap map, FeedSettings& settings)
@@ -71,7 +71,7 @@
         settings.readers_ = map.integer("readers", 1, 1000, settings.readers_);
         settings.readerSilence_ = map.duration("reader_silence", milliseconds(50), oneMinute, settings.readerSilence_);
         settings.askPeersAfter_ = map.duration("ask_peers_after", milliseconds(100), oneMinute, settings.askPeersAfter_);
-        map.finish();
+        map.reportUnknownKeys();
     }
 
     void parseForward(YamlMap map, ForwardSettings& settings)
@@ -81,7 +81,7 @@
         settings.admission_.admittedShare_ = map.number("admitted_share", 0.01, 100, settings.admission_.admittedShare_);
         settings.waitLimitShare_ = map.number("patience_share", 0.01, 1, settings.waitLimitShare_);
         settings.defaultIdle_ = map.duration("default_idle", milliseconds(0), oneDay, settings.defaultIdle_);
-        map.finish();
+        map.reportUnknownKeys();
     }
 
     void parseRetries(YamlMap map, GatewaySettings& settings)
@@ -89,7 +89,7 @@
         settings.retryRatio_ = map.number("ratio", 0, 10, settings.retryRatio_);
         settings.retryExtra_ = map.number("extra", 0, 1000000, settings.retryExtra_);
         settings.retryWindow_ = map.duration("window", milliseconds(100), oneDay, settings.retryWindow_);
-        map.finish();
+        map.reportUnknownKeys();
     }
 
     void parseQuarantine(YamlMap map, QuarantineSettings& settings)
@@ -100,7 +100,7 @@
         settings.retention_ = map.duration("memory", milliseconds(1000), oneDay, settings.retention_);
         settings.capacity_ = map.integer("capacity", 1, 1'000'000, settings.capacity_);
         settings.organisationCapacity_ = map.integer("organisation_capacity", 1, 1'000'000, settings.organisationCapacity_);
-        map.finish();
+        map.reportUnknownKeys();
     }
 
     void parseRollout(YamlMap map, RolloutSettings& settings)
@@ -116,8 +116,8 @@
         // A version on trial must stay within what a bad one may get.
         settings.trialShare_ = std::min(settings.trialShare_, settings.exposedShare_);
         if (settings.trialFraction_ >= settings.decisionFraction_)
-            map.fail("trial_part", "expected less than verdict_part");
-        map.finish();
+            map.addError("trial_part", "expected less than verdict_part");
+        map.reportUnknownKeys();
     }
 
     void parseDuties(YamlMap map, GatewaySettings& settings)
@@ -127,14 +127,14 @@
         settings.usageWindow_ = map.duration("usage_window", milliseconds(100), oneDay, settings.usageWindow_);
         settings.usageTiming_.longest_ = map.duration("usage_delay", milliseconds(0), oneDay, settings.usageTiming_.longest_);
         settings.usageTiming_.settled_ = map.duration("usage_settled", milliseconds(0), oneDay, settings.usageTiming_.settled_);
-        map.finish();
+        map.reportUnknownKeys();
     }
 
     void parseStopping(YamlMap map, GatewaySettings& settings)
     {
         settings.grace_ = map.duration("grace", milliseconds(1000), oneDay, settings.grace_);
         settings.balancerGrace_ = map.duration("balancer_grace", milliseconds(0), oneDay, settings.balancerGrace_);
-        map.finish();
+        map.reportUnknownKeys();
     }
 
     void parseSeeds(YamlMap& map, GatewaySettings& settings)
@@ -144,7 +144,7 @@
             if (parsed)
                 settings.seeds_.push_back(*parsed);
             else
-                map.fail("seeds", "expected IP:PORT, found '" + text + "'");
+                map.addError("seeds", "expected IP:PORT, found '" + text + "'");
         }
     }
 
@@ -178,7 +178,7 @@
             parseFleet(std::move(*section), settings.fleet_);
         if (auto section = map.map("forward"))
             parseForward(std::move(*section), settings.forward_);
-        map.finish();
+        map.reportUnknownKeys();
     }
 
     std::optional<std::string> readFile(const std::string& file)
@@ -212,7 +212,7 @@
         parseGateway(std::move(*map), settings);
     if (auto map = root->map("logs"))
         parseLogSettings(std::move(*map), settings.logs_);
-    root->finish();
+    root->reportUnknownKeys();
     if (errors.size() != before)
         return std::nullopt;
     return settings;
--- a/lib/Http/Client.cpp
+++ b/lib/Http/Client.cpp
@@ -17,9 +17,9 @@
 
 namespace {
 
-    constexpr auto tokenOf = asio::as_tuple(asio::use_awaitable);
+    constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
     constexpr std::size_t readChunk = 16UL * 1024;
-    constexpr std::size_t longestLine = 4UL * 1024 * 1024;
+    constexpr std::size_t maxLineLength = 4UL * 1024 * 1024;
 
     Errc errcOf(const beast::error_code& code)
     {
@@ -43,7 +43,7 @@
 
         asio::awaitable<beast::error_code> readHead()
         {
-            auto [code, count] = co_await http::async_read_header(stream_, buffer_, parser_, tokenOf);
+            auto [code, count] = co_await http::async_read_header(stream_, buffer_, parser_, asTuple);
             if (code)
                 co_return code;
             status_ = static_cast<int>(parser_.get().result_int());
@@ -67,7 +67,7 @@
                     co_return std::optional(std::move(line));
                 }
                 scanned_ = pending_.size();
-                if (pending_.size() - consumed_ > longestLine)
+                if (pending_.size() - consumed_ > maxLineLength)
                     co_return Error { Errc::TooLarge, "read body", peer_, "line too long", Ran::Unknown, {} };
                 if (parser_.is_done())
                     co_return std::optional<std::string>();
@@ -98,7 +98,7 @@
             parser_.get().body().size = chunk_.size();
             parser_.get().body().more = true;
             stream_.expires_after(timeout);
-            auto [code, count] = co_await http::async_read_some(stream_, buffer_, parser_, tokenOf);
+            auto [code, count] = co_await http::async_read_some(stream_, buffer_, parser_, asTuple);
             beast::error_code outcome = code;
             if (outcome == http::error::need_buffer)
                 outcome = {};
@@ -142,7 +142,7 @@
         co_return Error { Errc::InvalidInput, "connect", peer, "not an IP number", Ran::No, {} };
     auto reader = std::make_shared<BeastBodyReader>(beast::tcp_stream(executor), peer);
     reader->stream().expires_after(timeout);
-    auto [connectCode] = co_await reader->stream().async_connect(address, tokenOf);
+    auto [connectCode] = co_await reader->stream().async_connect(address, asTuple);
     if (connectCode)
         co_return Error { connectCode == beast::error::timeout ? Errc::Timeout : Errc::Unavailable, "connect", peer, connectCode.message(), Ran::No, {} };
     reader->stream().socket().set_option(tcp::no_delay(true), code);
@@ -153,7 +153,7 @@
         message.set(name, value);
     message.body() = std::move(request.body_);
     message.prepare_payload();
-    auto [writeCode, written] = co_await http::async_write(reader->stream(), message, tokenOf);
+    auto [writeCode, written] = co_await http::async_write(reader->stream(), message, asTuple);
     if (writeCode)
         co_return Error { errcOf(writeCode), "write request", peer, writeCode.message(), Ran::Unknown, {} };
     if (auto headCode = co_await reader->readHead())
--- a/lib/Http/Probe.cpp
+++ b/lib/Http/Probe.cpp
@@ -11,7 +11,7 @@
 
 using tcp = asio::ip::tcp;
 
-asio::awaitable<boost::system::error_code> tryConnection(Endpoint endpoint, milliseconds patience)
+asio::awaitable<boost::system::error_code> tryConnection(Endpoint endpoint, milliseconds timeout)
 {
     boost::system::error_code invalid;
     tcp::endpoint address(asio::ip::make_address(endpoint.host_, invalid), endpoint.port_);
@@ -19,7 +19,7 @@
         co_return invalid;
     auto executor = co_await asio::this_coro::executor;
     tcp::socket socket(executor);
-    SteadyTimer timer(executor, patience);
+    SteadyTimer timer(executor, timeout);
     timer.async_wait([&socket](const boost::system::error_code& code) {
         boost::system::error_code ignored;
         if (!code)
--- a/lib/Http/Server.cpp
+++ b/lib/Http/Server.cpp
@@ -27,7 +27,7 @@
 
 namespace {
 
-    constexpr auto tokenOf = asio::as_tuple(asio::use_awaitable);
+    constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
 
     Error writeError(const beast::error_code& code)
     {
@@ -49,7 +49,7 @@
 
         asio::awaitable<Result<void>> respond(HttpResponse response) override
         {
-            hasBegun_ = true;
+            hasStartedAnswer_ = true;
             http::response<http::string_body> message(static_cast<http::status>(response.status_), 11);
             for (const auto& [name, value] : response.headers_)
                 message.set(name, value);
@@ -57,7 +57,7 @@
             message.body() = std::move(response.body_);
             message.prepare_payload();
             stream_.expires_after(state_.bounds_.idle_);
-            auto [code, count] = co_await http::async_write(stream_, message, tokenOf);
+            auto [code, count] = co_await http::async_write(stream_, message, asTuple);
             if (code)
                 co_return failed(code);
             co_return boost::outcome_v2::success();
@@ -65,7 +65,7 @@
 
         asio::awaitable<Result<void>> beginStream(HttpResponse head) override
         {
-            hasBegun_ = true;
+            hasStartedAnswer_ = true;
             http::response<http::empty_body> message(static_cast<http::status>(head.status_), 11);
             for (const auto& [name, value] : head.headers_)
                 message.set(name, value);
@@ -73,7 +73,7 @@
             message.chunked(true);
             http::response_serializer<http::empty_body> serializer(message);
             stream_.expires_after(state_.bounds_.idle_);
-            auto [code, count] = co_await http::async_write_header(stream_, serializer, tokenOf);
+            auto [code, count] = co_await http::async_write_header(stream_, serializer, asTuple);
             if (code)
                 co_return failed(code);
             co_return boost::outcome_v2::success();
@@ -82,7 +82,7 @@
         asio::awaitable<Result<void>> writeChunk(std::string chunk) override
         {
             stream_.expires_after(state_.bounds_.idle_);
-            auto [code, count] = co_await asio::async_write(stream_, http::make_chunk(asio::buffer(chunk)), tokenOf);
+            auto [code, count] = co_await asio::async_write(stream_, http::make_chunk(asio::buffer(chunk)), asTuple);
             if (code)
                 co_return failed(code);
             co_return boost::outcome_v2::success();
@@ -90,7 +90,7 @@
 
         asio::awaitable<Result<void>> endStream() override
         {
-            auto [code, count] = co_await asio::async_write(stream_, http::make_chunk_last(), tokenOf);
+            auto [code, count] = co_await asio::async_write(stream_, http::make_chunk_last(), asTuple);
             if (code)
                 co_return failed(code);
             co_return boost::outcome_v2::success();
@@ -172,7 +172,7 @@
         parser.header_limit(static_cast<std::uint32_t>(state->bounds_.header_.value_));
         parser.body_limit(state->bounds_.body_.value_);
         stream.expires_after(state->bounds_.idle_);
-        auto [code, count] = co_await http::async_read(stream, buffer, parser, tokenOf);
+        auto [code, count] = co_await http::async_read(stream, buffer, parser, asTuple);
         if (code == http::error::end_of_stream || code == beast::error::timeout || code == asio::error::operation_aborted)
             break;
         if (code && code.category() != make_error_code(http::error::bad_method).category())
@@ -196,7 +196,7 @@
 {
     while (state->isAccepting_) {
         auto strand = asio::make_strand(state->executor_);
-        auto [code, socket] = co_await state->acceptor_->async_accept(strand, tokenOf);
+        auto [code, socket] = co_await state->acceptor_->async_accept(strand, asTuple);
         if (code == asio::error::operation_aborted)
             co_return;
         if (code)
--- a/lib/Json/Json.cpp
+++ b/lib/Json/Json.cpp
@@ -49,12 +49,12 @@
 std::vector<json::object> objectsField(const json::object& object, const char* key)
 {
     std::vector<json::object> objects;
-    for (const json::object* item : objectsInField(object, key))
+    for (const json::object* item : objectPointersField(object, key))
         objects.push_back(*item);
     return objects;
 }
 
-std::vector<const json::object*> objectsInField(const json::object& object, const char* key)
+std::vector<const json::object*> objectPointersField(const json::object& object, const char* key)
 {
     std::vector<const json::object*> objects;
     const json::array* array = arrayField(object, key);
--- a/lib/Node/CallerApi.cpp
+++ b/lib/Node/CallerApi.cpp
@@ -69,7 +69,7 @@
     auto handled = co_await route(exchange);
     if (handled)
         co_return;
-    if (exchange.hasBegun()) {
+    if (exchange.hasStartedAnswer()) {
         logger_.debug("Answer broke off: " + describe(handled.error()) + ".");
         exchange.abort();
         co_return;
--- a/lib/Settings/Settings.cpp
+++ b/lib/Settings/Settings.cpp
@@ -24,7 +24,7 @@
         std::string text = map.text(key);
         auto parsed = parseEndpoint(text);
         if (!parsed && !text.empty())
-            map.fail(key, "expected IP:PORT, found '" + text + "'");
+            map.addError(key, "expected IP:PORT, found '" + text + "'");
         return parsed.value_or(Endpoint {});
     }
 
@@ -32,7 +32,7 @@
     {
         std::string text = map.text(key);
         if (!text.empty() && text.size() < shortestCredential)
-            map.fail(key, "expected at least 16 characters");
+            map.addError(key, "expected at least 16 characters");
         return text;
     }
 
@@ -42,7 +42,7 @@
         settings.dataCentre_ = { map.text("data_centre") };
         settings.region_ = { map.text("region", "") };
         settings.threads_ = map.integer("threads", 1, mostThreads, settings.threads_);
-        map.finish();
+        map.reportUnknownKeys();
     }
 
     void parseListen(YamlMap map, Settings& settings)
@@ -50,21 +50,21 @@
         settings.callers_ = endpoint(map, "callers");
         settings.peers_ = endpoint(map, "peers");
         settings.operators_ = endpoint(map, "operators");
-        map.finish();
+        map.reportUnknownKeys();
     }
 
     void parsePlatform(YamlMap map, Settings& settings)
     {
         settings.log_ = endpoint(map, "log");
         settings.vmList_ = endpoint(map, "vm_list");
-        map.finish();
+        map.reportUnknownKeys();
     }
 
     void parseCredentials(YamlMap map, Settings& settings)
     {
         settings.peerCredential_ = credential(map, "peers");
         settings.operatorCredential_ = credential(map, "operators");
-        map.finish();
+        map.reportUnknownKeys();
     }
 
     void parseMembership(YamlMap map, MembershipSettings& settings)
@@ -76,8 +76,8 @@
         settings.vmListPoll_ = map.duration("vm_list_poll", milliseconds(50), milliseconds(60000), settings.vmListPoll_);
         settings.defaultNotice_ = map.duration("default_notice", milliseconds(100), oneDay, settings.defaultNotice_);
         if (settings.suspectAfter_ < 2 * settings.heartbeat_)
-            map.fail("suspect_after", "expected at least twice the heartbeat");
-        map.finish();
+            map.addError("suspect_after", "expected at least twice the heartbeat");
+        map.reportUnknownKeys();
     }
 
     void parseLedger(YamlMap map, LedgerSettings& settings)
@@ -87,14 +87,14 @@
         settings.appendsPerSecond_ = map.integer("appends_per_second", 1, 100000, settings.appendsPerSecond_);
         settings.appendTimeout_ = map.duration("append_timeout", milliseconds(10), milliseconds(60000), settings.appendTimeout_);
         settings.appendPatience_ = map.duration("append_patience", milliseconds(10), milliseconds(60000), settings.appendPatience_);
-        map.finish();
+        map.reportUnknownKeys();
     }
 
     void parseCatalogue(YamlMap map, CatalogueSettings& settings)
     {
         settings.snapshotInterval_ = map.duration("snapshot_interval", milliseconds(100), oneDay, settings.snapshotInterval_);
         settings.editPatience_ = map.duration("edit_patience", milliseconds(100), milliseconds(60000), settings.editPatience_);
-        map.finish();
+        map.reportUnknownKeys();
     }
 
     void parseCallers(YamlMap map, CallerSettings& settings)
@@ -105,7 +105,7 @@
         settings.reconnectGrace_ = map.duration("reconnect_grace", milliseconds(0), oneDay, settings.reconnectGrace_);
         settings.answersKept_ = map.duration("answers_kept", milliseconds(100), oneDay, settings.answersKept_);
         settings.mostTokens_ = map.integer("most_tokens", 1, 1000000, settings.mostTokens_);
-        map.finish();
+        map.reportUnknownKeys();
     }
 
     void parseDrain(YamlMap map, DrainSettings& settings)
@@ -113,7 +113,7 @@
         settings.balancerGrace_ = map.duration("balancer_grace", milliseconds(0), milliseconds(600000), settings.balancerGrace_);
         settings.timeout_ = map.duration("timeout", milliseconds(100), oneDay, settings.timeout_);
         settings.handoverMargin_ = map.duration("handover_margin", milliseconds(50), milliseconds(600000), settings.handoverMargin_);
-        map.finish();
+        map.reportUnknownKeys();
     }
 
     void parseReplica(YamlMap map, ReplicaSettings& settings)
@@ -121,14 +121,14 @@
         settings.copyTimeout_ = map.duration("copy_timeout", milliseconds(10), milliseconds(60000), settings.copyTimeout_);
         settings.takeoverGrace_ = map.duration("takeover_grace", milliseconds(10), milliseconds(600000), settings.takeoverGrace_);
         settings.ownerSilence_ = map.duration("owner_silence", milliseconds(10), milliseconds(600000), settings.ownerSilence_);
-        map.finish();
+        map.reportUnknownKeys();
     }
 
     void parseLimits(YamlMap map, LimitSettings& settings)
     {
         settings.grantValidity_ = map.duration("grant_validity", milliseconds(100), milliseconds(600000), settings.grantValidity_);
         settings.grantAhead_ = map.integer("grant_ahead", 0, 10000, settings.grantAhead_);
-        map.finish();
+        map.reportUnknownKeys();
     }
 
     void parseOrders(YamlMap map, OrderSettings& settings)
@@ -138,7 +138,7 @@
         timing.claimValidity_ = map.duration("claim_validity", milliseconds(100), milliseconds(600000), timing.claimValidity_);
         timing.maxPause_ = map.duration("pause_bound", milliseconds(100), milliseconds(3600000), timing.maxPause_);
         timing.loadWaitLimit_ = map.duration("load_patience", milliseconds(100), oneDay, timing.loadWaitLimit_);
-        map.finish();
+        map.reportUnknownKeys();
     }
 
     void parsePeers(YamlMap map, PeerSettings& settings)
@@ -146,8 +146,8 @@
         settings.keepAlive_ = map.duration("keep_alive", milliseconds(20), milliseconds(60000), settings.keepAlive_);
         settings.deadAfter_ = map.duration("dead_after", milliseconds(40), milliseconds(600000), settings.deadAfter_);
         if (settings.deadAfter_ < 2 * settings.keepAlive_)
-            map.fail("dead_after", "expected at least twice keep_alive");
-        map.finish();
+            map.addError("dead_after", "expected at least twice keep_alive");
+        map.reportUnknownKeys();
     }
 
 } // namespace
@@ -163,11 +163,11 @@
     for (const auto& [part, level] : map.pairs("parts")) {
         auto found = std::find(levels.begin(), levels.end(), level);
         if (found == levels.end())
-            map.fail("parts", "expected one of debug info warn error for part '" + part + "'");
+            map.addError("parts", "expected one of debug info warn error for part '" + part + "'");
         else
             settings.parts_[part] = static_cast<LogLevel>(found - levels.begin());
     }
-    map.finish();
+    map.reportUnknownKeys();
 }
 
 std::optional<Endpoint> parseEndpoint(const std::string& text)
@@ -222,7 +222,7 @@
     if (auto map = root->map("logs"))
         parseLogSettings(std::move(*map), settings.logs_);
     settings.spansKept_ = root->integer("spans_kept", 1, 1000000, settings.spansKept_);
-    root->finish();
+    root->reportUnknownKeys();
     if (errors.size() != before)
         return std::nullopt;
     return settings;
--- a/lib/Support/Compression.cpp
+++ b/lib/Support/Compression.cpp
@@ -20,7 +20,7 @@
     return bytes;
 }
 
-Result<std::string> decompress(std::string_view bytes, ByteCount most)
+Result<std::string> decompress(std::string_view bytes, ByteCount maxSize)
 {
     constexpr std::size_t step = 64UL * 1024;
     z_stream stream {};
@@ -30,7 +30,7 @@
     stream.avail_in = static_cast<uInt>(bytes.size());
     std::string text;
     int code = Z_OK;
-    while (code == Z_OK && text.size() <= most.value_) {
+    while (code == Z_OK && text.size() <= maxSize.value_) {
         std::size_t before = text.size();
         text.resize(before + step);
         stream.next_out = reinterpret_cast<Bytef*>(text.data() + before);
@@ -39,10 +39,10 @@
         text.resize(before + step - stream.avail_out);
     }
     inflateEnd(&stream);
-    if (code == Z_STREAM_END && text.size() <= most.value_)
+    if (code == Z_STREAM_END && text.size() <= maxSize.value_)
         return text;
-    bool isTooLarge = text.size() > most.value_;
-    return Error { Errc::Protocol, "decompress", {}, isTooLarge ? "more than " + std::to_string(most.value_) + " bytes" : "not a whole zlib stream", Ran::No, {} };
+    bool isTooLarge = text.size() > maxSize.value_;
+    return Error { Errc::Protocol, "decompress", {}, isTooLarge ? "more than " + std::to_string(maxSize.value_) + " bytes" : "not a whole zlib stream", Ran::No, {} };
 }
 
 } // namespace pistachioloom
--- a/lib/Telemetry/LogOutput.cpp
+++ b/lib/Telemetry/LogOutput.cpp
@@ -17,7 +17,7 @@
     // Seconds of the bound that may be written at once.
     constexpr double burstSeconds = 2;
     // A pipe that polls as writable takes this much without waiting (PIPE_BUF).
-    constexpr std::size_t atomicWrite = 4096;
+    constexpr std::size_t maxAtomicWrite = 4096;
 
     std::atomic<std::uint64_t> droppedLines { 0 };
 
@@ -28,14 +28,14 @@
 
     std::string_view splitFields(std::string_view message, std::vector<Field>& fields)
     {
-        std::string_view sentence = message.substr(0, message.find(fieldMark));
+        std::string_view sentence = message.substr(0, message.find(fieldSeparator));
         message.remove_prefix(sentence.size());
         while (!message.empty()) {
             message.remove_prefix(1);
-            std::string_view field = message.substr(0, message.find(fieldMark));
-            std::size_t mark = field.find(valueMark);
-            if (mark != std::string_view::npos)
-                fields.push_back({ field.substr(0, mark), field.substr(mark + 1) });
+            std::string_view field = message.substr(0, message.find(fieldSeparator));
+            std::size_t separator = field.find(valueSeparator);
+            if (separator != std::string_view::npos)
+                fields.push_back({ field.substr(0, separator), field.substr(separator + 1) });
             message.remove_prefix(field.size());
         }
         return sentence;
@@ -55,7 +55,7 @@
 
 LogLine& LogLine::add(std::string_view name, std::string_view value)
 {
-    encoded_.append(1, fieldMark).append(name).append(1, valueMark).append(value);
+    encoded_.append(1, fieldSeparator).append(name).append(1, valueSeparator).append(value);
     return *this;
 }
 
@@ -106,7 +106,7 @@
     : descriptor_(output == LogOutput::StandardOutput ? STDOUT_FILENO : STDERR_FILENO)
     , linesPerSecond_(static_cast<double>(linesPerSecond))
     , allowance_(linesPerSecond_ * burstSeconds)
-    , filledAt_(steadyNow())
+    , refilledAt_(steadyNow())
 {
 }
 
@@ -120,14 +120,14 @@
     closed = true;
 }
 
-bool BoundedAppender::takeLine(const log4cplus::spi::InternalLoggingEvent& event)
+bool BoundedAppender::tryConsumeAllowance(const log4cplus::spi::InternalLoggingEvent& event)
 {
     SteadyTime now = steadyNow();
-    allowance_ = std::min(linesPerSecond_ * burstSeconds, allowance_ + linesPerSecond_ * std::chrono::duration<double>(now - filledAt_).count());
-    filledAt_ = now;
+    allowance_ = std::min(linesPerSecond_ * burstSeconds, allowance_ + linesPerSecond_ * std::chrono::duration<double>(now - refilledAt_).count());
+    refilledAt_ = now;
     // Warnings may go on for a second when all else has used up the rate.
-    double least = event.getLogLevel() >= log4cplus::WARN_LOG_LEVEL ? -linesPerSecond_ : 0;
-    if (allowance_ < least + 1)
+    double minAllowance = event.getLogLevel() >= log4cplus::WARN_LOG_LEVEL ? -linesPerSecond_ : 0;
+    if (allowance_ < minAllowance + 1)
         return false;
     allowance_ -= 1;
     return true;
@@ -136,16 +136,16 @@
 void BoundedAppender::write(const std::string& line)
 {
     pollfd ready { descriptor_, POLLOUT, 0 };
-    bool hasRoom = ::poll(&ready, 1, 0) == 1 && (ready.revents & POLLOUT);
-    std::size_t length = std::min(line.size(), atomicWrite);
-    if (!hasRoom || ::write(descriptor_, line.data(), length) < 0)
+    bool isWritable = ::poll(&ready, 1, 0) == 1 && (ready.revents & POLLOUT);
+    std::size_t length = std::min(line.size(), maxAtomicWrite);
+    if (!isWritable || ::write(descriptor_, line.data(), length) < 0)
         ++droppedLines;
 }
 
 // log4cplus holds the appender's lock here.
 void BoundedAppender::append(const log4cplus::spi::InternalLoggingEvent& event)
 {
-    if (!takeLine(event)) {
+    if (!tryConsumeAllowance(event)) {
         ++droppedLines;
         return;
     }
--- a/lib/Telemetry/LogOutput.h
+++ b/lib/Telemetry/LogOutput.h
@@ -13,9 +13,9 @@
 namespace pistachioloom {
 
 /// Separates a sentence from its values, and values from each other.
-inline constexpr char fieldMark = '\x1e';
+inline constexpr char fieldSeparator = '\x1e';
 /// Separates a value's name from the value.
-inline constexpr char valueMark = '\x1f';
+inline constexpr char valueSeparator = '\x1f';
 
 /// One JSON object a line; named values become members.
 class JsonLayout : public log4cplus::Layout {
@@ -48,13 +48,13 @@
     void append(const log4cplus::spi::InternalLoggingEvent& event) override;
 
 private:
-    bool takeLine(const log4cplus::spi::InternalLoggingEvent& event);
+    bool tryConsumeAllowance(const log4cplus::spi::InternalLoggingEvent& event);
     void write(const std::string& line);
 
     const int descriptor_;
     const double linesPerSecond_;
     double allowance_;
-    SteadyTime filledAt_;
+    SteadyTime refilledAt_;
 };
 
 } // namespace pistachioloom
--- a/lib/Telemetry/Metrics.cpp
+++ b/lib/Telemetry/Metrics.cpp
@@ -62,43 +62,43 @@
     };
 
     // From 50 microseconds to 100 seconds at ten cells a decade.
-    constexpr unsigned cells = 63;
-    constexpr double leastSeconds = 50e-6;
-    constexpr double mostSeconds = 100;
+    constexpr unsigned cellCount = 63;
+    constexpr double minSeconds = 50e-6;
+    constexpr double maxSeconds = 100;
 
     auto makeCells()
     {
         return bh::make_histogram_with(bh::dense_storage<bh::accumulators::count<std::uint64_t, true>>(),
-            bh::axis::regular<double, bh::axis::transform::log>(cells, leastSeconds, mostSeconds));
+            bh::axis::regular<double, bh::axis::transform::log>(cellCount, minSeconds, maxSeconds));
     }
 
     using Cells = decltype(makeCells());
 
-    struct TimedCells {
+    struct HistogramData {
         Cells cells_ = makeCells();
-        std::atomic<std::uint64_t> nanoseconds_ { 0 };
+        std::atomic<std::uint64_t> sumNanoseconds_ { 0 };
     };
 
-    void renderHistogram(std::ostringstream& output, std::string_view name, const TimedCells& timed)
+    void renderHistogram(std::ostringstream& output, std::string_view name, const HistogramData& data)
     {
-        std::uint64_t below = 0;
+        std::uint64_t cumulativeCount = 0;
         output << "# TYPE pistachioloom_" << name << " histogram\n";
-        for (auto&& cell : bh::indexed(timed.cells_, bh::coverage::all)) {
-            below += static_cast<std::uint64_t>(cell->value());
-            if (cell.index() < 0 || cell.index() >= static_cast<int>(cells))
+        for (auto&& cell : bh::indexed(data.cells_, bh::coverage::all)) {
+            cumulativeCount += static_cast<std::uint64_t>(cell->value());
+            if (cell.index() < 0 || cell.index() >= static_cast<int>(cellCount))
                 continue;
-            output << "pistachioloom_" << name << "_bucket{le=\"" << cell.bin().upper() << "\"} " << below << '\n';
+            output << "pistachioloom_" << name << "_bucket{le=\"" << cell.bin().upper() << "\"} " << cumulativeCount << '\n';
         }
-        output << "pistachioloom_" << name << "_bucket{le=\"+Inf\"} " << below << '\n';
-        output << "pistachioloom_" << name << "_sum " << static_cast<double>(timed.nanoseconds_) / 1e9 << '\n';
-        output << "pistachioloom_" << name << "_count " << below << '\n';
+        output << "pistachioloom_" << name << "_bucket{le=\"+Inf\"} " << cumulativeCount << '\n';
+        output << "pistachioloom_" << name << "_sum " << static_cast<double>(data.sumNanoseconds_) / 1e9 << '\n';
+        output << "pistachioloom_" << name << "_count " << cumulativeCount << '\n';
     }
 
 } // namespace
 
 struct Metrics::State {
     std::array<std::atomic<std::uint64_t>, counterCount> counters_ {};
-    std::array<TimedCells, histogramCount> histograms_;
+    std::array<HistogramData, histogramCount> histograms_;
 };
 
 Metrics::Metrics()
@@ -120,9 +120,9 @@
 
 void Metrics::observe(Histogram histogram, std::chrono::nanoseconds duration)
 {
-    TimedCells& timed = state_->histograms_[static_cast<std::size_t>(histogram)];
-    timed.cells_(std::chrono::duration<double>(duration).count());
-    timed.nanoseconds_ += static_cast<std::uint64_t>(duration.count());
+    HistogramData& data = state_->histograms_[static_cast<std::size_t>(histogram)];
+    data.cells_(std::chrono::duration<double>(duration).count());
+    data.sumNanoseconds_ += static_cast<std::uint64_t>(duration.count());
 }
 
 std::string Metrics::render(const std::map<std::string, double>& gauges) const
--- a/lib/Telemetry/Traces.cpp
+++ b/lib/Telemetry/Traces.cpp
@@ -21,7 +21,7 @@
     constexpr std::size_t spanIdStart = traceIdStart + traceIdLength + 1;
     constexpr std::size_t headerLength = spanIdStart + spanIdLength + 3;
 
-    std::string hexOf(std::uint64_t bits)
+    std::string toHex(std::uint64_t bits)
     {
         constexpr std::string_view digits = "0123456789abcdef";
         std::string text(spanIdLength, '0');
@@ -66,18 +66,18 @@
 
 TraceContext parseTraceparent(std::string_view header)
 {
-    bool isGood = header.size() == headerLength && header.starts_with("00-");
-    if (isGood) {
+    bool isValid = header.size() == headerLength && header.starts_with("00-");
+    if (isValid) {
         TraceContext context { std::string(header.substr(traceIdStart, traceIdLength)), std::string(header.substr(spanIdStart, spanIdLength)) };
         if (isHex(context.traceId_) && isHex(context.spanId_))
             return context;
     }
-    return { hexOf(randomBits()) + hexOf(randomBits()), "" };
+    return { toHex(randomBits()) + toHex(randomBits()), "" };
 }
 
 TraceContext childOf(const TraceContext& parent)
 {
-    return { parent.traceId_, hexOf(randomBits()) };
+    return { parent.traceId_, toHex(randomBits()) };
 }
 
 struct Tracer::State {
@@ -124,7 +124,7 @@
 
 SpanScope::SpanScope(Tracer& tracer, const TraceContext& parent, std::string step, std::string requestId)
     : tracer_(tracer)
-    , began_(steadyNow())
+    , startedAt_(steadyNow())
 {
     span_.context_ = childOf(parent);
     span_.parentSpanId_ = parent.spanId_;
@@ -136,7 +136,7 @@
 
 SpanScope::~SpanScope()
 {
-    span_.duration_ = std::chrono::duration_cast<std::chrono::microseconds>(steadyNow() - began_);
+    span_.duration_ = std::chrono::duration_cast<std::chrono::microseconds>(steadyNow() - startedAt_);
     tracer_.record(std::move(span_));
 }
 
--- a/lib/Wire/LinkStream.cpp
+++ b/lib/Wire/LinkStream.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-    constexpr auto tokenOf = asio::as_tuple(asio::use_awaitable);
+    constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
     // The window bounds the bytes; this bounds the count of small frames unread.
-    constexpr std::size_t mostFramesUnread = 64UL * 1024;
-    constexpr std::size_t mostFramesUnsent = 16;
+    constexpr std::size_t maxUnreadFrames = 64UL * 1024;
+    constexpr std::size_t maxUnsentFrames = 16;
 
     std::string encode(const wire::Frame& frame)
     {
@@ -30,22 +30,22 @@
 
 LinkStream::LinkStream(std::shared_ptr<PeerLink> link, const asio::any_io_executor& executor)
     : link_(std::move(link))
-    , frames_(executor, mostFramesUnread)
-    , credits_(executor, mostFramesUnsent)
+    , frames_(executor, maxUnreadFrames)
+    , credits_(executor, maxUnsentFrames)
 {
 }
 
 asio::awaitable<Result<void>> LinkStream::send(const wire::Frame& frame)
 {
     std::string bytes = encode(frame);
-    auto [code] = co_await credits_.async_send(boost::system::error_code {}, tokenOf);
+    auto [code] = co_await credits_.async_send(boost::system::error_code {}, asTuple);
     if (code)
         co_return Error { isCancelled_ ? Errc::Cancelled : Errc::Reset, "send to peer", peer(), "stream is closed", isRefused_ ? Ran::No : Ran::Unknown, {} };
     asio::post(link_->executor(), [self = shared_from_this(), bytes = std::move(bytes)]() mutable {
         if (self->isClosed_)
             return;
         self->output_.push_back(std::move(bytes));
-        self->link_->wake(*self);
+        self->link_->resumeOutput(*self);
     });
     co_return boost::outcome_v2::success();
 }
@@ -60,13 +60,13 @@
 {
     boost::system::error_code code = asio::error::eof;
     std::string bytes;
-    if (!isReadToEnd_)
-        std::tie(code, bytes) = co_await frames_.async_receive(tokenOf);
+    if (!hasReachedEnd_)
+        std::tie(code, bytes) = co_await frames_.async_receive(asTuple);
     if (code) {
-        isReadToEnd_ = true;
+        hasReachedEnd_ = true;
         if (isCancelled_)
             co_return Error { Errc::Cancelled, "receive from peer", peer(), "cancelled", Ran::Unknown, {} };
-        if (isEnded_ && !isFailed_)
+        if (isRemoteClosed_ && !isFailed_)
             co_return Error { Errc::NotFound, "receive from peer", peer(), "peer ended the stream", Ran::Unknown, {} };
         co_return Error { Errc::Reset, "receive from peer", peer(), "stream was reset", isRefused_ ? Ran::No : Ran::Unknown, {} };
     }
@@ -84,37 +84,37 @@
     return receiveWithin(timeout, timeout);
 }
 
-std::shared_ptr<LinkStream::Watch> LinkStream::beginWatch(const asio::any_io_executor& executor, milliseconds silence, milliseconds longest)
+std::shared_ptr<LinkStream::ReceiveTimer> LinkStream::startReceiveTimer(const asio::any_io_executor& executor, milliseconds idleTimeout, milliseconds totalTimeout)
 {
-    auto watch = std::make_shared<Watch>(Watch { SteadyTimer(executor), silence, steadyNow(), longest });
-    guard(watch);
-    return watch;
+    auto receiveTimer = std::make_shared<ReceiveTimer>(ReceiveTimer { SteadyTimer(executor), idleTimeout, steadyNow(), totalTimeout });
+    armReceiveTimer(receiveTimer);
+    return receiveTimer;
 }
 
-void LinkStream::guard(const std::shared_ptr<Watch>& watch)
+void LinkStream::armReceiveTimer(const std::shared_ptr<ReceiveTimer>& receiveTimer)
 {
-    SteadyTime heardAt = std::max(watch->begunAt_, heardAt_.load());
-    SteadyTime until = std::min(heardAt + watch->silence_, watch->begunAt_ + watch->longest_);
-    if (until <= steadyNow()) {
-        watch->hasExpired_ = true;
+    SteadyTime receivedAt = std::max(receiveTimer->startedAt_, receivedAt_.load());
+    SteadyTime deadline = std::min(receivedAt + receiveTimer->idleTimeout_, receiveTimer->startedAt_ + receiveTimer->totalTimeout_);
+    if (deadline <= steadyNow()) {
+        receiveTimer->hasExpired_ = true;
         cancel();
         return;
     }
-    watch->timer_.expires_at(until);
-    watch->timer_.async_wait([weak = weak_from_this(), watch](boost::system::error_code code) {
+    receiveTimer->timer_.expires_at(deadline);
+    receiveTimer->timer_.async_wait([weak = weak_from_this(), receiveTimer](boost::system::error_code code) {
         auto self = weak.lock();
-        if (!code && self && !watch->isOver_)
-            self->guard(watch);
+        if (!code && self && !receiveTimer->isDone_)
+            self->armReceiveTimer(receiveTimer);
     });
 }
 
-asio::awaitable<Result<wire::Frame>> LinkStream::receiveWithin(milliseconds silence, milliseconds longest)
+asio::awaitable<Result<wire::Frame>> LinkStream::receiveWithin(milliseconds idleTimeout, milliseconds totalTimeout)
 {
-    auto watch = beginWatch(co_await asio::this_coro::executor, silence, longest);
+    auto receiveTimer = startReceiveTimer(co_await asio::this_coro::executor, idleTimeout, totalTimeout);
     auto received = co_await receive();
-    watch->isOver_ = true;
-    watch->timer_.cancel();
-    if (!received && watch->hasExpired_)
+    receiveTimer->isDone_ = true;
+    receiveTimer->timer_.cancel();
+    if (!received && receiveTimer->hasExpired_)
         co_return Error { Errc::Timeout, "receive from peer", peer(), "no answer in time", Ran::Unknown, {} };
     co_return received;
 }
@@ -123,7 +123,7 @@
 {
     asio::post(link_->executor(), [self = shared_from_this()] {
         self->isOutputEnded_ = true;
-        self->link_->wake(*self);
+        self->link_->resumeOutput(*self);
     });
 }
 
--- a/lib/Wire/PeerLink.cpp
+++ b/lib/Wire/PeerLink.cpp
@@ -13,14 +13,14 @@
 
 namespace {
 
-    constexpr auto tokenOf = asio::as_tuple(asio::use_awaitable);
+    constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
     constexpr std::size_t readBufferSize = 64UL * 1024;
     constexpr std::size_t writeBatchSize = 64UL * 1024;
     constexpr std::size_t frameHeaderSize = 4;
     // A frame larger than the window still passes, piece by piece.
     constexpr std::int32_t streamWindow = 256 * 1024;
     constexpr std::int32_t connectionWindow = 16 * 1024 * 1024;
-    constexpr std::uint32_t mostStreams = 4096;
+    constexpr std::uint32_t maxConcurrentStreams = 4096;
 
     nghttp2_nv header(std::string_view name, std::string_view value)
     {
@@ -70,7 +70,7 @@
     nghttp2_option* option = nullptr;
     nghttp2_option_new(&option);
     nghttp2_option_set_no_auto_window_update(option, 1);
-    nghttp2_option_set_peer_max_concurrent_streams(option, mostStreams);
+    nghttp2_option_set_peer_max_concurrent_streams(option, maxConcurrentStreams);
     if (side_ == Side::Client)
         nghttp2_session_client_new2(&session_, callbacks, this, option);
     else
@@ -78,7 +78,7 @@
     nghttp2_option_del(option);
     nghttp2_session_callbacks_del(callbacks);
     std::array settings {
-        nghttp2_settings_entry { NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, mostStreams },
+        nghttp2_settings_entry { NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, maxConcurrentStreams },
         nghttp2_settings_entry { NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, streamWindow },
     };
     nghttp2_submit_settings(session_, NGHTTP2_FLAG_NONE, settings.data(), settings.size());
@@ -91,7 +91,7 @@
         executor(), [self = shared_from_this()]() { return self->readLoop(); }, asio::detached);
     asio::co_spawn(
         executor(), [self = shared_from_this()]() { return self->keepAliveLoop(); }, asio::detached);
-    asio::post(executor(), [self = shared_from_this()] { self->pump(); });
+    asio::post(executor(), [self = shared_from_this()] { self->startWriting(); });
 }
 
 // Counted in intervals and not in time, so that a process that was frozen
@@ -101,18 +101,18 @@
     auto self = shared_from_this();
     while (socket_.is_open()) {
         keepAliveTimer_.expires_after(keepAlive_.interval_);
-        co_await keepAliveTimer_.async_wait(tokenOf);
+        co_await keepAliveTimer_.async_wait(asTuple);
         if (streams_.empty() || !socket_.is_open()) {
-            silentIntervals_ = 0;
+            idleIntervals_ = 0;
             continue;
         }
-        if (silentIntervals_ >= keepAlive_.mostSilent_) {
+        if (idleIntervals_ >= keepAlive_.maxIdleIntervals_) {
             close("the peer is silent");
             co_return;
         }
-        if (silentIntervals_++) {
+        if (idleIntervals_++) {
             nghttp2_submit_ping(session_, NGHTTP2_FLAG_NONE, nullptr);
-            pump();
+            startWriting();
         }
     }
 }
@@ -122,25 +122,25 @@
     auto self = shared_from_this();
     std::vector<std::uint8_t> buffer(readBufferSize);
     while (isUsable_ || !streams_.empty()) {
-        auto [code, count] = co_await socket_.async_read_some(asio::buffer(buffer), tokenOf);
+        auto [code, count] = co_await socket_.async_read_some(asio::buffer(buffer), asTuple);
         if (code) {
             close(code.message());
             co_return;
         }
         counters_->received_ += count;
-        silentIntervals_ = 0;
+        idleIntervals_ = 0;
         ssize_t taken = nghttp2_session_mem_recv(session_, buffer.data(), count);
         if (taken < 0) {
             report("read frames", nghttp2_strerror(static_cast<int>(taken)));
             close("bad input");
             co_return;
         }
-        pump();
+        startWriting();
     }
     close("drained");
 }
 
-void PeerLink::pump()
+void PeerLink::startWriting()
 {
     if (isWriting_ || !socket_.is_open())
         return;
@@ -164,7 +164,7 @@
         if (batch.empty())
             break;
         counters_->sent_ += batch.size();
-        auto [code, count] = co_await asio::async_write(socket_, asio::buffer(batch), tokenOf);
+        auto [code, count] = co_await asio::async_write(socket_, asio::buffer(batch), asTuple);
         if (code) {
             isWriting_ = false;
             close(code.message());
@@ -197,7 +197,7 @@
     }
     stream->id_ = id;
     streams_[id] = stream;
-    pump();
+    startWriting();
     return true;
 }
 
@@ -219,20 +219,20 @@
     nghttp2_submit_rst_stream(session_, NGHTTP2_FLAG_NONE, streamId, NGHTTP2_REFUSED_STREAM);
 }
 
-void PeerLink::wake(LinkStream& stream)
+void PeerLink::resumeOutput(LinkStream& stream)
 {
     if (stream.id_ < 0 || !stream.isDeferred_)
         return;
     stream.isDeferred_ = false;
     nghttp2_session_resume_data(session_, stream.id_);
-    pump();
+    startWriting();
 }
 
 void PeerLink::resetStream(LinkStream& stream, std::uint32_t errorCode)
 {
     if (stream.id_ >= 0 && !stream.isClosed_ && socket_.is_open()) {
         nghttp2_submit_rst_stream(session_, NGHTTP2_FLAG_NONE, stream.id_, errorCode);
-        pump();
+        startWriting();
     }
     endStream(stream, errorCode);
 }
@@ -244,17 +244,17 @@
     std::size_t early = std::min(bytes, stream.earlyConsumed_);
     stream.earlyConsumed_ -= early;
     nghttp2_session_consume_stream(session_, stream.id_, bytes - early);
-    pump();
+    startWriting();
 }
 
 void PeerLink::refuseNewStreams()
 {
-    if (isRefusing_ || !socket_.is_open())
+    if (isDraining_ || !socket_.is_open())
         return;
-    isRefusing_ = true;
+    isDraining_ = true;
     std::int32_t last = nghttp2_session_get_last_proc_stream_id(session_);
     nghttp2_submit_goaway(session_, NGHTTP2_FLAG_NONE, last, NGHTTP2_NO_ERROR, nullptr, 0);
-    pump();
+    startWriting();
 }
 
 void PeerLink::close(std::string_view reason)
@@ -298,13 +298,13 @@
     stream.credits_.close();
 }
 
-void PeerLink::takeData(LinkStream& stream, std::string_view data)
+void PeerLink::decodeFrames(LinkStream& stream, std::string_view data)
 {
     stream.input_.append(data);
     std::size_t position = 0;
     while (stream.input_.size() - position >= frameHeaderSize) {
         std::size_t length = frameLength(std::string_view(stream.input_).substr(position));
-        if (length > longestFrame.value_) {
+        if (length > maxFrameSize.value_) {
             report("read frame", "frame too long");
             resetStream(stream, NGHTTP2_FRAME_SIZE_ERROR);
             return;
@@ -329,7 +329,7 @@
     stream.earlyConsumed_ += data.size();
 }
 
-void PeerLink::headersDone(std::int32_t streamId)
+void PeerLink::handleRequestHeaders(std::int32_t streamId)
 {
     auto found = streams_.find(streamId);
     if (found == streams_.end() || found->second->isHandled_)
@@ -343,7 +343,7 @@
         rejectStream(streamId, 401, "wrong credential");
         return;
     }
-    if (isRefusing_) {
+    if (isDraining_) {
         nghttp2_submit_rst_stream(session_, NGHTTP2_FLAG_NONE, streamId, NGHTTP2_REFUSED_STREAM);
         return;
     }
@@ -387,11 +387,11 @@
     if (frame->hd.type == NGHTTP2_GOAWAY && self->side_ == Side::Client)
         self->isUsable_ = false;
     if (frame->hd.type == NGHTTP2_HEADERS && self->side_ == Side::Server)
-        self->headersDone(frame->hd.stream_id);
+        self->handleRequestHeaders(frame->hd.stream_id);
     bool endsStream = frame->hd.flags & NGHTTP2_FLAG_END_STREAM;
     if (endsStream && (frame->hd.type == NGHTTP2_DATA || frame->hd.type == NGHTTP2_HEADERS)) {
         if (LinkStream* stream = self->find(frame->hd.stream_id)) {
-            stream->isEnded_ = true;
+            stream->isRemoteClosed_ = true;
             stream->endFrames();
         }
     }
@@ -403,8 +403,8 @@
     auto* self = static_cast<PeerLink*>(user);
     nghttp2_session_consume_connection(session, length);
     if (LinkStream* stream = self->find(streamId)) {
-        stream->heardAt_ = steadyNow();
-        self->takeData(*stream, { reinterpret_cast<const char*>(data), length });
+        stream->receivedAt_ = steadyNow();
+        self->decodeFrames(*stream, { reinterpret_cast<const char*>(data), length });
     }
     return 0;
 }
--- a/lib/Wire/PeerLink.h
+++ b/lib/Wire/PeerLink.h
@@ -33,7 +33,7 @@
     asio::awaitable<Result<void>> send(const wire::Frame& frame) override;
     asio::awaitable<Result<wire::Frame>> receive() override;
     asio::awaitable<Result<wire::Frame>> receiveWithin(milliseconds timeout) override;
-    asio::awaitable<Result<wire::Frame>> receiveWithin(milliseconds silence, milliseconds longest) override;
+    asio::awaitable<Result<wire::Frame>> receiveWithin(milliseconds idleTimeout, milliseconds totalTimeout) override;
     void finish() override;
     void cancel() override;
     void release() override;
@@ -46,20 +46,20 @@
     friend class PeerLink;
 
     /// Bounds one receive(); used on the strand of the one that waits.
-    struct Watch {
+    struct ReceiveTimer {
         SteadyTimer timer_;
-        milliseconds silence_;
-        SteadyTime begunAt_;
-        milliseconds longest_;
+        milliseconds idleTimeout_;
+        SteadyTime startedAt_;
+        milliseconds totalTimeout_;
         bool hasExpired_ = false;
-        bool isOver_ = false;
+        bool isDone_ = false;
     };
 
     void reset(std::uint32_t errorCode);
     void endFrames();
-    std::shared_ptr<Watch> beginWatch(const asio::any_io_executor& executor, milliseconds silence, milliseconds longest);
-    /// Cancels the stream when \p watch expires.
-    void guard(const std::shared_ptr<Watch>& watch);
+    std::shared_ptr<ReceiveTimer> startReceiveTimer(const asio::any_io_executor& executor, milliseconds idleTimeout, milliseconds totalTimeout);
+    /// Cancels the stream when \p receiveTimer expires.
+    void armReceiveTimer(const std::shared_ptr<ReceiveTimer>& receiveTimer);
 
     std::shared_ptr<PeerLink> link_;
     std::int32_t id_ = -1;
@@ -78,14 +78,14 @@
     asio::experimental::concurrent_channel<void(boost::system::error_code, std::string)> frames_;
     asio::experimental::concurrent_channel<void(boost::system::error_code)> credits_;
     // The reader's own: it has seen the end of the frames.
-    bool isReadToEnd_ = false;
+    bool hasReachedEnd_ = false;
     // Written on the link's strand, read on any.
     std::atomic<bool> isClosed_ { false };
     // When the last bytes of the peer came.
-    std::atomic<SteadyTime> heardAt_ { SteadyTime {} };
+    std::atomic<SteadyTime> receivedAt_ { SteadyTime {} };
     // Written before the frames end, read after.
     std::atomic<bool> isRefused_ { false };
-    std::atomic<bool> isEnded_ { false };
+    std::atomic<bool> isRemoteClosed_ { false };
     std::atomic<bool> isCancelled_ { false };
     std::atomic<bool> isFailed_ { false };
 };
@@ -112,7 +112,7 @@
     /// On the strand: submits a request whose body is the stream's output.
     /// \returns false when the session takes no more.
     bool submit(const std::shared_ptr<LinkStream>& stream);
-    void wake(LinkStream& stream);
+    void resumeOutput(LinkStream& stream);
     void resetStream(LinkStream& stream, std::uint32_t errorCode);
     void consumed(LinkStream& stream, std::size_t bytes);
     void refuseNewStreams();
@@ -132,9 +132,9 @@
     asio::awaitable<void> readLoop();
     asio::awaitable<void> writeLoop();
     asio::awaitable<void> keepAliveLoop();
-    void pump();
-    void headersDone(std::int32_t streamId);
-    void takeData(LinkStream& stream, std::string_view data);
+    void startWriting();
+    void handleRequestHeaders(std::int32_t streamId);
+    void decodeFrames(LinkStream& stream, std::string_view data);
     void endStream(LinkStream& stream, std::uint32_t errorCode);
     void submitAnswer(LinkStream& stream);
     void rejectStream(std::int32_t streamId, int status, const std::string& reason);
@@ -151,11 +151,11 @@
     const KeepAlive keepAlive_;
     SteadyTimer keepAliveTimer_;
     // Intervals in a row that brought no byte while streams were open.
-    int silentIntervals_ = 0;
+    int idleIntervals_ = 0;
     nghttp2_session* session_ = nullptr;
     std::unordered_map<std::int32_t, std::shared_ptr<LinkStream>> streams_;
     bool isWriting_ = false;
-    bool isRefusing_ = false;
+    bool isDraining_ = false;
     std::atomic<bool> isUsable_ { true };
 };
 
--- a/lib/Wire/Peers.cpp
+++ b/lib/Wire/Peers.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-    constexpr auto tokenOf = asio::as_tuple(asio::use_awaitable);
+    constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
     constexpr milliseconds connectTimeout { 1000 };
 
 } // namespace
@@ -75,7 +75,7 @@
 ByteCount PeerPool::bytesSent() const { return { state_->counters_->sent_ }; }
 ByteCount PeerPool::bytesReceived() const { return { state_->counters_->received_ }; }
 
-static std::shared_ptr<PeerLink> usableLink(PeerPool::State& state, const Endpoint& peer)
+static std::shared_ptr<PeerLink> findUsableLink(PeerPool::State& state, const Endpoint& peer)
 {
     std::lock_guard lock(state.mutex_);
     auto found = state.links_.find(peer);
@@ -100,7 +100,7 @@
         if (!expired)
             socket->cancel(ignored);
     });
-    auto [connectCode] = co_await socket->async_connect(address, asio::bind_executor(strand, tokenOf));
+    auto [connectCode] = co_await socket->async_connect(address, asio::bind_executor(strand, asTuple));
     timer.cancel();
     if (connectCode)
         co_return Error { Errc::Unavailable, "connect to peer", peer.toString(), connectCode.message(), Ran::No, {} };
@@ -116,9 +116,9 @@
 
 asio::awaitable<Result<std::shared_ptr<PeerStream>>> PeerPool::open(Endpoint peer, const wire::Frame& first, milliseconds)
 {
-    constexpr int mostTries = 2;
-    for (int attempt = 0; attempt < mostTries; ++attempt) {
-        auto link = usableLink(*state_, peer);
+    constexpr int maxTries = 2;
+    for (int attempt = 0; attempt < maxTries; ++attempt) {
+        auto link = findUsableLink(*state_, peer);
         if (!link) {
             auto connected = co_await connectLink(state_, peer);
             if (!connected)
@@ -168,7 +168,7 @@
     std::unique_ptr<tcp::acceptor> acceptor_;
     std::mutex mutex_;
     std::vector<std::weak_ptr<PeerLink>> links_;
-    bool isRefusing_ = false;
+    bool isDraining_ = false;
     bool isStopped_ = false;
 };
 
@@ -187,12 +187,12 @@
     stop();
 }
 
-static void adopt(PeerServer::State& state, const std::shared_ptr<PeerLink>& link)
+static void registerLink(PeerServer::State& state, const std::shared_ptr<PeerLink>& link)
 {
     std::lock_guard lock(state.mutex_);
     std::erase_if(state.links_, [](const std::weak_ptr<PeerLink>& known) { return known.expired(); });
     state.links_.push_back(link);
-    if (state.isRefusing_)
+    if (state.isDraining_)
         asio::post(link->executor(), [link] { link->refuseNewStreams(); });
 }
 
@@ -200,7 +200,7 @@
 {
     for (;;) {
         auto strand = asio::make_strand(state->executor_);
-        auto [code, socket] = co_await state->acceptor_->async_accept(strand, tokenOf);
+        auto [code, socket] = co_await state->acceptor_->async_accept(strand, asTuple);
         if (code == asio::error::operation_aborted)
             co_return;
         if (code)
@@ -211,7 +211,7 @@
         std::string peer = remote.address().to_string() + ":" + std::to_string(remote.port());
         auto link = std::make_shared<PeerLink>(std::move(socket), PeerLink::Side::Server, state->credential_, peer,
             state->counters_, state->handler_, state->onError_, state->keepAlive_);
-        adopt(*state, link);
+        registerLink(*state, link);
         link->start();
     }
 }
@@ -234,7 +234,7 @@
 void PeerServer::refuseNewStreams()
 {
     std::lock_guard lock(state_->mutex_);
-    state_->isRefusing_ = true;
+    state_->isDraining_ = true;
     for (const auto& weak : state_->links_) {
         if (auto link = weak.lock())
             asio::post(link->executor(), [link] { link->refuseNewStreams(); });
--- a/lib/Yaml/Yaml.cpp
+++ b/lib/Yaml/Yaml.cpp
@@ -18,7 +18,7 @@
     std::string file_;
     std::string path_;
     InputErrors* errors_ = nullptr;
-    std::set<std::string> asked_;
+    std::set<std::string> readKeys_;
     int line_ = 0;
 };
 
@@ -142,7 +142,7 @@
     return static_cast<bool>(std::as_const(state_->node_)[key]);
 }
 
-void YamlMap::fail(const std::string& key, const std::string& message)
+void YamlMap::addError(const std::string& key, const std::string& message)
 {
     YAML::Node value = std::as_const(state_->node_)[key];
     int line = value ? lineOf(value) : state_->line_;
@@ -152,18 +152,18 @@
 template <typename T, typename Convert>
 T YamlMap::scalar(const std::string& key, const std::optional<T>& fallback, const std::string& expected, Convert convert)
 {
-    state_->asked_.insert(key);
+    state_->readKeys_.insert(key);
     YAML::Node value = std::as_const(state_->node_)[key];
     if (!value) {
         if (!fallback)
-            fail(key, "missing; expected " + expected);
+            addError(key, "missing; expected " + expected);
         return fallback.value_or(T {});
     }
     std::optional<T> converted;
     if (value.IsScalar())
         converted = convert(value.Scalar());
     if (!converted) {
-        fail(key, "expected " + expected + (value.IsScalar() ? ", found '" + value.Scalar() + "'" : ""));
+        addError(key, "expected " + expected + (value.IsScalar() ? ", found '" + value.Scalar() + "'" : ""));
         return fallback.value_or(T {});
     }
     return *converted;
@@ -174,23 +174,23 @@
     return scalar<std::string>(key, fallback, "text", [](const std::string& value) { return std::optional(value); });
 }
 
-std::uint64_t YamlMap::integer(const std::string& key, std::uint64_t least, std::uint64_t most, std::optional<std::uint64_t> fallback)
+std::uint64_t YamlMap::integer(const std::string& key, std::uint64_t min, std::uint64_t max, std::optional<std::uint64_t> fallback)
 {
-    std::string expected = "a whole number from " + std::to_string(least) + " to " + std::to_string(most);
+    std::string expected = "a whole number from " + std::to_string(min) + " to " + std::to_string(max);
     return scalar<std::uint64_t>(key, fallback, expected, [&](const std::string& value) {
         auto parsed = parseUnsigned(value);
-        return parsed && *parsed >= least && *parsed <= most ? parsed : std::nullopt;
+        return parsed && *parsed >= min && *parsed <= max ? parsed : std::nullopt;
     });
 }
 
-double YamlMap::number(const std::string& key, double least, double most, std::optional<double> fallback)
+double YamlMap::number(const std::string& key, double min, double max, std::optional<double> fallback)
 {
-    std::string expected = "a number from " + std::to_string(least) + " to " + std::to_string(most);
+    std::string expected = "a number from " + std::to_string(min) + " to " + std::to_string(max);
     return scalar<double>(key, fallback, expected, [&](const std::string& value) {
         double parsed = 0;
         auto [end, code] = std::from_chars(value.data(), value.data() + value.size(), parsed);
-        bool isGood = code == std::errc {} && end == value.data() + value.size() && parsed >= least && parsed <= most;
-        return isGood ? std::optional(parsed) : std::nullopt;
+        bool isValid = code == std::errc {} && end == value.data() + value.size() && parsed >= min && parsed <= max;
+        return isValid ? std::optional(parsed) : std::nullopt;
     });
 }
 
@@ -205,21 +205,21 @@
     });
 }
 
-milliseconds YamlMap::duration(const std::string& key, milliseconds least, milliseconds most, std::optional<milliseconds> fallback)
+milliseconds YamlMap::duration(const std::string& key, milliseconds min, milliseconds max, std::optional<milliseconds> fallback)
 {
-    std::string expected = "a duration such as 500ms, 2s, 10min or 1h, from " + std::to_string(least.count()) + "ms to " + std::to_string(most.count()) + "ms";
+    std::string expected = "a duration such as 500ms, 2s, 10min or 1h, from " + std::to_string(min.count()) + "ms to " + std::to_string(max.count()) + "ms";
     return scalar<milliseconds>(key, fallback, expected, [&](const std::string& value) {
         auto parsed = parseDuration(value);
-        return parsed && *parsed >= least && *parsed <= most ? parsed : std::nullopt;
+        return parsed && *parsed >= min && *parsed <= max ? parsed : std::nullopt;
     });
 }
 
-ByteCount YamlMap::size(const std::string& key, ByteCount least, ByteCount most, std::optional<ByteCount> fallback)
+ByteCount YamlMap::size(const std::string& key, ByteCount min, ByteCount max, std::optional<ByteCount> fallback)
 {
-    std::string expected = "a size such as 512B, 64KiB or 32MiB, from " + std::to_string(least.value_) + "B to " + std::to_string(most.value_) + "B";
+    std::string expected = "a size such as 512B, 64KiB or 32MiB, from " + std::to_string(min.value_) + "B to " + std::to_string(max.value_) + "B";
     return scalar<ByteCount>(key, fallback, expected, [&](const std::string& value) {
         auto parsed = parseSize(value);
-        return parsed && *parsed >= least && *parsed <= most ? parsed : std::nullopt;
+        return parsed && *parsed >= min && *parsed <= max ? parsed : std::nullopt;
     });
 }
 
@@ -239,36 +239,36 @@
 
 std::vector<std::string> YamlMap::list(const std::string& key, bool isRequired)
 {
-    state_->asked_.insert(key);
+    state_->readKeys_.insert(key);
     YAML::Node value = std::as_const(state_->node_)[key];
     if (!value) {
         if (isRequired)
-            fail(key, "missing; expected a list of texts");
+            addError(key, "missing; expected a list of texts");
         return {};
     }
     std::vector<std::string> items;
-    bool isGood = value.IsSequence();
-    for (std::size_t i = 0; isGood && i < value.size(); ++i) {
-        isGood = value[i].IsScalar();
-        if (isGood)
+    bool isValid = value.IsSequence();
+    for (std::size_t i = 0; isValid && i < value.size(); ++i) {
+        isValid = value[i].IsScalar();
+        if (isValid)
             items.push_back(value[i].Scalar());
     }
-    if (!isGood)
-        fail(key, "expected a list of texts");
+    if (!isValid)
+        addError(key, "expected a list of texts");
     return items;
 }
 
 std::optional<YamlMap> YamlMap::map(const std::string& key, bool isRequired)
 {
-    state_->asked_.insert(key);
+    state_->readKeys_.insert(key);
     YAML::Node value = std::as_const(state_->node_)[key];
     if (!value) {
         if (isRequired)
-            fail(key, "missing; expected a map");
+            addError(key, "missing; expected a map");
         return std::nullopt;
     }
     if (!value.IsMap()) {
-        fail(key, "expected a map");
+        addError(key, "expected a map");
         return std::nullopt;
     }
     auto state = std::make_unique<State>();
@@ -282,28 +282,28 @@
 
 std::vector<std::pair<std::string, std::string>> YamlMap::pairs(const std::string& key)
 {
-    state_->asked_.insert(key);
+    state_->readKeys_.insert(key);
     YAML::Node value = std::as_const(state_->node_)[key];
     std::vector<std::pair<std::string, std::string>> items;
     if (!value)
         return items;
     if (!value.IsMap()) {
-        fail(key, "expected a map");
+        addError(key, "expected a map");
         return items;
     }
     for (const auto& item : value) {
         if (item.first.IsScalar() && item.second.IsScalar())
             items.emplace_back(item.first.Scalar(), item.second.Scalar());
         else
-            fail(key, "expected a map of texts");
+            addError(key, "expected a map of texts");
     }
     return items;
 }
 
-void YamlMap::finish()
+void YamlMap::reportUnknownKeys()
 {
     for (const auto& item : state_->node_) {
-        if (!item.first.IsScalar() || state_->asked_.contains(item.first.Scalar()))
+        if (!item.first.IsScalar() || state_->readKeys_.contains(item.first.Scalar()))
             continue;
         state_->errors_->push_back({ state_->file_, lineOf(item.first), state_->path_ + item.first.Scalar(), "unknown key" });
     }
--- a/unittests/Http/ServerTest.cpp
+++ b/unittests/Http/ServerTest.cpp
@@ -33,7 +33,7 @@
 namespace {
 
 /// The head of the answer to \p request; the server handles nothing else.
-std::string headOf(HttpBounds bounds, const HttpHandler& handler, const std::string& request)
+std::string fetchHead(HttpBounds bounds, const HttpHandler& handler, const std::string& request)
 {
     asio::io_context io;
     HttpServer server(io.get_executor(), bounds, handler, errorResponse);
@@ -66,7 +66,7 @@
     (void)co_await exchange.endStream();
 }
 
-asio::awaitable<void> answerWithOwn(HttpExchange& exchange)
+asio::awaitable<void> answerWithOwnKeepAlive(HttpExchange& exchange)
 {
     HttpResponse response { 200, { { "Keep-Alive", "timeout=2" } }, "whole" };
     (void)co_await exchange.respond(std::move(response));
@@ -88,17 +88,17 @@
         { "whole", answerWhole, 5000, "", "timeout=4" },
         { "stream", answerStream, 5000, "", "timeout=4" },
         { "too short to be told", answerWhole, 1000, "", "" },
-        { "the handler's own", answerWithOwn, 5000, "", "timeout=2" },
+        { "the handler's own", answerWithOwnKeepAlive, 5000, "", "timeout=2" },
         { "the caller closes", answerWhole, 5000, "close", "" },
         { "the caller closes after a stream", answerStream, 5000, "close", "" },
-        { "no word of a connection that closes", answerWithOwn, 5000, "close", "" },
+        { "no word of a connection that closes", answerWithOwnKeepAlive, 5000, "close", "" },
     }));
     CAPTURE(row.name_);
     HttpBounds bounds;
     bounds.idle_ = milliseconds(row.idle_);
     std::string connection = row.connection_;
     std::string request = "GET / HTTP/1.1\r\nHost: h\r\n" + (connection.empty() ? "" : "Connection: " + connection + "\r\n") + "\r\n";
-    std::string head = headOf(bounds, row.handler_, request);
+    std::string head = fetchHead(bounds, row.handler_, request);
     CAPTURE(head);
     std::string keepAlive = row.keepAlive_;
     CHECK((head.find(closes) != std::string::npos) == !connection.empty());
--- a/unittests/Support/CompressionTest.cpp
+++ b/unittests/Support/CompressionTest.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr ByteCount mostBytes { 1024UL * 1024 };
+constexpr ByteCount maxSize { 1024UL * 1024 };
 
 /// A configuration's text: 1,100 routes that differ in a few letters.
 std::string manyRoutes()
@@ -28,7 +28,7 @@
 {
     auto text = GENERATE(std::string(), std::string("a"), std::string(300000, 'x'), manyRoutes());
     std::string bytes = compress(text);
-    auto back = decompress(bytes, mostBytes);
+    auto back = decompress(bytes, maxSize);
     REQUIRE(back);
     CHECK(back.value() == text);
 }
@@ -43,16 +43,16 @@
 {
     struct Row {
         std::string bytes_;
-        const char* complaint_;
+        const char* reason_;
     };
     std::string whole = compress(manyRoutes());
     auto row = GENERATE_COPY(values<Row>({
         { "", "whole" },
         { "no stream", "whole" },
         { whole.substr(0, whole.size() / 2), "whole" },
-        { compress(std::string(2 * mostBytes.value_, 'x')), "more than" },
+        { compress(std::string(2 * maxSize.value_, 'x')), "more than" },
     }));
-    auto back = decompress(row.bytes_, mostBytes);
+    auto back = decompress(row.bytes_, maxSize);
     REQUIRE_FALSE(back);
-    CHECK(back.error().message_.find(row.complaint_) != std::string::npos);
+    CHECK(back.error().message_.find(row.reason_) != std::string::npos);
 }
--- a/unittests/Support/SuspensionTest.cpp
+++ b/unittests/Support/SuspensionTest.cpp
@@ -33,11 +33,11 @@
 
 TEST_CASE("a lease that ran out while the VM was suspended is acted on after it", "[suspension]")
 {
-    DutyLease seat({ "node" }, {}, steadyNow());
+    DutyLease lease({ "node" }, {}, steadyNow());
     SteadyTime recordedAt = steadyNow();
-    seat.becomeHolder({ 1 }, recordedAt);
+    lease.becomeHolder({ 1 }, recordedAt);
     suspend(std::chrono::seconds(60));
-    CHECK_FALSE(seat.mayAct(recordedAt, steadyNow()));
+    CHECK_FALSE(lease.mayAct(recordedAt, steadyNow()));
 }
 
 TEST_CASE("time in which the VM was suspended is left out of ages", "[suspension]")
@@ -53,15 +53,15 @@
 
 TEST_CASE("a timer that was due in a suspension waits for its whole time after it", "[suspension]")
 {
-    constexpr std::chrono::seconds farOff { 30 };
+    constexpr std::chrono::seconds longDelay { 30 };
     boost::asio::io_context io;
-    SteadyTimer timer(io, farOff);
+    SteadyTimer timer(io, longDelay);
     bool hasFired = false;
     timer.async_wait([&](const boost::system::error_code& code) { hasFired = !code; });
     // Loops of the product have a timer that is never far off.
-    SteadyTimer near(io, milliseconds(50));
-    near.async_wait([](const boost::system::error_code&) {});
-    suspend(farOff);
+    SteadyTimer shortTimer(io, milliseconds(50));
+    shortTimer.async_wait([](const boost::system::error_code&) {});
+    suspend(longDelay);
     io.run_for(milliseconds(1000));
     CHECK(hasFired);
 }
--- a/unittests/Wire/PeerStreamTest.cpp
+++ b/unittests/Wire/PeerStreamTest.cpp
@@ -20,7 +20,7 @@
 const std::string credential = "a-credential-of-tests";
 constexpr milliseconds callTimeout { 10000 };
 
-wire::Frame updateOf(std::size_t size)
+wire::Frame makeUpdate(std::size_t size)
 {
     wire::Frame frame;
     frame.mutable_catalogue_update()->set_snapshot(std::string(size, 'x'));
@@ -62,16 +62,16 @@
 
     asio::io_context io_;
     /// What ended the stream of a catalogue_fetch.
-    std::promise<Errc> resetBy_;
+    std::promise<Errc> sendError_;
 
 private:
     asio::awaitable<void> sendUntilReset(std::shared_ptr<PeerStream> stream)
     {
         for (;;) {
-            auto sent = co_await stream->send(updateOf(1));
+            auto sent = co_await stream->send(makeUpdate(1));
             if (sent)
                 continue;
-            resetBy_.set_value(sent.error().code_);
+            sendError_.set_value(sent.error().code_);
             co_return;
         }
     }
@@ -109,7 +109,7 @@
     EchoServer echo;
     PeerPool pool(echo.io_.get_executor(), credential, {});
     auto size = GENERATE(std::size_t { 0 }, std::size_t { 100 }, std::size_t { 70000 }, std::size_t { 300000 }, std::size_t { 3000000 });
-    auto reply = echo.call(pool, echo.endpoint(), updateOf(size));
+    auto reply = echo.call(pool, echo.endpoint(), makeUpdate(size));
     INFO((reply ? std::string("good") : describe(reply.error())));
     REQUIRE(reply);
     CHECK(reply.value().catalogue_update().snapshot().size() == size);
@@ -119,7 +119,7 @@
 {
     EchoServer echo;
     PeerPool pool(echo.io_.get_executor(), "another-credential", {});
-    auto reply = echo.call(pool, echo.endpoint(), updateOf(1));
+    auto reply = echo.call(pool, echo.endpoint(), makeUpdate(1));
     REQUIRE(!reply);
     CHECK(reply.error().ran_ == Ran::No);
 }
@@ -134,7 +134,7 @@
     REQUIRE(!reply);
     CHECK(reply.error().ran_ == Ran::No);
     echo.server().refuseNewStreams();
-    reply = echo.call(pool, echo.endpoint(), updateOf(1));
+    reply = echo.call(pool, echo.endpoint(), makeUpdate(1));
     REQUIRE(!reply);
     CHECK(reply.error().ran_ == Ran::No);
 }
@@ -144,7 +144,7 @@
     EchoServer echo;
     PeerPool pool(echo.io_.get_executor(), credential, {});
     Endpoint nobody { "127.0.0.1", 1 };
-    auto reply = echo.call(pool, nobody, updateOf(1));
+    auto reply = echo.call(pool, nobody, makeUpdate(1));
     REQUIRE(!reply);
     CHECK(reply.error().ran_ == Ran::No);
 }
@@ -165,7 +165,7 @@
             opened.value()->release();
     };
     asio::co_spawn(asio::make_strand(echo.io_), task, asio::detached);
-    CHECK(echo.resetBy_.get_future().get() == (isCancelled ? Errc::Cancelled : Errc::Reset));
+    CHECK(echo.sendError_.get_future().get() == (isCancelled ? Errc::Cancelled : Errc::Reset));
 }
 
 TEST_CASE("a stream to a peer that is frozen is reset, not left to its deadline")
@@ -176,12 +176,12 @@
     PeerPool pool(io.get_executor(), credential, {}, keepAlive);
     std::optional<Errc> ended;
     auto task = [&]() -> asio::awaitable<void> {
-        auto opened = co_await pool.open(echo.endpoint(), updateOf(1), callTimeout);
+        auto opened = co_await pool.open(echo.endpoint(), makeUpdate(1), callTimeout);
         auto first = co_await opened.value()->receive();
         // A silent stream of a peer that is alive stays.
         SteadyTimer timer(io, milliseconds(300));
         co_await timer.async_wait(asio::use_awaitable);
-        auto sent = co_await opened.value()->send(updateOf(2));
+        auto sent = co_await opened.value()->send(makeUpdate(2));
         auto second = co_await opened.value()->receive();
         REQUIRE(second);
         echo.io_.stop();
@@ -197,18 +197,18 @@
 namespace {
 
 /// A link between a pool and a server that is slow downwards.
-struct SlowLink {
+struct ThrottledLink {
     /// Between parts of 16 KB.
     milliseconds pause_;
     /// Nothing comes after so many bytes.
-    std::size_t most_;
+    std::size_t maxBytes_;
 };
 
-asio::awaitable<void> forward(std::shared_ptr<asio::ip::tcp::socket> from, std::shared_ptr<asio::ip::tcp::socket> to, SlowLink speed)
+asio::awaitable<void> forward(std::shared_ptr<asio::ip::tcp::socket> from, std::shared_ptr<asio::ip::tcp::socket> to, ThrottledLink speed)
 {
     std::vector<char> buffer(16UL * 1024);
     SteadyTimer timer(from->get_executor());
-    for (std::size_t sent = 0; sent < speed.most_;) {
+    for (std::size_t sent = 0; sent < speed.maxBytes_;) {
         auto [code, count] = co_await from->async_read_some(asio::buffer(buffer), asio::as_tuple(asio::use_awaitable));
         if (code)
             co_return;
@@ -222,28 +222,28 @@
 }
 
 /// Takes one connection and forwards it to \p server.
-asio::awaitable<void> relayOne(std::shared_ptr<asio::ip::tcp::acceptor> acceptor, Endpoint server, SlowLink speed)
+asio::awaitable<void> proxyOneConnection(std::shared_ptr<asio::ip::tcp::acceptor> acceptor, Endpoint server, ThrottledLink speed)
 {
     auto near = std::make_shared<asio::ip::tcp::socket>(co_await acceptor->async_accept(asio::use_awaitable));
     auto far = std::make_shared<asio::ip::tcp::socket>(acceptor->get_executor());
     asio::ip::tcp::endpoint address(asio::ip::make_address(server.host_), server.port_);
     co_await far->async_connect(address, asio::use_awaitable);
-    SlowLink fast { milliseconds(0), SIZE_MAX };
+    ThrottledLink fast { milliseconds(0), SIZE_MAX };
     asio::co_spawn(acceptor->get_executor(), forward(near, far, fast), asio::detached);
     asio::co_spawn(acceptor->get_executor(), forward(far, near, speed), asio::detached);
 }
 
-struct PatienceCase {
-    std::string what_;
-    SlowLink link_;
-    milliseconds silence_;
-    milliseconds longest_;
+struct TimeoutCase {
+    std::string name_;
+    ThrottledLink link_;
+    milliseconds idleTimeout_;
+    milliseconds totalTimeout_;
     bool isReceived_;
-    milliseconds atLeast_;
-    milliseconds atMost_;
+    milliseconds minElapsed_;
+    milliseconds maxElapsed_;
 };
 
-const std::vector<PatienceCase> patienceCases {
+const std::vector<TimeoutCase> timeoutCases {
     { "a slow frame that goes on coming", { milliseconds(20), SIZE_MAX }, milliseconds(200), callTimeout, true, milliseconds(300), callTimeout },
     { "a frame that takes too long altogether", { milliseconds(20), SIZE_MAX }, milliseconds(200), milliseconds(250), false, milliseconds(250), milliseconds(2000) },
     { "a peer that says nothing", { milliseconds(0), 1 }, milliseconds(200), callTimeout, false, milliseconds(200), milliseconds(2000) },
@@ -254,31 +254,31 @@
 
 TEST_CASE("a long frame is waited for while it comes, and a silent peer is left")
 {
-    auto index = GENERATE(range(std::size_t { 0 }, patienceCases.size()));
-    const PatienceCase& tried = patienceCases[index];
-    INFO(tried.what_);
+    auto index = GENERATE(range(std::size_t { 0 }, timeoutCases.size()));
+    const TimeoutCase& row = timeoutCases[index];
+    INFO(row.name_);
     EchoServer echo;
     asio::io_context io;
     auto acceptor = std::make_shared<asio::ip::tcp::acceptor>(io, asio::ip::tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
-    asio::co_spawn(io, relayOne(acceptor, echo.endpoint(), tried.link_), asio::detached);
-    Endpoint relay { "127.0.0.1", acceptor->local_endpoint().port() };
+    asio::co_spawn(io, proxyOneConnection(acceptor, echo.endpoint(), row.link_), asio::detached);
+    Endpoint proxy { "127.0.0.1", acceptor->local_endpoint().port() };
     PeerPool pool(io.get_executor(), credential, {});
     std::optional<Errc> failed;
-    SteadyTime begunAt = steadyNow();
-    SteadyTime endedAt;
+    SteadyTime startedAt = steadyNow();
+    SteadyTime finishedAt;
     auto task = [&]() -> asio::awaitable<void> {
-        auto opened = co_await pool.open(relay, updateOf(300000), callTimeout);
-        auto reply = co_await opened.value()->receiveWithin(tried.silence_, tried.longest_);
-        endedAt = steadyNow();
+        auto opened = co_await pool.open(proxy, makeUpdate(300000), callTimeout);
+        auto reply = co_await opened.value()->receiveWithin(row.idleTimeout_, row.totalTimeout_);
+        finishedAt = steadyNow();
         if (!reply)
             failed = reply.error().code_;
         io.stop();
     };
     asio::co_spawn(asio::make_strand(io), task, asio::detached);
     io.run();
-    CHECK(failed.has_value() != tried.isReceived_);
+    CHECK(failed.has_value() != row.isReceived_);
     if (failed)
         CHECK(failed == Errc::Timeout);
-    CHECK(endedAt - begunAt >= tried.atLeast_);
-    CHECK(endedAt - begunAt <= tried.atMost_);
+    CHECK(finishedAt - startedAt >= row.minElapsed_);
+    CHECK(finishedAt - startedAt <= row.maxElapsed_);
 }
