--- a/include/pistachioloom/Http.h
+++ b/include/pistachioloom/Http.h
@@ -1,8 +1,9 @@
 //===- pistachioloom/Http.h - small HTTP/1.1 server and client -------------===//
 ///
 /// \file
-/// A thin layer over Boost.Beast used towards callers, backend servers, the
-/// platform and operators: bounded requests in, whole or streamed answers out.
+/// A thin layer over Boost.Beast for the connections with callers, backend
+/// servers, the platform and operators. The server limits the size of requests
+/// and writes complete or streamed responses.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -19,7 +20,7 @@
 
 namespace asio = boost::asio;
 
-/// An address to connect to: IP number and port.
+/// A network address: IP address and port.
 struct Endpoint {
     std::string host_;
     std::uint16_t port_ = 0;
@@ -28,18 +29,19 @@
     std::string toString() const { return host_ + ":" + std::to_string(port_); }
 };
 
-/// A listening acceptor on a strand of its own; port 0 lets the kernel choose.
-/// Errors name \p step.
+/// Creates a listening acceptor on its own strand. With port 0 the kernel chooses
+/// the port. \p step becomes the step of a returned error.
 Result<std::unique_ptr<asio::ip::tcp::acceptor>> bindAcceptor(const asio::any_io_executor& executor, const Endpoint& endpoint, const std::string& step);
 
-/// A timer on the clock of steadyNow(). After a suspension of the VM it fires with the
-/// next event of its io_context, or when the nearest timer there would have fired.
+/// A timer on the clock of steadyNow(). A timer that expired while the VM was suspended
+/// fires with the next event of its io_context after the suspension, at the latest when
+/// the remaining wait for the nearest timer there has passed.
 using SteadyTimer = asio::basic_waitable_timer<BootClock>;
 
-/// Suspends the calling coroutine.
+/// Suspends the calling coroutine for \p duration.
 asio::awaitable<void> sleepFor(milliseconds duration);
 
-/// Header names are lower case.
+/// Header fields by name; names are in lower case.
 using HttpHeaders = std::map<std::string, std::string>;
 
 struct HttpRequest {
@@ -48,11 +50,11 @@
     HttpHeaders headers_;
     std::string body_;
 
-    /// The target without its query.
+    /// Returns the target without its query.
     std::string path() const;
-    /// The value of query parameter \p name, or an empty string.
+    /// Returns the value of query parameter \p name, or an empty string.
     std::string query(std::string_view name) const;
-    /// The value of header \p name (lower case), or an empty string.
+    /// Returns the value of header \p name (in lower case), or an empty string.
     std::string header(const std::string& name) const;
 };
 
@@ -62,32 +64,33 @@
     std::string body_;
 };
 
-/// Bounds on what a server reads from one connection.
+/// Limits on what a server reads from one connection.
 struct HttpBounds {
     ByteCount header_ { 16UL * 1024 };
     ByteCount body_ { 1024UL * 1024 };
-    /// Answers announce it, see keepAliveValue().
+    /// Time without a request after which the server closes the connection. Responses
+    /// announce it, see keepAliveValue().
     milliseconds idle_ { 60000 };
 };
 
-/// One request being answered. Use it from the coroutine that was given it.
+/// A request and the response to it. Only the handler's coroutine may use it.
 class HttpExchange {
 public:
     virtual ~HttpExchange() = default;
 
     const HttpRequest& request() const { return request_; }
-    /// Whether any part of an answer was written.
+    /// Whether any part of the response has been written.
     bool hasStartedAnswer() const { return hasStartedAnswer_; }
 
-    /// Writes a whole answer.
+    /// Writes a complete response.
     virtual asio::awaitable<Result<void>> respond(HttpResponse response) = 0;
-    /// Writes the status line and headers of a chunked answer.
+    /// Writes the status line and headers of a chunked response.
     virtual asio::awaitable<Result<void>> beginStream(HttpResponse head) = 0;
-    /// Writes one chunk; completes when the socket has taken it, which is the
-    /// backpressure a slow reader exerts.
+    /// Writes one chunk and completes when the socket has accepted it, so that a slow
+    /// reader exerts backpressure on the handler.
     virtual asio::awaitable<Result<void>> writeChunk(std::string chunk) = 0;
     virtual asio::awaitable<Result<void>> endStream() = 0;
-    /// Drops the connection without finishing the answer.
+    /// Closes the connection without completing the response.
     virtual void abort() = 0;
 
 protected:
@@ -96,42 +99,43 @@
 };
 
 using HttpHandler = std::function<asio::awaitable<void>(HttpExchange&)>;
-/// Answers what cannot be read as a request.
+/// Creates the response to input that is not a valid request.
 using HttpErrorHook = std::function<HttpResponse(const Error&)>;
 
-/// Accepts connections and runs a handler for each request, a strand per
-/// connection.
+/// Accepts connections and runs a handler for each request. Each connection has
+/// its own strand.
 class HttpServer {
 public:
     struct State;
 
     HttpServer(asio::any_io_executor executor, HttpBounds bounds, HttpHandler handler, HttpErrorHook onBadRequest);
 
-    /// Binds and starts accepting; port 0 lets the kernel choose.
-    /// \returns the port bound.
+    /// Binds \p endpoint and starts to accept connections. With port 0 the kernel chooses
+    /// the port.
+    /// \returns the bound port.
     Result<std::uint16_t> listen(const Endpoint& endpoint);
-    /// Stops accepting; requests in progress go on, and connections close
-    /// after the answer they are writing.
+    /// Stops accepting connections. Requests in progress complete, and each connection
+    /// closes after its current response.
     void stopAccepting();
-    /// Connections still open.
+    /// Returns the number of open connections.
     std::size_t connections() const;
 
 private:
     std::shared_ptr<State> state_;
 };
 
-/// A response being read piece by piece.
+/// Reads the body of a response incrementally.
 class HttpBodyReader {
 public:
     virtual ~HttpBodyReader() = default;
     int status() const { return status_; }
     const HttpHeaders& headers() const { return headers_; }
-    /// The next line without its newline; nullopt at the body's regular end.
-    /// An error means that the body is incomplete.
+    /// Returns the next line without its newline, or nullopt at the regular end of the
+    /// body. An error means that the body is incomplete.
     virtual asio::awaitable<Result<std::optional<std::string>>> readLine(milliseconds timeout) = 0;
-    /// Reads to the end.
+    /// Reads the rest of the body.
     virtual asio::awaitable<Result<std::string>> readAll(milliseconds timeout) = 0;
-    /// Closes the connection; safe from any thread.
+    /// Closes the connection. May be called from any thread.
     virtual void cancel() = 0;
 
 protected:
@@ -139,35 +143,37 @@
     HttpHeaders headers_;
 };
 
-/// Connects, sends \p request and reads the response's head.
-/// The calling coroutine must run on a strand (or a single thread), which the
-/// connection then shares.
-/// The error's `ran_` is No if the request was not wholly written.
+/// Connects, sends \p request and reads the status line and headers of the response.
+/// The calling coroutine must run on a strand (or a single thread); the connection uses
+/// the same executor. The error's `ran_` is No if no connection was made, and Unknown
+/// from the start of the write on.
 asio::awaitable<Result<std::shared_ptr<HttpBodyReader>>> openHttp(Endpoint endpoint, HttpRequest request, milliseconds timeout);
 
-/// openHttp() and readAll() in one.
+/// Combines openHttp() and readAll().
 asio::awaitable<Result<HttpResponse>> callHttp(Endpoint endpoint, HttpRequest request, milliseconds timeout);
 
-/// Runs callHttp() to its end on a thread of its own, for tools and tests.
+/// Runs callHttp() to completion on the calling thread, for tools and tests.
 Result<HttpResponse> callHttpBlocking(const Endpoint& endpoint, const HttpRequest& request, milliseconds timeout);
 
-/// Connects to \p endpoint and closes again. \returns why that failed, or no error;
-/// operation_aborted after \p timeout.
+/// Connects to \p endpoint and closes the connection.
+/// \returns the error of the connection attempt, or operation_aborted after \p timeout.
 asio::awaitable<boost::system::error_code> tryConnection(Endpoint endpoint, milliseconds timeout);
 
-/// The `Keep-Alive` header of a connection that closes after \p idle without a request:
-/// four fifths of it in whole seconds. A request sent until then arrives before the close
-/// though links and queues hold it up for a fifth. Empty if that is below 1 s.
+/// Returns the `Keep-Alive` header of a connection that closes after \p idle without a
+/// request: four fifths of \p idle in whole seconds, or an empty string below 1 s. A request
+/// that is sent within this time still arrives before the close if the network and queues
+/// delay it by up to a fifth of \p idle.
 std::string keepAliveValue(milliseconds idle);
 
-/// A JSON response of the given status.
+/// Creates a JSON response with the given status.
 HttpResponse jsonResponse(int status, std::string body);
 
-/// The one error body: code, message, step, peer, ran, retry_after_ms; with
-/// the HTTP status that belongs to the code, and `Retry-After` in seconds.
+/// Creates the response for \p error: a JSON body with code, message, step, peer, ran and
+/// retry_after_ms, the HTTP status that belongs to the code, and `Retry-After` in seconds.
 HttpResponse errorResponse(const Error& error);
 
-/// Reads an error body back; falls back to the status when it is not one.
+/// Parses the error body of \p response. Without a valid error body the error holds the
+/// HTTP status.
 Error errorFromResponse(const HttpResponse& response, std::string step, std::string peer);
 
 } // namespace pistachioloom
--- a/include/pistachioloom/Json.h
+++ b/include/pistachioloom/Json.h
@@ -1,8 +1,9 @@
-//===- pistachioloom/Json.h - reading fields of JSON objects ---------------===//
+//===- pistachioloom/Json.h - access to fields of JSON objects -------------===//
 ///
 /// \file
-/// Small readers over Boost.JSON. A missing or wrong field reads as empty:
-/// what an outside system sends is checked by its meaning, not by its shape.
+/// Accessors for fields of Boost.JSON objects. A missing field or a field of the
+/// wrong type reads as empty: the callers validate the values that an external
+/// system sends, not their JSON types.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -14,17 +15,22 @@
 
 namespace pistachioloom {
 
-/// The object that \p text holds, or nullopt. It and what it holds are in \p memory,
-/// which a large text that is read and dropped as one may fill from one end.
+/// Parses \p text as a JSON object; nullopt if it is not one. The object and its values
+/// are allocated from \p memory, which may be a monotonic resource for a large text whose
+/// values are all released together.
 std::optional<boost::json::object> parseJsonObject(const std::string& text, boost::json::storage_ptr memory = {});
+/// Returns string \p key, or an empty string.
 std::string textField(const boost::json::object& object, const char* key);
+/// Returns number \p key, or 0 if it is not an unsigned integer.
 std::uint64_t numberField(const boost::json::object& object, const char* key);
+/// Returns Boolean \p key, or false.
 bool flagField(const boost::json::object& object, const char* key);
-/// nullptr if there is no such array.
+/// Returns array \p key, or nullptr.
 const boost::json::array* arrayField(const boost::json::object& object, const char* key);
-/// The objects of array \p key; other elements are left out.
+/// Returns copies of the objects in array \p key; other elements are skipped.
 std::vector<boost::json::object> objectsField(const boost::json::object& object, const char* key);
-/// The same objects where they are, as long as \p object is.
+/// Returns pointers to the objects in array \p key, which are valid while \p object
+/// exists; other elements are skipped.
 std::vector<const boost::json::object*> objectPointersField(const boost::json::object& object, const char* key);
 
 } // namespace pistachioloom
--- a/include/pistachioloom/Support.h
+++ b/include/pistachioloom/Support.h
@@ -1,9 +1,9 @@
-//===- pistachioloom/Support.h - ids, units, errors and small helpers ------===//
+//===- pistachioloom/Support.h - ids, units, errors and utilities ----------===//
 ///
 /// \file
-/// What every other library relies on: strong types for ids and units, the
-/// error type that carries step and peer, and a few pure helpers. It relies on
-/// the standard library, Boost.Outcome, liburcu and xxHash only.
+/// The base of all other libraries: strong types for ids and units, the error type
+/// with step and peer, clocks, hashing, compression and RCU. The header depends on
+/// the standard library and Boost.Outcome only.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -22,7 +22,8 @@
 
 namespace pistachioloom {
 
-/// A string that names one kind of thing, so that two kinds cannot be swapped.
+/// An identifier string with a type of its own for each kind of entity, so that the
+/// compiler rejects mixed-up kinds.
 template <typename Tag>
 struct Id {
     std::string value_;
@@ -43,7 +44,7 @@
 using ServiceName = Id<struct ServiceNameTag>;
 using IdempotencyKey = Id<struct IdempotencyKeyTag>;
 
-/// A number that measures one kind of quantity.
+/// A number with a type of its own for each kind of quantity.
 template <typename Tag, typename Rep = std::uint64_t>
 struct Quantity {
     Rep value_ {};
@@ -51,20 +52,20 @@
     auto operator<=>(const Quantity&) const = default;
 };
 
-/// A position on one stream of the platform's log.
+/// A position in one stream of the platform's log.
 using LogOffset = Quantity<struct LogOffsetTag>;
 using TokenCount = Quantity<struct TokenCountTag>;
 using ByteCount = Quantity<struct ByteCountTag>;
 
-/// Time since the VM started, its suspensions included. The standard library's steady
-/// clock leaves them out: by it a lease, an age or a deadline that ran out while the VM
-/// was suspended would still hold after it.
+/// Time since the VM started, suspensions included. The standard library's steady clock
+/// excludes them: with it, a lease or a deadline that expired while the VM was suspended
+/// would still seem valid afterwards, and ages would be too low.
 struct BootClock {
     using duration = std::chrono::nanoseconds;
     using rep = duration::rep;
     using period = duration::period;
     using time_point = std::chrono::time_point<BootClock>;
-    // The standard's requirements on clocks name it.
+    // The name is required by the standard's Clock requirements.
     static constexpr bool is_steady = true; // NOLINT(readability-identifier-naming)
 
     static time_point now() noexcept;
@@ -73,16 +74,17 @@
 using SteadyTime = BootClock::time_point;
 using std::chrono::milliseconds;
 
-/// The time that drivers pass to the pure decisions.
+/// Returns the current time. The code that does I/O passes it to the decision functions,
+/// which read no clock.
 inline SteadyTime steadyNow()
 {
     return BootClock::now();
 }
 
-/// How long the VM has been suspended since it started.
+/// Returns the total time for which the VM has been suspended since it started.
 milliseconds suspendedTime();
 
-/// Counts what is going on: one more while it lives.
+/// Increments a counter for its own lifetime.
 class CountGuard {
 public:
     explicit CountGuard(std::atomic<std::size_t>& count)
@@ -98,7 +100,7 @@
     std::atomic<std::size_t>& count_;
 };
 
-/// What an error means, apart from where it arose.
+/// The kind of an error, independent of the step and peer at which it occurred.
 enum class Errc {
     InvalidInput = 1,
     Unauthorised,
@@ -122,14 +124,14 @@
 
 std::error_code make_error_code(Errc code);
 
-/// The identifier of \p code in error bodies, such as `limit_reached`.
+/// Returns the identifier of \p code in error bodies, such as `limit_reached`.
 std::string_view toString(Errc code);
 
-/// Finds the code that toString() names \p name, or Errc::Internal.
+/// Returns the code whose identifier is \p name, or Errc::Internal.
 Errc errcFromString(std::string_view name);
 
-/// Whether the work an error speaks of was started.
-/// `No` is a promise to the caller; only a `No` may be retried.
+/// Whether the work that failed was started. `No` guarantees to the caller that it was
+/// not; only then may the work be retried.
 enum class Ran {
     No,
     Unknown,
@@ -137,7 +139,7 @@
 
 std::string_view toString(Ran ran);
 
-/// A failure with the step and the peer at which it arose.
+/// A failure with the step and the peer at which it occurred.
 struct Error {
     Errc code_ = Errc::Internal;
     std::string step_;
@@ -147,53 +149,54 @@
     milliseconds retryAfter_ {};
 };
 
-/// One line for logs: code, step, peer, message.
+/// Formats \p error as one line for logs: code, step, peer and message.
 std::string describe(const Error& error);
 
-/// A value or an Error; `value()` and `error()` assert what was tested before.
+/// A value or an Error. `value()` and `error()` assert that the result holds it; the caller
+/// checks first.
 template <typename T>
 using Result = boost::outcome_v2::result<T, Error, boost::outcome_v2::policy::all_narrow>;
 
-/// \p text as a zlib stream, at the speed that costs least time.
+/// Compresses \p text to a zlib stream at the fastest level.
 std::string compress(std::string_view text);
-/// What compress() made \p bytes of. Errc::Protocol if it is no whole stream, or holds
-/// more than \p maxSize.
+/// Decompresses the output of compress(). The error is Errc::Protocol if \p bytes are no
+/// complete zlib stream or the text is longer than \p maxSize.
 Result<std::string> decompress(std::string_view bytes, ByteCount maxSize);
 
-/// 64-bit hash of \p bytes, the same on every node.
+/// Returns a 64-bit hash of \p bytes that is the same on every node.
 std::uint64_t stableHash(std::string_view bytes, std::uint64_t seed = 0);
 
-/// The first 64 bits of SHA-256 over \p parts, each preceded by its length, so that no
-/// two lists of parts are the same bytes.
+/// Returns the first 64 bits of SHA-256 over \p parts. Each part is preceded by its
+/// length, so that different lists of parts never hash the same bytes.
 std::uint64_t digest64(std::initializer_list<std::string_view> parts);
 
-/// SHA-256 of \p bytes in lower-case hexadecimal.
+/// Returns SHA-256 of \p bytes in lower-case hexadecimal.
 std::string sha256Hex(std::string_view bytes);
 
-/// Compares secrets in a time that depends on their lengths only.
+/// Compares secrets in a time that depends only on their lengths.
 bool equalInConstantTime(std::string_view left, std::string_view right);
 
-/// A random UUID (version 4) from the system's entropy.
+/// Creates a random UUID (version 4) from the system's entropy source.
 std::string makeUuid();
 
-/// Uniform random bits, one generator per thread.
+/// Returns 64 uniform random bits from a generator of the calling thread.
 std::uint64_t randomBits();
 
-/// Scales \p base by a factor drawn from [0.5, 1.5), so that callers told the
-/// same delay do not come back together. \p draw is uniform over 64 bits.
+/// Scales \p base by a random factor in [0.5, 1.5), so that callers with the same retry
+/// delay do not retry simultaneously. \p draw is uniform over 64 bits.
 milliseconds jitter(milliseconds base, std::uint64_t draw);
 
 /// Ranks \p candidates for \p key by rendezvous hashing, best first.
 std::vector<VmId> rankByRendezvous(std::string_view key, const std::vector<VmId>& candidates);
 
-/// The best of rankByRendezvous(), without ranking the rest.
-/// \returns an empty id for no candidates.
+/// Returns the first element of rankByRendezvous() in linear time.
+/// \returns an empty id if there are no candidates.
 VmId pickByRendezvous(std::string_view key, const std::vector<VmId>& candidates);
 
-/// A pointer that readers follow without a lock while a writer replaces it.
+/// A pointer that readers dereference without a lock while a writer replaces it.
 ///
-/// Readers are threads that entered through RcuThread. The value a reader sees
-/// stays alive until its read section ends; copy out what outlives it.
+/// Reader threads must hold an RcuThread. A value stays alive until the read section
+/// ends; data that is needed for longer must be copied.
 class RcuPointer {
 public:
     explicit RcuPointer(std::function<void(void*)> destroy);
@@ -209,7 +212,7 @@
     std::function<void(void*)> destroy_;
 };
 
-/// Registers the calling thread with liburcu while it lives.
+/// Registers the calling thread with liburcu for its own lifetime.
 class RcuThread {
 public:
     RcuThread();
@@ -218,7 +221,7 @@
     RcuThread& operator=(const RcuThread&) = delete;
 };
 
-/// A value read far more often than it is replaced.
+/// A value that is read far more often than it is replaced.
 template <typename T>
 class RcuCell {
 public:
@@ -228,11 +231,11 @@
         publish(std::move(initial));
     }
 
-    /// Replaces the value; waits until no reader holds the one before.
+    /// Replaces the value and waits until no reader uses the previous one.
     void publish(T value) { pointer_.publish(new T(std::move(value))); }
 
-    /// Calls \p section with the current value inside a read section, which
-    /// must not block, suspend or keep the reference.
+    /// Calls \p section with the current value inside a read section. \p section must not
+    /// block, suspend a coroutine or keep the reference.
     template <typename Section>
     auto read(Section&& section) const
     {
--- a/include/pistachioloom/Telemetry.h
+++ b/include/pistachioloom/Telemetry.h
@@ -1,9 +1,9 @@
 //===- pistachioloom/Telemetry.h - logs, metrics and traces ----------------===//
 ///
 /// \file
-/// What a node tells about itself: log lines with a prefix per part, counters
-/// and histograms in Prometheus' text format, and a span for each hop. Nothing
-/// here blocks the path of a request.
+/// Observability of a node: log lines with a prefix for each component, counters
+/// and histograms in Prometheus' text format, and a span for each hop. None of
+/// these functions blocks a request.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -29,35 +29,37 @@
 struct LogSettings {
     LogLevel level_ = LogLevel::Info;
     LogOutput output_ = LogOutput::StandardOutput;
-    /// Lines written in a second; more are counted and left out. At 300 bytes a
-    /// line this bounds the volume to 150 KB/s.
+    /// Maximum rate of lines; lines above it are dropped and counted. With 300 bytes
+    /// per line, 500 lines per second limit the volume to 150 KB/s.
     std::uint64_t linesPerSecond_ = 500;
-    /// Levels of single parts, by prefix.
+    /// Levels of single components by their log prefix, in place of `level_`.
     std::map<std::string, LogLevel> parts_;
     bool isJson_ = false;
 };
 
-/// Sets up log4cplus; call it first, and again to apply changed settings. A
-/// reader that does not read costs lines, never time.
+/// Configures log4cplus. Must be called before the first log line, and again to apply
+/// changed settings. If the reader of the output stalls, lines are dropped and no
+/// thread waits.
 void initialiseLogging(const LogSettings& settings, const std::string& node);
 
-/// Lines left out since the start, for want of a reader or over the bound.
+/// Returns the number of lines dropped since the start, because the reader stalled or
+/// the rate limit was exceeded.
 std::uint64_t droppedLogLines();
 
-/// A sentence with named values, which become fields of their own in JSON.
+/// A log message with named values, which become separate fields in JSON.
 class LogLine {
 public:
     explicit LogLine(std::string sentence);
     LogLine& add(std::string_view name, std::string_view value);
     LogLine& add(std::string_view name, std::int64_t value);
-    /// As the layouts expect it.
+    /// Returns the message and the values in the encoding that the layouts decode.
     const std::string& encoded() const { return encoded_; }
 
 private:
     std::string encoded_;
 };
 
-/// Writes short sentences under one fixed prefix.
+/// Writes log messages with a fixed prefix.
 class Logger {
 public:
     explicit Logger(std::string part);
@@ -113,7 +115,7 @@
     Last,
 };
 
-/// The counters and histograms of one node; all members are thread-safe.
+/// The counters and histograms of one node. All members are thread-safe.
 class Metrics {
 public:
     Metrics();
@@ -124,7 +126,7 @@
     void add(Counter counter, std::uint64_t count = 1);
     std::uint64_t value(Counter counter) const;
     void observe(Histogram histogram, std::chrono::nanoseconds duration);
-    /// Prometheus' text format; \p gauges are appended as they are.
+    /// Renders all metrics in Prometheus' text format, followed by \p gauges.
     std::string render(const std::map<std::string, double>& gauges) const;
 
 private:
@@ -132,7 +134,7 @@
     std::unique_ptr<State> state_;
 };
 
-/// The parts of a W3C `traceparent`.
+/// The ids in a W3C `traceparent` header.
 struct TraceContext {
     std::string traceId_;
     std::string spanId_;
@@ -140,12 +142,12 @@
     std::string toHeader() const;
 };
 
-/// Reads a `traceparent`; anything malformed starts a new trace.
+/// Parses a `traceparent` header. A malformed header starts a new trace.
 TraceContext parseTraceparent(std::string_view header);
-/// A context for a hop below \p parent.
+/// Creates the context of a child span of \p parent.
 TraceContext childOf(const TraceContext& parent);
 
-/// One hop of one request.
+/// One hop of a request.
 struct Span {
     TraceContext context_;
     std::string parentSpanId_;
@@ -159,7 +161,7 @@
     std::string outcome_ = "ok";
 };
 
-/// Keeps the newest spans in memory and counts those it had to drop.
+/// Keeps the newest spans in memory and counts the dropped ones.
 class Tracer {
 public:
     explicit Tracer(std::size_t capacity);
@@ -168,7 +170,7 @@
     Tracer& operator=(const Tracer&) = delete;
 
     void record(Span span);
-    /// OTLP/JSON spans of \p requestId, one a line.
+    /// Returns the spans of \p requestId in OTLP/JSON, one per line.
     std::string spansOf(const std::string& requestId) const;
     std::uint64_t dropped() const;
 
@@ -177,7 +179,7 @@
     std::unique_ptr<State> state_;
 };
 
-/// Measures a hop and records it when it ends.
+/// Measures the duration of a hop and records its span on destruction.
 class SpanScope {
 public:
     SpanScope(Tracer& tracer, const TraceContext& parent, std::string step, std::string requestId);
--- a/include/pistachioloom/Wire.h
+++ b/include/pistachioloom/Wire.h
@@ -1,9 +1,10 @@
-//===- pistachioloom/Wire.h - streams between the system's own processes ---===//
+//===- pistachioloom/Wire.h - streams between the system's processes -------===//
 ///
 /// \file
 /// A peer connection is one nghttp2 session; each exchange is one stream that
-/// carries length-prefixed protobuf Frames both ways. A failed stream says
-/// whether the peer can have seen it, since only then may it be retried.
+/// carries length-prefixed protobuf Frames in both directions. The error of a
+/// failed stream tells whether the peer may have processed it, since only a stream
+/// that the peer has not processed may be retried.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -16,58 +17,60 @@
 
 namespace pistachioloom {
 
-/// The version of the frames, part of the request path.
+/// The request path of all streams, which contains the version of the frames.
 inline constexpr std::string_view wirePath = "/pistachioloom/1";
-/// The longest frame that is read; a longer one resets its stream.
+/// The maximum size of a received frame; a larger frame resets its stream.
 inline constexpr ByteCount maxFrameSize { 8UL * 1024 * 1024 };
 
-/// One exchange with a peer. All members may be used from any strand, but
-/// send() and receive() by one coroutine each at a time.
+/// One exchange with a peer. All members may be called from any strand, but send() and
+/// receive() each by only one coroutine at a time.
 class PeerStream {
 public:
     virtual ~PeerStream() = default;
 
-    /// Queues \p frame; completes once fewer than a few frames are unsent.
+    /// Queues \p frame. Completes when the send queue has capacity, which provides
+    /// backpressure.
     virtual asio::awaitable<Result<void>> send(const wire::Frame& frame) = 0;
-    /// The next frame. Errors: Reset with `ran_` telling whether the peer
-    /// refused the stream unseen; Cancelled after cancel(); NotFound when the
-    /// peer ended its side.
+    /// Receives the next frame. Errors: Reset, with `ran_` No if the peer refused the
+    /// stream without processing it; Cancelled after cancel() on either side;
+    /// NotFound when the peer has closed its side; Protocol if the frame is invalid.
     virtual asio::awaitable<Result<wire::Frame>> receive() = 0;
-    /// receive() that resets the stream when \p timeout passes first.
+    /// Like receive(), but cancels the stream after \p timeout with the error Timeout.
     virtual asio::awaitable<Result<wire::Frame>> receiveWithin(milliseconds timeout) = 0;
-    /// receive() of a long frame: resets the stream when no byte comes for \p idleTimeout,
-    /// or the frame is not whole after \p totalTimeout.
+    /// Like receive(), for large frames: cancels the stream with the error Timeout when
+    /// no byte arrives for \p idleTimeout, or the frame is incomplete after \p totalTimeout.
     virtual asio::awaitable<Result<wire::Frame>> receiveWithin(milliseconds idleTimeout, milliseconds totalTimeout) = 0;
-    /// Ends our side after what was sent.
+    /// Closes the local side after the queued frames.
     virtual void finish() = 0;
-    /// Resets the stream: the work is not wanted any more. The peer's send()
-    /// fails with Cancelled.
+    /// Resets the stream because the result is no longer needed. The peer's send() fails
+    /// with Cancelled.
     virtual void cancel() = 0;
-    /// Resets the stream, but the work goes on for somebody else. The peer's
-    /// send() fails with Reset.
+    /// Resets the stream while another node still needs the result. The peer's send()
+    /// fails with Reset.
     virtual void release() = 0;
-    /// Resets the stream and tells the peer that nothing was done.
+    /// Resets the stream with REFUSED_STREAM, so that the peer knows that it was not
+    /// processed.
     virtual void refuse() = 0;
-    /// Whether either side reset it, or the link is gone.
+    /// Whether either side has reset the stream, or the connection is closed.
     virtual bool isClosed() const = 0;
     virtual std::string peer() const = 0;
-    /// A pointer that keeps the stream.
+    /// Returns a shared pointer to this stream.
     virtual std::shared_ptr<PeerStream> shared() = 0;
 };
 
 using PeerStreamHandler = std::function<asio::awaitable<void>(std::shared_ptr<PeerStream>)>;
-/// Told of input that closed a stream or connection.
+/// Called when invalid input or a failure closes a stream or a connection.
 using WireErrorHook = std::function<void(const Error&)>;
 
-/// How a peer that is frozen or cut off is noticed: a link with streams that
-/// brings nothing is pinged, and closed when it stays silent.
+/// Detects a frozen or unreachable peer. A connection with open streams that receives
+/// nothing for an interval is pinged, and closed if it still receives nothing.
 struct KeepAlive {
     milliseconds interval_ { 1000 };
-    /// Silent intervals in a row before the link is closed.
+    /// Number of consecutive intervals without input after which the connection closes.
     int maxIdleIntervals_ = 3;
 };
 
-/// Accepts peers that know the credential.
+/// Accepts connections of peers and the streams that carry the right credential.
 class PeerServer {
 public:
     struct State;
@@ -78,20 +81,21 @@
     PeerServer& operator=(const PeerServer&) = delete;
 
     Result<std::uint16_t> listen(const Endpoint& endpoint);
-    /// Sends GOAWAY on every connection: new streams are refused as not run,
-    /// those in progress go on.
+    /// Sends GOAWAY on every connection. New streams are refused without being
+    /// processed, and open streams continue.
     void refuseNewStreams();
-    /// Bytes written and read on all connections since the start.
+    /// Returns the bytes written to all connections since the start.
     ByteCount bytesSent() const;
+    /// Returns the bytes read from all connections since the start.
     ByteCount bytesReceived() const;
-    /// Closes everything.
+    /// Closes the acceptor and all connections.
     void stop();
 
 private:
     std::shared_ptr<State> state_;
 };
 
-/// Outgoing connections, one per peer, opened when first needed.
+/// Outgoing connections, one per peer, each opened on first use.
 class PeerPool {
 public:
     struct State;
@@ -101,12 +105,13 @@
     PeerPool(const PeerPool&) = delete;
     PeerPool& operator=(const PeerPool&) = delete;
 
-    /// Opens a stream and sends \p first on it. An error has `ran_` No.
+    /// Opens a stream and sends \p first on it. The `ran_` of an error is No.
     asio::awaitable<Result<std::shared_ptr<PeerStream>>> open(Endpoint peer, const wire::Frame& first, milliseconds timeout);
-    /// One frame there, one frame back; a Failure frame comes back as Error.
+    /// Sends one frame and receives one frame. A Failure frame is returned as Error.
     asio::awaitable<Result<wire::Frame>> call(Endpoint peer, const wire::Frame& request, milliseconds timeout);
-    /// Bytes written and read on all connections since the start.
+    /// Returns the bytes written to all connections since the start.
     ByteCount bytesSent() const;
+    /// Returns the bytes read from all connections since the start.
     ByteCount bytesReceived() const;
     void stop();
 
--- a/include/pistachioloom/Yaml.h
+++ b/include/pistachioloom/Yaml.h
@@ -1,9 +1,9 @@
-//===- pistachioloom/Yaml.h - checked reading of YAML and JSON maps --------===//
+//===- pistachioloom/Yaml.h - validated access to YAML and JSON maps -------===//
 ///
 /// \file
-/// The reader under settings and catalogue entries. It collects every mistake
-/// with file, line and key, so that one run shows them all. JSON is YAML, so
-/// records of the log pass through the same reader.
+/// The reader of settings and catalogue entries. It collects all input errors with
+/// file, line and key, so that one run reports all of them. Since JSON is a subset
+/// of YAML, the same reader parses records of the log.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -15,12 +15,12 @@
 #include <set>
 
 namespace YAML {
-class Node; // NOLINT(bugprone-forward-declaration-namespace): yaml-cpp's, not ours.
+class Node; // NOLINT(bugprone-forward-declaration-namespace): declared by yaml-cpp.
 }
 
 namespace pistachioloom {
 
-/// One mistake in an input file.
+/// One error in an input file.
 struct InputError {
     std::string file_;
     int line_ = 0;
@@ -32,12 +32,12 @@
 
 using InputErrors = std::vector<InputError>;
 
-/// A map whose keys are asked for one by one; what was not asked for is
-/// reported as unknown by finish(). A getter with a fallback takes a missing
-/// key; one without reports it.
+/// A map with typed getters that validate each value. A getter with a fallback returns
+/// it for a missing key; a getter without one reports an error. reportUnknownKeys()
+/// reports the keys that no getter has read.
 class YamlMap {
 public:
-    /// Parses \p text; a syntax error or a root that is no map is reported.
+    /// Parses \p text. A syntax error, or a root that is no map, is added to \p errors.
     static std::optional<YamlMap> parse(const std::string& text, const std::string& file, InputErrors& errors);
     ~YamlMap();
     YamlMap(YamlMap&&) noexcept;
@@ -49,21 +49,21 @@
     std::uint64_t integer(const std::string& key, std::uint64_t min, std::uint64_t max, std::optional<std::uint64_t> fallback = std::nullopt);
     double number(const std::string& key, double min, double max, std::optional<double> fallback = std::nullopt);
     bool flag(const std::string& key, std::optional<bool> fallback = std::nullopt);
-    /// A duration with unit: `5ms`, `2s`, `10min`, `1h`.
+    /// Reads a duration with its unit: `5ms`, `2s`, `10min`, `1h`.
     milliseconds duration(const std::string& key, milliseconds min, milliseconds max, std::optional<milliseconds> fallback = std::nullopt);
-    /// A size with unit: `512B`, `64KiB`, `32MiB`.
+    /// Reads a size with its unit: `512B`, `64KiB`, `32MiB`.
     ByteCount size(const std::string& key, ByteCount min, ByteCount max, std::optional<ByteCount> fallback = std::nullopt);
-    /// One of \p allowed; \returns its index.
+    /// Reads one of \p allowed. \returns its index.
     std::size_t choice(const std::string& key, const std::vector<std::string>& allowed, std::optional<std::size_t> fallback = std::nullopt);
     std::vector<std::string> list(const std::string& key, bool isRequired = false);
     std::optional<YamlMap> map(const std::string& key, bool isRequired = false);
-    /// Key and value of a map whose keys are free.
+    /// Reads the keys and values of a map with arbitrary keys.
     std::vector<std::pair<std::string, std::string>> pairs(const std::string& key);
     bool has(const std::string& key) const;
 
-    /// Reports a mistake in \p key found by the caller.
+    /// Adds an error in \p key that the caller has found.
     void addError(const std::string& key, const std::string& message);
-    /// Reports the keys that nobody asked for.
+    /// Adds an error for each key that no getter has read.
     void reportUnknownKeys();
 
 private:
@@ -75,9 +75,9 @@
     std::unique_ptr<State> state_;
 };
 
-/// Reads a number with one of the duration units.
+/// Parses a number with a duration unit.
 std::optional<milliseconds> parseDuration(std::string_view text);
-/// Reads a number with one of the size units.
+/// Parses a number with a size unit.
 std::optional<ByteCount> parseSize(std::string_view text);
 
 } // namespace pistachioloom
--- a/lib/Http/Client.cpp
+++ b/lib/Http/Client.cpp
@@ -1,8 +1,8 @@
 //===- lib/Http/Client.cpp - HTTP/1.1 client over Beast --------------------===//
 ///
 /// \file
-/// A connection per request: towards engines a stream owns its connection, and
-/// the other calls are few.
+/// Uses a new connection for each request. A stream from an engine occupies its
+/// connection anyway, and other requests are too few to need a connection pool.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Http.h"
 
--- a/lib/Http/ErrorBody.cpp
+++ b/lib/Http/ErrorBody.cpp
@@ -1,7 +1,8 @@
-//===- lib/Http/ErrorBody.cpp - the error body and the request's parts -----===//
+//===- lib/Http/ErrorBody.cpp - error bodies and request accessors ---------===//
 ///
 /// \file
-/// The one error body of every HTTP interface, and reading of targets.
+/// The error body that all HTTP interfaces share, and the accessors for path, query
+/// and headers of a request.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Http.h"
 
--- a/lib/Http/Probe.cpp
+++ b/lib/Http/Probe.cpp
@@ -1,7 +1,7 @@
-//===- lib/Http/Probe.cpp - whether a connection can be made ---------------===//
+//===- lib/Http/Probe.cpp - trial TCP connections --------------------------===//
 ///
 /// \file
-/// See tryConnection().
+/// Implements tryConnection().
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Http.h"
 
--- a/lib/Http/Server.cpp
+++ b/lib/Http/Server.cpp
@@ -1,7 +1,7 @@
 //===- lib/Http/Server.cpp - HTTP/1.1 server over Beast --------------------===//
 ///
 /// \file
-/// One coroutine per connection, each on a strand of its own.
+/// Runs one coroutine per connection, each on its own strand.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Http.h"
 
@@ -103,8 +103,9 @@
         }
 
     private:
-        /// A close that the caller is not told of can cross its next request, which is
-        /// then lost: answers say whether the connection closes, or after what idle time.
+        /// Sets the headers that announce whether the connection closes, or after which
+        /// idle time. Without them the caller may send its next request while the server
+        /// closes the connection, and the request is lost.
         template <typename Message>
         void announceConnection(Message& message)
         {
@@ -117,7 +118,8 @@
             std::string value = keepAliveValue(state_.bounds_.idle_);
             if (!value.empty() && message.find(http::field::keep_alive) == message.end())
                 message.set(http::field::keep_alive, value);
-            // The field concerns this connection only (RFC 9110, 7.6.1).
+            // `Keep-Alive` concerns this connection only, so `Connection` must list it
+            // (RFC 9110, 7.6.1).
             if (message.find(http::field::keep_alive) != message.end())
                 message.set(http::field::connection, "keep-alive");
         }
@@ -155,7 +157,7 @@
 
 std::string keepAliveValue(milliseconds idle)
 {
-    // Whole seconds are what the header can say.
+    // The header's resolution is one second.
     auto seconds = std::chrono::floor<std::chrono::seconds>(idle * 4 / 5);
     return seconds.count() >= 1 ? "timeout=" + std::to_string(seconds.count()) : std::string();
 }
--- a/lib/Http/Sleep.cpp
+++ b/lib/Http/Sleep.cpp
@@ -1,7 +1,7 @@
-//===- lib/Http/Sleep.cpp - pauses of coroutines ---------------------------===//
+//===- lib/Http/Sleep.cpp - sleeping in coroutines -------------------------===//
 ///
 /// \file
-/// See sleepFor().
+/// Implements sleepFor().
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Http.h"
 
--- a/lib/Json/Json.cpp
+++ b/lib/Json/Json.cpp
@@ -1,7 +1,7 @@
-//===- lib/Json/Json.cpp - reading fields of JSON objects ------------------===//
+//===- lib/Json/Json.cpp - access to fields of JSON objects ----------------===//
 ///
 /// \file
-/// See Json.h.
+/// Implements the field accessors over Boost.JSON.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Json.h"
 
--- a/lib/Support/Clock.cpp
+++ b/lib/Support/Clock.cpp
@@ -1,7 +1,7 @@
-//===- lib/Support/Clock.cpp - the clock of all ages and leases ------------===//
+//===- lib/Support/Clock.cpp - the clock of ages, leases and deadlines -----===//
 ///
 /// \file
-/// See BootClock.
+/// Implements BootClock and suspendedTime().
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Support.h"
 
@@ -12,7 +12,7 @@
 static std::chrono::nanoseconds read(clockid_t clock)
 {
     timespec time {};
-    // Fails only for clocks that the kernel lacks, which has both since 2.6.39.
+    // Fails only for a clock that the kernel lacks. Linux has both since 2.6.39.
     (void)clock_gettime(clock, &time);
     return std::chrono::seconds(time.tv_sec) + std::chrono::nanoseconds(time.tv_nsec);
 }
--- a/lib/Support/Compression.cpp
+++ b/lib/Support/Compression.cpp
@@ -1,7 +1,7 @@
-//===- lib/Support/Compression.cpp - smaller messages ----------------------===//
+//===- lib/Support/Compression.cpp - compression with zlib -----------------===//
 ///
 /// \file
-/// zlib's streams of one whole text.
+/// Compresses and decompresses one text as one zlib stream.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Support.h"
 
@@ -15,7 +15,7 @@
     uLongf size = compressBound(text.size());
     std::string bytes(size, '\0');
     int code = compress2(reinterpret_cast<Bytef*>(bytes.data()), &size, reinterpret_cast<const Bytef*>(text.data()), text.size(), Z_BEST_SPEED);
-    assert(code == Z_OK && "the bound holds whatever the text");
+    assert(code == Z_OK && "compressBound() is an upper bound for any text");
     bytes.resize(code == Z_OK ? size : 0);
     return bytes;
 }
--- a/lib/Support/Error.cpp
+++ b/lib/Support/Error.cpp
@@ -1,7 +1,7 @@
 //===- lib/Support/Error.cpp - names and categories of errors --------------===//
 ///
 /// \file
-/// Maps Errc to std::error_code and to the names in error bodies.
+/// Maps Errc to std::error_code and to the identifiers in error bodies.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Support.h"
 
--- a/lib/Support/Hash.cpp
+++ b/lib/Support/Hash.cpp
@@ -49,7 +49,7 @@
 {
     std::unique_ptr<EVP_MD_CTX, decltype(&EVP_MD_CTX_free)> context(EVP_MD_CTX_new(), EVP_MD_CTX_free);
     std::array<unsigned char, EVP_MAX_MD_SIZE> digest {};
-    // SHA-256 of bytes in memory fails only where memory does.
+    // SHA-256 of bytes in memory fails only if an allocation fails.
     bool succeeded = context && EVP_DigestInit_ex(context.get(), EVP_sha256(), nullptr);
     for (std::string_view part : parts) {
         std::uint64_t length = boost::endian::native_to_big(static_cast<std::uint64_t>(part.size()));
--- a/lib/Support/Rcu.cpp
+++ b/lib/Support/Rcu.cpp
@@ -1,9 +1,10 @@
-//===- lib/Support/Rcu.cpp - read-copy-update behind one small class -------===//
+//===- lib/Support/Rcu.cpp - read-copy-update over liburcu -----------------===//
 ///
 /// \file
-/// RcuPointer over liburcu's memb flavour. ThreadSanitizer cannot see liburcu's
-/// grace periods, so its build uses a reader-writer lock with the same
-/// interface; everything outside this file is then checked in earnest.
+/// Implements RcuPointer with liburcu's memb flavour. ThreadSanitizer cannot see
+/// liburcu's grace periods and would report false races. Its build therefore uses a
+/// reader-writer lock with the same interface, so that it still checks all code
+/// outside this file.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Support.h"
 
--- a/lib/Telemetry/LogOutput.cpp
+++ b/lib/Telemetry/LogOutput.cpp
@@ -1,7 +1,7 @@
 //===- lib/Telemetry/LogOutput.cpp - layouts and output of log lines -------===//
 ///
 /// \file
-/// See LogOutput.h.
+/// Implements the layouts and the rate-limited, non-blocking appender.
 //===----------------------------------------------------------------------===//
 #include "LogOutput.h"
 
@@ -14,9 +14,9 @@
 
 namespace {
 
-    // Seconds of the bound that may be written at once.
+    // Size of a burst: the lines that the rate permits in this many seconds.
     constexpr double burstSeconds = 2;
-    // A pipe that polls as writable takes this much without waiting (PIPE_BUF).
+    // A pipe that polls as writable accepts PIPE_BUF bytes without blocking.
     constexpr std::size_t maxAtomicWrite = 4096;
 
     std::atomic<std::uint64_t> droppedLines { 0 };
@@ -125,7 +125,7 @@
     SteadyTime now = steadyNow();
     allowance_ = std::min(linesPerSecond_ * burstSeconds, allowance_ + linesPerSecond_ * std::chrono::duration<double>(now - refilledAt_).count());
     refilledAt_ = now;
-    // Warnings may go on for a second when all else has used up the rate.
+    // Warnings and errors may overdraw the allowance by the lines of one second.
     double minAllowance = event.getLogLevel() >= log4cplus::WARN_LOG_LEVEL ? -linesPerSecond_ : 0;
     if (allowance_ < minAllowance + 1)
         return false;
@@ -142,7 +142,7 @@
         ++droppedLines;
 }
 
-// log4cplus holds the appender's lock here.
+// log4cplus calls this function with the appender's lock held.
 void BoundedAppender::append(const log4cplus::spi::InternalLoggingEvent& event)
 {
     if (!tryConsumeAllowance(event)) {
--- a/lib/Telemetry/LogOutput.h
+++ b/lib/Telemetry/LogOutput.h
@@ -1,7 +1,7 @@
 //===- lib/Telemetry/LogOutput.h - layouts and output of log lines ---------===//
 ///
 /// \file
-/// Log lines as JSON or text, written without ever waiting for a reader.
+/// Formats log lines as JSON or text, and writes them without blocking on the reader.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -12,12 +12,12 @@
 
 namespace pistachioloom {
 
-/// Separates a sentence from its values, and values from each other.
+/// Separates the message from its values, and values from each other.
 inline constexpr char fieldSeparator = '\x1e';
-/// Separates a value's name from the value.
+/// Separates the name of a value from the value.
 inline constexpr char valueSeparator = '\x1f';
 
-/// One JSON object a line; named values become members.
+/// Formats an event as one JSON object per line; named values become members.
 class JsonLayout : public log4cplus::Layout {
 public:
     explicit JsonLayout(std::string node);
@@ -27,7 +27,7 @@
     std::string node_;
 };
 
-/// "time level node [part] sentence name=value".
+/// Formats an event as "time level node [part] message name=value".
 class TextLayout : public log4cplus::Layout {
 public:
     explicit TextLayout(std::string node);
@@ -37,7 +37,8 @@
     std::string node_;
 };
 
-/// Writes a line only if the reader has room for it and the rate allows it.
+/// Writes a line only if the output is writable and the rate limit permits it; drops and
+/// counts it otherwise.
 class BoundedAppender : public log4cplus::Appender {
 public:
     BoundedAppender(LogOutput output, std::uint64_t linesPerSecond);
@@ -48,6 +49,7 @@
     void append(const log4cplus::spi::InternalLoggingEvent& event) override;
 
 private:
+    /// Takes one line from the allowance. \returns false if the allowance is used up.
     bool tryConsumeAllowance(const log4cplus::spi::InternalLoggingEvent& event);
     void write(const std::string& line);
 
--- a/lib/Telemetry/Logs.cpp
+++ b/lib/Telemetry/Logs.cpp
@@ -1,8 +1,8 @@
 //===- lib/Telemetry/Logs.cpp - log lines through log4cplus ----------------===//
 ///
 /// \file
-/// One log4cplus logger per part, all writing to one output: an entry VM has no
-/// disk.
+/// One log4cplus logger for each component. All write to standard output or standard
+/// error, because an entry VM has no disk.
 //===----------------------------------------------------------------------===//
 #include "LogOutput.h"
 
--- a/lib/Telemetry/Metrics.cpp
+++ b/lib/Telemetry/Metrics.cpp
@@ -61,7 +61,7 @@
         "loop_lag_seconds",
     };
 
-    // From 50 microseconds to 100 seconds at ten cells a decade.
+    // From 50 microseconds to 100 seconds with ten cells per decade.
     constexpr unsigned cellCount = 63;
     constexpr double minSeconds = 50e-6;
     constexpr double maxSeconds = 100;
--- a/lib/Telemetry/Traces.cpp
+++ b/lib/Telemetry/Traces.cpp
@@ -1,7 +1,7 @@
-//===- lib/Telemetry/Traces.cpp - spans ------------------------------------===//
+//===- lib/Telemetry/Traces.cpp - trace contexts and spans -----------------===//
 ///
 /// \file
-/// W3C trace contexts, and a ring of the newest spans in OTLP/JSON form.
+/// W3C trace contexts, and a ring buffer of the newest spans with OTLP/JSON output.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Telemetry.h"
 
@@ -16,7 +16,7 @@
 
     constexpr std::size_t traceIdLength = 32;
     constexpr std::size_t spanIdLength = 16;
-    // version "-" trace "-" span "-" flags
+    // Layout of the header: version "-" trace id "-" span id "-" flags.
     constexpr std::size_t traceIdStart = 3;
     constexpr std::size_t spanIdStart = traceIdStart + traceIdLength + 1;
     constexpr std::size_t headerLength = spanIdStart + spanIdLength + 3;
@@ -130,7 +130,7 @@
     span_.parentSpanId_ = parent.spanId_;
     span_.step_ = std::move(step);
     span_.requestId_ = std::move(requestId);
-    // The wall clock only labels the span; no decision reads it.
+    // The wall clock serves only as the span's timestamp; no decision depends on it.
     span_.start_ = std::chrono::duration_cast<std::chrono::microseconds>(std::chrono::system_clock::now().time_since_epoch());
 }
 
--- a/lib/Wire/LinkStream.cpp
+++ b/lib/Wire/LinkStream.cpp
@@ -1,7 +1,8 @@
-//===- lib/Wire/LinkStream.cpp - one exchange on a link --------------------===//
+//===- lib/Wire/LinkStream.cpp - one stream of a peer link -----------------===//
 ///
 /// \file
-/// The part of a stream that its user's coroutine runs, off the link's strand.
+/// The members of a stream that run in the user's coroutine. They post all work on
+/// the nghttp2 session to the link's strand.
 //===----------------------------------------------------------------------===//
 #include "PeerLink.h"
 
@@ -12,7 +13,7 @@
 namespace {
 
     constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
-    // The window bounds the bytes; this bounds the count of small frames unread.
+    // The flow control window limits the bytes, this constant the number of small frames.
     constexpr std::size_t maxUnreadFrames = 64UL * 1024;
     constexpr std::size_t maxUnsentFrames = 16;
 
--- a/lib/Wire/PeerLink.cpp
+++ b/lib/Wire/PeerLink.cpp
@@ -17,7 +17,7 @@
     constexpr std::size_t readBufferSize = 64UL * 1024;
     constexpr std::size_t writeBatchSize = 64UL * 1024;
     constexpr std::size_t frameHeaderSize = 4;
-    // A frame larger than the window still passes, piece by piece.
+    // Frames may be larger than the window: decodeFrames() returns bytes early.
     constexpr std::int32_t streamWindow = 256 * 1024;
     constexpr std::int32_t connectionWindow = 16 * 1024 * 1024;
     constexpr std::uint32_t maxConcurrentStreams = 4096;
@@ -94,8 +94,8 @@
     asio::post(executor(), [self = shared_from_this()] { self->startWriting(); });
 }
 
-// Counted in intervals and not in time, so that a process that was frozen
-// itself reads what came meanwhile before it gives up on its peers.
+// Counts intervals instead of time, so that a process that was itself frozen reads
+// the input that has arrived meanwhile before it closes its connections.
 asio::awaitable<void> PeerLink::keepAliveLoop()
 {
     auto self = shared_from_this();
@@ -107,7 +107,7 @@
             continue;
         }
         if (idleIntervals_ >= keepAlive_.maxIdleIntervals_) {
-            close("the peer is silent");
+            close("the peer is unresponsive");
             co_return;
         }
         if (idleIntervals_++) {
@@ -137,7 +137,7 @@
         }
         startWriting();
     }
-    close("drained");
+    close("all streams have ended");
 }
 
 void PeerLink::startWriting()
@@ -173,7 +173,7 @@
     }
     isWriting_ = false;
     if (!nghttp2_session_want_read(session_) && !nghttp2_session_want_write(session_))
-        close("session ended");
+        close("the session has ended");
 }
 
 bool PeerLink::submit(const std::shared_ptr<LinkStream>& stream)
@@ -305,7 +305,7 @@
     while (stream.input_.size() - position >= frameHeaderSize) {
         std::size_t length = frameLength(std::string_view(stream.input_).substr(position));
         if (length > maxFrameSize.value_) {
-            report("read frame", "frame too long");
+            report("read frame", "the frame exceeds the maximum size");
             resetStream(stream, NGHTTP2_FRAME_SIZE_ERROR);
             return;
         }
@@ -314,14 +314,14 @@
         std::string frame = stream.input_.substr(position + frameHeaderSize, length);
         position += frameHeaderSize + length;
         if (!stream.frames_.try_send(boost::system::error_code {}, std::move(frame))) {
-            report("read frame", "too many frames unread");
+            report("read frame", "too many unread frames");
             resetStream(stream, NGHTTP2_FLOW_CONTROL_ERROR);
             return;
         }
     }
     stream.input_.erase(0, position);
-    // A frame larger than the window would never become whole if its parts
-    // held the window shut.
+    // A frame larger than the window would never become complete if its received bytes
+    // stayed unacknowledged in the window.
     constexpr std::size_t largeInput = streamWindow / 2;
     if (stream.input_.size() < largeInput)
         return;
--- a/lib/Wire/PeerLink.h
+++ b/lib/Wire/PeerLink.h
@@ -1,8 +1,8 @@
 //===- lib/Wire/PeerLink.h - one nghttp2 session over a socket -------------===//
 ///
 /// \file
-/// Drives an nghttp2 session, client or server, on the strand of its socket.
-/// PeerPool and PeerServer own links; streams keep their link alive.
+/// Runs an nghttp2 session, client or server, on the strand of its socket. PeerPool
+/// holds the outgoing links; the coroutines and streams of a link keep it alive.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -19,13 +19,13 @@
 
 class PeerLink;
 
-/// Bytes on the wire, shared by the links of one pool or server.
+/// Counts the bytes sent and received by all links of one pool or server.
 struct WireCounters {
     std::atomic<std::uint64_t> sent_ { 0 };
     std::atomic<std::uint64_t> received_ { 0 };
 };
 
-/// The state of one stream. Fields without a note belong to the link's strand.
+/// One stream of a link. Members without a comment are used only on the link's strand.
 class LinkStream : public PeerStream, public std::enable_shared_from_this<LinkStream> {
 public:
     LinkStream(std::shared_ptr<PeerLink> link, const asio::any_io_executor& executor);
@@ -45,7 +45,7 @@
 private:
     friend class PeerLink;
 
-    /// Bounds one receive(); used on the strand of the one that waits.
+    /// Timeouts of one receive(); used on the strand of the receiving coroutine.
     struct ReceiveTimer {
         SteadyTimer timer_;
         milliseconds idleTimeout_;
@@ -56,9 +56,10 @@
     };
 
     void reset(std::uint32_t errorCode);
+    /// Appends the end mark to the received frames.
     void endFrames();
     std::shared_ptr<ReceiveTimer> startReceiveTimer(const asio::any_io_executor& executor, milliseconds idleTimeout, milliseconds totalTimeout);
-    /// Cancels the stream when \p receiveTimer expires.
+    /// Cancels the stream if \p receiveTimer has expired, or else schedules the next check.
     void armReceiveTimer(const std::shared_ptr<ReceiveTimer>& receiveTimer);
 
     std::shared_ptr<PeerLink> link_;
@@ -67,30 +68,32 @@
     bool isPathKnown_ = false;
     bool isHandled_ = false;
     std::string input_;
-    // Bytes given back to the window before their frame was received.
+    // Bytes returned to the flow control window before their frame was received.
     std::size_t earlyConsumed_ = 0;
     std::deque<std::string> output_;
     std::size_t outputOffset_ = 0;
     bool isOutputEnded_ = false;
     bool isDeferred_ = false;
-    // Any strand: whole frames in, ended by an error in their order (closing the
-    // channel would drop what is unread), and one credit for each unsent frame.
+    // Used on any strand: the received frames, and one credit for each unsent frame.
+    // An error at the end of the frames marks their end, since closing the channel
+    // would drop unread frames.
     asio::experimental::concurrent_channel<void(boost::system::error_code, std::string)> frames_;
     asio::experimental::concurrent_channel<void(boost::system::error_code)> credits_;
-    // The reader's own: it has seen the end of the frames.
+    // Used only by the receiving coroutine: receive() has reached the end mark.
     bool hasReachedEnd_ = false;
-    // Written on the link's strand, read on any.
+    // Written on the link's strand, read on any strand.
     std::atomic<bool> isClosed_ { false };
-    // When the last bytes of the peer came.
+    // Time at which the last bytes were received. Written on the link's strand, read on any.
     std::atomic<SteadyTime> receivedAt_ { SteadyTime {} };
-    // Written before the frames end, read after.
+    // Written before the end mark of the frames, read after it.
     std::atomic<bool> isRefused_ { false };
     std::atomic<bool> isRemoteClosed_ { false };
     std::atomic<bool> isCancelled_ { false };
     std::atomic<bool> isFailed_ { false };
 };
 
-/// One session. start() once, then everything happens on its strand.
+/// One connection with its nghttp2 session. start() is called once; all other members
+/// except executor(), isUsable() and peer() are called on the link's strand.
 class PeerLink : public std::enable_shared_from_this<PeerLink> {
 public:
     enum class Side {
@@ -109,8 +112,8 @@
     const std::string& peer() const { return peer_; }
     asio::any_io_executor executor() { return socket_.get_executor(); }
 
-    /// On the strand: submits a request whose body is the stream's output.
-    /// \returns false when the session takes no more.
+    /// Submits a request whose body is the output of \p stream.
+    /// \returns false if the session accepts no more streams.
     bool submit(const std::shared_ptr<LinkStream>& stream);
     void resumeOutput(LinkStream& stream);
     void resetStream(LinkStream& stream, std::uint32_t errorCode);
@@ -132,6 +135,7 @@
     asio::awaitable<void> readLoop();
     asio::awaitable<void> writeLoop();
     asio::awaitable<void> keepAliveLoop();
+    /// Starts the write loop unless it is running.
     void startWriting();
     void handleRequestHeaders(std::int32_t streamId);
     void decodeFrames(LinkStream& stream, std::string_view data);
@@ -150,7 +154,7 @@
     WireErrorHook onError_;
     const KeepAlive keepAlive_;
     SteadyTimer keepAliveTimer_;
-    // Intervals in a row that brought no byte while streams were open.
+    // Consecutive intervals without input while streams were open.
     int idleIntervals_ = 0;
     nghttp2_session* session_ = nullptr;
     std::unordered_map<std::int32_t, std::shared_ptr<LinkStream>> streams_;
--- a/lib/Wire/Peers.cpp
+++ b/lib/Wire/Peers.cpp
@@ -1,7 +1,7 @@
-//===- lib/Wire/Peers.cpp - the pool of peers and the server ---------------===//
+//===- lib/Wire/Peers.cpp - peer pool and peer server ----------------------===//
 ///
 /// \file
-/// Outgoing and incoming links, and the translation of errors to the wire.
+/// Manages outgoing and incoming links, and converts errors to and from messages.
 //===----------------------------------------------------------------------===//
 #include "PeerLink.h"
 
@@ -84,8 +84,8 @@
     return found->second;
 }
 
-// Two coroutines may connect at once: the second one's link replaces the
-// first's in the pool, and both serve the streams they have.
+// Two coroutines may connect concurrently. The link that is made later then replaces the
+// earlier one in the pool, and both continue to serve their own streams.
 static asio::awaitable<Result<std::shared_ptr<PeerLink>>> connectLink(std::shared_ptr<PeerPool::State> state, Endpoint peer)
 {
     boost::system::error_code code;
@@ -129,13 +129,13 @@
         auto sent = co_await stream->send(first);
         if (!sent)
             co_return sent.error();
-        // A named function: GCC 12 destroys the captures of a temporary one in a
-        // co_await expression twice.
+        // The lambda has a name because GCC 12 destroys the captures of a temporary lambda
+        // in a co_await expression twice.
         auto submit = [link, stream]() -> asio::awaitable<bool> { co_return link->submit(stream); };
         bool isSubmitted = co_await asio::co_spawn(link->executor(), submit, asio::use_awaitable);
         if (isSubmitted)
             co_return std::static_pointer_cast<PeerStream>(stream);
-        // A link that took no stream leaves the pool, so that the next try connects.
+        // Removes the link that accepted no stream, so that the next try connects again.
         std::lock_guard lock(state_->mutex_);
         if (auto found = state_->links_.find(peer); found != state_->links_.end() && found->second == link)
             state_->links_.erase(found);
--- a/lib/Yaml/Yaml.cpp
+++ b/lib/Yaml/Yaml.cpp
@@ -1,7 +1,7 @@
-//===- lib/Yaml/Yaml.cpp - checked reading of YAML and JSON maps -----------===//
+//===- lib/Yaml/Yaml.cpp - validated access to YAML and JSON maps ----------===//
 ///
 /// \file
-/// YamlMap over yaml-cpp.
+/// Implements YamlMap over yaml-cpp.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Yaml.h"
 
@@ -41,18 +41,19 @@
         return value;
     }
 
-    /// A number such as 2.5s, whose value is a whole number of the smallest unit.
+    /// Parses a decimal fraction with its unit, such as 2.5s. The value must be an integral
+    /// multiple of the smallest unit.
     template <std::size_t Count>
     std::optional<std::uint64_t> parseFraction(std::string_view text, std::size_t point, const std::array<Unit, Count>& units)
     {
         std::size_t end = text.find_first_not_of("0123456789", point + 1);
         if (end == std::string_view::npos || end == point + 1)
             return std::nullopt;
-        auto whole = parseUnsigned(text.substr(0, point));
-        auto part = parseUnsigned(text.substr(point + 1, end - point - 1));
-        if (!whole || !part || *whole > std::numeric_limits<std::uint32_t>::max())
+        auto integerPart = parseUnsigned(text.substr(0, point));
+        auto fractionalPart = parseUnsigned(text.substr(point + 1, end - point - 1));
+        if (!integerPart || !fractionalPart || *integerPart > std::numeric_limits<std::uint32_t>::max())
             return std::nullopt;
-        double value = static_cast<double>(*whole) + static_cast<double>(*part) / std::pow(10.0, static_cast<double>(end - point - 1));
+        double value = static_cast<double>(*integerPart) + static_cast<double>(*fractionalPart) / std::pow(10.0, static_cast<double>(end - point - 1));
         for (const Unit& unit : units) {
             double scaled = value * static_cast<double>(unit.factor_);
             if (text.substr(end) == unit.name_ && std::abs(scaled - std::round(scaled)) < 1e-6)
--- a/unittests/Http/ServerTest.cpp
+++ b/unittests/Http/ServerTest.cpp
@@ -1,7 +1,9 @@
-//===- unittests/Http/ServerTest.cpp - closes that are announced -----------===//
+//===- unittests/Http/ServerTest.cpp - announced connection closes ---------===//
 ///
 /// \file
-/// What answers say of the connection that they come on.
+/// Tests the response headers that announce whether and when the connection closes. A
+/// close that is not announced may coincide with the caller's next request, which is
+/// then lost.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Http.h"
 
@@ -11,7 +13,7 @@
 using namespace pistachioloom;
 using tcp = asio::ip::tcp;
 
-TEST_CASE("four fifths of the idle time are announced, in whole seconds", "[http]")
+TEST_CASE("the Keep-Alive header announces four fifths of the idle time in whole seconds", "[http]")
 {
     struct Row {
         std::int64_t idle_;
@@ -32,7 +34,7 @@
 
 namespace {
 
-/// The head of the answer to \p request; the server handles nothing else.
+/// Starts a server, sends it \p request and returns the head of the response.
 std::string fetchHead(HttpBounds bounds, const HttpHandler& handler, const std::string& request)
 {
     asio::io_context io;
@@ -53,7 +55,7 @@
     return head;
 }
 
-asio::awaitable<void> answerWhole(HttpExchange& exchange)
+asio::awaitable<void> answerComplete(HttpExchange& exchange)
 {
     HttpResponse response { 200, {}, "whole" };
     (void)co_await exchange.respond(std::move(response));
@@ -74,7 +76,7 @@
 
 } // namespace
 
-TEST_CASE("answers on kept connections announce the idle time, the others the close", "[http]")
+TEST_CASE("responses announce the idle time of a persistent connection, or its close", "[http]")
 {
     struct Row {
         const char* name_;
@@ -85,13 +87,13 @@
     };
     const std::string closes = "Connection: close\r\n";
     auto row = GENERATE(values<Row>({
-        { "whole", answerWhole, 5000, "", "timeout=4" },
-        { "stream", answerStream, 5000, "", "timeout=4" },
-        { "too short to be told", answerWhole, 1000, "", "" },
-        { "the handler's own", answerWithOwnKeepAlive, 5000, "", "timeout=2" },
-        { "the caller closes", answerWhole, 5000, "close", "" },
-        { "the caller closes after a stream", answerStream, 5000, "close", "" },
-        { "no word of a connection that closes", answerWithOwnKeepAlive, 5000, "close", "" },
+        { "a complete response", answerComplete, 5000, "", "timeout=4" },
+        { "a streamed response", answerStream, 5000, "", "timeout=4" },
+        { "an idle time below the header's resolution", answerComplete, 1000, "", "" },
+        { "a Keep-Alive header set by the handler", answerWithOwnKeepAlive, 5000, "", "timeout=2" },
+        { "the caller asks for a close", answerComplete, 5000, "close", "" },
+        { "the caller asks for a close after a stream", answerStream, 5000, "close", "" },
+        { "the handler's Keep-Alive header is removed before a close", answerWithOwnKeepAlive, 5000, "close", "" },
     }));
     CAPTURE(row.name_);
     HttpBounds bounds;
@@ -109,13 +111,13 @@
     }
 }
 
-TEST_CASE("a server that stops announces the close with the answer under way", "[http]")
+TEST_CASE("a stopping server announces the close in the response in progress", "[http]")
 {
     asio::io_context io;
     HttpServer* running = nullptr;
     auto stopAndAnswer = [&](HttpExchange& exchange) -> asio::awaitable<void> {
         running->stopAccepting();
-        co_await answerWhole(exchange);
+        co_await answerComplete(exchange);
     };
     HttpServer server(io.get_executor(), {}, stopAndAnswer, errorResponse);
     running = &server;
--- a/unittests/Support/CompressionTest.cpp
+++ b/unittests/Support/CompressionTest.cpp
@@ -1,7 +1,7 @@
-//===- unittests/Support/CompressionTest.cpp - smaller messages ------------===//
+//===- unittests/Support/CompressionTest.cpp - compression with zlib -------===//
 ///
 /// \file
-/// Texts come back whole, and what is no compressed text is refused.
+/// Tests that decompress() restores compressed texts and rejects invalid input.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Support.h"
 
@@ -13,7 +13,7 @@
 
 constexpr ByteCount maxSize { 1024UL * 1024 };
 
-/// A configuration's text: 1,100 routes that differ in a few letters.
+/// Creates a configuration of 1,100 routes that differ in a few characters.
 std::string manyRoutes()
 {
     std::string text;
@@ -24,7 +24,7 @@
 
 } // namespace
 
-TEST_CASE("a compressed text comes back whole", "[support]")
+TEST_CASE("decompression restores the text", "[support]")
 {
     auto text = GENERATE(std::string(), std::string("a"), std::string(300000, 'x'), manyRoutes());
     std::string bytes = compress(text);
@@ -33,13 +33,13 @@
     CHECK(back.value() == text);
 }
 
-TEST_CASE("many routes take less than a fifth of their text", "[support]")
+TEST_CASE("a configuration of many routes compresses to less than a fifth", "[support]")
 {
     std::string text = manyRoutes();
     CHECK(compress(text).size() * 5 < text.size());
 }
 
-TEST_CASE("what is no whole stream, or too large, is refused with the reason", "[support]")
+TEST_CASE("an incomplete or invalid stream and a text above the maximum size are rejected with the reason", "[support]")
 {
     struct Row {
         std::string bytes_;
--- a/unittests/Support/SuspensionTest.cpp
+++ b/unittests/Support/SuspensionTest.cpp
@@ -1,8 +1,9 @@
-//===- unittests/Support/SuspensionTest.cpp - time across a suspension -----===//
+//===- unittests/Support/SuspensionTest.cpp - clocks after a suspension ----===//
 ///
 /// \file
-/// The kernel's clocks as they are after a suspension of the VM: the one since boot has
-/// gone on, the monotonic one has not.
+/// Tests leases, ages and timers after a suspension of the VM, during which the kernel's
+/// boot time clock advances and its monotonic clock stands still. If the product used
+/// the monotonic clock, a lease that expired during the suspension would seem valid.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Duties.h"
 #include "pistachioloom/Http.h"
@@ -17,7 +18,7 @@
 
 static std::atomic<std::int64_t> suspendedSeconds { 0 };
 
-/// Takes the place of the C library's.
+/// Replaces the C library's function and simulates suspensions.
 extern "C" int clock_gettime(clockid_t clock, timespec* time) noexcept
 {
     auto result = static_cast<int>(syscall(SYS_clock_gettime, clock, time));
@@ -31,7 +32,7 @@
     suspendedSeconds += length.count();
 }
 
-TEST_CASE("a lease that ran out while the VM was suspended is acted on after it", "[suspension]")
+TEST_CASE("a lease that expired while the VM was suspended is not used afterwards", "[suspension]")
 {
     DutyLease lease({ "node" }, {}, steadyNow());
     SteadyTime recordedAt = steadyNow();
@@ -40,7 +41,7 @@
     CHECK_FALSE(lease.mayAct(recordedAt, steadyNow()));
 }
 
-TEST_CASE("time in which the VM was suspended is left out of ages", "[suspension]")
+TEST_CASE("ages include the time of a suspension", "[suspension]")
 {
     SteadyTime before = steadyNow();
     milliseconds suspendedBefore = suspendedTime();
@@ -51,14 +52,14 @@
     CHECK(suspended <= milliseconds(7100));
 }
 
-TEST_CASE("a timer that was due in a suspension waits for its whole time after it", "[suspension]")
+TEST_CASE("a timer that expired during a suspension fires soon after it", "[suspension]")
 {
     constexpr std::chrono::seconds longDelay { 30 };
     boost::asio::io_context io;
     SteadyTimer timer(io, longDelay);
     bool hasFired = false;
     timer.async_wait([&](const boost::system::error_code& code) { hasFired = !code; });
-    // Loops of the product have a timer that is never far off.
+    // The product's event loops always have a timer that fires soon.
     SteadyTimer shortTimer(io, milliseconds(50));
     shortTimer.async_wait([](const boost::system::error_code&) {});
     suspend(longDelay);
--- a/unittests/Wire/PeerStreamTest.cpp
+++ b/unittests/Wire/PeerStreamTest.cpp
@@ -1,8 +1,8 @@
 //===- unittests/Wire/PeerStreamTest.cpp - streams between peers -----------===//
 ///
 /// \file
-/// Calls, long frames, refusals, wrong credentials and bad input between a
-/// pool and a server on loopback.
+/// Tests calls, large frames, refused streams, wrong credentials, cancellation and
+/// timeouts between a pool and a server on loopback.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Wire.h"
 
@@ -27,7 +27,8 @@
     return frame;
 }
 
-/// A server that answers every frame of a stream with the same frame.
+/// A server that sends back each frame of a stream. It refuses the stream of a
+/// vm_list_fetch, and answers a catalogue_fetch with frames until the stream is reset.
 class EchoServer {
 public:
     EchoServer()
@@ -61,7 +62,7 @@
     }
 
     asio::io_context io_;
-    /// What ended the stream of a catalogue_fetch.
+    /// The error of send() that ended the stream of a catalogue_fetch.
     std::promise<Errc> sendError_;
 
 private:
@@ -104,7 +105,7 @@
 
 } // namespace
 
-TEST_CASE("a call brings back its own frame, whatever its size")
+TEST_CASE("a call returns its own frame for any size")
 {
     EchoServer echo;
     PeerPool pool(echo.io_.get_executor(), credential, {});
@@ -115,7 +116,7 @@
     CHECK(reply.value().catalogue_update().snapshot().size() == size);
 }
 
-TEST_CASE("a wrong credential is refused as not run")
+TEST_CASE("a wrong credential is an error with ran No")
 {
     EchoServer echo;
     PeerPool pool(echo.io_.get_executor(), "another-credential", {});
@@ -124,7 +125,7 @@
     CHECK(reply.error().ran_ == Ran::No);
 }
 
-TEST_CASE("a refused stream and a draining server tell that nothing ran")
+TEST_CASE("a refused stream and a draining server return errors with ran No")
 {
     EchoServer echo;
     PeerPool pool(echo.io_.get_executor(), credential, {});
@@ -139,17 +140,17 @@
     CHECK(reply.error().ran_ == Ran::No);
 }
 
-TEST_CASE("a peer that is not there is an error that nothing ran")
+TEST_CASE("an unreachable peer is an error with ran No")
 {
     EchoServer echo;
     PeerPool pool(echo.io_.get_executor(), credential, {});
-    Endpoint nobody { "127.0.0.1", 1 };
-    auto reply = echo.call(pool, nobody, makeUpdate(1));
+    Endpoint closedPort { "127.0.0.1", 1 };
+    auto reply = echo.call(pool, closedPort, makeUpdate(1));
     REQUIRE(!reply);
     CHECK(reply.error().ran_ == Ran::No);
 }
 
-TEST_CASE("a peer learns whether its work was cancelled or goes on for somebody else")
+TEST_CASE("a peer can tell a cancelled stream from a released one")
 {
     auto isCancelled = GENERATE(true, false);
     EchoServer echo;
@@ -168,7 +169,7 @@
     CHECK(echo.sendError_.get_future().get() == (isCancelled ? Errc::Cancelled : Errc::Reset));
 }
 
-TEST_CASE("a stream to a peer that is frozen is reset, not left to its deadline")
+TEST_CASE("a stream to a frozen peer is reset before its deadline")
 {
     EchoServer echo;
     asio::io_context io;
@@ -178,7 +179,7 @@
     auto task = [&]() -> asio::awaitable<void> {
         auto opened = co_await pool.open(echo.endpoint(), makeUpdate(1), callTimeout);
         auto first = co_await opened.value()->receive();
-        // A silent stream of a peer that is alive stays.
+        // An idle stream of a responsive peer stays open.
         SteadyTimer timer(io, milliseconds(300));
         co_await timer.async_wait(asio::use_awaitable);
         auto sent = co_await opened.value()->send(makeUpdate(2));
@@ -196,11 +197,11 @@
 
 namespace {
 
-/// A link between a pool and a server that is slow downwards.
+/// Limits on the traffic from the server to the pool.
 struct ThrottledLink {
-    /// Between parts of 16 KB.
+    /// Delay before each chunk of up to 16 KiB is forwarded.
     milliseconds pause_;
-    /// Nothing comes after so many bytes.
+    /// Bytes after which the forwarding stops.
     std::size_t maxBytes_;
 };
 
@@ -221,7 +222,7 @@
     }
 }
 
-/// Takes one connection and forwards it to \p server.
+/// Accepts one connection and forwards it to \p server.
 asio::awaitable<void> proxyOneConnection(std::shared_ptr<asio::ip::tcp::acceptor> acceptor, Endpoint server, ThrottledLink speed)
 {
     auto near = std::make_shared<asio::ip::tcp::socket>(co_await acceptor->async_accept(asio::use_awaitable));
@@ -244,15 +245,15 @@
 };
 
 const std::vector<TimeoutCase> timeoutCases {
-    { "a slow frame that goes on coming", { milliseconds(20), SIZE_MAX }, milliseconds(200), callTimeout, true, milliseconds(300), callTimeout },
-    { "a frame that takes too long altogether", { milliseconds(20), SIZE_MAX }, milliseconds(200), milliseconds(250), false, milliseconds(250), milliseconds(2000) },
-    { "a peer that says nothing", { milliseconds(0), 1 }, milliseconds(200), callTimeout, false, milliseconds(200), milliseconds(2000) },
-    { "a frame that stops coming", { milliseconds(20), 100UL * 1024 }, milliseconds(200), callTimeout, false, milliseconds(300), milliseconds(2000) },
+    { "a slow frame that keeps arriving", { milliseconds(20), SIZE_MAX }, milliseconds(200), callTimeout, true, milliseconds(300), callTimeout },
+    { "a frame that exceeds the total timeout", { milliseconds(20), SIZE_MAX }, milliseconds(200), milliseconds(250), false, milliseconds(250), milliseconds(2000) },
+    { "a peer that sends nothing", { milliseconds(0), 1 }, milliseconds(200), callTimeout, false, milliseconds(200), milliseconds(2000) },
+    { "a frame that stops arriving", { milliseconds(20), 100UL * 1024 }, milliseconds(200), callTimeout, false, milliseconds(300), milliseconds(2000) },
 };
 
 } // namespace
 
-TEST_CASE("a long frame is waited for while it comes, and a silent peer is left")
+TEST_CASE("a large frame is awaited while it arrives, and an idle stream is cancelled")
 {
     auto index = GENERATE(range(std::size_t { 0 }, timeoutCases.size()));
     const TimeoutCase& row = timeoutCases[index];
