--- a/benchmarks/ConfigurationBenchmark.cpp
+++ b/benchmarks/ConfigurationBenchmark.cpp
@@ -21,7 +21,7 @@
 // The size of a large organisation's configuration: 780 KB of text.
 constexpr int routeCount = 4240;
 constexpr int organisationCount = 16;
-constexpr ByteCount longestText { 16UL * 1024 * 1024 };
+constexpr ByteCount maxTextSize { 16UL * 1024 * 1024 };
 
 std::string routeText(int index)
 {
@@ -60,14 +60,14 @@
     std::vector<double> times;
     for (int i = 0; i < runs; ++i) {
         auto argument = prepare();
-        double began = processorMs();
+        double startedAt = processorMs();
         auto outcome = step(std::move(argument));
-        times.push_back(processorMs() - began);
+        times.push_back(processorMs() - startedAt);
     }
     std::printf("%-10s %8.2f %8.2f\n", name, test::percentile(times, 0), test::percentile(times, 0.5));
 }
 
-void takeIn(const std::string& text)
+void processConfiguration(const std::string& text)
 {
     auto decoded = platform::decodeConfiguration(text);
     if (decoded)
@@ -76,16 +76,16 @@
 }
 
 /// Whether the event loop does the work itself.
-enum class Place {
+enum class ExecutionPlace {
     OnLoop,
-    BesideLoop,
+    OnThread,
 };
 
-asio::awaitable<void> takeInAt(Place place, Background& background, const std::string& text, bool& isDone)
+asio::awaitable<void> processConfigurationAt(ExecutionPlace place, Background& background, const std::string& text, bool& isDone)
 {
     co_await sleepFor(milliseconds(5));
-    std::function<void()> work = [&text] { takeIn(text); };
-    if (place == Place::OnLoop)
+    std::function<void()> work = [&text] { processConfiguration(text); };
+    if (place == ExecutionPlace::OnLoop)
         work();
     else
         co_await background.run(std::move(work));
@@ -93,29 +93,29 @@
 }
 
 /// The latest that a sleeper of 1 ms woke meanwhile, in milliseconds.
-asio::awaitable<void> watch(double& latest, const bool& isDone)
+asio::awaitable<void> measureLag(double& maxLag, const bool& isDone)
 {
     while (!isDone) {
-        auto began = steadyNow();
+        auto startedAt = steadyNow();
         co_await sleepFor(milliseconds(1));
-        std::chrono::duration<double, std::milli> slept = steadyNow() - began;
-        latest = std::max(latest, slept.count() - 1);
+        std::chrono::duration<double, std::milli> slept = steadyNow() - startedAt;
+        maxLag = std::max(maxLag, slept.count() - 1);
     }
 }
 
-void reportLag(const char* name, Place place, const std::string& text)
+void reportLag(const char* name, ExecutionPlace place, const std::string& text)
 {
-    std::vector<double> latest;
+    std::vector<double> maxLag;
     for (int i = 0; i < runs; ++i) {
         asio::io_context io(1);
         Background background;
         bool isDone = false;
-        latest.push_back(0);
-        asio::co_spawn(io, takeInAt(place, background, text, isDone), asio::detached);
-        asio::co_spawn(io, watch(latest.back(), isDone), asio::detached);
+        maxLag.push_back(0);
+        asio::co_spawn(io, processConfigurationAt(place, background, text, isDone), asio::detached);
+        asio::co_spawn(io, measureLag(maxLag.back(), isDone), asio::detached);
         io.run();
     }
-    std::printf("%-12s %8.2f %8.2f\n", name, test::percentile(latest, 0), test::percentile(latest, 0.5));
+    std::printf("%-12s %8.2f %8.2f\n", name, test::percentile(maxLag, 0), test::percentile(maxLag, 0.5));
 }
 
 } // namespace
@@ -125,7 +125,7 @@
     const std::string text = configurationText();
     auto decoded = platform::decodeConfiguration(text);
     const std::string compressed = compress(text);
-    auto restored = decompress(compressed, longestText);
+    auto restored = decompress(compressed, maxTextSize);
     if (!decoded || decoded.value().routes_.size() != routeCount || !restored || restored.value() != text) {
         std::printf("the steps do not fit each other\n");
         return 1;
@@ -139,10 +139,10 @@
     report(
         "compress", [&]() -> const std::string& { return text; }, [](const std::string& source) { return compress(source); });
     report(
-        "decompress", [&]() -> const std::string& { return compressed; }, [](const std::string& bytes) { return decompress(bytes, longestText); });
+        "decompress", [&]() -> const std::string& { return compressed; }, [](const std::string& bytes) { return decompress(bytes, maxTextSize); });
     // On one core, by `taskset -c`, loop and thread share it.
     std::printf("how late the event loop runs at most meanwhile, in ms\n");
-    reportLag("on loop", Place::OnLoop, text);
-    reportLag("beside loop", Place::BesideLoop, text);
+    reportLag("on loop", ExecutionPlace::OnLoop, text);
+    reportLag("beside loop", ExecutionPlace::OnThread, text);
     return 0;
 }
--- a/benchmarks/ControlBenchmark.cpp
+++ b/benchmarks/ControlBenchmark.cpp
@@ -31,18 +31,18 @@
 /// What the nodes used over \p duration, the mean and the highest of a node.
 std::pair<Sample, Sample> measureIdle(Deployment& deployment, milliseconds duration)
 {
-    struct Before {
+    struct Counters {
         double processor_;
         double sent_;
         double received_;
     };
-    std::vector<Before> before;
+    std::vector<Counters> before;
     for (auto& node : deployment.nodes())
         before.push_back({ static_cast<double>(node.process_->processorTime().count()), deployment.metric(node, "peer_bytes_sent"), deployment.metric(node, "peer_bytes_received") });
     std::this_thread::sleep_for(duration);
     double seconds = std::chrono::duration<double>(duration).count();
     Sample mean;
-    Sample most;
+    Sample maximum;
     auto count = static_cast<double>(deployment.nodes().size());
     for (std::size_t i = 0; i < before.size(); ++i) {
         auto& node = deployment.nodes()[i];
@@ -55,12 +55,12 @@
         mean.sentPerSecond_ += sample.sentPerSecond_ / count;
         mean.receivedPerSecond_ += sample.receivedPerSecond_ / count;
         mean.memoryMiB_ += sample.memoryMiB_ / count;
-        most.processorPercent_ = std::max(most.processorPercent_, sample.processorPercent_);
-        most.sentPerSecond_ = std::max(most.sentPerSecond_, sample.sentPerSecond_);
-        most.receivedPerSecond_ = std::max(most.receivedPerSecond_, sample.receivedPerSecond_);
-        most.memoryMiB_ = std::max(most.memoryMiB_, sample.memoryMiB_);
+        maximum.processorPercent_ = std::max(maximum.processorPercent_, sample.processorPercent_);
+        maximum.sentPerSecond_ = std::max(maximum.sentPerSecond_, sample.sentPerSecond_);
+        maximum.receivedPerSecond_ = std::max(maximum.receivedPerSecond_, sample.receivedPerSecond_);
+        maximum.memoryMiB_ = std::max(maximum.memoryMiB_, sample.memoryMiB_);
     }
-    return { mean, most };
+    return { mean, maximum };
 }
 
 std::string workloadName(std::size_t number)
@@ -121,15 +121,15 @@
             std::printf("  an edit was not accepted: %s\n", output.c_str());
             continue;
         }
-        auto began = std::chrono::steady_clock::now();
+        auto startedAt = std::chrono::steady_clock::now();
         deployment.waitForCatalogue(milliseconds(20000));
-        times.push_back(std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - began).count());
+        times.push_back(std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - startedAt).count());
     }
     return times;
 }
 
 /// Puts \p count engines on the list that nothing runs behind, \p first and on.
-void listEngines(Deployment& deployment, std::size_t first, std::size_t count)
+void putListedEngines(Deployment& deployment, std::size_t first, std::size_t count)
 {
     boost::json::array vms;
     for (std::size_t i = first; i < first + count; ++i) {
@@ -147,7 +147,7 @@
     deployment.controlPlatform({ { "put_vms", std::move(vms) } });
 }
 
-bool waitForList(Deployment& deployment)
+bool waitForVmList(Deployment& deployment)
 {
     auto version = static_cast<double>(numberField(deployment.controlPlatform(), "version"));
     return waitUntil([&] {
@@ -155,7 +155,7 @@
     });
 }
 
-double sentByAll(Deployment& deployment)
+double totalBytesSent(Deployment& deployment)
 {
     double sum = 0;
     for (auto& node : deployment.nodes())
@@ -163,33 +163,33 @@
     return sum;
 }
 
-/// What one changed VM of a list of \p listed costs each node.
-void measureListChanges(Deployment& deployment, std::size_t listed, double idlePerSecond)
+/// What one changed VM of a list of \p listedVms costs each node.
+void measureListChanges(Deployment& deployment, std::size_t listedVms, double idlePerSecond)
 {
     constexpr int changes = 20;
-    listEngines(deployment, 0, listed);
-    waitForList(deployment);
-    double before = sentByAll(deployment);
+    putListedEngines(deployment, 0, listedVms);
+    waitForVmList(deployment);
+    double before = totalBytesSent(deployment);
     std::vector<double> times;
-    auto began = std::chrono::steady_clock::now();
+    auto startedAt = std::chrono::steady_clock::now();
     for (int i = 0; i < changes; ++i) {
         auto changedAt = std::chrono::steady_clock::now();
-        listEngines(deployment, listed + static_cast<std::size_t>(i), 1);
-        waitForList(deployment);
+        putListedEngines(deployment, listedVms + static_cast<std::size_t>(i), 1);
+        waitForVmList(deployment);
         times.push_back(std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - changedAt).count());
     }
-    double seconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
+    double seconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - startedAt).count();
     auto nodes = static_cast<double>(deployment.nodes().size());
-    double perChange = ((sentByAll(deployment) - before) / nodes - idlePerSecond * seconds) / changes;
-    std::printf("       a changed VM of %zu listed: %.0f B sent a node, known to all after p50 %.0f ms, p99 %.0f ms\n", listed, perChange, percentile(times, 0.5), percentile(times, 0.99));
+    double perChange = ((totalBytesSent(deployment) - before) / nodes - idlePerSecond * seconds) / changes;
+    std::printf("       a changed VM of %zu listed: %.0f B sent a node, known to all after p50 %.0f ms, p99 %.0f ms\n", listedVms, perChange, percentile(times, 0.5), percentile(times, 0.99));
 }
 
 /// Milliseconds until every live node of the data centre has the victim out.
-double measureDetection(Deployment& deployment, bool isFreeze)
+double measureDetection(Deployment& deployment, bool shouldFreeze)
 {
     auto& victim = deployment.nodes().front();
-    auto began = std::chrono::steady_clock::now();
-    if (isFreeze)
+    auto startedAt = std::chrono::steady_clock::now();
+    if (shouldFreeze)
         victim.process_->freeze();
     else
         victim.process_->kill();
@@ -197,17 +197,17 @@
         for (auto& node : deployment.nodes()) {
             if (node.dataCentre_ != victim.dataCentre_ || node.id_ == victim.id_)
                 continue;
-            auto listed = deployment.ask(node, "/nodes");
-            if (!listed.is_object())
+            auto listedVms = deployment.ask(node, "/nodes");
+            if (!listedVms.is_object())
                 return false;
-            for (const auto& line : objectsField(listed.as_object(), "nodes")) {
+            for (const auto& line : objectsField(listedVms.as_object(), "nodes")) {
                 if (textField(line, "node") == victim.id_ && textField(line, "state") != "out")
                     return false;
             }
         }
         return true;
     });
-    double time = std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - began).count();
+    double time = std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - startedAt).count();
     victim.process_->resume();
     return time;
 }
@@ -221,14 +221,14 @@
     std::size_t dataCentres = 1;
     int seconds = 10;
     int edits = 20;
-    std::size_t listed = 2400;
+    std::size_t listedVms = 2400;
     std::size_t entries = 0;
     app.add_option("--nodes", sizes, "Nodes of each data centre, several sizes");
     app.add_option("--data-centres", dataCentres, "Data centres");
     app.add_option("--seconds", seconds, "Length of each measurement");
     app.add_option("--edits", edits, "Catalogue edits at each size");
     app.add_option("--entries", entries, "Entries with a request in progress at every node");
-    app.add_option("--listed", listed, "VMs on the list when one changes");
+    app.add_option("--listed", listedVms, "VMs on the list when one changes");
     CLI11_PARSE(app, argc, argv);
     std::printf("%6s %4s | %9s %9s | %9s %9s %9s | %8s %8s | %9s %9s | %9s\n", "nodes", "dcs", "cpu %", "most", "sent B/s", "recv B/s", "most sent", "MiB", "most", "force p50", "force p99", "dead ms");
     for (std::size_t size : sizes) {
@@ -245,12 +245,12 @@
         std::optional<ActiveEntries> active;
         if (entries)
             active.emplace(deployment, entries);
-        auto [mean, most] = measureIdle(deployment, milliseconds(seconds * 1000));
+        auto [mean, maximum] = measureIdle(deployment, milliseconds(seconds * 1000));
         auto propagation = measurePropagation(deployment, edits);
-        if (listed)
-            measureListChanges(deployment, listed, mean.sentPerSecond_);
+        if (listedVms)
+            measureListChanges(deployment, listedVms, mean.sentPerSecond_);
         double detection = measureDetection(deployment, false);
-        std::printf("%6zu %4zu | %9.2f %9.2f | %9.0f %9.0f %9.0f | %8.1f %8.1f | %9.0f %9.0f | %9.0f\n", size, dataCentres, mean.processorPercent_, most.processorPercent_, mean.sentPerSecond_, mean.receivedPerSecond_, most.sentPerSecond_, mean.memoryMiB_, most.memoryMiB_, percentile(propagation, 0.5), percentile(propagation, 0.99), detection);
+        std::printf("%6zu %4zu | %9.2f %9.2f | %9.0f %9.0f %9.0f | %8.1f %8.1f | %9.0f %9.0f | %9.0f\n", size, dataCentres, mean.processorPercent_, maximum.processorPercent_, mean.sentPerSecond_, mean.receivedPerSecond_, maximum.sentPerSecond_, mean.memoryMiB_, maximum.memoryMiB_, percentile(propagation, 0.5), percentile(propagation, 0.99), detection);
         std::fflush(stdout);
     }
     return 0;
--- a/benchmarks/DecisionBenchmark.cpp
+++ b/benchmarks/DecisionBenchmark.cpp
@@ -23,14 +23,14 @@
 bool isWithinBounds = true;
 
 /// The median time of one of \p count calls, in microseconds.
-double timeOf(int count, const std::function<void()>& work)
+double medianTimeUs(int count, const std::function<void()>& work)
 {
     std::vector<double> times;
     for (int sample = 0; sample < samples; ++sample) {
-        auto began = std::chrono::steady_clock::now();
+        auto startedAt = std::chrono::steady_clock::now();
         for (int i = 0; i < count; ++i)
             work();
-        std::chrono::duration<double, std::micro> elapsed = std::chrono::steady_clock::now() - began;
+        std::chrono::duration<double, std::micro> elapsed = std::chrono::steady_clock::now() - startedAt;
         times.push_back(elapsed.count() / count);
     }
     std::sort(times.begin(), times.end());
@@ -42,11 +42,11 @@
     return mallinfo2().uordblks;
 }
 
-void bound(const char* what, double value, double most)
+void checkBound(const char* what, double value, double maxValue)
 {
-    bool isGood = value <= most;
-    isWithinBounds &= isGood;
-    std::printf("  bound: %s is %.2f, at most %.2f: %s\n", what, value, most, isGood ? "ok" : "FAILED");
+    bool hasPassed = value <= maxValue;
+    isWithinBounds &= hasPassed;
+    std::printf("  bound: %s is %.2f, at most %.2f: %s\n", what, value, maxValue, hasPassed ? "ok" : "FAILED");
 }
 
 VmList makeList(std::size_t dataCentres, std::size_t nodes, std::size_t engines)
@@ -98,7 +98,7 @@
         std::vector<NodeDigest> digests;
         for (std::size_t i = 1; i < size.nodes_; ++i)
             digests.push_back(makeDigest(i));
-        double merge = timeOf(200, [&] {
+        double merge = medianTimeUs(200, [&] {
             for (NodeDigest& digest : digests)
                 ++digest.heartbeat_;
             table.merge(digests, now);
@@ -107,9 +107,9 @@
         std::size_t before = heapBytes();
         auto index = indexVmList(list);
         std::size_t memory = heapBytes() - before;
-        double indexing = timeOf(3, [&] { indexVmList(list); });
+        double indexing = medianTimeUs(3, [&] { indexVmList(list); });
         LeavingTable leaving;
-        double view = timeOf(20, [&] { buildView(index, table, leaving, { "data-centre-0" }, now); });
+        double view = medianTimeUs(20, [&] { buildView(index, table, leaving, { "data-centre-0" }, now); });
         wire::Frame frame;
         for (std::size_t i = 0; i < size.nodes_; ++i) {
             NodeDigest digest = makeDigest(i);
@@ -135,7 +135,7 @@
         if (size.nodes_ == 52)
             largeView = view / static_cast<double>(list.vms_.size());
     }
-    bound("view time per VM, largest against smallest", largeView / smallView, 3);
+    checkBound("view time per VM, largest against smallest", largeView / smallView, 3);
 }
 
 void benchRouting()
@@ -150,13 +150,13 @@
         for (std::size_t i = 0; i < count; ++i)
             engines.push_back({ "engine-0-" + std::to_string(i) });
         std::uint64_t prefix = 0;
-        double sample = timeOf(50, [&] { sampleEngines(++prefix, engines, 2, 2, [&] { return generator(); }); });
+        double sample = medianTimeUs(50, [&] { sampleEngines(++prefix, engines, 2, 2, [&] { return generator(); }); });
         std::vector<EngineCandidate> candidates(8);
-        double rank = timeOf(2000, [&] { rankEngines(candidates, {}); });
+        double rank = medianTimeUs(2000, [&] { rankEngines(candidates, {}); });
         std::printf("%8zu %14.2f %14.2f %14.2f\n", count, sample, rank, sample + rank);
         (count == 12 ? rankSmall : rankLarge) = rank;
     }
-    bound("time to rank the sample, at 2,100 engines against 12", rankLarge / rankSmall, 2);
+    checkBound("time to rank the sample, at 2,100 engines against 12", rankLarge / rankSmall, 2);
 }
 
 void benchLedger()
@@ -172,7 +172,7 @@
         for (std::size_t i = 0; i < count; ++i)
             keys.push_back(makeCallKey({ "rede" }, { "labels" }, { "order-" + std::to_string(i) }));
         std::size_t keysOnly = heapBytes() - before;
-        auto began = std::chrono::steady_clock::now();
+        auto startedAt = std::chrono::steady_clock::now();
         for (std::size_t i = 0; i < count; ++i) {
             LedgerItem intent { LedgerItem::Type::Intent, keys[i], { "b41f0a52-66c5-4be8-9d4d-9f9f3d1d1c11" }, sha256Hex("body"), {} };
             LedgerItem outcome = intent;
@@ -181,15 +181,15 @@
             shard.apply({ 2 * i }, { intent });
             shard.apply({ 2 * i + 1 }, { outcome });
         }
-        std::chrono::duration<double, std::micro> elapsed = std::chrono::steady_clock::now() - began;
+        std::chrono::duration<double, std::micro> elapsed = std::chrono::steady_clock::now() - startedAt;
         double bytes = static_cast<double>(heapBytes() - before - keysOnly) / static_cast<double>(count);
         std::size_t next = 0;
-        double find = timeOf(5000, [&] { shard.find(keys[next++ % count]); });
+        double find = medianTimeUs(5000, [&] { shard.find(keys[next++ % count]); });
         double apply = elapsed.count() / static_cast<double>(2 * count);
         std::printf("%8zu %14.2f %14.2f %14.0f\n", count, apply, find, bytes);
         (count == 1000 ? small : large) = bytes;
     }
-    bound("bytes per key, 100,000 keys against 1,000", large / small, 1.3);
+    checkBound("bytes per key, 100,000 keys against 1,000", large / small, 1.3);
 }
 
 std::string entryText(std::size_t index)
@@ -212,16 +212,16 @@
         for (std::size_t i = 0; i < count; ++i)
             state.apply({ offset++ }, encodeEdit({ { makeUuid() }, { "entry-" + std::to_string(i) }, {}, entryText(i) }));
         double bytes = static_cast<double>(heapBytes() - before) / static_cast<double>(count);
-        double edit = timeOf(10, [&] {
+        double edit = medianTimeUs(10, [&] {
             auto current = state.view().findEntry({ "entry-1" });
             state.apply({ offset++ }, encodeEdit({ { makeUuid() }, { "entry-1" }, current->version_, entryText(1) }));
         });
-        double publish = timeOf(10, [&] { auto copy = std::make_shared<const CatalogueView>(state.view()); });
-        double find = timeOf(1000, [&] { state.view().findByApiKey("1"); });
+        double publish = medianTimeUs(10, [&] { auto copy = std::make_shared<const CatalogueView>(state.view()); });
+        double find = medianTimeUs(1000, [&] { state.view().findByApiKey("1"); });
         std::printf("%8zu %14.1f %14.1f %14.2f %14.0f %14.1f\n", count, edit, publish, find, bytes, static_cast<double>(state.encodeSnapshot().size()) / 1024);
         (count == 10 ? smallBytes : largeBytes) = bytes;
     }
-    bound("bytes per entry, 1,000 entries against 10", largeBytes / smallBytes, 1.5);
+    checkBound("bytes per entry, 1,000 entries against 10", largeBytes / smallBytes, 1.5);
 }
 
 void benchLimits()
@@ -234,7 +234,7 @@
         for (std::size_t i = 0; i < count; ++i)
             nodes.push_back({ "entry-0-" + std::to_string(i) });
         std::size_t next = 0;
-        double grant = timeOf(2000, [&] { table.request({ "entry" }, nodes[next++ % count], 100, 2, 6, milliseconds(2000), SteadyTime {}); });
+        double grant = medianTimeUs(2000, [&] { table.request({ "entry" }, nodes[next++ % count], 100, 2, 6, milliseconds(2000), SteadyTime {}); });
         std::printf("%8zu %14.2f\n", count, grant);
     }
 }
--- a/benchmarks/FloodBenchmark.cpp
+++ b/benchmarks/FloodBenchmark.cpp
@@ -26,31 +26,31 @@
 constexpr std::size_t engines = 6;
 /// Answers a second that the engines can give.
 constexpr double capacity = static_cast<double>(engines * slotsPerEngine) * 1e6 / static_cast<double>(tokensPerAnswer * microsPerToken);
-constexpr double paidPart = 0.5;
-constexpr double floodFactor = 10;
+constexpr double paidLoad = 0.5;
+constexpr double trialLoad = 10;
 /// The p99 of paid first tokens with the flood, against without it.
-constexpr double mostGrowth = 1.05;
+constexpr double maxGrowth = 1.05;
 /// What the machine itself adds when it is this busy.
 constexpr double noiseMs = 5;
 
-struct Tally {
+struct AnswerStats {
     std::vector<double> firstToken_;
-    std::vector<double> whole_;
+    std::vector<double> fullAnswer_;
     std::size_t answered_ = 0;
-    std::size_t refused_ = 0;
+    std::size_t rejected_ = 0;
     std::size_t failed_ = 0;
 
-    void count(const Answer& answer, SteadyTime began)
+    void count(const Answer& answer, SteadyTime startedAt)
     {
         if (!answer.isDone_) {
             if (answer.error_ && answer.error_->ran_ != Ran::No)
                 std::printf("failed: %s\n", describe(*answer.error_).c_str());
-            ++(answer.error_ && answer.error_->ran_ == Ran::No ? refused_ : failed_);
+            ++(answer.error_ && answer.error_->ran_ == Ran::No ? rejected_ : failed_);
             return;
         }
         ++answered_;
         firstToken_.push_back(static_cast<double>(answer.firstToken_.count()));
-        whole_.push_back(std::chrono::duration<double, std::milli>(steadyNow() - began).count());
+        fullAnswer_.push_back(std::chrono::duration<double, std::milli>(steadyNow() - startedAt).count());
     }
 };
 
@@ -63,53 +63,53 @@
     return workload("rede", "paid", 50) + workload("visitante", "trial", 8) + "name: planogram\nkind: engine\npaid_reserve: " + std::to_string(paidReserve) + "\nconcurrency: " + std::to_string(slotsPerEngine) + "\n";
 }
 
-asio::awaitable<void> askOnce(Endpoint entry, std::string entryName, std::string prompt, Tally& tally)
+asio::awaitable<void> sendRequest(Endpoint entry, std::string entryName, std::string prompt, AnswerStats& stats)
 {
-    SteadyTime began = steadyNow();
+    SteadyTime startedAt = steadyNow();
     Completion completion { Deployment::apiKey(entryName), "planogram", prompt, tokensPerAnswer };
     Answer answer = co_await streamCompletion(entry, completion);
-    tally.count(answer, began);
+    stats.count(answer, startedAt);
 }
 
 /// Arrivals at \p perSecond, independent of the answers.
-asio::awaitable<void> arrive(std::vector<Endpoint> entries, std::string entryName, double perSecond, SteadyTime until, Tally& tally)
+asio::awaitable<void> generateArrivals(std::vector<Endpoint> entries, std::string entryName, double perSecond, SteadyTime endTime, AnswerStats& stats)
 {
     auto executor = co_await asio::this_coro::executor;
     std::mt19937_64 random(7);
     std::exponential_distribution<double> gap(perSecond);
     SteadyTimer timer(executor, steadyNow());
-    for (std::size_t i = 0; timer.expiry() < until; ++i) {
+    for (std::size_t i = 0; timer.expiry() < endTime; ++i) {
         timer.expires_at(timer.expiry() + std::chrono::duration_cast<std::chrono::nanoseconds>(std::chrono::duration<double>(gap(random))));
         co_await timer.async_wait(asio::use_awaitable);
-        asio::co_spawn(executor, askOnce(entries[i % entries.size()], entryName, entryName + " " + std::to_string(i), tally), asio::detached);
+        asio::co_spawn(executor, sendRequest(entries[i % entries.size()], entryName, entryName + " " + std::to_string(i), stats), asio::detached);
     }
 }
 
-struct Outcome {
-    Tally paid_;
-    Tally trial_;
+struct RunResult {
+    AnswerStats paid_;
+    AnswerStats trial_;
 };
 
-Outcome run(Deployment& deployment, bool hasFlood, milliseconds lasts)
+RunResult run(Deployment& deployment, bool hasFlood, milliseconds duration)
 {
-    Outcome outcome;
+    RunResult result;
     auto entries = deployment.callerEndpoints();
-    SteadyTime until = steadyNow() + lasts;
+    SteadyTime endTime = steadyNow() + duration;
     asio::io_context paid;
     asio::io_context trials;
-    asio::co_spawn(paid, arrive(entries, "rede", paidPart * capacity, until, outcome.paid_), asio::detached);
+    asio::co_spawn(paid, generateArrivals(entries, "rede", paidLoad * capacity, endTime, result.paid_), asio::detached);
     if (hasFlood)
-        asio::co_spawn(trials, arrive(entries, "visitante", floodFactor * capacity, until, outcome.trial_), asio::detached);
+        asio::co_spawn(trials, generateArrivals(entries, "visitante", trialLoad * capacity, endTime, result.trial_), asio::detached);
     std::thread flood([&] { trials.run(); });
     paid.run();
     flood.join();
-    return outcome;
+    return result;
 }
 
-void print(const char* name, const Tally& tally)
+void print(const char* name, const AnswerStats& stats)
 {
-    std::printf("%-28s | %8zu %8zu %6zu | %8.0f %8.0f %8.0f | %8.0f\n", name, tally.answered_, tally.refused_, tally.failed_, percentile(tally.firstToken_, 0.5),
-        percentile(tally.firstToken_, 0.95), percentile(tally.firstToken_, 0.99), percentile(tally.whole_, 0.5));
+    std::printf("%-28s | %8zu %8zu %6zu | %8.0f %8.0f %8.0f | %8.0f\n", name, stats.answered_, stats.rejected_, stats.failed_, percentile(stats.firstToken_, 0.5),
+        percentile(stats.firstToken_, 0.95), percentile(stats.firstToken_, 0.99), percentile(stats.fullAnswer_, 0.5));
 }
 
 } // namespace
@@ -128,19 +128,19 @@
     Deployment deployment(options);
     deployment.applyCatalogue(catalogue(paidReserve));
     constexpr milliseconds warmUp { 3000 };
-    constexpr milliseconds lasts { 20000 };
+    constexpr milliseconds duration { 20000 };
     (void)run(deployment, false, warmUp);
-    Outcome alone = run(deployment, false, lasts);
-    Outcome flooded = run(deployment, true, lasts);
+    RunResult baseline = run(deployment, false, duration);
+    RunResult flooded = run(deployment, true, duration);
     std::printf("%-28s | %8s %8s %6s | %8s %8s %8s | %8s\n", "", "answered", "refused", "failed", "first50", "first95", "first99", "whole50");
-    print("paid alone", alone.paid_);
+    print("paid alone", baseline.paid_);
     print("paid beside the flood", flooded.paid_);
     print("trials", flooded.trial_);
-    std::printf("capacity %.0f answers/s, paid %.0f/s, trials %.0f/s\n", capacity, paidPart * capacity, floodFactor * capacity);
+    std::printf("capacity %.0f answers/s, paid %.0f/s, trials %.0f/s\n", capacity, paidLoad * capacity, trialLoad * capacity);
     std::printf("trials yielded %.0f times, %.0f tokens were computed again\n", deployment.metricOfAll("trials_yielded_total"), deployment.metricOfAll("tokens_recomputed_total"));
-    double before = percentile(alone.paid_.firstToken_, 0.99);
-    double after = percentile(flooded.paid_.firstToken_, 0.99);
-    bool isWithin = after <= before * mostGrowth + noiseMs && !flooded.paid_.refused_ && !flooded.paid_.failed_;
-    std::printf("paid first token p99: %.0f ms alone, %.0f ms beside the flood: %s\n", before, after, isWithin ? "within its bound" : "past its bound");
+    double baselineP99 = percentile(baseline.paid_.firstToken_, 0.99);
+    double floodedP99 = percentile(flooded.paid_.firstToken_, 0.99);
+    bool isWithin = floodedP99 <= baselineP99 * maxGrowth + noiseMs && !flooded.paid_.rejected_ && !flooded.paid_.failed_;
+    std::printf("paid first token p99: %.0f ms alone, %.0f ms beside the flood: %s\n", baselineP99, floodedP99, isWithin ? "within its bound" : "past its bound");
     return isWithin ? 0 : 1;
 }
--- a/benchmarks/PathBenchmark.cpp
+++ b/benchmarks/PathBenchmark.cpp
@@ -22,20 +22,20 @@
 
 struct Timing {
     std::vector<double> firstToken_;
-    std::vector<double> whole_;
+    std::vector<double> fullAnswer_;
     double seconds_ = 0;
     std::size_t failures_ = 0;
 };
 
-double sinceMs(SteadyTime began)
+double elapsedMs(SteadyTime startedAt)
 {
-    return std::chrono::duration<double, std::milli>(steadyNow() - began).count();
+    return std::chrono::duration<double, std::milli>(steadyNow() - startedAt).count();
 }
 
 /// One answer from the stand-in itself; fills in the two times.
-asio::awaitable<bool> askEngine(Endpoint engine, std::string id, double& first, double& whole)
+asio::awaitable<bool> callEngine(Endpoint engine, std::string id, double& firstTokenMs, double& fullAnswerMs)
 {
-    SteadyTime began = steadyNow();
+    SteadyTime startedAt = steadyNow();
     boost::json::object body;
     body["request"] = id;
     body["attempt"] = 1;
@@ -54,49 +54,49 @@
         if (!line.value())
             break;
         if (!lines++)
-            first = sinceMs(began);
+            firstTokenMs = elapsedMs(startedAt);
     }
-    whole = sinceMs(began);
+    fullAnswerMs = elapsedMs(startedAt);
     opened.value()->cancel();
     co_return lines == tokensPerAnswer + 1;
 }
 
-asio::awaitable<bool> askSystem(Endpoint entry, std::string id, double& first, double& whole)
+asio::awaitable<bool> callSystem(Endpoint entry, std::string id, double& firstTokenMs, double& fullAnswerMs)
 {
-    SteadyTime began = steadyNow();
+    SteadyTime startedAt = steadyNow();
     Completion completion { Deployment::apiKey("rede"), "planogram", id, tokensPerAnswer };
     Answer answer = co_await streamCompletion(entry, completion);
-    first = static_cast<double>(answer.firstToken_.count());
-    whole = sinceMs(began);
+    firstTokenMs = static_cast<double>(answer.firstToken_.count());
+    fullAnswerMs = elapsedMs(startedAt);
     co_return answer.isDone_;
 }
 
-using Ask = std::function<asio::awaitable<bool>(std::size_t, double&, double&)>;
+using Call = std::function<asio::awaitable<bool>(std::size_t, double&, double&)>;
 
-Timing run(std::size_t concurrency, std::size_t total, const Ask& ask)
+Timing run(std::size_t concurrency, std::size_t total, const Call& call)
 {
     Timing timing;
     timing.firstToken_.resize(total);
-    timing.whole_.resize(total);
+    timing.fullAnswer_.resize(total);
     std::atomic<std::size_t> next { 0 };
     std::atomic<std::size_t> failures { 0 };
     asio::io_context io;
     for (std::size_t worker = 0; worker < concurrency; ++worker) {
         auto task = [&]() -> asio::awaitable<void> {
             for (std::size_t i = next++; i < total; i = next++) {
-                bool isGood = co_await ask(i, timing.firstToken_[i], timing.whole_[i]);
-                failures += isGood ? 0 : 1;
+                bool hasSucceeded = co_await call(i, timing.firstToken_[i], timing.fullAnswer_[i]);
+                failures += hasSucceeded ? 0 : 1;
             }
         };
         asio::co_spawn(asio::make_strand(io), task, asio::detached);
     }
-    SteadyTime began = steadyNow();
+    SteadyTime startedAt = steadyNow();
     std::vector<std::thread> threads;
     for (int i = 0; i < clientThreads; ++i)
         threads.emplace_back([&] { io.run(); });
     for (std::thread& thread : threads)
         thread.join();
-    timing.seconds_ = sinceMs(began) / 1000;
+    timing.seconds_ = elapsedMs(startedAt) / 1000;
     timing.failures_ = failures;
     return timing;
 }
@@ -121,26 +121,26 @@
     bool isWithinBounds = true;
     for (std::size_t concurrency : { std::size_t { 1 }, std::size_t { 64 }, std::size_t { 1000 } }) {
         std::size_t total = std::max<std::size_t>(30, concurrency * 4);
-        Ask direct = [&](std::size_t i, double& first, double& whole) {
-            return askEngine(deployment.engines()[i % 6].endpoint_, "direct-" + std::to_string(concurrency) + "-" + std::to_string(i), first, whole);
+        Call direct = [&](std::size_t i, double& firstTokenMs, double& fullAnswerMs) {
+            return callEngine(deployment.engines()[i % 6].endpoint_, "direct-" + std::to_string(concurrency) + "-" + std::to_string(i), firstTokenMs, fullAnswerMs);
         };
-        Ask through = [&](std::size_t i, double& first, double& whole) {
-            return askSystem(deployment.nodes()[i % 3].callers_, "through-" + std::to_string(concurrency) + "-" + std::to_string(i), first, whole);
+        Call viaSystem = [&](std::size_t i, double& firstTokenMs, double& fullAnswerMs) {
+            return callSystem(deployment.nodes()[i % 3].callers_, "through-" + std::to_string(concurrency) + "-" + std::to_string(i), firstTokenMs, fullAnswerMs);
         };
         Timing engine = run(concurrency, total, direct);
-        Timing system = run(concurrency, total, through);
+        Timing system = run(concurrency, total, viaSystem);
         double memory = static_cast<double>(deployment.nodes()[0].process_->residentMemory().value_) / 1024 / 1024;
         auto print = [&](const char* name, const Timing& timing, double nodeMemory) {
-            std::printf("%8zu %8s | %9.0f %9zu | %9.1f %9.1f | %9.1f %9.1f | %8.1f\n", concurrency, name, static_cast<double>(total) / timing.seconds_, timing.failures_, percentile(timing.firstToken_, 0.5), percentile(timing.firstToken_, 0.99), percentile(timing.whole_, 0.5), percentile(timing.whole_, 0.99), nodeMemory);
+            std::printf("%8zu %8s | %9.0f %9zu | %9.1f %9.1f | %9.1f %9.1f | %8.1f\n", concurrency, name, static_cast<double>(total) / timing.seconds_, timing.failures_, percentile(timing.firstToken_, 0.5), percentile(timing.firstToken_, 0.99), percentile(timing.fullAnswer_, 0.5), percentile(timing.fullAnswer_, 0.99), nodeMemory);
         };
         print("engine", engine, 0);
         print("system", system, memory);
-        double ratio = percentile(system.whole_, 0.5) / percentile(engine.whole_, 0.5);
+        double ratio = percentile(system.fullAnswer_, 0.5) / percentile(engine.fullAnswer_, 0.5);
         // Wide, since everything shares one machine here.
-        double most = concurrency < 1000 ? 2 : 6;
-        bool isGood = ratio <= most && !system.failures_;
-        isWithinBounds &= isGood;
-        std::printf("  bound: time of the whole answer, system against engine, is %.2f, at most %.1f: %s\n", ratio, most, isGood ? "ok" : "FAILED");
+        double maxRatio = concurrency < 1000 ? 2 : 6;
+        bool hasSucceeded = ratio <= maxRatio && !system.failures_;
+        isWithinBounds &= hasSucceeded;
+        std::printf("  bound: time of the whole answer, system against engine, is %.2f, at most %.1f: %s\n", ratio, maxRatio, hasSucceeded ? "ok" : "FAILED");
         std::fflush(stdout);
     }
     return isWithinBounds ? 0 : 1;
--- a/tools/pistachioloomctl/Client.cpp
+++ b/tools/pistachioloomctl/Client.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-    constexpr int mostApplyTries = 4;
+    constexpr int maxApplyAttempts = 4;
     constexpr int statusOk = 200;
     constexpr int statusConflict = 409;
 
@@ -44,7 +44,7 @@
     return value;
 }
 
-Result<std::vector<OperatorClient>> OperatorClient::everyNode() const
+Result<std::vector<OperatorClient>> OperatorClient::allNodes() const
 {
     auto listed = getJson("/nodes");
     if (!listed)
@@ -85,7 +85,7 @@
     edit["body"] = body;
     std::string text = boost::json::serialize(edit);
     Error last;
-    for (int i = 0; i < mostApplyTries; ++i) {
+    for (int i = 0; i < maxApplyAttempts; ++i) {
         auto response = client.call("PUT", "/catalogue/" + name, text);
         if (!response) {
             last = response.error();
@@ -93,8 +93,8 @@
         }
         auto answer = parseJsonObject(response.value().body_);
         int status = response.value().status_;
-        bool isVerdict = answer && answer->contains("accepted") && (status == statusOk || status == statusConflict);
-        if (isVerdict)
+        bool hasDecision = answer && answer->contains("accepted") && (status == statusOk || status == statusConflict);
+        if (hasDecision)
             return ApplyResult { flagField(*answer, "accepted"), numberField(*answer, "version") };
         last = errorFromResponse(response.value(), "apply " + name, client.node().toString());
         if (last.code_ != Errc::OutcomeUnknown)
--- a/tools/pistachioloomctl/Client.h
+++ b/tools/pistachioloomctl/Client.h
@@ -21,7 +21,7 @@
     Result<HttpResponse> call(const std::string& method, const std::string& target, const std::string& body = {}) const;
     Result<boost::json::value> getJson(const std::string& target) const;
     /// Clients of every node that this one lists, itself included.
-    Result<std::vector<OperatorClient>> everyNode() const;
+    Result<std::vector<OperatorClient>> allNodes() const;
 
 private:
     Endpoint node_;
--- a/tools/pistachioloomctl/Render.cpp
+++ b/tools/pistachioloomctl/Render.cpp
@@ -23,26 +23,26 @@
         return value->is_string() ? std::string(value->as_string()) : boost::json::serialize(*value);
     }
 
-    double timeOf(const boost::json::object& span, const char* key)
+    double timestampOf(const boost::json::object& span, const char* key)
     {
         return std::strtod(textField(span, key).c_str(), nullptr);
     }
 
-    void renderBelow(const std::vector<boost::json::object>& spans, const std::string& parent, const std::string& indent, double origin, std::string& output)
+    void renderChildren(const std::vector<boost::json::object>& spans, const std::string& parent, const std::string& indent, double origin, std::string& output)
     {
         for (const boost::json::object& span : spans) {
             if (textField(span, "parentSpanId") != parent)
                 continue;
-            double start = timeOf(span, "startTimeUnixNano");
-            double length = timeOf(span, "endTimeUnixNano") - start;
+            double start = timestampOf(span, "startTimeUnixNano");
+            double duration = timestampOf(span, "endTimeUnixNano") - start;
             boost::json::object attributes = span.at("attributes").as_object();
             char times[64];
-            std::snprintf(times, sizeof times, "%9.2f ms  +%.2f ms", (start - origin) / nanosecondsPerMillisecond, length / nanosecondsPerMillisecond);
+            std::snprintf(times, sizeof times, "%9.2f ms  +%.2f ms", (start - origin) / nanosecondsPerMillisecond, duration / nanosecondsPerMillisecond);
             output += std::string(times) + "  " + indent + textField(span, "name");
             if (std::string peer = textField(attributes, "peer"); !peer.empty())
                 output += " -> " + peer;
             output += " [" + textField(attributes, "outcome") + "]\n";
-            renderBelow(spans, textField(span, "spanId"), indent + "  ", origin, output);
+            renderChildren(spans, textField(span, "spanId"), indent + "  ", origin, output);
         }
     }
 
@@ -77,7 +77,7 @@
 {
     std::vector<boost::json::object> spans = unordered;
     std::sort(spans.begin(), spans.end(), [](const boost::json::object& left, const boost::json::object& right) {
-        return timeOf(left, "startTimeUnixNano") < timeOf(right, "startTimeUnixNano");
+        return timestampOf(left, "startTimeUnixNano") < timestampOf(right, "startTimeUnixNano");
     });
     if (spans.empty())
         return "no spans\n";
@@ -92,7 +92,7 @@
     }
     std::string output;
     for (const std::string& root : roots)
-        renderBelow(spans, root, "", timeOf(spans.front(), "startTimeUnixNano"), output);
+        renderChildren(spans, root, "", timestampOf(spans.front(), "startTimeUnixNano"), output);
     return output;
 }
 
--- a/tools/pistachioloomctl/main.cpp
+++ b/tools/pistachioloomctl/main.cpp
@@ -17,9 +17,9 @@
 
 namespace {
 
-constexpr int exitRefused = 2;
+constexpr int exitRejected = 2;
 constexpr int exitConflict = 3;
-constexpr int exitUnknown = 4;
+constexpr int exitOutcomeUnknown = 4;
 constexpr int exitUnreachable = 5;
 
 struct Options {
@@ -33,15 +33,15 @@
     std::string service_;
     std::string notice_;
     std::optional<std::uint64_t> base_;
-    bool isEverywhere_ = false;
+    bool queriesAllNodes_ = false;
 };
 
-int fail(const Error& error)
+int reportError(const Error& error)
 {
     std::cerr << "error: " << describe(error) << '\n';
     if (error.ran_ == Ran::Unknown)
-        return exitUnknown;
-    return error.code_ == Errc::Unavailable || error.code_ == Errc::Timeout ? exitUnreachable : exitRefused;
+        return exitOutcomeUnknown;
+    return error.code_ == Errc::Unavailable || error.code_ == Errc::Timeout ? exitUnreachable : exitRejected;
 }
 
 std::optional<std::string> readFile(const std::string& file)
@@ -74,7 +74,7 @@
     auto text = readFile(options.file_);
     if (!text) {
         std::cerr << "error: " << options.file_ << " cannot be read\n";
-        return exitRefused;
+        return exitRejected;
     }
     // All are checked before any is sent.
     std::vector<std::pair<std::string, std::string>> entries;
@@ -86,11 +86,11 @@
     for (const InputError& error : errors)
         std::cerr << error.toString() << '\n';
     if (!errors.empty())
-        return exitRefused;
+        return exitRejected;
     for (const auto& [name, body] : entries) {
         auto applied = applyEntry(client, name, body, options.base_);
         if (!applied)
-            return fail(applied.error());
+            return reportError(applied.error());
         if (!applied.value().isAccepted_) {
             std::cerr << name << ": conflicts with version " << applied.value().version_ << '\n';
             return exitConflict;
@@ -104,7 +104,7 @@
 {
     auto applied = applyEntry(client, options.name_, "", options.base_);
     if (!applied)
-        return fail(applied.error());
+        return reportError(applied.error());
     std::cout << options.name_ << (applied.value().isAccepted_ ? ": removed\n" : ": conflicts with version " + std::to_string(applied.value().version_) + "\n");
     return applied.value().isAccepted_ ? 0 : exitConflict;
 }
@@ -113,7 +113,7 @@
 {
     auto entry = client.getJson("/catalogue/" + options.name_);
     if (!entry)
-        return fail(entry.error());
+        return reportError(entry.error());
     if (options.isJson_)
         std::cout << json::serialize(entry.value()) << '\n';
     else
@@ -129,7 +129,7 @@
     auto wanted = text ? parseEntry(*text, options.file_, errors) : std::nullopt;
     if (!wanted) {
         std::cerr << "error: " << (errors.empty() ? options.file_ + " cannot be read" : errors.front().toString()) << '\n';
-        return exitRefused;
+        return exitRejected;
     }
     auto entry = client.getJson("/catalogue/" + wanted->name_.value_);
     std::string current = entry ? textField(entry.value().as_object(), "body") : std::string();
@@ -153,11 +153,11 @@
 }
 
 /// Rows of one listing from one node, or from every node it knows.
-Result<std::vector<json::object>> collect(const OperatorClient& client, const std::string& target, const std::string& field, const std::string& source, bool isEverywhere)
+Result<std::vector<json::object>> collectRows(const OperatorClient& client, const std::string& target, const std::string& field, const std::string& sourceField, bool queriesAllNodes)
 {
     std::vector<OperatorClient> nodes { client };
-    if (isEverywhere) {
-        auto all = client.everyNode();
+    if (queriesAllNodes) {
+        auto all = client.allNodes();
         if (!all)
             return all.error();
         nodes = std::move(all.value());
@@ -175,19 +175,19 @@
             continue;
         }
         for (json::object& row : objectsField(listed.value().as_object(), field.c_str())) {
-            if (!source.empty())
-                row[source] = textField(listed.value().as_object(), source.c_str());
+            if (!sourceField.empty())
+                row[sourceField] = textField(listed.value().as_object(), sourceField.c_str());
             rows.push_back(std::move(row));
         }
     }
     return rows;
 }
 
-int list(const OperatorClient& client, const Options& options, const std::string& target, const std::string& field, const std::string& source, const std::vector<std::string>& columns)
+int printListing(const OperatorClient& client, const Options& options, const std::string& target, const std::string& field, const std::string& sourceField, const std::vector<std::string>& columns)
 {
-    auto rows = collect(client, target, field, source, options.isEverywhere_);
+    auto rows = collectRows(client, target, field, sourceField, options.queriesAllNodes_);
     if (!rows)
-        return fail(rows.error());
+        return reportError(rows.error());
     if (options.isJson_) {
         json::array array;
         for (json::object& row : rows.value())
@@ -201,9 +201,9 @@
 
 int trace(const OperatorClient& client, const Options& options)
 {
-    auto nodes = client.everyNode();
+    auto nodes = client.allNodes();
     if (!nodes)
-        return fail(nodes.error());
+        return reportError(nodes.error());
     std::vector<json::object> spans;
     for (const OperatorClient& node : nodes.value()) {
         auto response = node.call("GET", "/traces/" + options.request_);
@@ -219,18 +219,18 @@
     }
     if (!options.isJson_) {
         std::cout << renderTrace(spans);
-        return spans.empty() ? exitRefused : 0;
+        return spans.empty() ? exitRejected : 0;
     }
     for (const json::object& span : spans)
         std::cout << json::serialize(span) << '\n';
-    return spans.empty() ? exitRefused : 0;
+    return spans.empty() ? exitRejected : 0;
 }
 
 int explain(const OperatorClient& client, const Options& options)
 {
-    auto nodes = client.everyNode();
+    auto nodes = client.allNodes();
     if (!nodes)
-        return fail(nodes.error());
+        return reportError(nodes.error());
     for (const OperatorClient& node : nodes.value()) {
         auto explanation = node.getJson("/explain/" + options.request_);
         if (!explanation || !explanation.value().is_array())
@@ -246,17 +246,17 @@
         return 0;
     }
     std::cerr << "error: no node remembers request " << options.request_ << '\n';
-    return exitRefused;
+    return exitRejected;
 }
 
-int lift(const OperatorClient& client, const Options& options)
+int liftQuarantine(const OperatorClient& client, const Options& options)
 {
     const std::string target = "/quarantine/" + options.request_;
     auto response = client.call("DELETE", target);
     if (!response)
-        return fail(response.error());
+        return reportError(response.error());
     if (response.value().status_ != 200)
-        return fail(errorFromResponse(response.value(), "DELETE " + target, client.node().toString()));
+        return reportError(errorFromResponse(response.value(), "DELETE " + target, client.node().toString()));
     std::cout << options.request_ << ": lifted\n";
     return 0;
 }
@@ -266,9 +266,9 @@
     const std::string target = "/rollouts/" + options.service_;
     auto response = client.call("DELETE", target);
     if (!response)
-        return fail(response.error());
+        return reportError(response.error());
     if (response.value().status_ != 200)
-        return fail(errorFromResponse(response.value(), "DELETE " + target, client.node().toString()));
+        return reportError(errorFromResponse(response.value(), "DELETE " + target, client.node().toString()));
     std::cout << options.service_ << ": reverted\n";
     return 0;
 }
@@ -277,7 +277,7 @@
 {
     auto response = client.call("POST", "/drain?notice=" + options.notice_);
     if (!response)
-        return fail(response.error());
+        return reportError(response.error());
     std::cout << client.node().toString() << " is draining\n";
     return 0;
 }
@@ -323,10 +323,10 @@
     remove->callback([&] { code = removeEntry(client(), options); });
     auto* listEntries = addJson(catalogue->add_subcommand("list", "List the entries"));
     listEntries->footer("Example: pistachioloomctl catalogue list --json");
-    listEntries->callback([&] { code = list(client(), options, "/catalogue", "entries", "", { "name", "kind", "owner", "class", "version" }); });
+    listEntries->callback([&] { code = printListing(client(), options, "/catalogue", "entries", "", { "name", "kind", "owner", "class", "version" }); });
     auto* history = addJson(catalogue->add_subcommand("history", "List accepted changes, oldest first"));
     history->footer("Example: pistachioloomctl catalogue history");
-    history->callback([&] { code = list(client(), options, "/history", "", "", { "entry", "version", "edit", "removed" }); });
+    history->callback([&] { code = printListing(client(), options, "/history", "", "", { "entry", "version", "edit", "removed" }); });
     auto* diff = catalogue->add_subcommand("diff", "Show lines that differ between a file and the entry in force");
     diff->add_option("file", options.file_, "YAML file of one entry")->required();
     diff->footer("Example: pistachioloomctl catalogue diff planograms.yaml");
@@ -334,42 +334,42 @@
 
     auto* nodes = addJson(app.add_subcommand("nodes", "List the nodes as one of them sees them"));
     nodes->footer("Example: pistachioloomctl nodes");
-    nodes->callback([&] { code = list(client(), options, "/nodes", "nodes", "", { "node", "data_centre", "state", "leaving", "catalogue_offset", "operator" }); });
+    nodes->callback([&] { code = printListing(client(), options, "/nodes", "nodes", "", { "node", "data_centre", "state", "leaving", "catalogue_offset", "operator" }); });
     auto* engines = addJson(app.add_subcommand("engines", "List engines and services with their homes"));
     engines->footer("Example: pistachioloomctl engines");
     engines->callback([&] {
-        options.isEverywhere_ = true;
-        code = list(client(), options, "/engines", "engines", "home", { "engine", "data_centre", "home", "active", "free_slots", "queued", "wait_ms", "version", "wanted", "order" });
+        options.queriesAllNodes_ = true;
+        code = printListing(client(), options, "/engines", "engines", "home", { "engine", "data_centre", "home", "active", "free_slots", "queued", "wait_ms", "version", "wanted", "order" });
     });
     auto* requests = addJson(app.add_subcommand("requests", "List generations with their owners"));
     requests->footer("Example: pistachioloomctl requests --json");
     requests->callback([&] {
-        options.isEverywhere_ = true;
-        code = list(client(), options, "/requests", "requests", "owner", { "request", "entry", "model", "owner", "replica", "engine", "tokens", "over" });
+        options.queriesAllNodes_ = true;
+        code = printListing(client(), options, "/requests", "requests", "owner", { "request", "entry", "model", "owner", "replica", "engine", "tokens", "over" });
     });
     auto* quarantine = app.add_subcommand("quarantine", "Requests that crashed backend servers; --node is a gateway's metrics address");
     quarantine->require_subcommand(1);
     auto* listSuspects = addJson(quarantine->add_subcommand("list", "List them, most crashes first"));
     listSuspects->footer("Example: pistachioloomctl --node 10.0.0.4:7501 quarantine list");
-    listSuspects->callback([&] { code = list(client(), options, "/quarantine", "requests", "", { "request", "crashes", "last_crash_ms", "left_ms" }); });
-    auto* liftOne = quarantine->add_subcommand("lift", "Let one be sent again, on all nodes");
-    liftOne->add_option("request", options.request_, "Sixteen digits, from the list or a log line")->required();
-    liftOne->footer("Example: pistachioloomctl --node 10.0.0.4:7501 --credential WORD quarantine lift ab2906c5a5dab86a");
-    liftOne->callback([&] { code = lift(client(), options); });
+    listSuspects->callback([&] { code = printListing(client(), options, "/quarantine", "requests", "", { "request", "crashes", "last_crash_ms", "left_ms" }); });
+    auto* liftCommand = quarantine->add_subcommand("lift", "Let one be sent again, on all nodes");
+    liftCommand->add_option("request", options.request_, "Sixteen digits, from the list or a log line")->required();
+    liftCommand->footer("Example: pistachioloomctl --node 10.0.0.4:7501 --credential WORD quarantine lift ab2906c5a5dab86a");
+    liftCommand->callback([&] { code = liftQuarantine(client(), options); });
     auto* rollout = app.add_subcommand("rollout", "New versions of services; --node is a gateway's metrics address");
     rollout->require_subcommand(1);
     auto* listRollouts = addJson(rollout->add_subcommand("list", "List the newest order of each service, with the counts it is judged by"));
     listRollouts->footer("Example: pistachioloomctl --node 10.0.0.4:7501 rollout list");
-    listRollouts->callback([&] { code = list(client(), options, "/rollouts", "rollouts", "", { "service", "target", "phase", "share", "requests", "exposed", "target_side", "other_side", "why" }); });
-    auto* revertOne = rollout->add_subcommand("revert", "End an order: its version gets nothing more, on all nodes");
-    revertOne->add_option("service", options.service_, "Service, from the list")->required();
-    revertOne->footer("Example: pistachioloomctl --node 10.0.0.4:7501 --credential WORD rollout revert huvo11a");
-    revertOne->callback([&] { code = revertRollout(client(), options); });
+    listRollouts->callback([&] { code = printListing(client(), options, "/rollouts", "rollouts", "", { "service", "target", "phase", "share", "requests", "exposed", "target_side", "other_side", "why" }); });
+    auto* revertCommand = rollout->add_subcommand("revert", "End an order: its version gets nothing more, on all nodes");
+    revertCommand->add_option("service", options.service_, "Service, from the list")->required();
+    revertCommand->footer("Example: pistachioloomctl --node 10.0.0.4:7501 --credential WORD rollout revert huvo11a");
+    revertCommand->callback([&] { code = revertRollout(client(), options); });
     auto* limits = addJson(app.add_subcommand("limits", "List what each node holds of the entries' limits"));
     limits->footer("Example: pistachioloomctl limits");
     limits->callback([&] {
-        options.isEverywhere_ = true;
-        code = list(client(), options, "/limits", "entries", "node", { "entry", "node", "in_progress", "held", "share_of_data_centre", "keeper" });
+        options.queriesAllNodes_ = true;
+        code = printListing(client(), options, "/limits", "entries", "node", { "entry", "node", "in_progress", "held", "share_of_data_centre", "keeper" });
     });
     auto* drainCommand = app.add_subcommand("drain", "Stop the node gracefully");
     drainCommand->add_option("--notice", options.notice_, "Time left, such as 30s; without it the node waits for its requests");
--- a/tools/pistachioloomd/main.cpp
+++ b/tools/pistachioloomd/main.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr int exitBadSettings = 2;
-constexpr int exitCannotStart = 3;
+constexpr int exitStartFailed = 3;
 
 void printErrors(const InputErrors& errors)
 {
@@ -24,14 +24,14 @@
         std::cerr << error.toString() << '\n';
 }
 
-int runNode(const std::string& file, bool isCheck)
+int runNode(const std::string& file, bool isCheckOnly)
 {
     InputErrors errors;
     auto settings = loadSettings(file, errors);
     printErrors(errors);
     if (!settings)
         return exitBadSettings;
-    if (isCheck) {
+    if (isCheckOnly) {
         std::cout << file << ": settings are good\n";
         return 0;
     }
@@ -40,7 +40,7 @@
     auto ports = node.start();
     if (!ports) {
         std::cerr << describe(ports.error()) << '\n';
-        return exitCannotStart;
+        return exitStartFailed;
     }
     // Whoever asked for kernel-chosen ports reads them from this line.
     std::cout << "{\"callers\":" << ports.value().callers_ << ",\"peers\":" << ports.value().peers_
@@ -52,14 +52,14 @@
     std::_Exit(0);
 }
 
-int runGateway(const std::string& file, bool isCheck)
+int runGateway(const std::string& file, bool isCheckOnly)
 {
     InputErrors errors;
     auto settings = loadGatewaySettings(file, errors);
     printErrors(errors);
     if (!settings)
         return exitBadSettings;
-    if (isCheck) {
+    if (isCheckOnly) {
         std::cout << file << ": settings are good\n";
         return 0;
     }
@@ -69,7 +69,7 @@
     auto port = gateway.start();
     if (!port) {
         std::cerr << describe(port.error()) << '\n';
-        return exitCannotStart;
+        return exitStartFailed;
     }
     std::cout << "{\"callers\":" << port.value() << "}" << std::endl;
     gateway.run();
@@ -84,12 +84,12 @@
 {
     CLI::App app { "pistachioloomd serves language model requests on reclaimable VMs." };
     std::string file;
-    bool isCheck = false;
+    bool isCheckOnly = false;
     app.add_option("--settings", file, "YAML file of settings")->required();
-    app.add_flag("--check", isCheck, "Check the settings and exit");
+    app.add_flag("--check", isCheckOnly, "Check the settings and exit");
     app.footer("Exit codes: 0 drained, 1 wrong options, 2 wrong settings, 3 cannot start.\nExample: pistachioloomd --settings entry.yaml --check");
     CLI11_PARSE(app, argc, argv);
 
     std::signal(SIGPIPE, SIG_IGN);
-    return isGatewayFile(file) ? runGateway(file, isCheck) : runNode(file, isCheck);
+    return isGatewayFile(file) ? runGateway(file, isCheckOnly) : runNode(file, isCheckOnly);
 }
--- a/tools/standins/Engine.cpp
+++ b/tools/standins/Engine.cpp
@@ -32,14 +32,14 @@
     co_await reply(exchange, 200, load);
 }
 
-Error Engine::refusal(Errc code, std::string step, std::string reason) const
+Error Engine::rejection(Errc code, std::string step, std::string reason) const
 {
     return { code, std::move(step), name_, std::move(reason), Ran::No, {} };
 }
 
-asio::awaitable<void> Engine::refuse(HttpExchange& exchange, Errc code, std::string step, std::string reason)
+asio::awaitable<void> Engine::reject(HttpExchange& exchange, Errc code, std::string step, std::string reason)
 {
-    Error error = refusal(code, std::move(step), std::move(reason));
+    Error error = rejection(code, std::move(step), std::move(reason));
     (void)co_await exchange.respond(errorResponse(error));
 }
 
--- a/tools/standins/Engine.h
+++ b/tools/standins/Engine.h
@@ -26,13 +26,13 @@
 private:
     // Generation.
     asio::awaitable<void> generate(HttpExchange& exchange);
-    std::optional<Error> startRefusal(const GenerateRequest& request);
+    std::optional<Error> startRejection(const GenerateRequest& request);
     StreamPtr attach(const GenerateRequest& request) const;
     StreamPtr start(const GenerateRequest& request);
     asio::awaitable<void> decode(StreamPtr stream, std::string requestId, std::uint64_t prefill);
     asio::awaitable<void> computePrompt(std::uint64_t prefill);
     asio::awaitable<void> produceTokens(StreamPtr stream);
-    asio::awaitable<void> write(HttpExchange& exchange, StreamPtr stream, std::size_t from);
+    asio::awaitable<void> writeAnswer(HttpExchange& exchange, StreamPtr stream, std::size_t from);
     asio::awaitable<void> cancel(boost::json::object body);
     // The cache, between engines.
     asio::awaitable<void> exportCache(HttpExchange& exchange, std::string requestId);
@@ -44,33 +44,33 @@
     asio::awaitable<void> control(HttpExchange& exchange);
     boost::json::object counts();
 
-    asio::awaitable<void> refuse(HttpExchange& exchange, Errc code, std::string step, std::string reason);
-    Error refusal(Errc code, std::string step, std::string reason) const;
+    asio::awaitable<void> reject(HttpExchange& exchange, Errc code, std::string step, std::string reason);
+    Error rejection(Errc code, std::string step, std::string reason) const;
 
     asio::io_context& io_;
     std::string name_;
     Controls controls_;
     PrefixCache cache_;
     std::map<std::string, StreamPtr> streams_;
-    std::map<std::string, std::string> imported_;
-    std::uint64_t runs_ = 0;
+    std::map<std::string, std::string> importedRuns_;
+    std::uint64_t samplingRunCount_ = 0;
     std::int64_t started_ = 0;
-    std::int64_t startedWhileLeaving_ = 0;
+    std::int64_t startRequestsWhileLeaving_ = 0;
     std::int64_t tokens_ = 0;
     std::int64_t prefilled_ = 0;
     std::int64_t active_ = 0;
-    std::int64_t mostActive_ = 0;
+    std::int64_t maxActive_ = 0;
     std::int64_t cancelled_ = 0;
     boost::json::object configuration_ { { "version", "v1" }, { "role", "" }, { "adapters", boost::json::array {} } };
-    std::uint64_t loads_ = 0;
+    std::uint64_t loadCount_ = 0;
     bool isLoading_ = false;
     std::uint64_t newestToken_ = 0;
     std::int64_t ordersReceived_ = 0;
-    std::int64_t ordersObeyed_ = 0;
-    std::int64_t staleRefused_ = 0;
-    std::int64_t staleObeyed_ = 0;
-    std::int64_t obeyedWhileActive_ = 0;
-    std::int64_t startedWhileLoading_ = 0;
+    std::int64_t ordersApplied_ = 0;
+    std::int64_t staleRejected_ = 0;
+    std::int64_t staleApplied_ = 0;
+    std::int64_t appliedWhileActive_ = 0;
+    std::int64_t startRequestsWhileLoading_ = 0;
 };
 
 } // namespace pistachioloom::standin
--- a/tools/standins/EngineCache.cpp
+++ b/tools/standins/EngineCache.cpp
@@ -16,15 +16,15 @@
     auto found = streams_.find(requestId);
     bool isRunning = found != streams_.end() && found->second->state_ == Stream::State::Running;
     if (!isRunning || controls_["refuse_export"])
-        co_return co_await refuse(exchange, Errc::NotFound, "export cache", "no such stream to export");
+        co_return co_await reject(exchange, Errc::NotFound, "export cache", "no such stream to export");
     StreamPtr stream = found->second;
-    std::uint64_t held = stream->promptTokens_ + stream->tokens_.size();
-    co_await pause(milliseconds(static_cast<std::int64_t>(held) * controls_["export_us"] / 1000));
+    std::uint64_t cachedTokens = stream->promptTokens_ + stream->tokens_.size();
+    co_await pause(milliseconds(static_cast<std::int64_t>(cachedTokens) * controls_["export_us"] / 1000));
     if (stream->state_ != Stream::State::Running)
-        co_return co_await refuse(exchange, Errc::Conflict, "export cache", "the stream ended meanwhile");
-    stream->handle_ = exchange.request().header("host") + "/" + requestId + "/" + stream->run_;
+        co_return co_await reject(exchange, Errc::Conflict, "export cache", "the stream ended meanwhile");
+    stream->handle_ = exchange.request().header("host") + "/" + requestId + "/" + stream->samplingRun_;
     stream->state_ = Stream::State::Exported;
-    stream->change();
+    stream->notifyWriter();
     json::object answer;
     answer["handle"] = stream->handle_;
     co_await reply(exchange, 200, answer);
@@ -45,8 +45,8 @@
         isReachable = static_cast<bool>(dialled);
     }
     if (!isReachable)
-        co_return co_await refuse(exchange, Errc::Unavailable, "import cache", "the cache cannot be imported");
-    imported_[handle.substr(slash + 1, last - slash - 1)] = handle.substr(last + 1);
+        co_return co_await reject(exchange, Errc::Unavailable, "import cache", "the cache cannot be imported");
+    importedRuns_[handle.substr(slash + 1, last - slash - 1)] = handle.substr(last + 1);
     co_await reply(exchange, 200, json::object {});
 }
 
--- a/tools/standins/EngineGenerate.cpp
+++ b/tools/standins/EngineGenerate.cpp
@@ -9,19 +9,19 @@
 
 static constexpr std::size_t tagLength = 6;
 
-std::optional<Error> Engine::startRefusal(const GenerateRequest& request)
+std::optional<Error> Engine::startRejection(const GenerateRequest& request)
 {
     if (isLoading_) {
-        ++startedWhileLoading_;
-        return refusal(Errc::Unavailable, "start generation", "this engine is loading");
+        ++startRequestsWhileLoading_;
+        return rejection(Errc::Unavailable, "start generation", "this engine is loading");
     }
     if (controls_["leaving"]) {
-        ++startedWhileLeaving_;
-        return refusal(Errc::Leaving, "start generation", "this engine is leaving");
+        ++startRequestsWhileLeaving_;
+        return rejection(Errc::Leaving, "start generation", "this engine is leaving");
     }
     auto old = streams_.find(request.requestId_);
     if (old != streams_.end() && request.attempt_ < old->second->attempt_)
-        return refusal(Errc::Conflict, "start generation", "a newer attempt is known");
+        return rejection(Errc::Conflict, "start generation", "a newer attempt is known");
     return std::nullopt;
 }
 
@@ -39,19 +39,19 @@
     auto old = streams_.find(request.requestId_);
     if (old != streams_.end() && old->second->state_ == Stream::State::Running) {
         old->second->state_ = Stream::State::Superseded;
-        old->second->change();
+        old->second->notifyWriter();
     }
     auto stream = std::make_shared<Stream>(io_.get_executor());
     streams_[request.requestId_] = stream;
-    auto cached = imported_.find(request.requestId_);
-    bool hasCache = cached != imported_.end() && request.hasCacheHandle_;
-    stream->tag_ = sha256Hex(request.prompt_).substr(0, tagLength);
-    stream->run_ = hasCache ? cached->second : name_ + "r" + std::to_string(++runs_);
+    auto cached = importedRuns_.find(request.requestId_);
+    bool hasCache = cached != importedRuns_.end() && request.hasCacheHandle_;
+    stream->promptTag_ = sha256Hex(request.prompt_).substr(0, tagLength);
+    stream->samplingRun_ = hasCache ? cached->second : name_ + "r" + std::to_string(++samplingRunCount_);
     stream->tokens_ = request.prefix_;
     stream->maxTokens_ = request.maxTokens_;
     stream->promptTokens_ = promptTokens(request.prompt_);
-    std::uint64_t prefill = hasCache ? 0 : cache_.compute(request.prompt_) + request.prefix_.size();
-    stream->recomputed_ = request.prefix_.empty() ? 0 : prefill;
+    std::uint64_t prefill = hasCache ? 0 : cache_.addPrompt(request.prompt_) + request.prefix_.size();
+    stream->recomputedTokens_ = request.prefix_.empty() ? 0 : prefill;
     ++started_;
     asio::co_spawn(io_, decode(stream, request.requestId_, prefill), asio::detached);
     return stream;
@@ -63,28 +63,28 @@
     GenerateRequest request = parseGenerateRequest(body);
     if (request.wantsAttach_ && controls_["attach_delay_ms"])
         co_await pause(milliseconds(controls_["attach_delay_ms"]));
-    if (auto refused = startRefusal(request)) {
-        (void)co_await exchange.respond(errorResponse(*refused));
+    if (auto error = startRejection(request)) {
+        (void)co_await exchange.respond(errorResponse(*error));
         co_return;
     }
     StreamPtr stream = attach(request);
     if (!stream)
         stream = start(request);
     stream->attempt_ = request.attempt_;
-    co_await write(exchange, stream, request.prefix_.size());
+    co_await writeAnswer(exchange, stream, request.prefix_.size());
 }
 
 asio::awaitable<void> Engine::decode(StreamPtr stream, std::string requestId, std::uint64_t prefill)
 {
     while (active_ >= controls_["slots"])
         co_await pause(milliseconds(1));
-    mostActive_ = std::max(mostActive_, ++active_);
+    maxActive_ = std::max(maxActive_, ++active_);
     co_await computePrompt(prefill);
     co_await produceTokens(stream);
     --active_;
     if (stream->state_ == Stream::State::Running)
         stream->state_ = Stream::State::Done;
-    stream->change();
+    stream->notifyWriter();
     co_await pause(milliseconds(controls_["detach_grace_ms"]));
     auto found = streams_.find(requestId);
     if (found != streams_.end() && found->second == stream)
@@ -102,18 +102,18 @@
 /// Adds tokens at the set pace; a stream that nobody reads for long is cancelled.
 asio::awaitable<void> Engine::produceTokens(StreamPtr stream)
 {
-    SteadyTimer pace(io_);
-    auto next = steadyNow();
+    SteadyTimer timer(io_);
+    auto nextTokenAt = steadyNow();
     auto abandonedAt = SteadyTime::max();
     while (stream->state_ == Stream::State::Running && stream->tokens_.size() < stream->maxTokens_) {
-        next += std::chrono::microseconds(controls_["decode_us"]);
-        pace.expires_at(next);
-        co_await pace.async_wait(asio::as_tuple(asio::use_awaitable));
+        nextTokenAt += std::chrono::microseconds(controls_["decode_us"]);
+        timer.expires_at(nextTokenAt);
+        co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
         if (stream->state_ != Stream::State::Running)
             break;
-        stream->tokens_.push_back(stream->tag_ + ":" + std::to_string(stream->tokens_.size()) + ":" + stream->run_ + " ");
+        stream->tokens_.push_back(stream->promptTag_ + ":" + std::to_string(stream->tokens_.size()) + ":" + stream->samplingRun_ + " ");
         ++tokens_;
-        stream->change();
+        stream->notifyWriter();
         auto now = steadyNow();
         if (stream->hasWriter_)
             abandonedAt = SteadyTime::max();
@@ -124,15 +124,15 @@
     }
 }
 
-asio::awaitable<void> Engine::write(HttpExchange& exchange, StreamPtr stream, std::size_t from)
+asio::awaitable<void> Engine::writeAnswer(HttpExchange& exchange, StreamPtr stream, std::size_t from)
 {
-    std::uint64_t writer = ++stream->writer_;
+    std::uint64_t writerId = ++stream->writerId_;
     stream->hasWriter_ = true;
-    stream->change();
+    stream->notifyWriter();
     HttpResponse head { 200, { { "content-type", "application/x-ndjson" } }, {} };
     auto sent = co_await exchange.beginStream(std::move(head));
     while (sent) {
-        if (stream->writer_ != writer) {
+        if (stream->writerId_ != writerId) {
             (void)co_await exchange.writeChunk("{\"type\":\"superseded\"}\n");
             (void)co_await exchange.endStream();
             co_return;
@@ -142,18 +142,18 @@
             lines += tokenLine(from, stream->tokens_[from]);
         bool isOver = stream->state_ != Stream::State::Running;
         if (isOver)
-            lines += lastLine(*stream);
+            lines += finalLine(*stream);
         if (!lines.empty())
             sent = co_await exchange.writeChunk(std::move(lines));
         if (isOver && sent) {
             (void)co_await exchange.endStream();
             co_return;
         }
-        bool isNewer = from < stream->tokens_.size() || stream->state_ != Stream::State::Running || stream->writer_ != writer;
+        bool isNewer = from < stream->tokens_.size() || stream->state_ != Stream::State::Running || stream->writerId_ != writerId;
         if (sent && !isNewer)
-            co_await stream->changed_.async_wait(asio::as_tuple(asio::use_awaitable));
+            co_await stream->changeTimer_.async_wait(asio::as_tuple(asio::use_awaitable));
     }
-    if (stream->writer_ == writer)
+    if (stream->writerId_ == writerId)
         stream->hasWriter_ = false;
 }
 
@@ -167,7 +167,7 @@
     if (found != streams_.end() && found->second->state_ == Stream::State::Running && !isStale) {
         ++cancelled_;
         found->second->state_ = Stream::State::Cancelled;
-        found->second->change();
+        found->second->notifyWriter();
     }
 }
 
--- a/tools/standins/EngineOrders.cpp
+++ b/tools/standins/EngineOrders.cpp
@@ -18,13 +18,13 @@
     std::uint64_t token = numberField(body, "token");
     bool isStale = token < newestToken_;
     if (isStale && controls_["honours_fencing"]) {
-        ++staleRefused_;
-        co_return co_await refuse(exchange, Errc::Conflict, "take order", "a newer token is known");
+        ++staleRejected_;
+        co_return co_await reject(exchange, Errc::Conflict, "take order", "a newer token is known");
     }
     newestToken_ = std::max(newestToken_, token);
-    staleObeyed_ += isStale ? 1 : 0;
-    obeyedWhileActive_ += active_ ? 1 : 0;
-    ++ordersObeyed_;
+    staleApplied_ += isStale ? 1 : 0;
+    appliedWhileActive_ += active_ ? 1 : 0;
+    ++ordersApplied_;
     body.erase("token");
     asio::co_spawn(io_, load(std::move(body)), asio::detached);
     co_await reply(exchange, 200, json::object {});
@@ -32,10 +32,10 @@
 
 asio::awaitable<void> Engine::load(json::object configuration)
 {
-    std::uint64_t number = ++loads_;
+    std::uint64_t loadNumber = ++loadCount_;
     isLoading_ = true;
     co_await pause(milliseconds(controls_["load_ms"]));
-    if (number != loads_)
+    if (loadNumber != loadCount_)
         co_return;
     configuration_ = std::move(configuration);
     isLoading_ = false;
@@ -63,20 +63,20 @@
 {
     json::object answer;
     answer["started"] = started_;
-    answer["started_while_leaving"] = startedWhileLeaving_;
+    answer["started_while_leaving"] = startRequestsWhileLeaving_;
     answer["tokens"] = tokens_;
     answer["prefilled"] = prefilled_;
     answer["active"] = active_;
-    answer["most_active"] = mostActive_;
+    answer["most_active"] = maxActive_;
     answer["cancelled"] = cancelled_;
     answer["version"] = configuration_["version"];
     answer["loading"] = isLoading_ ? 1 : 0;
     answer["orders_received"] = ordersReceived_;
-    answer["orders_obeyed"] = ordersObeyed_;
-    answer["stale_refused"] = staleRefused_;
-    answer["stale_obeyed"] = staleObeyed_;
-    answer["obeyed_while_active"] = obeyedWhileActive_;
-    answer["started_while_loading"] = startedWhileLoading_;
+    answer["orders_obeyed"] = ordersApplied_;
+    answer["stale_refused"] = staleRejected_;
+    answer["stale_obeyed"] = staleApplied_;
+    answer["obeyed_while_active"] = appliedWhileActive_;
+    answer["started_while_loading"] = startRequestsWhileLoading_;
     return answer;
 }
 
--- a/tools/standins/EngineStream.cpp
+++ b/tools/standins/EngineStream.cpp
@@ -44,10 +44,10 @@
     return R"({"type":"token","position":)" + std::to_string(position) + R"(,"text":")" + text + "\"}\n";
 }
 
-std::string lastLine(const Stream& stream)
+std::string finalLine(const Stream& stream)
 {
     json::object line;
-    line["recomputed"] = stream.recomputed_;
+    line["recomputed"] = stream.recomputedTokens_;
     switch (stream.state_) {
     case Stream::State::Running:
     case Stream::State::Cancelled:
@@ -67,18 +67,18 @@
     return json::serialize(line) + "\n";
 }
 
-std::uint64_t PrefixCache::compute(const std::string& prompt)
+std::uint64_t PrefixCache::addPrompt(const std::string& prompt)
 {
     std::uint64_t tokens = promptTokens(prompt);
-    if (known_.contains(prompt))
+    if (prompts_.contains(prompt))
         return 0;
-    known_.insert(prompt);
-    order_.push_back(prompt);
-    held_ += tokens;
-    while (held_ > capacity_ && order_.size() > 1) {
-        held_ -= promptTokens(order_.front());
-        known_.erase(order_.front());
-        order_.pop_front();
+    prompts_.insert(prompt);
+    insertionOrder_.push_back(prompt);
+    heldTokens_ += tokens;
+    while (heldTokens_ > capacity_ && insertionOrder_.size() > 1) {
+        heldTokens_ -= promptTokens(insertionOrder_.front());
+        prompts_.erase(insertionOrder_.front());
+        insertionOrder_.pop_front();
     }
     return tokens;
 }
--- a/tools/standins/EngineStream.h
+++ b/tools/standins/EngineStream.h
@@ -15,7 +15,7 @@
 /// One stream of tokens, and what it was started with.
 struct Stream {
     explicit Stream(const asio::any_io_executor& executor)
-        : changed_(executor, SteadyTimer::time_point::max())
+        : changeTimer_(executor, SteadyTimer::time_point::max())
     {
     }
 
@@ -28,20 +28,20 @@
     };
 
     /// Wakes its writer.
-    void change() { changed_.cancel(); }
+    void notifyWriter() { changeTimer_.cancel(); }
 
     std::uint32_t attempt_ = 0;
-    std::string tag_;
-    std::string run_;
+    std::string promptTag_;
+    std::string samplingRun_;
     std::vector<std::string> tokens_;
     std::uint64_t maxTokens_ = 0;
     std::uint64_t promptTokens_ = 0;
-    std::uint64_t recomputed_ = 0;
-    std::uint64_t writer_ = 0;
+    std::uint64_t recomputedTokens_ = 0;
+    std::uint64_t writerId_ = 0;
     bool hasWriter_ = false;
     State state_ = State::Running;
     std::string handle_;
-    SteadyTimer changed_;
+    SteadyTimer changeTimer_;
 };
 using StreamPtr = std::shared_ptr<Stream>;
 
@@ -68,7 +68,7 @@
 std::string tokenLine(std::size_t position, const std::string& text);
 
 /// The line that ends an answer, by the state of \p stream.
-std::string lastLine(const Stream& stream);
+std::string finalLine(const Stream& stream);
 
 /// Prompts whose prefill is remembered, up to a count of tokens.
 class PrefixCache {
@@ -79,13 +79,13 @@
     }
 
     /// Tokens of \p prompt to compute; the prompt is cached afterwards.
-    std::uint64_t compute(const std::string& prompt);
+    std::uint64_t addPrompt(const std::string& prompt);
 
 private:
     std::uint64_t capacity_;
-    std::uint64_t held_ = 0;
-    std::set<std::string> known_;
-    std::list<std::string> order_;
+    std::uint64_t heldTokens_ = 0;
+    std::set<std::string> prompts_;
+    std::list<std::string> insertionOrder_;
 };
 
 } // namespace pistachioloom::standin
--- a/tools/standins/FleetStandin.cpp
+++ b/tools/standins/FleetStandin.cpp
@@ -19,10 +19,10 @@
 
 namespace {
 
-constexpr milliseconds waitStep { 10 };
-constexpr milliseconds unstatedIdle { 60000 };
-constexpr const char* seal = "X-Pistachioloom-Engine-Seal";
-constexpr const char* attemptId = "X-Pistachioloom-Attempt-Id";
+constexpr milliseconds pollPeriod { 10 };
+constexpr milliseconds defaultIdleTimeout { 60000 };
+constexpr const char* sealHeader = "X-Pistachioloom-Engine-Seal";
+constexpr const char* attemptIdHeader = "X-Pistachioloom-Attempt-Id";
 
 struct KeyedEntry {
     std::string value_;
@@ -62,7 +62,7 @@
     std::map<std::string, std::map<std::string, KeyedEntry>> keyed_;
 };
 
-void appendBig64(std::string& bytes, std::uint64_t number)
+void appendBigEndian64(std::string& bytes, std::uint64_t number)
 {
     unsigned char big[8];
     boost::endian::store_big_u64(big, number);
@@ -79,12 +79,12 @@
 /// One backend server: plain answers, or event streams for paths with /stream.
 class Backend {
 public:
-    /// States that it closes a connection after \p idle, in whole seconds, unless that is 0.
-    Backend(asio::io_context& io, std::string id, std::chrono::seconds idle)
+    /// States that it closes a connection after \p idleTimeout, in whole seconds, unless that is 0.
+    Backend(asio::io_context& io, std::string id, std::chrono::seconds idleTimeout)
         : id_(std::move(id))
-        , statedIdle_(idle)
+        , advertisedIdleTimeout_(idleTimeout)
         , server_(
-              io.get_executor(), HttpBounds { { 64UL * 1024 }, { 64UL * 1024 * 1024 }, idle.count() ? milliseconds(idle) : unstatedIdle }, [this](HttpExchange& exchange) { return handle(exchange); }, errorResponse)
+              io.get_executor(), HttpBounds { { 64UL * 1024 }, { 64UL * 1024 * 1024 }, idleTimeout.count() ? milliseconds(idleTimeout) : defaultIdleTimeout }, [this](HttpExchange& exchange) { return handle(exchange); }, errorResponse)
     {
     }
 
@@ -104,7 +104,7 @@
     json::object control(const json::object& body)
     {
         controls_.update(body);
-        return { { "runs", runs_ }, { "gone", gone_ }, { "turned_away", turnedAway_ }, { "headers", headers_ }, { "moved", moved_ }, { "resumed", resumed_ }, { "dropped", dropped_ } };
+        return { { "runs", runAttemptIds_ }, { "gone", abandonedRuns_ }, { "turned_away", rejected_ }, { "headers", headers_ }, { "moved", movedRuns_ }, { "resumed", resumeSources_ }, { "dropped", releasedHandles_ } };
     }
 
 private:
@@ -118,12 +118,12 @@
         if (request.path() == "/kv-move")
             co_return co_await move(exchange);
         if (request.path().starts_with("/kv-handle/")) {
-            dropped_.emplace_back(request.path());
+            releasedHandles_.emplace_back(request.path());
             co_return co_await reply(exchange, 200, json::object {});
         }
-        HttpResponse answer { 200, { { seal, "seal-" + id_ }, { attemptId, request.header("x-pistachioloom-attempt-id") } }, {} };
-        if (statedIdle_.count())
-            answer.headers_["Keep-Alive"] = "timeout=" + std::to_string(statedIdle_.count());
+        HttpResponse answer { 200, { { sealHeader, "seal-" + id_ }, { attemptIdHeader, request.header("x-pistachioloom-attempt-id") } }, {} };
+        if (advertisedIdleTimeout_.count())
+            answer.headers_["Keep-Alive"] = "timeout=" + std::to_string(advertisedIdleTimeout_.count());
         if (request.header("x-pistachioloom-expect-instance") != id_) {
             answer.status_ = 421;
             (void)co_await exchange.respond(std::move(answer));
@@ -132,7 +132,7 @@
         if (controls_["says_leaving"])
             answer.headers_["Server-Leaving"] = "1";
         if (controls_["full"]) {
-            ++turnedAway_;
+            ++rejected_;
             answer.status_ = 503;
             answer.headers_["X-Pistachioloom-Not-Executed"] = "1";
             if (controls_["retry_after_ms"])
@@ -148,8 +148,8 @@
             co_return;
         }
         if (!from.empty())
-            resumed_.emplace_back(from);
-        noteRun(request);
+            resumeSources_.emplace_back(from);
+        recordRun(request);
         running_.insert(&exchange);
         co_await answerRun(exchange, std::move(answer));
         running_.erase(&exchange);
@@ -163,7 +163,7 @@
         if (isCrashed_)
             co_return;
         if (controls_["no_seal"])
-            answer.headers_.erase(seal);
+            answer.headers_.erase(sealHeader);
         if (request.path().find("/stream") != std::string::npos)
             co_return co_await stream(exchange, std::move(answer));
         co_await pause(milliseconds(controls_["delay_ms"]));
@@ -171,20 +171,20 @@
             exchange.abort();
             co_return;
         }
-        if (failsNow())
+        if (shouldFail())
             answer.status_ = 500;
         if (controls_["other_id"])
-            answer.headers_[attemptId] = "somebody-else";
+            answer.headers_[attemptIdHeader] = "somebody-else";
         answer.body_ = request.method_ + " " + request.target_ + " " + request.body_;
         (void)co_await exchange.respond(std::move(answer));
     }
 
     /// Whether this request is one of those that fail.
-    bool failsNow() { return controls_["fails_one_in"] && runs_.size() % static_cast<std::size_t>(controls_["fails_one_in"]) == 0; }
+    bool shouldFail() { return controls_["fails_one_in"] && runAttemptIds_.size() % static_cast<std::size_t>(controls_["fails_one_in"]) == 0; }
 
-    void noteRun(const HttpRequest& request)
+    void recordRun(const HttpRequest& request)
     {
-        runs_.emplace_back(request.header("x-pistachioloom-attempt-id"));
+        runAttemptIds_.emplace_back(request.header("x-pistachioloom-attempt-id"));
         headers_.clear();
         for (const auto& [name, value] : request.headers_)
             headers_[name] = value;
@@ -204,9 +204,9 @@
             co_return co_await reply(exchange, 404, json::object {});
         if (isLast) {
             found->second.isStopped_ = true;
-            moved_.emplace_back(id);
+            movedRuns_.emplace_back(id);
         }
-        json::object copied { { "handle", "copy-of-" + id }, { "create_revision", found->second.made_ } };
+        json::object copied { { "handle", "copy-of-" + id }, { "create_revision", found->second.lastEventId_ } };
         co_await reply(exchange, 200, copied);
     }
 
@@ -219,7 +219,7 @@
     }
 
     struct Stream {
-        std::int64_t made_ = 0;
+        std::int64_t lastEventId_ = 0;
         bool isStopped_ = false;
     };
 
@@ -229,7 +229,7 @@
         std::string last = exchange.request().header("last-event-id");
         std::int64_t next = last.empty() ? 1 : std::stoll(last) + 1;
         co_await pause(milliseconds(controls_["delay_ms"]));
-        if (failsNow()) {
+        if (shouldFail()) {
             head.status_ = 500;
             (void)co_await exchange.respond(std::move(head));
             co_return;
@@ -247,10 +247,10 @@
             std::string event = "id: " + std::to_string(id) + "\ndata: event " + std::to_string(id) + "\n\n";
             auto written = co_await exchange.writeChunk(std::move(event));
             if (!written) {
-                gone_.emplace_back(exchange.request().header("x-pistachioloom-attempt-id"));
+                abandonedRuns_.emplace_back(exchange.request().header("x-pistachioloom-attempt-id"));
                 co_return;
             }
-            stream.made_ = id;
+            stream.lastEventId_ = id;
             if (stream.isStopped_ || isCrashed_) {
                 exchange.abort();
                 co_return;
@@ -261,24 +261,24 @@
     }
 
     std::string id_;
-    std::chrono::seconds statedIdle_;
+    std::chrono::seconds advertisedIdleTimeout_;
     bool isCrashed_ = false;
     std::function<void(const HttpRequest&)> onRun_;
     std::set<HttpExchange*> running_;
     HttpServer server_;
     Controls controls_ { { { "delay_ms", 0 }, { "full", 0 }, { "retry_after_ms", 0 }, { "says_leaving", 0 }, { "lose_answers", 0 }, { "fails_one_in", 0 }, { "other_id", 0 }, { "no_seal", 0 }, { "events", 5 }, { "gap_ms", 5 }, { "cut_at", 0 }, { "refuse_moves", 0 }, { "refuse_stops", 0 }, { "move_ms", 0 }, { "lose_copies", 0 } } };
-    json::array runs_;
+    json::array runAttemptIds_;
     /// Requests answered 503 without having run.
-    std::int64_t turnedAway_ = 0;
-    json::array gone_;
+    std::int64_t rejected_ = 0;
+    json::array abandonedRuns_;
     json::object headers_;
     std::map<std::string, Stream> streams_;
     /// Runs that were stopped to go on elsewhere.
-    json::array moved_;
+    json::array movedRuns_;
     /// Where memory came from, of requests that go on from a copy.
-    json::array resumed_;
+    json::array resumeSources_;
     /// Copies that nobody goes on from.
-    json::array dropped_;
+    json::array releasedHandles_;
 };
 
 class Fleet {
@@ -302,8 +302,8 @@
         if (path == "/log-read")
             co_return co_await read(exchange);
         if (path == "/log-newest")
-            co_return co_await newest(exchange);
-        noteDuty(exchange.request(), path);
+            co_return co_await readNewest(exchange);
+        recordDutyCall(exchange.request(), path);
         co_await reply(exchange, 200, json::object {});
     }
 
@@ -321,8 +321,8 @@
         controls_.update(body);
         json::object answer;
         json::object ports;
-        for (const json::object& wanted : objectsField(body, "backends"))
-            ports[textField(wanted, "id")] = start(wanted);
+        for (const json::object& spec : objectsField(body, "backends"))
+            ports[textField(spec, "id")] = startBackend(spec);
         for (const json::object& entry : objectsField(body, "put"))
             log_.put(textField(entry, "topic"), textField(entry, "key"), textField(entry, "value"));
         auto reclaimed = entries_.find(textField(body, "reclaim"));
@@ -337,10 +337,10 @@
             crashText_ = textField(body, "crash_text");
         if (Backend* chosen = find(textField(body, "backend")))
             answer = chosen->control(body);
-        auto asked = entries_.find(textField(body, "born"));
-        if (asked != entries_.end())
-            answer["born"] = asked->second.at("born");
-        answer["duties"] = duties_;
+        auto queried = entries_.find(textField(body, "born"));
+        if (queried != entries_.end())
+            answer["born"] = queried->second.at("born");
+        answer["duties"] = dutyCalls_;
         answer["crashes"] = crashes_;
         answer["statuses"] = statuses_;
         answer["ports"] = ports;
@@ -360,22 +360,22 @@
     /// The server of this id crashes and starts anew under it, at another port.
     void restart(const std::string& id)
     {
-        json::object wanted = entries_[id];
-        wanted["id"] = id;
-        wanted["phase"] = "up";
+        json::object spec = entries_[id];
+        spec["id"] = id;
+        spec["phase"] = "up";
         // Its handlers may still be suspended, and nobody reaches them any more.
         crashed_.push_back(std::move(backends_[id]));
         crashed_.back()->crash();
-        start(wanted);
+        startBackend(spec);
     }
 
-    std::uint16_t start(const json::object& wanted)
+    std::uint16_t startBackend(const json::object& spec)
     {
-        std::string id = textField(wanted, "id");
-        std::chrono::seconds idle(wanted.contains("idle_s") ? numberField(wanted, "idle_s") : 0);
-        auto backend = std::make_unique<Backend>(io_, id, idle);
+        std::string id = textField(spec, "id");
+        std::chrono::seconds idleTimeout(spec.contains("idle_s") ? numberField(spec, "idle_s") : 0);
+        auto backend = std::make_unique<Backend>(io_, id, idleTimeout);
         json::object entry { { "version", "v1" }, { "cold_left_ms", 0 }, { "call_seq", 0 } };
-        for (const auto& field : wanted)
+        for (const auto& field : spec)
             entry[field.key()] = field.value();
         entry.erase("id");
         std::uint16_t port = backend->listen();
@@ -384,12 +384,12 @@
         if (!entry.contains("unregistered"))
             log_.put("keyed.servers", id, json::serialize(entry));
         entries_[id] = std::move(entry);
-        backend->setRunHook([this, id](const HttpRequest& request) { noteRun(id, request); });
+        backend->setRunHook([this, id](const HttpRequest& request) { recordRun(id, request); });
         backends_[id] = std::move(backend);
         return port;
     }
 
-    void noteRun(const std::string& id, const HttpRequest& request)
+    void recordRun(const std::string& id, const HttpRequest& request)
     {
         if (crashText_.empty() || request.body_.find(crashText_) == std::string::npos)
             return;
@@ -404,11 +404,11 @@
     asio::awaitable<void> replaceCrashed(std::string id)
     {
         co_await pause(milliseconds(controls_["restart_ms"]));
-        json::object wanted = entries_[id];
-        wanted["id"] = id + "'";
+        json::object spec = entries_[id];
+        spec["id"] = id + "'";
         entries_.erase(id);
         log_.put("keyed.servers", id, "");
-        start(wanted);
+        startBackend(spec);
     }
 
     asio::awaitable<void> append(HttpExchange& exchange)
@@ -423,19 +423,19 @@
         std::string producer = request.query("producer");
         if (!producer.empty()) {
             std::uint64_t epoch = std::stoull(request.query("epoch"));
-            std::uint64_t call = std::stoull(request.query("call_seq"));
-            Fence& fence = fences_[topic + "/" + producer];
-            bool isRepeat = epoch == fence.epoch_ && call == fence.call_;
-            bool isNext = epoch > fence.epoch_ || (epoch == fence.epoch_ && call == fence.call_ + 1);
+            std::uint64_t sequence = std::stoull(request.query("call_seq"));
+            ProducerState& producerState = producerStates_[topic + "/" + producer];
+            bool isRepeat = epoch == producerState.epoch_ && sequence == producerState.sequence_;
+            bool isNext = epoch > producerState.epoch_ || (epoch == producerState.epoch_ && sequence == producerState.sequence_ + 1);
             if (!isRepeat && !isNext) {
-                json::object conflict { { "reason", epoch < fence.epoch_ ? "fenced" : "seq" } };
+                json::object conflict { { "reason", epoch < producerState.epoch_ ? "fenced" : "seq" } };
                 co_return co_await reply(exchange, 409, conflict);
             }
             if (isRepeat) {
-                json::object done { { "offset", fence.offset_ }, { "end", log_.end(topic) } };
+                json::object done { { "offset", producerState.offset_ }, { "end", log_.end(topic) } };
                 co_return co_await reply(exchange, 200, done);
             }
-            fence = { epoch, call, log_.end(topic) };
+            producerState = { epoch, sequence, log_.end(topic) };
         }
         if (topic == "keyed.status") {
             auto length = static_cast<unsigned char>(request.body_.at(4));
@@ -456,12 +456,12 @@
         std::string topic = request.query("topic");
         std::uint64_t from = std::stoull(request.query("from"));
         std::string wait = request.query("wait_ms");
-        SteadyTime until = steadyNow() + milliseconds(wait.empty() ? 0 : std::stoll(wait));
-        while (from >= log_.end(topic) && steadyNow() < until && !controls_["down"])
-            co_await pause(waitStep);
+        SteadyTime deadline = steadyNow() + milliseconds(wait.empty() ? 0 : std::stoll(wait));
+        while (from >= log_.end(topic) && steadyNow() < deadline && !controls_["down"])
+            co_await pause(pollPeriod);
         std::string body;
-        appendBig64(body, log_.end(topic));
-        appendBig64(body, 0);
+        appendBigEndian64(body, log_.end(topic));
+        appendBigEndian64(body, 0);
         for (std::uint64_t offset = from; offset < log_.end(topic); ++offset) {
             const std::string& record = log_.records(topic)[offset];
             unsigned char length[4];
@@ -472,7 +472,7 @@
         (void)co_await exchange.respond(std::move(answer));
     }
 
-    asio::awaitable<void> newest(HttpExchange& exchange)
+    asio::awaitable<void> readNewest(HttpExchange& exchange)
     {
         std::string topic = exchange.request().query("topic");
         json::array entries;
@@ -482,12 +482,12 @@
         co_await reply(exchange, 200, answer);
     }
 
-    void noteDuty(const HttpRequest& request, const std::string& path)
+    void recordDutyCall(const HttpRequest& request, const std::string& path)
     {
         json::object duty { { "call", path }, { "holder", request.header("x-pistachioloom-duty-holder") }, { "token", std::stoll("0" + request.header("x-pistachioloom-fence-token")) } };
         duty["at_ms"] = std::chrono::duration_cast<milliseconds>(steadyNow().time_since_epoch()).count();
         duty["body"] = parseJsonObject(request.body_).value_or(json::object {});
-        duties_.push_back(std::move(duty));
+        dutyCalls_.push_back(std::move(duty));
     }
 
     asio::io_context& io_;
@@ -498,16 +498,16 @@
     std::vector<std::unique_ptr<Backend>> crashed_;
     /// What each registered.
     std::map<std::string, json::object> entries_;
-    json::array duties_;
+    json::array dutyCalls_;
     std::string crashText_;
     json::array crashes_;
-    struct Fence {
+    struct ProducerState {
         std::uint64_t epoch_ = 0;
-        std::uint64_t call_ = 0;
+        std::uint64_t sequence_ = 0;
         std::uint64_t offset_ = 0;
     };
     /// The last append of each producer to each topic.
-    std::map<std::string, Fence> fences_;
+    std::map<std::string, ProducerState> producerStates_;
     /// What the operator was told, in its order.
     json::array statuses_;
 };
--- a/tools/standins/PlatformStandin.cpp
+++ b/tools/standins/PlatformStandin.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr milliseconds pollPeriod { 10 };
-constexpr std::size_t mostRecordsAnswered = 1000;
+constexpr std::size_t maxRecordsPerAnswer = 1000;
 constexpr int statusUnavailable = 503;
 
 struct Stream {
@@ -98,12 +98,12 @@
     ++reads_;
     std::uint64_t from = std::strtoull(exchange.request().query("from").c_str(), nullptr, 10);
     milliseconds wait(std::strtoll(exchange.request().query("wait_ms").c_str(), nullptr, 10));
-    auto until = steadyNow() + wait;
-    while (streams_[name].next() <= from && steadyNow() < until && !controls_["log_down"])
+    auto deadline = steadyNow() + wait;
+    while (streams_[name].next() <= from && steadyNow() < deadline && !controls_["log_down"])
         co_await pause(pollPeriod);
     const Stream& stream = streams_[name];
     json::array records;
-    for (std::uint64_t offset = std::max(from, stream.first_); offset < stream.next() && records.size() < mostRecordsAnswered; ++offset) {
+    for (std::uint64_t offset = std::max(from, stream.first_); offset < stream.next() && records.size() < maxRecordsPerAnswer; ++offset) {
         json::object record;
         record["offset"] = offset;
         record["data"] = stream.records_[offset - stream.first_];
@@ -138,15 +138,15 @@
 {
     std::size_t since = std::strtoull(exchange.request().query("since").c_str(), nullptr, 10);
     milliseconds wait(std::strtoll(exchange.request().query("wait_ms").c_str(), nullptr, 10));
-    auto until = steadyNow() + wait;
-    while (notices_.size() <= since && steadyNow() < until)
+    auto deadline = steadyNow() + wait;
+    while (notices_.size() <= since && steadyNow() < deadline)
         co_await pause(pollPeriod);
-    json::array fresh;
+    json::array newNotices;
     for (std::size_t i = since; i < notices_.size(); ++i)
-        fresh.push_back(notices_[i]);
+        newNotices.push_back(notices_[i]);
     json::object answer;
     answer["next"] = notices_.size();
-    answer["notices"] = fresh;
+    answer["notices"] = newNotices;
     co_await reply(exchange, 200, answer);
 }
 
@@ -188,10 +188,10 @@
     answer["appends"] = appends_;
     answer["reads"] = reads_;
     answer["lists"] = lists_;
-    json::object nexts;
+    json::object nextOffsets;
     for (const auto& [name, stream] : streams_)
-        nexts[name] = stream.next();
-    answer["next"] = nexts;
+        nextOffsets[name] = stream.next();
+    answer["next"] = nextOffsets;
     co_await reply(exchange, 200, answer);
 }
 
--- a/tools/standins/ServiceStandin.cpp
+++ b/tools/standins/ServiceStandin.cpp
@@ -30,7 +30,7 @@
     } };
     std::map<std::string, std::int64_t> executions_;
     std::int64_t total_ = 0;
-    std::int64_t afterLeaving_ = 0;
+    std::int64_t requestsWhileLeaving_ = 0;
 };
 
 asio::awaitable<void> Service::control(HttpExchange& exchange)
@@ -41,7 +41,7 @@
         executions[key] = count;
     json::object answer;
     answer["total"] = total_;
-    answer["asked_while_leaving"] = afterLeaving_;
+    answer["asked_while_leaving"] = requestsWhileLeaving_;
     answer["executions"] = executions;
     co_await reply(exchange, 200, answer);
 }
@@ -54,10 +54,10 @@
         co_return;
     }
     if (controls_["leaving"]) {
-        ++afterLeaving_;
-        HttpResponse refusal = jsonResponse(statusUnavailable, "{}");
-        refusal.headers_["x-leaving"] = "true";
-        (void)co_await exchange.respond(std::move(refusal));
+        ++requestsWhileLeaving_;
+        HttpResponse rejection = jsonResponse(statusUnavailable, "{}");
+        rejection.headers_["x-leaving"] = "true";
+        (void)co_await exchange.respond(std::move(rejection));
         co_return;
     }
     std::int64_t count = ++executions_[request.header("idempotency-key")];
