--- a/benchmarks/ConfigurationBenchmark.cpp
+++ b/benchmarks/ConfigurationBenchmark.cpp
@@ -1,10 +1,11 @@
-//===- benchmarks/ConfigurationBenchmark.cpp - taking in a configuration ---===//
+//===- benchmarks/ConfigurationBenchmark.cpp - configuration costs --------===//
 ///
 /// \file
-/// Processor time of each step that a node takes with a new configuration in the
-/// platform's format: decode, build, compress, decompress; and how late an event loop
-/// runs that does them itself, or leaves them to a thread beside it. The machine may be
-/// shared: the least of the runs says most, and only steps of one run compare.
+/// Measures the processor time of each step by which a node processes a new
+/// configuration in the platform's format: decode, build, compress and decompress.
+/// Also measures how much these steps delay an event loop, both when the loop runs
+/// them itself and when a background thread runs them. The machine may be shared, so
+/// the minimum is the most reliable figure, and only figures of one run compare.
 //===----------------------------------------------------------------------===//
 #include "Background.h"
 #include "Percentile.h"
@@ -18,7 +19,7 @@
 namespace {
 
 constexpr int runs = 25;
-// The size of a large organisation's configuration: 780 KB of text.
+// A large organisation's configuration has this size: 780 KB of text.
 constexpr int routeCount = 4240;
 constexpr int organisationCount = 16;
 constexpr ByteCount maxTextSize { 16UL * 1024 * 1024 };
@@ -53,7 +54,8 @@
     return static_cast<double>(now.tv_sec) * 1e3 + static_cast<double>(now.tv_nsec) * 1e-6;
 }
 
-/// Prints the times of \p step, whose argument \p prepare makes outside the times.
+/// Prints the minimum and the median processor time of \p step in milliseconds.
+/// \p prepare makes its argument, and its time is not counted.
 template <typename Prepare, typename Step>
 void report(const char* name, Prepare prepare, Step step)
 {
@@ -75,7 +77,7 @@
     compress(text);
 }
 
-/// Whether the event loop does the work itself.
+/// Where the work runs: on the event loop or on a background thread.
 enum class ExecutionPlace {
     OnLoop,
     OnThread,
@@ -92,7 +94,8 @@
     isDone = true;
 }
 
-/// The latest that a sleeper of 1 ms woke meanwhile, in milliseconds.
+/// Raises \p maxLag to the largest delay, in milliseconds, with which a timer of
+/// 1 ms fires until \p isDone.
 asio::awaitable<void> measureLag(double& maxLag, const bool& isDone)
 {
     while (!isDone) {
@@ -105,17 +108,17 @@
 
 void reportLag(const char* name, ExecutionPlace place, const std::string& text)
 {
-    std::vector<double> maxLag;
+    std::vector<double> maxLags;
     for (int i = 0; i < runs; ++i) {
         asio::io_context io(1);
         Background background;
         bool isDone = false;
-        maxLag.push_back(0);
+        maxLags.push_back(0);
         asio::co_spawn(io, processConfigurationAt(place, background, text, isDone), asio::detached);
-        asio::co_spawn(io, measureLag(maxLag.back(), isDone), asio::detached);
+        asio::co_spawn(io, measureLag(maxLags.back(), isDone), asio::detached);
         io.run();
     }
-    std::printf("%-12s %8.2f %8.2f\n", name, test::percentile(maxLag, 0), test::percentile(maxLag, 0.5));
+    std::printf("%-12s %8.2f %8.2f\n", name, test::percentile(maxLags, 0), test::percentile(maxLags, 0.5));
 }
 
 } // namespace
@@ -127,7 +130,7 @@
     const std::string compressed = compress(text);
     auto restored = decompress(compressed, maxTextSize);
     if (!decoded || decoded.value().routes_.size() != routeCount || !restored || restored.value() != text) {
-        std::printf("the steps do not fit each other\n");
+        std::printf("the decoded or decompressed configuration differs from its source\n");
         return 1;
     }
     std::printf("%d routes, %zu bytes, %zu compressed; processor time in ms of %d runs, on a machine that may be shared\n", routeCount, text.size(), compressed.size(), runs);
@@ -140,7 +143,7 @@
         "compress", [&]() -> const std::string& { return text; }, [](const std::string& source) { return compress(source); });
     report(
         "decompress", [&]() -> const std::string& { return compressed; }, [](const std::string& bytes) { return decompress(bytes, maxTextSize); });
-    // On one core, by `taskset -c`, loop and thread share it.
+    // Under `taskset -c` with one core, the loop and the thread share that core.
     std::printf("how late the event loop runs at most meanwhile, in ms\n");
     reportLag("on loop", ExecutionPlace::OnLoop, text);
     reportLag("beside loop", ExecutionPlace::OnThread, text);
--- a/benchmarks/ControlBenchmark.cpp
+++ b/benchmarks/ControlBenchmark.cpp
@@ -1,9 +1,10 @@
-//===- benchmarks/ControlBenchmark.cpp - control costs of real nodes -------===//
+//===- benchmarks/ControlBenchmark.cpp - control costs of real nodes ------===//
 ///
 /// \file
-/// Runs deployments of several sizes without load and measures what control
-/// costs each node; then how long a catalogue change takes to be in force, how
-/// many messages it costs, and how soon a dead node is known.
+/// Runs deployments of several sizes without load and measures the processor time,
+/// traffic and memory that control costs each node. Then measures how long a
+/// catalogue change takes to be in force on every node, how many bytes a change of
+/// the VM list costs, and how soon the failure of a node is detected.
 //===----------------------------------------------------------------------===//
 #include "Harness/Deployment.h"
 #include "Percentile.h"
@@ -28,7 +29,7 @@
     double memoryMiB_ = 0;
 };
 
-/// What the nodes used over \p duration, the mean and the highest of a node.
+/// Returns what the nodes used over \p duration: the mean and the maximum per node.
 std::pair<Sample, Sample> measureIdle(Deployment& deployment, milliseconds duration)
 {
     struct Counters {
@@ -68,8 +69,8 @@
     return "org-" + std::to_string(number);
 }
 
-/// Entries with work in progress at every node, whose grants are renewed; the
-/// engines are so slow that hardly any token passes.
+/// Keeps one request of each entry in progress at every node, so that their grants
+/// are renewed. The engines are so slow that hardly any token is generated.
 class ActiveEntries {
 public:
     ActiveEntries(Deployment& deployment, std::size_t entries)
@@ -85,7 +86,7 @@
             for (std::size_t i = 0; i < entries; ++i) {
                 Completion completion { Deployment::apiKey(workloadName(i)), "planogram", "slow", 100 };
                 asio::co_spawn(
-                    io_, [](Endpoint entry, Completion ask) -> asio::awaitable<void> { (void)co_await streamCompletion(entry, ask); }(node.callers_, completion), asio::detached);
+                    io_, [](Endpoint entry, Completion request) -> asio::awaitable<void> { (void)co_await streamCompletion(entry, request); }(node.callers_, completion), asio::detached);
             }
         }
         thread_ = std::thread([this] { io_.run(); });
@@ -108,7 +109,8 @@
     return "name: s\nkind: service\nconcurrency: " + std::to_string(value) + "\nrepeatable: true\n";
 }
 
-/// Milliseconds from the tool's "accepted" to force on every node, \p count times.
+/// Applies \p count catalogue edits, and returns for each the milliseconds from the
+/// command line tool's "accepted" until it is in force on every node.
 std::vector<double> measurePropagation(Deployment& deployment, int count)
 {
     std::vector<double> times;
@@ -118,7 +120,7 @@
         auto& node = deployment.nodes()[static_cast<std::size_t>(i) % deployment.nodes().size()];
         auto [code, output] = deployment.tool(node, { "catalogue", "apply", file });
         if (code) {
-            std::printf("  an edit was not accepted: %s\n", output.c_str());
+            std::printf("  a catalogue edit was not accepted: %s\n", output.c_str());
             continue;
         }
         auto startedAt = std::chrono::steady_clock::now();
@@ -128,7 +130,8 @@
     return times;
 }
 
-/// Puts \p count engines on the list that nothing runs behind, \p first and on.
+/// Puts \p count engines on the VM list, numbered from \p first. No process runs
+/// at their addresses.
 void putListedEngines(Deployment& deployment, std::size_t first, std::size_t count)
 {
     boost::json::array vms;
@@ -163,7 +166,7 @@
     return sum;
 }
 
-/// What one changed VM of a list of \p listedVms costs each node.
+/// Prints what the change of one VM costs each node when \p listedVms are on the list.
 void measureListChanges(Deployment& deployment, std::size_t listedVms, double idlePerSecond)
 {
     constexpr int changes = 20;
@@ -184,7 +187,8 @@
     std::printf("       a changed VM of %zu listed: %.0f B sent a node, known to all after p50 %.0f ms, p99 %.0f ms\n", listedVms, perChange, percentile(times, 0.5), percentile(times, 0.99));
 }
 
-/// Milliseconds until every live node of the data centre has the victim out.
+/// Kills or freezes a node and returns the milliseconds until every other node of its
+/// data centre lists it as out.
 double measureDetection(Deployment& deployment, bool shouldFreeze)
 {
     auto& victim = deployment.nodes().front();
@@ -197,10 +201,10 @@
         for (auto& node : deployment.nodes()) {
             if (node.dataCentre_ != victim.dataCentre_ || node.id_ == victim.id_)
                 continue;
-            auto listedVms = deployment.ask(node, "/nodes");
-            if (!listedVms.is_object())
+            auto nodeList = deployment.ask(node, "/nodes");
+            if (!nodeList.is_object())
                 return false;
-            for (const auto& line : objectsField(listedVms.as_object(), "nodes")) {
+            for (const auto& line : objectsField(nodeList.as_object(), "nodes")) {
                 if (textField(line, "node") == victim.id_ && textField(line, "state") != "out")
                     return false;
             }
@@ -216,19 +220,19 @@
 
 int main(int argc, char** argv)
 {
-    CLI::App app { "Measures what control costs a node." };
+    CLI::App app { "Measures the control overhead of each node." };
     std::vector<std::size_t> sizes { 3, 9, 26 };
     std::size_t dataCentres = 1;
     int seconds = 10;
     int edits = 20;
     std::size_t listedVms = 2400;
     std::size_t entries = 0;
-    app.add_option("--nodes", sizes, "Nodes of each data centre, several sizes");
-    app.add_option("--data-centres", dataCentres, "Data centres");
-    app.add_option("--seconds", seconds, "Length of each measurement");
-    app.add_option("--edits", edits, "Catalogue edits at each size");
-    app.add_option("--entries", entries, "Entries with a request in progress at every node");
-    app.add_option("--listed", listedVms, "VMs on the list when one changes");
+    app.add_option("--nodes", sizes, "Nodes of each data centre; several sizes may be given");
+    app.add_option("--data-centres", dataCentres, "Number of data centres");
+    app.add_option("--seconds", seconds, "Length of each measurement in seconds");
+    app.add_option("--edits", edits, "Number of catalogue edits at each size");
+    app.add_option("--entries", entries, "Number of entries with a request in progress at every node");
+    app.add_option("--listed", listedVms, "Number of VMs on the list when one changes");
     CLI11_PARSE(app, argc, argv);
     std::printf("%6s %4s | %9s %9s | %9s %9s %9s | %8s %8s | %9s %9s | %9s\n", "nodes", "dcs", "cpu %", "most", "sent B/s", "recv B/s", "most sent", "MiB", "most", "force p50", "force p99", "dead ms");
     for (std::size_t size : sizes) {
--- a/benchmarks/DecisionBenchmark.cpp
+++ b/benchmarks/DecisionBenchmark.cpp
@@ -1,8 +1,9 @@
-//===- benchmarks/DecisionBenchmark.cpp - slopes of the pure parts ---------===//
+//===- benchmarks/DecisionBenchmark.cpp - scaling of the decision code ----===//
 ///
 /// \file
-/// Times and sizes of the pure decisions at three sizes or more, and bounds on
-/// how they may grow. Ratios within one run, so a busy machine does not matter.
+/// Measures time and memory of the decision code, which does no input or output, at
+/// three sizes or more, and checks bounds on their growth. The bounds are on ratios
+/// within one run, so they hold on a busy machine too.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Catalogue.h"
 #include "pistachioloom/Ledger.h"
@@ -22,7 +23,8 @@
 constexpr int samples = 9;
 bool isWithinBounds = true;
 
-/// The median time of one of \p count calls, in microseconds.
+/// Returns the time of one call in microseconds: the median over the samples, each of
+/// which is the mean of \p count calls.
 double medianTimeUs(int count, const std::function<void()>& work)
 {
     std::vector<double> times;
--- a/benchmarks/FloodBenchmark.cpp
+++ b/benchmarks/FloodBenchmark.cpp
@@ -1,9 +1,10 @@
-//===- benchmarks/FloodBenchmark.cpp - paid work beside a flood of trials --===//
+//===- benchmarks/FloodBenchmark.cpp - paid latency under trial load ------===//
 ///
 /// \file
-/// Paid callers arrive at a steady rate, first alone and then while trials ask
-/// for ten times what the engines can do. Exits 1 when the flood moves the
-/// paid callers' first token past its bound.
+/// Paid requests arrive at a constant mean rate, first alone and then together with
+/// trial requests at ten times the capacity of the engines. Exits 1 if the trial load
+/// raises the p99 time to first token of paid requests past its bound, or if a paid
+/// request is rejected or fails.
 //===----------------------------------------------------------------------===//
 #include "Harness/Deployment.h"
 #include "Percentile.h"
@@ -24,15 +25,18 @@
 constexpr std::uint64_t microsPerToken = 10000;
 constexpr std::uint64_t slotsPerEngine = 4;
 constexpr std::size_t engines = 6;
-/// Answers a second that the engines can give.
+/// Answers per second that the engines can complete.
 constexpr double capacity = static_cast<double>(engines * slotsPerEngine) * 1e6 / static_cast<double>(tokensPerAnswer * microsPerToken);
+/// Offered load of each class, relative to the capacity.
 constexpr double paidLoad = 0.5;
 constexpr double trialLoad = 10;
-/// The p99 of paid first tokens with the flood, against without it.
+/// Upper bound on the p99 time to first token of paid requests under trial load,
+/// relative to the p99 without it.
 constexpr double maxGrowth = 1.05;
-/// What the machine itself adds when it is this busy.
+/// Latency that the machine itself adds under this load.
 constexpr double noiseMs = 5;
 
+/// Counts and latencies, in milliseconds, of the answers to one class of requests.
 struct AnswerStats {
     std::vector<double> firstToken_;
     std::vector<double> fullAnswer_;
@@ -40,7 +44,7 @@
     std::size_t rejected_ = 0;
     std::size_t failed_ = 0;
 
-    void count(const Answer& answer, SteadyTime startedAt)
+    void add(const Answer& answer, SteadyTime startedAt)
     {
         if (!answer.isDone_) {
             if (answer.error_ && answer.error_->ran_ != Ran::No)
@@ -68,10 +72,11 @@
     SteadyTime startedAt = steadyNow();
     Completion completion { Deployment::apiKey(entryName), "planogram", prompt, tokensPerAnswer };
     Answer answer = co_await streamCompletion(entry, completion);
-    stats.count(answer, startedAt);
+    stats.add(answer, startedAt);
 }
 
-/// Arrivals at \p perSecond, independent of the answers.
+/// Sends requests as a Poisson process with mean rate \p perSecond, independent of the
+/// answers, until \p endTime.
 asio::awaitable<void> generateArrivals(std::vector<Endpoint> entries, std::string entryName, double perSecond, SteadyTime endTime, AnswerStats& stats)
 {
     auto executor = co_await asio::this_coro::executor;
@@ -117,8 +122,8 @@
 int main(int argc, char** argv)
 {
     std::uint64_t paidReserve = 1;
-    CLI::App app { "Measures paid work beside a flood of trials." };
-    app.add_option("--paid-reserve", paidReserve, "Slots of each engine that trials leave to paid work")->capture_default_str();
+    CLI::App app { "Measures the latency of paid requests under a flood of trial requests." };
+    app.add_option("--paid-reserve", paidReserve, "Slots of each engine that are reserved for paid requests")->capture_default_str();
     CLI11_PARSE(app, argc, argv);
     DeploymentOptions options;
     options.nodesPerDataCentre_ = 1;
--- a/benchmarks/PathBenchmark.cpp
+++ b/benchmarks/PathBenchmark.cpp
@@ -1,8 +1,8 @@
-//===- benchmarks/PathBenchmark.cpp - what the path adds -------------------===//
+//===- benchmarks/PathBenchmark.cpp - overhead of the request path --------===//
 ///
 /// \file
-/// Streams through entry, home and engine stand-in against the stand-in alone,
-/// in one run, at several numbers of concurrent streams.
+/// Compares streams through entry, dispatcher and engine stand-in with streams from
+/// the stand-in directly, in one run, at several numbers of concurrent streams.
 //===----------------------------------------------------------------------===//
 #include "Harness/Deployment.h"
 #include "Percentile.h"
@@ -32,7 +32,8 @@
     return std::chrono::duration<double, std::milli>(steadyNow() - startedAt).count();
 }
 
-/// One answer from the stand-in itself; fills in the two times.
+/// Requests one answer from the stand-in directly and sets both times. Returns whether
+/// the answer is complete.
 asio::awaitable<bool> callEngine(Endpoint engine, std::string id, double& firstTokenMs, double& fullAnswerMs)
 {
     SteadyTime startedAt = steadyNow();
@@ -136,7 +137,7 @@
         print("engine", engine, 0);
         print("system", system, memory);
         double ratio = percentile(system.fullAnswer_, 0.5) / percentile(engine.fullAnswer_, 0.5);
-        // Wide, since everything shares one machine here.
+        // The bounds are wide because clients, nodes and engines share one machine.
         double maxRatio = concurrency < 1000 ? 2 : 6;
         bool hasSucceeded = ratio <= maxRatio && !system.failures_;
         isWithinBounds &= hasSucceeded;
--- a/benchmarks/Percentile.h
+++ b/benchmarks/Percentile.h
@@ -1,7 +1,7 @@
-//===- benchmarks/Percentile.h - percentiles of samples --------------------===//
+//===- benchmarks/Percentile.h - percentiles of samples -------------------===//
 ///
 /// \file
-/// What the benchmarks' tables are made of.
+/// Percentiles for the tables that the benchmarks print.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -10,7 +10,8 @@
 
 namespace pistachioloom::test {
 
-/// The smallest of \p values that \p share of them do not exceed; 0 for none.
+/// Returns the smallest of \p values that a fraction \p share of them do not exceed, or 0
+/// if there are none.
 inline double percentile(std::vector<double> values, double share)
 {
     std::sort(values.begin(), values.end());
--- a/benchmarks/RelayBenchmark.cpp
+++ b/benchmarks/RelayBenchmark.cpp
@@ -1,9 +1,9 @@
-//===- benchmarks/RelayBenchmark.cpp - what relays cost as a fleet grows ---===//
+//===- benchmarks/RelayBenchmark.cpp - relay costs as the fleet grows -----===//
 ///
 /// \file
-/// Bytes and time of reports, digests and summaries at 9, 63 and 370 nodes, of the
-/// choice of an engine among 21, 112 and 2,100, and bounds on how a node's part
-/// may grow.
+/// Measures the size and time of reports, digests and summaries at 9, 63 and 364 nodes,
+/// and the time to choose among 21, 112 and 2,100 engines. Checks bounds on how the
+/// share of each node may grow.
 //===----------------------------------------------------------------------===//
 #include "RelayBook.h"
 #include "pistachioloom/Backends.h"
@@ -80,17 +80,17 @@
 
 double measureChoiceUs(int engines)
 {
-    BackendTable aggregator({ "a" }, ChoiceSettings {});
+    BackendTable table({ "a" }, ChoiceSettings {});
     for (int i = 0; i < engines; ++i)
-        aggregator.put({ engineId(i), { "drafts" }, { "10.0.0.1", 80 }, { "a" }, 24, false, true, { engineId(i).value_ }, {} });
+        table.put({ engineId(i), { "drafts" }, { "10.0.0.1", 80 }, { "a" }, 24, false, true, { engineId(i).value_ }, {} });
     RequestShape shape;
     shape.service_ = { "drafts" };
     shape.promptTokens_ = { 12000 };
     shape.parts_ = { { "common", { 500 } }, { "subject", { 5000 } }, { "own", { 6500 } } };
     shape.isForEngine_ = true;
     return medianTimeUs(200, [&] {
-        auto choice = aggregator.choose(shape, {}, start);
-        aggregator.end(choice->backend_.id_, { BackendOutcome::Abandoned, choice->uncached_ }, start);
+        auto choice = table.choose(shape, {}, start);
+        table.end(choice->backend_.id_, { BackendOutcome::Abandoned, choice->uncached_ }, start);
     });
 }
 
@@ -99,7 +99,7 @@
     RelayBook aggregator(milliseconds(5000));
     for (int i = 0; i < size.nodesPerDataCentre_; ++i)
         aggregator.takeReport(makeReport(i, size), start);
-    // Another data centre's sums hold as many engines as its nodes use.
+    // The sums of another data centre cover as many engines as its nodes use.
     for (int dataCentre = 1; dataCentre < size.dataCentres_; ++dataCentre) {
         RelayBook other(milliseconds(5000));
         for (int i = 0; i < size.nodesPerDataCentre_; ++i)
@@ -141,8 +141,8 @@
         measured.push_back(measurements);
         std::printf("%5d %7d | %8zu %8zu %9zu | %.1f %.1f %.1f\n", size.dataCentres_ * size.nodesPerDataCentre_, size.engines_, measurements.reportBytes_, measurements.digestBytes_, measurements.summaryBytes_, measurements.applyReportUs_, measurements.digestUs_, measurements.chooseUs_);
     }
-    // What a node sends must not grow with the fleet; what it hears grows with the
-    // engines, by 8 to 10 bytes each.
+    // The report that a node sends must not grow with the fleet. The digest that it
+    // receives grows by 8 to 10 bytes per engine.
     checkBound("report at 370 nodes against 63", static_cast<double>(measured[2].reportBytes_) / static_cast<double>(measured[1].reportBytes_), 1.1);
     checkBound("bytes of a digest for each engine", static_cast<double>(measured[2].digestBytes_) / sizes[2].engines_, 11);
     checkBound("digest fits a datagram, parts of 64 KiB", static_cast<double>(measured[2].digestBytes_) / 65536, 0.5);
--- a/tools/pistachioloomctl/Client.cpp
+++ b/tools/pistachioloomctl/Client.cpp
@@ -1,7 +1,7 @@
-//===- tools/pistachioloomctl/Client.cpp - talking to operator ports -------===//
+//===- tools/pistachioloomctl/Client.cpp - HTTP client of operator ports --===//
 ///
 /// \file
-/// See Client.h.
+/// Implements OperatorClient and catalogue edits.
 //===----------------------------------------------------------------------===//
 #include "Client.h"
 
@@ -40,7 +40,7 @@
     boost::json::error_code code;
     boost::json::value value = boost::json::parse(response.value().body_, code);
     if (code)
-        return Error { Errc::Protocol, "GET " + target, node_.toString(), "the answer is not JSON", Ran::No, {} };
+        return Error { Errc::Protocol, "GET " + target, node_.toString(), "the response body is not valid JSON", Ran::No, {} };
     return value;
 }
 
--- a/tools/pistachioloomctl/Client.h
+++ b/tools/pistachioloomctl/Client.h
@@ -1,7 +1,7 @@
-//===- tools/pistachioloomctl/Client.h - talking to operator ports ---------===//
+//===- tools/pistachioloomctl/Client.h - HTTP client of operator ports ----===//
 ///
 /// \file
-/// One node's operator port, and through it the ports of all the others.
+/// Calls the operator port of one node, and lists the other nodes through it.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -12,15 +12,19 @@
 
 namespace pistachioloom {
 
+/// Sends requests with the operator credential to the operator port of one node.
 class OperatorClient {
 public:
     OperatorClient(Endpoint node, std::string credential, milliseconds timeout);
 
     const Endpoint& node() const { return node_; }
-    /// Errors: whatever the node answers, or that it does not answer.
+    /// Sends one request and returns the response, whatever its status. Errors: the node
+    /// is unreachable or does not answer within the timeout.
     Result<HttpResponse> call(const std::string& method, const std::string& target, const std::string& body = {}) const;
+    /// Returns the JSON body of a GET. Errors: those of call(), a status other than 200,
+    /// or a body that is not JSON.
     Result<boost::json::value> getJson(const std::string& target) const;
-    /// Clients of every node that this one lists, itself included.
+    /// Returns a client for each node that this node lists, including itself.
     Result<std::vector<OperatorClient>> allNodes() const;
 
 private:
@@ -29,14 +33,15 @@
     milliseconds timeout_;
 };
 
-/// What `catalogue apply` came to.
+/// The node's decision on a catalogue edit.
 struct ApplyResult {
     bool isAccepted_ = false;
+    /// The new version if the edit is accepted, else the version that it conflicts with.
     std::uint64_t version_ = 0;
 };
 
-/// Sends one edit, based on \p base or on the version that is current; an
-/// unknown outcome is asked for again with the same edit id.
+/// Sends one edit, based on \p base or else on the current version. If the outcome is
+/// unknown, retries with the same edit id, so that it takes effect at most once.
 Result<ApplyResult> applyEntry(const OperatorClient& client, const std::string& name, const std::string& body, std::optional<std::uint64_t> base);
 
 } // namespace pistachioloom
--- a/tools/pistachioloomctl/Render.cpp
+++ b/tools/pistachioloomctl/Render.cpp
@@ -1,7 +1,7 @@
-//===- tools/pistachioloomctl/Render.cpp - listings for people -------------===//
+//===- tools/pistachioloomctl/Render.cpp - human-readable output ----------===//
 ///
 /// \file
-/// See Render.h.
+/// Implements tables and trees of spans.
 //===----------------------------------------------------------------------===//
 #include "Render.h"
 
@@ -84,7 +84,7 @@
     std::set<std::string> known;
     for (const boost::json::object& span : spans)
         known.insert(textField(span, "spanId"));
-    // A root is a span whose parent is not of ours.
+    // A root span's parent is not among the collected spans.
     std::set<std::string> roots;
     for (const boost::json::object& span : spans) {
         if (!known.contains(textField(span, "parentSpanId")))
--- a/tools/pistachioloomctl/Render.h
+++ b/tools/pistachioloomctl/Render.h
@@ -1,7 +1,7 @@
-//===- tools/pistachioloomctl/Render.h - listings for people ---------------===//
+//===- tools/pistachioloomctl/Render.h - human-readable output ------------===//
 ///
 /// \file
-/// Tables of JSON objects and trees of spans.
+/// Renders JSON objects as tables, and spans as trees.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -11,10 +11,12 @@
 
 namespace pistachioloom {
 
-/// A table with the given fields as columns.
+/// Returns a table of \p rows with the given fields as columns; "-" stands for a missing
+/// field.
 std::string renderTable(const std::vector<boost::json::object>& rows, const std::vector<std::string>& columns);
 
-/// Spans of one request as a tree, children below their parents by start.
+/// Returns the spans of one request as a tree. Children follow their parent, ordered by
+/// start time.
 std::string renderTrace(const std::vector<boost::json::object>& spans);
 
 } // namespace pistachioloom
--- a/tools/pistachioloomctl/main.cpp
+++ b/tools/pistachioloomctl/main.cpp
@@ -1,7 +1,7 @@
-//===- tools/pistachioloomctl/main.cpp - the operators' tool ---------------===//
+//===- tools/pistachioloomctl/main.cpp - the command line tool ------------===//
 ///
 /// \file
-/// Commands over the operator port of any node.
+/// Runs operator commands through the operator port of any node.
 //===----------------------------------------------------------------------===//
 #include "Client.h"
 #include "Render.h"
@@ -36,6 +36,7 @@
     bool queriesAllNodes_ = false;
 };
 
+/// Prints \p error to stderr. \returns the exit code for it.
 int reportError(const Error& error)
 {
     std::cerr << "error: " << describe(error) << '\n';
@@ -54,7 +55,7 @@
     return text.str();
 }
 
-/// Splits a file of several entries at lines of three dashes.
+/// Splits a file of several entries at lines that consist of three dashes.
 std::vector<std::string> splitDocuments(const std::string& text)
 {
     std::vector<std::string> documents { "" };
@@ -76,7 +77,7 @@
         std::cerr << "error: " << options.file_ << " cannot be read\n";
         return exitRejected;
     }
-    // All are checked before any is sent.
+    // All entries are validated before the first is sent.
     std::vector<std::pair<std::string, std::string>> entries;
     InputErrors errors;
     for (const std::string& document : splitDocuments(*text)) {
@@ -152,7 +153,10 @@
     return 0;
 }
 
-/// Rows of one listing from one node, or from every node it knows.
+/// Collects the rows of a listing from one node, or from every node that it lists. The
+/// rows are the response itself if that is an array, else its \p field; then each row
+/// gets the \p sourceField of the response unless that name is empty. Prints a warning
+/// for each node that fails, and skips it.
 Result<std::vector<json::object>> collectRows(const OperatorClient& client, const std::string& target, const std::string& field, const std::string& sourceField, bool queriesAllNodes)
 {
     std::vector<OperatorClient> nodes { client };
@@ -289,10 +293,10 @@
     Options options;
     CLI::App app { "pistachioloomctl operates a pistachioloom deployment through any of its nodes." };
     app.require_subcommand(1);
-    app.add_option("--node", options.node_, "Operator address of a node, IP:PORT")->envname("PISTACHIOLOOM_NODE")->capture_default_str();
+    app.add_option("--node", options.node_, "Operator address of a node, as IP:PORT")->envname("PISTACHIOLOOM_NODE")->capture_default_str();
     app.add_option("--credential", options.credential_, "Operator credential")->envname("PISTACHIOLOOM_CREDENTIAL");
-    app.add_option("--timeout-ms", options.timeoutMs_, "Longest wait for one answer")->capture_default_str();
-    app.footer("Exit codes: 0 done, 1 wrong options, 2 refused, 3 conflict, 4 outcome unknown, 5 node unreachable.\n"
+    app.add_option("--timeout-ms", options.timeoutMs_, "Maximum time to wait for each response, in milliseconds")->capture_default_str();
+    app.footer("Exit codes: 0 success, 1 invalid options, 2 rejected, 3 conflict, 4 outcome unknown, 5 node unreachable.\n"
                "Example: pistachioloomctl --node 10.0.0.4:7003 catalogue apply entries.yaml");
     int code = 0;
     auto client = [&] {
@@ -307,9 +311,9 @@
 
     auto* catalogue = app.add_subcommand("catalogue", "Change and show the catalogue");
     catalogue->require_subcommand(1);
-    auto* apply = catalogue->add_subcommand("apply", "Apply the entries of a file, parted by lines of ---");
+    auto* apply = catalogue->add_subcommand("apply", "Apply the entries of a file, separated by lines of ---");
     apply->add_option("file", options.file_, "YAML file")->required();
-    apply->add_option("--base", options.base_, "Version that the change is based on; the current one by default");
+    apply->add_option("--base", options.base_, "Version that the change is based on (default: the current version)");
     apply->footer("Example: pistachioloomctl catalogue apply planograms.yaml --base 41");
     apply->callback([&] { code = applyFile(client(), options); });
     auto* get = addJson(catalogue->add_subcommand("get", "Show one entry"));
@@ -318,7 +322,7 @@
     get->callback([&] { code = getEntry(client(), options); });
     auto* remove = catalogue->add_subcommand("remove", "Remove one entry");
     remove->add_option("name", options.name_, "Entry name")->required();
-    remove->add_option("--base", options.base_, "Version that the change is based on");
+    remove->add_option("--base", options.base_, "Version that the change is based on (default: the current version)");
     remove->footer("Example: pistachioloomctl catalogue remove trial-7");
     remove->callback([&] { code = removeEntry(client(), options); });
     auto* listEntries = addJson(catalogue->add_subcommand("list", "List the entries"));
@@ -327,15 +331,15 @@
     auto* history = addJson(catalogue->add_subcommand("history", "List accepted changes, oldest first"));
     history->footer("Example: pistachioloomctl catalogue history");
     history->callback([&] { code = printListing(client(), options, "/history", "", "", { "entry", "version", "edit", "removed" }); });
-    auto* diff = catalogue->add_subcommand("diff", "Show lines that differ between a file and the entry in force");
+    auto* diff = catalogue->add_subcommand("diff", "Show the lines that differ between a file and the entry in force");
     diff->add_option("file", options.file_, "YAML file of one entry")->required();
     diff->footer("Example: pistachioloomctl catalogue diff planograms.yaml");
     diff->callback([&] { code = diffEntry(client(), options); });
 
-    auto* nodes = addJson(app.add_subcommand("nodes", "List the nodes as one of them sees them"));
+    auto* nodes = addJson(app.add_subcommand("nodes", "List the nodes as the contacted node sees them"));
     nodes->footer("Example: pistachioloomctl nodes");
     nodes->callback([&] { code = printListing(client(), options, "/nodes", "nodes", "", { "node", "data_centre", "state", "leaving", "catalogue_offset", "operator" }); });
-    auto* engines = addJson(app.add_subcommand("engines", "List engines and services with their homes"));
+    auto* engines = addJson(app.add_subcommand("engines", "List engines and services with their dispatchers"));
     engines->footer("Example: pistachioloomctl engines");
     engines->callback([&] {
         options.queriesAllNodes_ = true;
@@ -347,39 +351,39 @@
         options.queriesAllNodes_ = true;
         code = printListing(client(), options, "/requests", "requests", "owner", { "request", "entry", "model", "owner", "replica", "engine", "tokens", "over" });
     });
-    auto* quarantine = app.add_subcommand("quarantine", "Requests that crashed backend servers; --node is a gateway's metrics address");
+    auto* quarantine = app.add_subcommand("quarantine", "Manage requests that crashed backend servers; --node is the metrics address of a gateway");
     quarantine->require_subcommand(1);
-    auto* listSuspects = addJson(quarantine->add_subcommand("list", "List them, most crashes first"));
+    auto* listSuspects = addJson(quarantine->add_subcommand("list", "List these requests, most crashes first"));
     listSuspects->footer("Example: pistachioloomctl --node 10.0.0.4:7501 quarantine list");
     listSuspects->callback([&] { code = printListing(client(), options, "/quarantine", "requests", "", { "request", "crashes", "last_crash_ms", "left_ms" }); });
-    auto* liftCommand = quarantine->add_subcommand("lift", "Let one be sent again, on all nodes");
-    liftCommand->add_option("request", options.request_, "Sixteen digits, from the list or a log line")->required();
+    auto* liftCommand = quarantine->add_subcommand("lift", "Allow a quarantined request again, on all nodes");
+    liftCommand->add_option("request", options.request_, "Request hash of 16 hexadecimal digits, from the list or a log line")->required();
     liftCommand->footer("Example: pistachioloomctl --node 10.0.0.4:7501 --credential WORD quarantine lift ab2906c5a5dab86a");
     liftCommand->callback([&] { code = liftQuarantine(client(), options); });
-    auto* rollout = app.add_subcommand("rollout", "New versions of services; --node is a gateway's metrics address");
+    auto* rollout = app.add_subcommand("rollout", "Manage roll-outs of service versions; --node is the metrics address of a gateway");
     rollout->require_subcommand(1);
-    auto* listRollouts = addJson(rollout->add_subcommand("list", "List the newest order of each service, with the counts it is judged by"));
+    auto* listRollouts = addJson(rollout->add_subcommand("list", "List the newest roll-out order of each service, with the counts that it is evaluated by"));
     listRollouts->footer("Example: pistachioloomctl --node 10.0.0.4:7501 rollout list");
     listRollouts->callback([&] { code = printListing(client(), options, "/rollouts", "rollouts", "", { "service", "target", "phase", "share", "requests", "exposed", "target_side", "other_side", "why" }); });
-    auto* revertCommand = rollout->add_subcommand("revert", "End an order: its version gets nothing more, on all nodes");
-    revertCommand->add_option("service", options.service_, "Service, from the list")->required();
+    auto* revertCommand = rollout->add_subcommand("revert", "Revert a roll-out: its version receives no more requests, on all nodes");
+    revertCommand->add_option("service", options.service_, "Service name, from the list")->required();
     revertCommand->footer("Example: pistachioloomctl --node 10.0.0.4:7501 --credential WORD rollout revert huvo11a");
     revertCommand->callback([&] { code = revertRollout(client(), options); });
-    auto* limits = addJson(app.add_subcommand("limits", "List what each node holds of the entries' limits"));
+    auto* limits = addJson(app.add_subcommand("limits", "List the share of each entry's limits that each node holds"));
     limits->footer("Example: pistachioloomctl limits");
     limits->callback([&] {
         options.queriesAllNodes_ = true;
         code = printListing(client(), options, "/limits", "entries", "node", { "entry", "node", "in_progress", "held", "share_of_data_centre", "keeper" });
     });
-    auto* drainCommand = app.add_subcommand("drain", "Stop the node gracefully");
-    drainCommand->add_option("--notice", options.notice_, "Time left, such as 30s; without it the node waits for its requests");
+    auto* drainCommand = app.add_subcommand("drain", "Drain and stop the node");
+    drainCommand->add_option("--notice", options.notice_, "Time until the node must stop, such as 30s; without it the node waits for its requests to finish");
     drainCommand->footer("Example: pistachioloomctl --node 10.0.0.4:7003 drain --notice 30s");
     drainCommand->callback([&] { code = drain(client(), options); });
-    auto* explainCommand = addJson(app.add_subcommand("explain", "Show why a request went to its engine"));
+    auto* explainCommand = addJson(app.add_subcommand("explain", "Show the candidates from which the engine of a request was chosen"));
     explainCommand->add_option("request", options.request_, "Request id")->required();
     explainCommand->footer("Example: pistachioloomctl explain 0b9c...");
     explainCommand->callback([&] { code = explain(client(), options); });
-    auto* traceCommand = addJson(app.add_subcommand("trace", "Show the hops of a request as a tree"));
+    auto* traceCommand = addJson(app.add_subcommand("trace", "Show the spans of a request as a tree"));
     traceCommand->add_option("request", options.request_, "Request id")->required();
     traceCommand->footer("Example: pistachioloomctl trace 0b9c...");
     traceCommand->callback([&] { code = trace(client(), options); });
--- a/tools/pistachioloomd/main.cpp
+++ b/tools/pistachioloomd/main.cpp
@@ -1,7 +1,7 @@
-//===- tools/pistachioloomd/main.cpp - the daemon --------------------------===//
+//===- tools/pistachioloomd/main.cpp - the daemon -------------------------===//
 ///
 /// \file
-/// Parses options and settings, and runs a node until it has drained.
+/// Parses options and settings, and runs a node or gateway until it has drained.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Gateway.h"
 #include "pistachioloom/Node.h"
@@ -42,12 +42,12 @@
         std::cerr << describe(ports.error()) << '\n';
         return exitStartFailed;
     }
-    // Whoever asked for kernel-chosen ports reads them from this line.
+    // A parent process that lets the kernel choose the ports reads them from this line.
     std::cout << "{\"callers\":" << ports.value().callers_ << ",\"peers\":" << ports.value().peers_
               << ",\"operators\":" << ports.value().operators_ << "}" << std::endl;
     node.run();
-    // Coroutines that still wait at this point hold references in all directions;
-    // a drained node has nothing left that a destructor would have to save.
+    // Coroutines that are still suspended hold references to one another, so destructors
+    // don't run. A drained node has no state that a destructor would have to save.
     std::cout.flush();
     std::_Exit(0);
 }
@@ -73,7 +73,7 @@
     }
     std::cout << "{\"callers\":" << port.value() << "}" << std::endl;
     gateway.run();
-    // As in runNode(): nothing is left that a destructor would have to save.
+    // As in runNode(), no state is left that a destructor would have to save.
     std::cout.flush();
     std::_Exit(0);
 }
@@ -85,9 +85,9 @@
     CLI::App app { "pistachioloomd serves language model requests on reclaimable VMs." };
     std::string file;
     bool isCheckOnly = false;
-    app.add_option("--settings", file, "YAML file of settings")->required();
+    app.add_option("--settings", file, "Settings file in YAML")->required();
     app.add_flag("--check", isCheckOnly, "Check the settings and exit");
-    app.footer("Exit codes: 0 drained, 1 wrong options, 2 wrong settings, 3 cannot start.\nExample: pistachioloomd --settings entry.yaml --check");
+    app.footer("Exit codes: 0 drained, 1 invalid options, 2 invalid settings, 3 start failed.\nExample: pistachioloomd --settings entry.yaml --check");
     CLI11_PARSE(app, argc, argv);
 
     std::signal(SIGPIPE, SIG_IGN);
--- a/tools/standins/Engine.cpp
+++ b/tools/standins/Engine.cpp
@@ -1,7 +1,7 @@
 //===- tools/standins/Engine.cpp - a model engine -------------------------===//
 ///
 /// \file
-/// Finds who answers a call, and words refusals.
+/// Dispatches calls to their handlers and builds rejections.
 //===----------------------------------------------------------------------===//
 #include "Engine.h"
 
--- a/tools/standins/Engine.h
+++ b/tools/standins/Engine.h
@@ -1,7 +1,7 @@
 //===- tools/standins/Engine.h - a model engine ---------------------------===//
 ///
 /// \file
-/// Holds the streams, the cache and the counts of the stand-in, and answers its calls.
+/// Declares the engine stand-in: its streams, prefix cache, configuration and counters.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -9,9 +9,10 @@
 
 namespace pistachioloom::standin {
 
+/// Simulates a model engine and handles its HTTP calls.
 class Engine {
 public:
-    /// \p values are the first ones of its controls.
+    /// \p values are the initial values of its controls.
     Engine(asio::io_context& io, std::string name, std::map<std::string, std::int64_t> values)
         : io_(io)
         , name_(std::move(name))
@@ -20,7 +21,7 @@
     {
     }
 
-    /// Answers one call.
+    /// Handles one call.
     asio::awaitable<void> handle(HttpExchange& exchange);
 
 private:
@@ -34,10 +35,10 @@
     asio::awaitable<void> produceTokens(StreamPtr stream);
     asio::awaitable<void> writeAnswer(HttpExchange& exchange, StreamPtr stream, std::size_t from);
     asio::awaitable<void> cancel(boost::json::object body);
-    // The cache, between engines.
+    // KV cache transfer between engines.
     asio::awaitable<void> exportCache(HttpExchange& exchange, std::string requestId);
     asio::awaitable<void> importCache(HttpExchange& exchange, std::string handle);
-    // Configurations and controls.
+    // Orders, configurations and controls.
     asio::awaitable<void> order(HttpExchange& exchange, boost::json::object body);
     asio::awaitable<void> load(boost::json::object configuration);
     asio::awaitable<void> state(HttpExchange& exchange);
@@ -52,6 +53,7 @@
     Controls controls_;
     PrefixCache cache_;
     std::map<std::string, StreamPtr> streams_;
+    /// The sampling run of each imported KV cache, by request id.
     std::map<std::string, std::string> importedRuns_;
     std::uint64_t samplingRunCount_ = 0;
     std::int64_t started_ = 0;
--- a/tools/standins/EngineCache.cpp
+++ b/tools/standins/EngineCache.cpp
@@ -1,7 +1,7 @@
-//===- tools/standins/EngineCache.cpp - the engine hands over caches ------===//
+//===- tools/standins/EngineCache.cpp - KV cache transfer of the engine ---===//
 ///
 /// \file
-/// Exports the cache of a stream, and imports that of another engine.
+/// Exports the KV cache of a stream, and imports one from another engine.
 //===----------------------------------------------------------------------===//
 #include "Engine.h"
 
@@ -30,7 +30,8 @@
     co_await reply(exchange, 200, answer);
 }
 
-// The handle is "host:port/request/run"; the bytes would come from there.
+// The handle is "host:port/request/run". A real engine fetches the bytes of the cache from
+// there; the stand-in only checks that the host is reachable.
 asio::awaitable<void> Engine::importCache(HttpExchange& exchange, std::string handle)
 {
     std::size_t slash = handle.find('/');
--- a/tools/standins/EngineGenerate.cpp
+++ b/tools/standins/EngineGenerate.cpp
@@ -1,7 +1,7 @@
-//===- tools/standins/EngineGenerate.cpp - the engine generates -----------===//
+//===- tools/standins/EngineGenerate.cpp - token generation of the engine -===//
 ///
 /// \file
-/// Starts and attaches streams, computes their tokens, and writes them out.
+/// Starts streams, attaches callers to them, generates tokens and writes them out.
 //===----------------------------------------------------------------------===//
 #include "Engine.h"
 
@@ -33,7 +33,7 @@
     return isAttachable(*found->second, request.prefix_) ? found->second : nullptr;
 }
 
-/// Starts a stream; an older one of the same request is superseded.
+/// Starts a stream. It supersedes a running stream of the same request.
 StreamPtr Engine::start(const GenerateRequest& request)
 {
     auto old = streams_.find(request.requestId_);
@@ -99,7 +99,8 @@
         co_await pause(milliseconds(prefillMicros / 1000 + 1));
 }
 
-/// Adds tokens at the set pace; a stream that nobody reads for long is cancelled.
+/// Appends a token every `decode_us`. Cancels a stream that has had no reader for longer
+/// than `detach_grace_ms`.
 asio::awaitable<void> Engine::produceTokens(StreamPtr stream)
 {
     SteadyTimer timer(io_);
@@ -157,7 +158,8 @@
         stream->hasWriter_ = false;
 }
 
-/// Cancels the stream of a request, unless a newer attempt of it is known.
+/// Cancels the stream of a request, unless the call names an older attempt than the
+/// stream's.
 asio::awaitable<void> Engine::cancel(boost::json::object body)
 {
     if (controls_["cancel_delay_ms"])
