--- a/tools/standins/EngineOrders.cpp
+++ b/tools/standins/EngineOrders.cpp
@@ -1,7 +1,7 @@
-//===- tools/standins/EngineOrders.cpp - the engine obeys -----------------===//
+//===- tools/standins/EngineOrders.cpp - orders to the engine -------------===//
 ///
 /// \file
-/// Takes orders with their fencing tokens, loads configurations, and tells its counts.
+/// Checks the fencing tokens of orders, loads configurations, and reports counters.
 //===----------------------------------------------------------------------===//
 #include "Engine.h"
 
@@ -12,7 +12,7 @@
 asio::awaitable<void> Engine::order(HttpExchange& exchange, json::object body)
 {
     ++ordersReceived_;
-    // As if the order had been on its way for so long.
+    // Simulates network delay of the order.
     if (controls_["order_delay_ms"])
         co_await pause(milliseconds(controls_["order_delay_ms"]));
     std::uint64_t token = numberField(body, "token");
--- a/tools/standins/EngineStandin.cpp
+++ b/tools/standins/EngineStandin.cpp
@@ -1,10 +1,10 @@
-//===- tools/standins/EngineStandin.cpp - a model engine -------------------===//
+//===- tools/standins/EngineStandin.cpp - a model engine ------------------===//
 ///
 /// \file
-/// Generates tokens at a set pace, several streams at once. Each token tells
-/// its prompt, position and sampling run, so a test sees a token that is
-/// missing, doubled or of another request. Streams can be attached, cancelled,
-/// exported and imported; a newer attempt supersedes an older one.
+/// Generates tokens at a configured rate in several concurrent streams. Each token
+/// contains a tag of its prompt, its position and its sampling run, so that a test
+/// detects a token that is missing, duplicated or from another request. Streams can be
+/// attached, cancelled, exported and imported; a newer attempt supersedes an older one.
 //===----------------------------------------------------------------------===//
 #include "Engine.h"
 
@@ -34,8 +34,8 @@
         { "order_delay_ms", 0 },
         { "cancel_delay_ms", 0 },
     };
-    app.add_option("--port", port, "Port, 0 for any");
-    app.add_option("--name", name, "Part of each sampling run's name");
+    app.add_option("--port", port, "Port to listen on; 0 lets the kernel choose");
+    app.add_option("--name", name, "Prefix of the names of sampling runs");
     for (auto& [key, value] : values)
         app.add_option("--" + key, value, "Initial value of the control");
     CLI11_PARSE(app, argc, argv);
--- a/tools/standins/EngineStream.cpp
+++ b/tools/standins/EngineStream.cpp
@@ -1,7 +1,7 @@
 //===- tools/standins/EngineStream.cpp - streams of the engine stand-in ---===//
 ///
 /// \file
-/// Reads calls to generate, and writes the lines of their answers.
+/// Parses calls to `/v1/generate`, and formats the lines of their answers.
 //===----------------------------------------------------------------------===//
 #include "EngineStream.h"
 
--- a/tools/standins/EngineStream.h
+++ b/tools/standins/EngineStream.h
@@ -1,7 +1,7 @@
 //===- tools/standins/EngineStream.h - streams of the engine stand-in -----===//
 ///
 /// \file
-/// What the engine holds of a stream and of prompts, and the lines of an answer.
+/// Streams and the prefix cache of the engine stand-in, and the lines of its answers.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -12,7 +12,7 @@
 
 namespace pistachioloom::standin {
 
-/// One stream of tokens, and what it was started with.
+/// A stream of tokens, and the parameters that it was started with.
 struct Stream {
     explicit Stream(const asio::any_io_executor& executor)
         : changeTimer_(executor, SteadyTimer::time_point::max())
@@ -27,16 +27,20 @@
         Cancelled,
     };
 
-    /// Wakes its writer.
+    /// Wakes the writers that wait for a change of this stream.
     void notifyWriter() { changeTimer_.cancel(); }
 
     std::uint32_t attempt_ = 0;
+    /// The start of the prompt's hash, contained in each token.
     std::string promptTag_;
+    /// Names the sampling run; an imported KV cache continues the run of its source.
     std::string samplingRun_;
     std::vector<std::string> tokens_;
     std::uint64_t maxTokens_ = 0;
     std::uint64_t promptTokens_ = 0;
+    /// Prefill tokens that were computed again to resume an answer.
     std::uint64_t recomputedTokens_ = 0;
+    /// The newest writer; older ones end their answers as superseded.
     std::uint64_t writerId_ = 0;
     bool hasWriter_ = false;
     State state_ = State::Running;
@@ -45,7 +49,7 @@
 };
 using StreamPtr = std::shared_ptr<Stream>;
 
-/// A call to generate, as it was read.
+/// A parsed call to `/v1/generate`.
 struct GenerateRequest {
     std::string requestId_;
     std::string prompt_;
@@ -58,19 +62,20 @@
 
 GenerateRequest parseGenerateRequest(const boost::json::object& body);
 
-/// How many tokens \p prompt is counted as.
+/// Returns the number of tokens that \p prompt counts as.
 std::uint64_t promptTokens(const std::string& prompt);
 
-/// Whether \p stream can go on for a caller that has \p prefix.
+/// Returns whether a caller that has received \p prefix can attach to \p stream.
 bool isAttachable(const Stream& stream, const std::vector<std::string>& prefix);
 
-/// The line of an answer for the token \p text at \p position.
+/// Returns the line of an answer for the token \p text at \p position.
 std::string tokenLine(std::size_t position, const std::string& text);
 
-/// The line that ends an answer, by the state of \p stream.
+/// Returns the line that ends an answer, by the state of \p stream.
 std::string finalLine(const Stream& stream);
 
-/// Prompts whose prefill is remembered, up to a count of tokens.
+/// A prefix cache of complete prompts with a capacity in tokens. It evicts the oldest
+/// prompt first.
 class PrefixCache {
 public:
     explicit PrefixCache(std::uint64_t capacity)
@@ -78,7 +83,7 @@
     {
     }
 
-    /// Tokens of \p prompt to compute; the prompt is cached afterwards.
+    /// Adds \p prompt to the cache. \returns the number of its uncached tokens.
     std::uint64_t addPrompt(const std::string& prompt);
 
 private:
--- a/tools/standins/FleetStandin.cpp
+++ b/tools/standins/FleetStandin.cpp
@@ -1,9 +1,9 @@
-//===- tools/standins/FleetStandin.cpp - the users' platform, small ---------===//
+//===- tools/standins/FleetStandin.cpp - a small users' platform ----------===//
 ///
 /// \file
-/// A store that is a log of topics, the interface for duties, and backend
-/// servers on ports of their own, all in one process. `POST /control` sets
-/// faults and tells what arrived. It keeps what the tests ask about, no more.
+/// Simulates in one process a store that is a log of topics, the interface for duties,
+/// and backend servers on their own ports. `POST /control` sets faults and returns what
+/// arrived. The stand-in records only what the tests query.
 //===----------------------------------------------------------------------===//
 #include "Standin.h"
 
@@ -29,7 +29,7 @@
     std::uint64_t offset_ = 0;
 };
 
-/// Topics of records; those of keyed topics are also kept by key.
+/// Topics of records. Of keyed topics the newest value of each key is stored as well.
 class Log {
 public:
     std::uint64_t append(const std::string& topic, std::string record)
@@ -76,10 +76,12 @@
     return text;
 }
 
-/// One backend server: plain answers, or event streams for paths with /stream.
+/// One backend server. It answers with an event stream if the path contains /stream, else
+/// with a plain body.
 class Backend {
 public:
-    /// States that it closes a connection after \p idleTimeout, in whole seconds, unless that is 0.
+    /// Closes idle connections after \p idleTimeout and advertises this in `Keep-Alive`. If
+    /// \p idleTimeout is 0, uses a default that is not advertised.
     Backend(asio::io_context& io, std::string id, std::chrono::seconds idleTimeout)
         : id_(std::move(id))
         , advertisedIdleTimeout_(idleTimeout)
@@ -90,7 +92,7 @@
 
     std::uint16_t listen() { return server_.listen({ "127.0.0.1", 0 }).value(); }
     const std::string& id() const { return id_; }
-    /// Takes no more connections, and breaks off what arrives and what runs.
+    /// Simulates a crash: accepts no more connections and aborts running and new requests.
     void crash()
     {
         isCrashed_ = true;
@@ -98,7 +100,7 @@
         for (HttpExchange* exchange : running_)
             exchange->abort();
     }
-    /// Called with a request that begins to run; it may crash this server.
+    /// Sets a hook that is called when a request starts to run. It may crash this server.
     void setRunHook(std::function<void(const HttpRequest&)> hook) { onRun_ = std::move(hook); }
 
     json::object control(const json::object& body)
@@ -179,7 +181,7 @@
         (void)co_await exchange.respond(std::move(answer));
     }
 
-    /// Whether this request is one of those that fail.
+    /// Returns whether the current request is one of those that fail by `fails_one_in`.
     bool shouldFail() { return controls_["fails_one_in"] && runAttemptIds_.size() % static_cast<std::size_t>(controls_["fails_one_in"]) == 0; }
 
     void recordRun(const HttpRequest& request)
@@ -190,7 +192,7 @@
             headers_[name] = value;
     }
 
-    /// Copies the memory of a run, and stops the run if that was asked for.
+    /// Copies the KV cache of a run, and stops the run if the call is the last copy.
     asio::awaitable<void> move(HttpExchange& exchange)
     {
         json::object body = parseJsonObject(exchange.request().body_).value_or(json::object {});
@@ -218,6 +220,7 @@
         streams_.erase(id);
     }
 
+    /// A running event stream.
     struct Stream {
         std::int64_t lastEventId_ = 0;
         bool isStopped_ = false;
@@ -238,7 +241,7 @@
             co_return;
         for (std::int64_t id = next; id <= controls_["events"]; ++id) {
             if (id == controls_["cut_at"]) {
-                // It stops in the middle of an event.
+                // The answer breaks off in the middle of an event.
                 std::string part = "id: " + std::to_string(id) + "\nda";
                 (void)co_await exchange.writeChunk(std::move(part));
                 exchange.abort();
@@ -268,16 +271,17 @@
     HttpServer server_;
     Controls controls_ { { { "delay_ms", 0 }, { "full", 0 }, { "retry_after_ms", 0 }, { "says_leaving", 0 }, { "lose_answers", 0 }, { "fails_one_in", 0 }, { "other_id", 0 }, { "no_seal", 0 }, { "events", 5 }, { "gap_ms", 5 }, { "cut_at", 0 }, { "refuse_moves", 0 }, { "refuse_stops", 0 }, { "move_ms", 0 }, { "lose_copies", 0 } } };
     json::array runAttemptIds_;
-    /// Requests answered 503 without having run.
+    /// Number of requests answered 503 without execution.
     std::int64_t rejected_ = 0;
+    /// Event streams whose caller disconnected.
     json::array abandonedRuns_;
     json::object headers_;
     std::map<std::string, Stream> streams_;
-    /// Runs that were stopped to go on elsewhere.
+    /// Runs that were stopped to resume on another backend server.
     json::array movedRuns_;
-    /// Where memory came from, of requests that go on from a copy.
+    /// Sources of the KV caches from which requests resumed.
     json::array resumeSources_;
-    /// Copies that nobody goes on from.
+    /// Released copies of KV caches, from which no request resumes.
     json::array releasedHandles_;
 };
 
@@ -308,13 +312,17 @@
     }
 
 private:
-    /// `backends`: more of a service, which do not register themselves if they are
-    /// `unregistered`, and close a connection after `idle_s` seconds, which they state;
-    /// `put`: entries of keyed topics; `reclaim`: one
-    /// says that it is about to be taken away; `restart`: one crashes and starts anew
-    /// under its id; `crash_text`: requests whose body has it crash each server that
-    /// begins to run them, and another one starts in its place `restart_ms` later;
-    /// `backend`: faults of one of them. \returns what arrived.
+    /// Applies the keys of the body and returns what arrived.
+    /// `backends`: starts backend servers. They are not registered in the store if they
+    /// have `unregistered`. With `idle_s`, they close idle connections after that many
+    /// seconds and advertise it.
+    /// `put`: appends entries to keyed topics.
+    /// `reclaim`: marks a backend server as about to be reclaimed.
+    /// `restart`: crashes a backend server and starts another under the same id.
+    /// `crash_text`: a request whose body contains it crashes each backend server that
+    /// starts to run it. A replacement starts `restart_ms` later.
+    /// `backend`: sets faults of one backend server and returns what that one recorded.
+    /// `born`: returns the start time of a backend server.
     asio::awaitable<void> control(HttpExchange& exchange)
     {
         json::object body = parseJsonObject(exchange.request().body_).value_or(json::object {});
@@ -347,7 +355,8 @@
         co_await reply(exchange, 200, answer);
     }
 
-    /// The newest server of \p id, also one that has crashed; nullptr if there was none.
+    /// Returns the newest backend server of \p id, which may have crashed, or nullptr if
+    /// there was none.
     Backend* find(const std::string& id)
     {
         auto running = backends_.find(id);
@@ -357,13 +366,14 @@
         return crashed == crashed_.rend() ? nullptr : crashed->get();
     }
 
-    /// The server of this id crashes and starts anew under it, at another port.
+    /// Crashes the backend server of \p id and starts another with the same id on another
+    /// port.
     void restart(const std::string& id)
     {
         json::object spec = entries_[id];
         spec["id"] = id;
         spec["phase"] = "up";
-        // Its handlers may still be suspended, and nobody reaches them any more.
+        // The crashed server is kept because its handlers may still be suspended.
         crashed_.push_back(std::move(backends_[id]));
         crashed_.back()->crash();
         startBackend(spec);
@@ -384,12 +394,13 @@
         if (!entry.contains("unregistered"))
             log_.put("keyed.servers", id, json::serialize(entry));
         entries_[id] = std::move(entry);
-        backend->setRunHook([this, id](const HttpRequest& request) { recordRun(id, request); });
+        backend->setRunHook([this, id](const HttpRequest& request) { crashIfMatching(id, request); });
         backends_[id] = std::move(backend);
         return port;
     }
 
-    void recordRun(const std::string& id, const HttpRequest& request)
+    /// Crashes the backend server of \p id if the body of \p request contains `crash_text`.
+    void crashIfMatching(const std::string& id, const HttpRequest& request)
     {
         if (crashText_.empty() || request.body_.find(crashText_) == std::string::npos)
             return;
@@ -400,7 +411,7 @@
         asio::co_spawn(io_, replaceCrashed(id), asio::detached);
     }
 
-    /// Another server, of a new id, takes the place of \p id, whose entry expires then.
+    /// Starts a replacement for \p id with a new id, and removes the entry of \p id.
     asio::awaitable<void> replaceCrashed(std::string id)
     {
         co_await pause(milliseconds(controls_["restart_ms"]));
@@ -494,9 +505,9 @@
     Log log_;
     Controls controls_ { { { "down", 0 }, { "lose_appends", 0 }, { "restart_ms", 1000 } } };
     std::map<std::string, std::unique_ptr<Backend>> backends_;
-    /// Servers before their restart.
+    /// Crashed backend servers, oldest first.
     std::vector<std::unique_ptr<Backend>> crashed_;
-    /// What each registered.
+    /// The registration of each backend server.
     std::map<std::string, json::object> entries_;
     json::array dutyCalls_;
     std::string crashText_;
@@ -508,7 +519,7 @@
     };
     /// The last append of each producer to each topic.
     std::map<std::string, ProducerState> producerStates_;
-    /// What the operator was told, in its order.
+    /// Records of the `keyed.status` topic in order.
     json::array statuses_;
 };
 
@@ -518,7 +529,7 @@
 {
     CLI::App app { "Stand-in for the users' platform: store, duties and backend servers." };
     std::uint16_t port = 0;
-    app.add_option("--port", port, "Port, 0 for any");
+    app.add_option("--port", port, "Port to listen on; 0 lets the kernel choose");
     CLI11_PARSE(app, argc, argv);
     asio::io_context io;
     Fleet fleet(io);
--- a/tools/standins/PlatformStandin.cpp
+++ b/tools/standins/PlatformStandin.cpp
@@ -1,9 +1,9 @@
-//===- tools/standins/PlatformStandin.cpp - log, VM list and notices -------===//
+//===- tools/standins/PlatformStandin.cpp - log, VM list and notices ------===//
 ///
 /// \file
-/// The platform's log service, VM list and reclaim notices, with faults:
-/// outages of either, slowness, lost answers, trimming, a lagging list, and
-/// cuts from single data centres. Callers name theirs in `x-data-centre`.
+/// Simulates the platform's log service, VM list and reclaim notices. Faults: outages of
+/// the log or the list, a slow log, lost answers, trimmed streams, a delayed list, and
+/// data centres that are cut off. Callers name their data centre in `x-data-centre`.
 //===----------------------------------------------------------------------===//
 #include "Standin.h"
 
@@ -43,9 +43,9 @@
         { "log_down", 0 },
         { "list_down", 0 },
         { "log_delay_ms", 0 },
-        // How many of the next appends take effect without an answer.
+        // The number of next appends that take effect but are not answered.
         { "lose_append_answers", 0 },
-        // How many of the next appends fail without taking effect.
+        // The number of next appends that fail without taking effect.
         { "fail_appends", 0 },
         { "list_lag_ms", 0 },
     } };
@@ -54,7 +54,7 @@
     std::uint64_t version_ = 1;
     std::vector<json::object> notices_;
     std::set<std::string> cutDataCentres_;
-    // Peer ports as one data centre sees them, "from/vm" to port.
+    // Peer ports as seen from one data centre, keyed by "from/vm".
     std::map<std::string, std::uint64_t> portViews_;
     std::uint64_t appends_ = 0;
     std::uint64_t reads_ = 0;
@@ -155,7 +155,8 @@
     auto body = parseJsonObject(exchange.request().body_).value_or(json::object {});
     controls_.update(body);
     bool changesList = body.contains("put_vms") || body.contains("remove_vms") || body.contains("port_views");
-    // A list and its version change together.
+    // The version must change together with the list, so no suspension point may lie
+    // between the two.
     if (changesList) {
         co_await pause(milliseconds(controls_["list_lag_ms"]));
         ++version_;
@@ -235,7 +236,7 @@
 {
     CLI::App app { "Stand-in for the platform's log, VM list and notices." };
     std::uint16_t port = 0;
-    app.add_option("--port", port, "Port, 0 for any");
+    app.add_option("--port", port, "Port to listen on; 0 lets the kernel choose");
     CLI11_PARSE(app, argc, argv);
     asio::io_context io;
     Platform platform;
--- a/tools/standins/ServiceStandin.cpp
+++ b/tools/standins/ServiceStandin.cpp
@@ -1,8 +1,8 @@
-//===- tools/standins/ServiceStandin.cpp - a plain service -----------------===//
+//===- tools/standins/ServiceStandin.cpp - a plain service ----------------===//
 ///
 /// \file
-/// Counts the executions of each idempotency key; can be slow, leaving, or
-/// lose its answer after the call ran.
+/// Counts the executions of each idempotency key. Faults: a slow service, a service that
+/// is leaving, and an answer that is lost after the call has run.
 //===----------------------------------------------------------------------===//
 #include "Standin.h"
 
@@ -82,7 +82,7 @@
 {
     CLI::App app { "Stand-in for a plain service." };
     std::uint16_t port = 0;
-    app.add_option("--port", port, "Port, 0 for any");
+    app.add_option("--port", port, "Port to listen on; 0 lets the kernel choose");
     CLI11_PARSE(app, argc, argv);
     asio::io_context io;
     Service service;
--- a/tools/standins/Standin.cpp
+++ b/tools/standins/Standin.cpp
@@ -1,7 +1,8 @@
-//===- tools/standins/Standin.cpp - what the stand-ins share ---------------===//
+//===- tools/standins/Standin.cpp - common code of the stand-ins ----------===//
 ///
 /// \file
-/// See Standin.h. A stand-in runs on one thread, so its state needs no lock.
+/// Implements the functions that all stand-ins use. A stand-in runs on one thread, so
+/// its state needs no lock.
 //===----------------------------------------------------------------------===//
 #include "Standin.h"
 
--- a/tools/standins/Standin.h
+++ b/tools/standins/Standin.h
@@ -1,8 +1,9 @@
-//===- tools/standins/Standin.h - what the stand-ins share -----------------===//
+//===- tools/standins/Standin.h - common code of the stand-ins ------------===//
 ///
 /// \file
-/// A stand-in serves one HTTP port, prints it as a line of JSON, and takes its
-/// faults by `POST /control`. It fakes an interface and nothing behind it.
+/// A stand-in serves one HTTP port, prints it as a line of JSON, and has its faults
+/// configured through `POST /control`. It simulates an interface without the system
+/// behind it.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -13,22 +14,23 @@
 
 namespace pistachioloom::standin {
 
-/// Serves \p handler on \p port of the loopback address until SIGTERM.
+/// Serves \p handler on \p port of the loopback address until SIGTERM or SIGINT.
 /// \returns the exit code.
 int serve(asio::io_context& io, std::uint16_t port, HttpHandler handler);
 
-/// Answers \p exchange with \p value.
+/// Responds to \p exchange with \p status and \p value as JSON.
 asio::awaitable<void> reply(HttpExchange& exchange, int status, const boost::json::value& value);
 
+/// Suspends the coroutine for \p duration.
 asio::awaitable<void> pause(milliseconds duration);
 
-/// Numbers and flags that `POST /control` sets, by name.
+/// Named numbers and flags that `POST /control` sets. A flag is a number other than 0.
 class Controls {
 public:
     explicit Controls(std::map<std::string, std::int64_t> values);
     std::int64_t operator[](const std::string& name) const;
     void set(const std::string& name, std::int64_t value);
-    /// Takes the known names out of \p body.
+    /// Sets the controls that \p body names, and ignores its other keys.
     void update(const boost::json::object& body);
 
 private:
