--- a/tools/standins/Engine.h
+++ b/tools/standins/Engine.h
@@ -9,7 +9,6 @@
 
 namespace pistachioloom::standin {
 
-/// Simulates a model engine and handles its HTTP calls.
 /// Simulates a model engine and handles its HTTP calls.
 class Engine {
 public:
@@ -55,7 +54,6 @@
     PrefixCache cache_;
     std::map<std::string, StreamPtr> streams_;
     /// The sampling run of each imported KV cache, by request id.
-    /// The sampling run of each imported KV cache, by request id.
     std::map<std::string, std::string> importedRuns_;
     std::uint64_t samplingRunCount_ = 0;
     std::int64_t started_ = 0;
--- a/tools/standins/FleetStandin.cpp
+++ b/tools/standins/FleetStandin.cpp
@@ -373,7 +373,8 @@
         json::object spec = entries_[id];
         spec["id"] = id;
         spec["phase"] = "up";
-        // The crashed server is kept because its handlers may still be suspended.
+        // The crashed server is kept because its handlers may still be suspended. It receives
+        // no more requests.
         crashed_.push_back(std::move(backends_[id]));
         crashed_.back()->crash();
         startBackend(spec);
