--- a/benchmarks/ConfigurationBenchmark.cpp
+++ b/benchmarks/ConfigurationBenchmark.cpp
@@ -1,10 +1,11 @@
-//===- benchmarks/ConfigurationBenchmark.cpp - taking in a configuration ---===//
+//===- benchmarks/ConfigurationBenchmark.cpp - configuration costs --------===//
 ///
 /// \file
-/// Processor time of each step that a node takes with a new configuration in the
-/// platform's format: decode, build, compress, decompress; and how late an event loop
-/// runs that does them itself, or leaves them to a thread beside it. The machine may be
-/// shared: the least of the runs says most, and only steps of one run compare.
+/// Measures the processor time of each step by which a node processes a new
+/// configuration in the platform's format: decode, build, compress and decompress.
+/// Also measures how much these steps delay an event loop, both when the loop runs
+/// them itself and when a background thread runs them. The machine may be shared, so
+/// the minimum is the most reliable figure, and only figures of one run compare.
 //===----------------------------------------------------------------------===//
 #include "BackgroundExecutor.h"
 #include "Percentile.h"
@@ -18,10 +19,10 @@
 namespace {
 
 constexpr int runs = 25;
-// The size of a large organisation's configuration: 780 KB of text.
+// A large organisation's configuration has this size: 780 KB of text.
 constexpr int routeCount = 4240;
 constexpr int organisationCount = 16;
-constexpr ByteCount longestText { 16UL * 1024 * 1024 };
+constexpr ByteCount maxTextSize { 16UL * 1024 * 1024 };
 
 std::string routeText(int index)
 {
@@ -53,21 +54,22 @@
     return static_cast<double>(now.tv_sec) * 1e3 + static_cast<double>(now.tv_nsec) * 1e-6;
 }
 
-/// Prints the times of \p step, whose argument \p prepare makes outside the times.
+/// Prints the minimum and the median processor time of \p step in milliseconds.
+/// \p prepare makes its argument, and its time is not counted.
 template <typename Prepare, typename Step>
 void report(const char* name, Prepare prepare, Step step)
 {
     std::vector<double> times;
     for (int i = 0; i < runs; ++i) {
         auto argument = prepare();
-        double began = processorMs();
+        double startedAt = processorMs();
         auto outcome = step(std::move(argument));
-        times.push_back(processorMs() - began);
+        times.push_back(processorMs() - startedAt);
     }
     std::printf("%-10s %8.2f %8.2f\n", name, test::percentile(times, 0), test::percentile(times, 0.5));
 }
 
-void applyConfiguration(const std::string& text)
+void processConfiguration(const std::string& text)
 {
     auto decoded = platform::decodeConfiguration(text);
     if (decoded)
@@ -75,47 +77,48 @@
     compress(text);
 }
 
-/// Whether the event loop does the work itself.
-enum class Place {
+/// Where the work runs: on the event loop or on a background thread.
+enum class ExecutionPlace {
     OnLoop,
-    BesideLoop,
+    OnThread,
 };
 
-asio::awaitable<void> takeInAt(Place place, BackgroundExecutor& background, const std::string& text, bool& isDone)
+asio::awaitable<void> processConfigurationAt(ExecutionPlace place, BackgroundExecutor& background, const std::string& text, bool& isDone)
 {
     co_await sleepFor(milliseconds(5));
-    std::function<void()> work = [&text] { applyConfiguration(text); };
-    if (place == Place::OnLoop)
+    std::function<void()> work = [&text] { processConfiguration(text); };
+    if (place == ExecutionPlace::OnLoop)
         work();
     else
         co_await background.run(std::move(work));
     isDone = true;
 }
 
-/// The latest that a sleeper of 1 ms woke meanwhile, in milliseconds.
-asio::awaitable<void> watch(double& latest, const bool& isDone)
+/// Raises \p maxLag to the largest delay, in milliseconds, with which a timer of
+/// 1 ms fires until \p isDone.
+asio::awaitable<void> measureLag(double& maxLag, const bool& isDone)
 {
     while (!isDone) {
-        auto began = steadyNow();
+        auto startedAt = steadyNow();
         co_await sleepFor(milliseconds(1));
-        std::chrono::duration<double, std::milli> slept = steadyNow() - began;
-        latest = std::max(latest, slept.count() - 1);
+        std::chrono::duration<double, std::milli> slept = steadyNow() - startedAt;
+        maxLag = std::max(maxLag, slept.count() - 1);
     }
 }
 
-void reportLag(const char* name, Place place, const std::string& text)
+void reportLag(const char* name, ExecutionPlace place, const std::string& text)
 {
-    std::vector<double> latest;
+    std::vector<double> maxLags;
     for (int i = 0; i < runs; ++i) {
         asio::io_context io(1);
         BackgroundExecutor background;
         bool isDone = false;
-        latest.push_back(0);
-        asio::co_spawn(io, takeInAt(place, background, text, isDone), asio::detached);
-        asio::co_spawn(io, watch(latest.back(), isDone), asio::detached);
+        maxLags.push_back(0);
+        asio::co_spawn(io, processConfigurationAt(place, background, text, isDone), asio::detached);
+        asio::co_spawn(io, measureLag(maxLags.back(), isDone), asio::detached);
         io.run();
     }
-    std::printf("%-12s %8.2f %8.2f\n", name, test::percentile(latest, 0), test::percentile(latest, 0.5));
+    std::printf("%-12s %8.2f %8.2f\n", name, test::percentile(maxLags, 0), test::percentile(maxLags, 0.5));
 }
 
 } // namespace
@@ -125,9 +128,9 @@
     const std::string text = configurationText();
     auto decoded = platform::decodeConfiguration(text);
     const std::string compressed = compress(text);
-    auto restored = decompress(compressed, longestText);
+    auto restored = decompress(compressed, maxTextSize);
     if (!decoded || decoded.value().routes_.size() != routeCount || !restored || restored.value() != text) {
-        std::printf("the steps do not fit each other\n");
+        std::printf("the decoded or decompressed configuration differs from its source\n");
         return 1;
     }
     std::printf("%d routes, %zu bytes, %zu compressed; processor time in ms of %d runs, on a machine that may be shared\n", routeCount, text.size(), compressed.size(), runs);
@@ -139,10 +142,10 @@
     report(
         "compress", [&]() -> const std::string& { return text; }, [](const std::string& source) { return compress(source); });
     report(
-        "decompress", [&]() -> const std::string& { return compressed; }, [](const std::string& bytes) { return decompress(bytes, longestText); });
-    // On one core, by `taskset -c`, loop and thread share it.
+        "decompress", [&]() -> const std::string& { return compressed; }, [](const std::string& bytes) { return decompress(bytes, maxTextSize); });
+    // Under `taskset -c` with one core, the loop and the thread share that core.
     std::printf("how late the event loop runs at most meanwhile, in ms\n");
-    reportLag("on loop", Place::OnLoop, text);
-    reportLag("beside loop", Place::BesideLoop, text);
+    reportLag("on loop", ExecutionPlace::OnLoop, text);
+    reportLag("beside loop", ExecutionPlace::OnThread, text);
     return 0;
 }
--- a/tools/standins/ServiceStandin.cpp
+++ b/tools/standins/ServiceStandin.cpp
@@ -1,8 +1,8 @@
-//===- tools/standins/ServiceStandin.cpp - a plain service -----------------===//
+//===- tools/standins/ServiceStandin.cpp - a plain service ----------------===//
 ///
 /// \file
-/// Counts the executions of each idempotency key; can be slow, leaving, or
-/// lose its answer after the call ran.
+/// Counts the executions of each idempotency key. Faults: a slow service, a service that
+/// is leaving, and an answer that is lost after the call has run.
 //===----------------------------------------------------------------------===//
 #include "Standin.h"
 
@@ -30,7 +30,7 @@
     } };
     std::map<std::string, std::int64_t> executions_;
     std::int64_t total_ = 0;
-    std::int64_t afterLeaving_ = 0;
+    std::int64_t requestsWhileLeaving_ = 0;
 };
 
 asio::awaitable<void> Service::control(HttpExchange& exchange)
@@ -41,7 +41,7 @@
         executions[key] = count;
     json::object answer;
     answer["total"] = total_;
-    answer["asked_while_leaving"] = afterLeaving_;
+    answer["asked_while_leaving"] = requestsWhileLeaving_;
     answer["executions"] = executions;
     co_await reply(exchange, 200, answer);
 }
@@ -54,10 +54,10 @@
         co_return;
     }
     if (controls_["leaving"]) {
-        ++afterLeaving_;
-        HttpResponse refusal = jsonResponse(statusUnavailable, "{}");
-        refusal.headers_["x-leaving"] = "true";
-        (void)co_await exchange.respond(std::move(refusal));
+        ++requestsWhileLeaving_;
+        HttpResponse rejection = jsonResponse(statusUnavailable, "{}");
+        rejection.headers_["x-leaving"] = "true";
+        (void)co_await exchange.respond(std::move(rejection));
         co_return;
     }
     std::int64_t count = ++executions_[request.header("idempotency-key")];
@@ -82,7 +82,7 @@
 {
     CLI::App app { "Stand-in for a plain service." };
     std::uint16_t port = 0;
-    app.add_option("--port", port, "Port, 0 for any");
+    app.add_option("--port", port, "Port to listen on; 0 lets the kernel choose");
     CLI11_PARSE(app, argc, argv);
     asio::io_context io;
     Service service;
