--- a/benchmarks/ControlBenchmark.cpp
+++ b/benchmarks/ControlBenchmark.cpp
@@ -85,7 +85,7 @@
             for (std::size_t i = 0; i < entries; ++i) {
                 Completion completion { Deployment::apiKey(workloadName(i)), "planogram", "slow", 100 };
                 asio::co_spawn(
-                    io_, [](Endpoint entry, Completion ask) -> asio::awaitable<void> { (void)co_await streamCompletion(entry, ask); }(node.callers_, completion), asio::detached);
+                    io_, [](Endpoint entry, Completion query) -> asio::awaitable<void> { (void)co_await streamCompletion(entry, query); }(node.callers_, completion), asio::detached);
             }
         }
         thread_ = std::thread([this] { io_.run(); });
@@ -116,7 +116,7 @@
         std::string file = deployment.directory() + "/s.yaml";
         std::ofstream(file) << serviceEntry(i);
         auto& node = deployment.nodes()[static_cast<std::size_t>(i) % deployment.nodes().size()];
-        auto [code, output] = deployment.tool(node, { "catalogue", "apply", file });
+        auto [code, output] = deployment.runTool(node, { "catalogue", "apply", file });
         if (code) {
             std::printf("  an edit was not accepted: %s\n", output.c_str());
             continue;
@@ -197,7 +197,7 @@
         for (auto& node : deployment.nodes()) {
             if (node.dataCentre_ != victim.dataCentre_ || node.id_ == victim.id_)
                 continue;
-            auto listed = deployment.ask(node, "/nodes");
+            auto listed = deployment.query(node, "/nodes");
             if (!listed.is_object())
                 return false;
             for (const auto& line : objectsField(listed.as_object(), "nodes")) {
--- a/benchmarks/FloodBenchmark.cpp
+++ b/benchmarks/FloodBenchmark.cpp
@@ -34,7 +34,7 @@
 constexpr double noiseMs = 5;
 
 struct Tally {
-    std::vector<double> firstToken_;
+    std::vector<double> timeToFirstToken_;
     std::vector<double> whole_;
     std::size_t answered_ = 0;
     std::size_t refused_ = 0;
@@ -49,7 +49,7 @@
             return;
         }
         ++answered_;
-        firstToken_.push_back(static_cast<double>(answer.firstToken_.count()));
+        timeToFirstToken_.push_back(static_cast<double>(answer.timeToFirstToken_.count()));
         whole_.push_back(std::chrono::duration<double, std::milli>(steadyNow() - began).count());
     }
 };
@@ -108,8 +108,8 @@
 
 void print(const char* name, const Tally& tally)
 {
-    std::printf("%-28s | %8zu %8zu %6zu | %8.0f %8.0f %8.0f | %8.0f\n", name, tally.answered_, tally.refused_, tally.failed_, percentile(tally.firstToken_, 0.5),
-        percentile(tally.firstToken_, 0.95), percentile(tally.firstToken_, 0.99), percentile(tally.whole_, 0.5));
+    std::printf("%-28s | %8zu %8zu %6zu | %8.0f %8.0f %8.0f | %8.0f\n", name, tally.answered_, tally.refused_, tally.failed_, percentile(tally.timeToFirstToken_, 0.5),
+        percentile(tally.timeToFirstToken_, 0.95), percentile(tally.timeToFirstToken_, 0.99), percentile(tally.whole_, 0.5));
 }
 
 } // namespace
@@ -138,8 +138,8 @@
     print("trials", flooded.trial_);
     std::printf("capacity %.0f answers/s, paid %.0f/s, trials %.0f/s\n", capacity, paidPart * capacity, floodFactor * capacity);
     std::printf("trials yielded %.0f times, %.0f tokens were computed again\n", deployment.metricOfAll("trials_yielded_total"), deployment.metricOfAll("tokens_recomputed_total"));
-    double before = percentile(alone.paid_.firstToken_, 0.99);
-    double after = percentile(flooded.paid_.firstToken_, 0.99);
+    double before = percentile(alone.paid_.timeToFirstToken_, 0.99);
+    double after = percentile(flooded.paid_.timeToFirstToken_, 0.99);
     bool isWithin = after <= before * mostGrowth + noiseMs && !flooded.paid_.refused_ && !flooded.paid_.failed_;
     std::printf("paid first token p99: %.0f ms alone, %.0f ms beside the flood: %s\n", before, after, isWithin ? "within its bound" : "past its bound");
     return isWithin ? 0 : 1;
--- a/benchmarks/PathBenchmark.cpp
+++ b/benchmarks/PathBenchmark.cpp
@@ -21,7 +21,7 @@
 constexpr int clientThreads = 2;
 
 struct Timing {
-    std::vector<double> firstToken_;
+    std::vector<double> timeToFirstToken_;
     std::vector<double> whole_;
     double seconds_ = 0;
     std::size_t failures_ = 0;
@@ -66,7 +66,7 @@
     SteadyTime began = steadyNow();
     Completion completion { Deployment::apiKey("rede"), "planogram", id, tokensPerAnswer };
     Answer answer = co_await streamCompletion(entry, completion);
-    first = static_cast<double>(answer.firstToken_.count());
+    first = static_cast<double>(answer.timeToFirstToken_.count());
     whole = sinceMs(began);
     co_return answer.isDone_;
 }
@@ -76,7 +76,7 @@
 Timing run(std::size_t concurrency, std::size_t total, const Ask& ask)
 {
     Timing timing;
-    timing.firstToken_.resize(total);
+    timing.timeToFirstToken_.resize(total);
     timing.whole_.resize(total);
     std::atomic<std::size_t> next { 0 };
     std::atomic<std::size_t> failures { 0 };
@@ -84,7 +84,7 @@
     for (std::size_t worker = 0; worker < concurrency; ++worker) {
         auto task = [&]() -> asio::awaitable<void> {
             for (std::size_t i = next++; i < total; i = next++) {
-                bool isGood = co_await ask(i, timing.firstToken_[i], timing.whole_[i]);
+                bool isGood = co_await ask(i, timing.timeToFirstToken_[i], timing.whole_[i]);
                 failures += isGood ? 0 : 1;
             }
         };
@@ -131,7 +131,7 @@
         Timing system = run(concurrency, total, through);
         double memory = static_cast<double>(deployment.nodes()[0].process_->residentMemory().value_) / 1024 / 1024;
         auto print = [&](const char* name, const Timing& timing, double nodeMemory) {
-            std::printf("%8zu %8s | %9.0f %9zu | %9.1f %9.1f | %9.1f %9.1f | %8.1f\n", concurrency, name, static_cast<double>(total) / timing.seconds_, timing.failures_, percentile(timing.firstToken_, 0.5), percentile(timing.firstToken_, 0.99), percentile(timing.whole_, 0.5), percentile(timing.whole_, 0.99), nodeMemory);
+            std::printf("%8zu %8s | %9.0f %9zu | %9.1f %9.1f | %9.1f %9.1f | %8.1f\n", concurrency, name, static_cast<double>(total) / timing.seconds_, timing.failures_, percentile(timing.timeToFirstToken_, 0.5), percentile(timing.timeToFirstToken_, 0.99), percentile(timing.whole_, 0.5), percentile(timing.whole_, 0.99), nodeMemory);
         };
         print("engine", engine, 0);
         print("system", system, memory);
--- a/test/AnswersTest.cpp
+++ b/test/AnswersTest.cpp
@@ -67,13 +67,13 @@
         asio::co_spawn(asio::make_strand(io), task, asio::detached);
     }
     io.run();
-    std::size_t whole = 0;
+    std::size_t complete = 0;
     for (std::size_t i = 0; i < count; ++i) {
         INFO("caller " << i << (answers[i].error_ ? ": " + describe(*answers[i].error_) : std::string()));
         CHECK(checkAnswer(answers[i], completions[i]) == "");
-        whole += answers[i].isDone_ ? 1 : 0;
+        complete += answers[i].isDone_ ? 1 : 0;
     }
-    CHECK(whole == count);
+    CHECK(complete == count);
 }
 
 TEST_CASE("a request id is worth nothing to another organisation")
@@ -85,9 +85,9 @@
     REQUIRE(answer.isDone_);
     for (auto& node : deployment.nodes()) {
         HttpRequest request { "GET", "/v1/requests/" + answer.requestId_, { { "authorization", "Bearer " + Deployment::apiKey("visitante") } }, {} };
-        auto stranger = callHttpBlocking(node.callers_, request, milliseconds(5000));
-        REQUIRE(stranger);
-        CHECK(stranger.value().status_ == 404);
+        auto otherOrganisation = callHttpBlocking(node.callers_, request, milliseconds(5000));
+        REQUIRE(otherOrganisation);
+        CHECK(otherOrganisation.value().status_ == 404);
         request.headers_["authorization"] = "Bearer " + Deployment::apiKey("rede");
         auto owner = callHttpBlocking(node.callers_, request, milliseconds(5000));
         REQUIRE(owner);
@@ -101,18 +101,18 @@
     Deployment deployment(answerOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
     Completion completion { Deployment::apiKey("rede"), "planogram", "resume me", 40 };
-    Answer whole = streamCompletionBlocking(deployment.nodes()[0].callers_, completion);
-    REQUIRE(whole.isDone_);
-    std::size_t have = GENERATE(std::size_t { 0 }, std::size_t { 1 }, std::size_t { 25 }, std::size_t { 40 });
+    Answer complete = streamCompletionBlocking(deployment.nodes()[0].callers_, completion);
+    REQUIRE(complete.isDone_);
+    std::size_t received = GENERATE(std::size_t { 0 }, std::size_t { 1 }, std::size_t { 25 }, std::size_t { 40 });
     Answer partial;
-    partial.requestId_ = whole.requestId_;
-    partial.tokens_.assign(whole.tokens_.begin(), whole.tokens_.begin() + static_cast<std::ptrdiff_t>(have));
+    partial.requestId_ = complete.requestId_;
+    partial.tokens_.assign(complete.tokens_.begin(), complete.tokens_.begin() + static_cast<std::ptrdiff_t>(received));
     std::uint64_t hash = 0;
     for (const std::string& token : partial.tokens_)
         hash = stableHash(token, hash);
     char id[64];
-    std::snprintf(id, sizeof id, "%zu-%lx", have, static_cast<unsigned long>(hash));
-    if (have)
+    std::snprintf(id, sizeof id, "%zu-%lx", received, static_cast<unsigned long>(hash));
+    if (received)
         partial.lastEventId_ = id;
     for (auto& node : deployment.nodes()) {
         asio::io_context io;
@@ -233,11 +233,11 @@
     catalogue.replace(catalogue.find(from), from.size(), "concurrency: " + std::to_string(concurrency));
     deployment.applyCatalogue(catalogue);
     auto& engine = deployment.engine("planogram-caxias-a-1");
-    Deployment::NodeProcess* home = nullptr;
-    REQUIRE(waitUntil([&] { return (home = deployment.homeOf(engine.id_)); }));
+    Deployment::NodeProcess* dispatcher = nullptr;
+    REQUIRE(waitUntil([&] { return (dispatcher = deployment.dispatcherOf(engine.id_)); }));
     std::vector<Endpoint> entries;
     for (auto& node : deployment.nodes()) {
-        if (&node != home)
+        if (&node != dispatcher)
             entries.push_back(node.callers_);
     }
     // More than both engines take; every caller follows its answer to the end.
@@ -252,12 +252,12 @@
     }
     std::thread callers([&] { io.run(); });
     REQUIRE(waitUntil([&] { return numberField(Deployment::control(engine.endpoint_), "active") == concurrency; }));
-    home->process_->freeze();
+    dispatcher->process_->freeze();
     // Its successor dispatches while the frozen one still holds its streams.
-    bool isDoubled = waitUntil([&] { return numberField(Deployment::control(engine.endpoint_), "started") > concurrency; });
-    home->process_->resume();
+    bool hasTwoDispatchers = waitUntil([&] { return numberField(Deployment::control(engine.endpoint_), "started") > concurrency; });
+    dispatcher->process_->resume();
     callers.join();
-    CHECK(isDoubled);
+    CHECK(hasTwoDispatchers);
     for (std::size_t i = 0; i < answers.size(); ++i) {
         INFO("caller " << i << (answers[i].error_ ? ": " + describe(*answers[i].error_) : std::string()));
         CHECK(answers[i].isDone_);
--- a/test/AtMostOnceTest.cpp
+++ b/test/AtMostOnceTest.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 const std::string body = R"({"tag":"A-17"})";
-constexpr std::uint32_t shards = 8;
+constexpr std::uint32_t shardCount = 8;
 
 DeploymentOptions serviceOptions()
 {
@@ -32,7 +32,7 @@
     return callService(entry, Deployment::apiKey("rede"), "labels/confirm", key, content);
 }
 
-std::future<ServiceCallResult> confirmLater(const Endpoint& entry, const std::string& key)
+std::future<ServiceCallResult> confirmAsync(const Endpoint& entry, const std::string& key)
 {
     return std::async(std::launch::async, [=] { return confirm(entry, key); });
 }
@@ -41,8 +41,8 @@
 {
     std::uint64_t sum = 0;
     for (auto& service : deployment.services()) {
-        auto told = Deployment::control(service.endpoint_);
-        sum += numberField(told.at("executions").as_object(), key.c_str());
+        auto state = Deployment::control(service.endpoint_);
+        sum += numberField(state.at("executions").as_object(), key.c_str());
     }
     return sum;
 }
@@ -54,18 +54,18 @@
 }
 
 /// The node of \p dataCentre that keeps \p key, and the other one.
-std::vector<VmId> keepersOf(Deployment& deployment, const std::string& dataCentre, const std::string& key)
+std::vector<VmId> coordinatorsOf(Deployment& deployment, const std::string& dataCentre, const std::string& key)
 {
     std::vector<VmId> nodes;
     for (auto& node : deployment.nodes()) {
         if (node.dataCentre_ == dataCentre)
             nodes.push_back({ node.id_ });
     }
-    std::uint32_t shard = shardOf(makeCallKey({ "rede" }, { "labels" }, { key }), shards);
+    std::uint32_t shard = shardOf(makeCallKey({ "rede" }, { "labels" }, { key }), shardCount);
     return rankByRendezvous("run/" + std::to_string(shard), nodes);
 }
 
-bool saysNotRun(const ServiceCallResult& result)
+bool reportsNotRun(const ServiceCallResult& result)
 {
     return result.isAnswered_ && result.error_ && result.error_->ran_ == Ran::No;
 }
@@ -81,13 +81,13 @@
         std::string key = "order-" + std::to_string(round);
         std::vector<std::future<ServiceCallResult>> calls;
         for (auto& node : deployment.nodes())
-            calls.push_back(confirmLater(node.callers_, key));
+            calls.push_back(confirmAsync(node.callers_, key));
         int answered = 0;
         for (auto& call : calls) {
             auto result = call.get();
             answered += result.status_ == 200 ? 1 : 0;
             // Whoever lost is told that the call was started, never that it was not.
-            CHECK_FALSE(saysNotRun(result));
+            CHECK_FALSE(reportsNotRun(result));
         }
         CHECK(answered >= 1);
         CHECK(executionsOf(deployment, key) == 1);
@@ -103,30 +103,30 @@
 {
     Deployment deployment(serviceOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
-    bool isDuringAppend = GENERATE(true, false);
-    std::string key = isDuringAppend ? "killed-in-append" : "killed-in-dispatch";
-    auto keepers = keepersOf(deployment, "caxias-a", key);
-    auto& keeper = deployment.node(keepers[0].value_);
-    auto& other = deployment.node(keepers[1].value_);
-    if (isDuringAppend)
+    bool isKilledDuringAppend = GENERATE(true, false);
+    std::string key = isKilledDuringAppend ? "killed-in-append" : "killed-in-dispatch";
+    auto coordinators = coordinatorsOf(deployment, "caxias-a", key);
+    auto& coordinator = deployment.node(coordinators[0].value_);
+    auto& other = deployment.node(coordinators[1].value_);
+    if (isKilledDuringAppend)
         deployment.controlPlatform({ { "log_delay_ms", 400 } });
     else
         controlServices(deployment, { { "delay_ms", 600 } });
-    auto call = confirmLater(other.callers_, key);
-    if (isDuringAppend)
-        REQUIRE(waitUntil([&] { return deployment.metric(keeper, "log_appends_total") > 0 || deployment.metric(other, "log_appends_total") > 6; }));
+    auto call = confirmAsync(other.callers_, key);
+    if (isKilledDuringAppend)
+        REQUIRE(waitUntil([&] { return deployment.metric(coordinator, "log_appends_total") > 0 || deployment.metric(other, "log_appends_total") > 6; }));
     else
         REQUIRE(waitUntil([&] { return executionsOf(deployment, key) == 1; }));
-    keeper.process_->kill();
+    coordinator.process_->kill();
     deployment.controlPlatform({ { "log_delay_ms", 0 } });
     auto result = call.get();
     CHECK(executionsOf(deployment, key) <= 1);
-    if (saysNotRun(result))
+    if (reportsNotRun(result))
         CHECK(executionsOf(deployment, key) == 0);
     controlServices(deployment, { { "delay_ms", 0 } });
     // Repeats through every other node never add an execution.
     for (auto& node : deployment.nodes()) {
-        if (node.id_ != keeper.id_)
+        if (node.id_ != coordinator.id_)
             confirm(node.callers_, key);
     }
     CHECK(executionsOf(deployment, key) <= 1);
@@ -137,32 +137,32 @@
     Deployment deployment(serviceOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
     std::string key = "frozen";
-    auto keepers = keepersOf(deployment, "caxias-a", key);
-    auto& keeper = deployment.node(keepers[0].value_);
-    auto& other = deployment.node(keepers[1].value_);
+    auto coordinators = coordinatorsOf(deployment, "caxias-a", key);
+    auto& coordinator = deployment.node(coordinators[0].value_);
+    auto& other = deployment.node(coordinators[1].value_);
     // Frozen while its intent is on the way to the log, so it wakes up with the
     // append answered and everything it believed out of date.
     deployment.controlPlatform({ { "log_delay_ms", 400 } });
-    auto first = confirmLater(other.callers_, key);
+    auto first = confirmAsync(other.callers_, key);
     REQUIRE(waitUntil([&] { return numberField(deployment.controlPlatform(), "appends") > 6; }));
-    keeper.process_->freeze();
+    coordinator.process_->freeze();
     deployment.controlPlatform({ { "log_delay_ms", 0 } });
     auto elsewhere = confirm(deployment.node("bento-c-1").callers_, key);
     CHECK(executionsOf(deployment, key) <= 1);
     REQUIRE(waitUntil([&] {
-        auto told = deployment.ask(other, "/nodes");
-        for (const auto& line : objectsField(told.as_object(), "nodes")) {
-            if (textField(line, "node") == keeper.id_)
+        auto state = deployment.query(other, "/nodes");
+        for (const auto& line : objectsField(state.as_object(), "nodes")) {
+            if (textField(line, "node") == coordinator.id_)
                 return textField(line, "state") == "out";
         }
         return false;
     }));
     auto afterTakeover = confirm(other.callers_, key);
-    keeper.process_->resume();
+    coordinator.process_->resume();
     first.get();
     auto last = confirm(other.callers_, key);
     CHECK(executionsOf(deployment, key) <= 1);
-    if (saysNotRun(last))
+    if (reportsNotRun(last))
         CHECK(executionsOf(deployment, key) == 0);
 }
 
@@ -186,7 +186,7 @@
         deployment.controlPlatform({ { "log_down", 1 } });
         auto result = confirm(entry, "down");
         CHECK(result.status_ == 503);
-        CHECK(saysNotRun(result));
+        CHECK(reportsNotRun(result));
         CHECK(result.error_->retryAfter_.count() > 0);
         CHECK(executionsOf(deployment, "down") == 0);
         deployment.controlPlatform({ { "log_down", 0 } });
@@ -196,7 +196,7 @@
     SECTION("the log trimmed what a keeper had not read")
     {
         CHECK(confirm(entry, "before").status_ == 200);
-        std::uint32_t shard = shardOf(makeCallKey({ "rede" }, { "labels" }, { "before" }), shards);
+        std::uint32_t shard = shardOf(makeCallKey({ "rede" }, { "labels" }, { "before" }), shardCount);
         deployment.controlPlatform({ { "trim_stream", "ledger-" + std::to_string(shard) }, { "trim_to", 1 } });
         // The outcome is still kept, and it alone answers a repeat.
         auto repeat = confirm(deployment.node("bento-c-1").callers_, "before");
@@ -232,7 +232,7 @@
     {
         controlServices(deployment, { { "leaving", 1 } });
         auto result = confirm(entry, "nobody");
-        CHECK(saysNotRun(result));
+        CHECK(reportsNotRun(result));
         CHECK(executionsOf(deployment, "nobody") == 0);
     }
     SECTION("a call that may be repeated is repeated when its answer is lost")
--- a/test/CatalogueTest.cpp
+++ b/test/CatalogueTest.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr milliseconds inForcePatience { 7000 };
+constexpr milliseconds inForceTimeout { 7000 };
 
 DeploymentOptions smallOptions()
 {
@@ -38,23 +38,23 @@
     return path;
 }
 
-std::pair<int, std::string> apply(Deployment& deployment, Deployment::NodeProcess& node, const std::string& file, const std::string& text, const std::string& base = {})
+std::pair<int, std::string> applyEntry(Deployment& deployment, Deployment::NodeProcess& node, const std::string& file, const std::string& text, const std::string& base = {})
 {
     std::vector<std::string> arguments { "catalogue", "apply", writeEntry(deployment, file, text) };
     if (!base.empty())
         arguments.insert(arguments.end(), { "--base", base });
-    return deployment.tool(node, arguments);
+    return deployment.runTool(node, arguments);
 }
 
 /// The text of entry \p name in force at \p node.
-std::string inForce(Deployment& deployment, Deployment::NodeProcess& node, const std::string& name)
+std::string entryInForce(Deployment& deployment, Deployment::NodeProcess& node, const std::string& name)
 {
-    auto entry = deployment.ask(node, "/catalogue/" + name);
+    auto entry = deployment.query(node, "/catalogue/" + name);
     return entry.is_object() ? textField(entry.as_object(), "body") : std::string();
 }
 
 /// Offset of the first snapshot in the log as of \p asOf or later, or 0.
-std::uint64_t firstSnapshotOf(Deployment& deployment, std::uint64_t asOf)
+std::uint64_t firstSnapshotCovering(Deployment& deployment, std::uint64_t asOf)
 {
     HttpRequest request { "GET", "/streams/catalogue/records?from=0&wait_ms=0", {}, {} };
     auto response = callHttpBlocking(deployment.platform(), request, milliseconds(5000));
@@ -71,12 +71,12 @@
 {
     return waitUntil([&] {
         for (auto& node : deployment.nodes()) {
-            if (node.process_->isRunning() && inForce(deployment, node, name) != text)
+            if (node.process_->isRunning() && entryInForce(deployment, node, name) != text)
                 return false;
         }
         return true;
     },
-        inForcePatience);
+        inForceTimeout);
 }
 
 } // namespace
@@ -84,34 +84,34 @@
 TEST_CASE("of twenty racing operators one wins each version")
 {
     Deployment deployment(smallOptions());
-    REQUIRE(apply(deployment, deployment.nodes()[0], "s.yaml", service("s", 1)).first == 0);
+    REQUIRE(applyEntry(deployment, deployment.nodes()[0], "s.yaml", service("s", 1)).first == 0);
     std::string base = "1";
     for (int round = 0; round < 3; ++round) {
         std::vector<std::future<std::pair<int, std::string>>> edits;
         for (int i = 0; i < 20; ++i) {
             edits.push_back(std::async(std::launch::async, [&, i] {
                 auto& node = deployment.nodes()[static_cast<std::size_t>(i) % 6];
-                return apply(deployment, node, "racer" + std::to_string(i) + ".yaml", service("s", 100 * (round + 1) + i), base);
+                return applyEntry(deployment, node, "racer" + std::to_string(i) + ".yaml", service("s", 100 * (round + 1) + i), base);
             }));
         }
         int winners = 0;
-        std::string won;
+        std::string winningVersion;
         std::vector<std::string> losers;
         for (auto& pending : edits) {
             auto [code, output] = pending.get();
             if (!code) {
                 ++winners;
-                won = output.substr(output.rfind(' ') + 1);
+                winningVersion = output.substr(output.rfind(' ') + 1);
             } else {
                 CHECK(code == 3);
                 losers.push_back(output);
             }
         }
-        won.erase(won.find_last_not_of('\n') + 1);
+        winningVersion.erase(winningVersion.find_last_not_of('\n') + 1);
         CHECK(winners == 1);
         for (const std::string& loser : losers)
-            CHECK(loser.find("conflicts with version " + won) != std::string::npos);
-        base = won;
+            CHECK(loser.find("conflicts with version " + winningVersion) != std::string::npos);
+        base = winningVersion;
     }
 }
 
@@ -119,10 +119,10 @@
 {
     Deployment deployment(smallOptions());
     deployment.controlPlatform({ { "lose_append_answers", 1 } });
-    auto [code, output] = apply(deployment, deployment.nodes()[0], "s.yaml", service("s", 7));
+    auto [code, output] = applyEntry(deployment, deployment.nodes()[0], "s.yaml", service("s", 7));
     CHECK(code == 0);
     CHECK(isInForceEverywhere(deployment, "s", service("s", 7)));
-    auto history = deployment.ask(deployment.nodes()[0], "/history");
+    auto history = deployment.query(deployment.nodes()[0], "/history");
     CHECK(history.as_array().size() == 1);
 }
 
@@ -131,19 +131,19 @@
     auto options = smallOptions();
     options.settings_ = "catalogue:\n  snapshot_interval: 200ms\n";
     Deployment deployment(options);
-    REQUIRE(apply(deployment, deployment.nodes()[0], "s.yaml", service("s", 1)).first == 0);
-    REQUIRE(apply(deployment, deployment.nodes()[0], "s.yaml", service("s", 2)).first == 0);
-    std::uint64_t second = numberField(deployment.ask(deployment.nodes()[0], "/catalogue/s").as_object(), "version");
+    REQUIRE(applyEntry(deployment, deployment.nodes()[0], "s.yaml", service("s", 1)).first == 0);
+    REQUIRE(applyEntry(deployment, deployment.nodes()[0], "s.yaml", service("s", 2)).first == 0);
+    std::uint64_t second = numberField(deployment.query(deployment.nodes()[0], "/catalogue/s").as_object(), "version");
     // The log forgets everything before the first snapshot that covers both edits.
     std::uint64_t covering = 0;
-    REQUIRE(waitUntil([&] { return (covering = firstSnapshotOf(deployment, second)) > 0; }));
+    REQUIRE(waitUntil([&] { return (covering = firstSnapshotCovering(deployment, second)) > 0; }));
     deployment.controlPlatform({ { "trim_stream", "catalogue" }, { "trim_to", covering } });
     for (auto& node : deployment.nodes())
         node.process_->kill();
     for (auto& node : deployment.nodes())
         deployment.restartNode(node);
     CHECK(isInForceEverywhere(deployment, "s", service("s", 2)));
-    auto [code, output] = apply(deployment, deployment.nodes()[3], "s.yaml", service("s", 3));
+    auto [code, output] = applyEntry(deployment, deployment.nodes()[3], "s.yaml", service("s", 3));
     CHECK(code == 0);
     CHECK(isInForceEverywhere(deployment, "s", service("s", 3)));
 }
@@ -151,27 +151,27 @@
 TEST_CASE("a node that starts while the log is down takes the catalogue from its peers")
 {
     Deployment deployment(smallOptions());
-    REQUIRE(apply(deployment, deployment.nodes()[0], "s.yaml", service("s", 5)).first == 0);
+    REQUIRE(applyEntry(deployment, deployment.nodes()[0], "s.yaml", service("s", 5)).first == 0);
     REQUIRE(isInForceEverywhere(deployment, "s", service("s", 5)));
     deployment.controlPlatform({ { "log_down", 1 } });
-    auto [code, output] = apply(deployment, deployment.nodes()[0], "s.yaml", service("s", 6));
+    auto [code, output] = applyEntry(deployment, deployment.nodes()[0], "s.yaml", service("s", 6));
     // The log's refusal does not say whether the record was taken.
     constexpr int unknownOutcome = 4;
     CHECK(code == unknownOutcome);
-    auto& fresh = deployment.startNode("caxias-a-9", "caxias-a");
-    CHECK(waitUntil([&] { return inForce(deployment, fresh, "s") == service("s", 5); }, inForcePatience));
+    auto& newNode = deployment.startNode("caxias-a-9", "caxias-a");
+    CHECK(waitUntil([&] { return entryInForce(deployment, newNode, "s") == service("s", 5); }, inForceTimeout));
 }
 
 TEST_CASE("a data centre cut from the platform follows by its peers")
 {
     Deployment deployment(smallOptions());
-    REQUIRE(apply(deployment, deployment.node("caxias-a-1"), "s.yaml", service("s", 1)).first == 0);
+    REQUIRE(applyEntry(deployment, deployment.node("caxias-a-1"), "s.yaml", service("s", 1)).first == 0);
     REQUIRE(isInForceEverywhere(deployment, "s", service("s", 1)));
     deployment.controlPlatform({ { "cut_data_centres", boost::json::array { "bento-c" } } });
-    REQUIRE(apply(deployment, deployment.node("caxias-a-1"), "s.yaml", service("s", 2)).first == 0);
+    REQUIRE(applyEntry(deployment, deployment.node("caxias-a-1"), "s.yaml", service("s", 2)).first == 0);
     CHECK(isInForceEverywhere(deployment, "s", service("s", 2)));
     // An edit sent there is refused, and says that nothing came of it.
-    auto [code, output] = apply(deployment, deployment.node("bento-c-1"), "s.yaml", service("s", 3));
+    auto [code, output] = applyEntry(deployment, deployment.node("bento-c-1"), "s.yaml", service("s", 3));
     CHECK(code != 0);
     CHECK(isInForceEverywhere(deployment, "s", service("s", 2)));
 }
@@ -179,7 +179,7 @@
 TEST_CASE("the tool refuses a bad entry and names the field")
 {
     Deployment deployment(smallOptions());
-    auto [code, output] = apply(deployment, deployment.nodes()[0], "bad.yaml", "name: s\nkind: service\nconcurrency: none\nrepeatable: true\n");
+    auto [code, output] = applyEntry(deployment, deployment.nodes()[0], "bad.yaml", "name: s\nkind: service\nconcurrency: none\nrepeatable: true\n");
     CHECK(code == 2);
     CHECK(output.find("bad.yaml:3: concurrency: expected a whole number") != std::string::npos);
 }
--- a/test/ConfigurationSpreadTest.cpp
+++ b/test/ConfigurationSpreadTest.cpp
@@ -25,7 +25,7 @@
 constexpr milliseconds transferTimeout { 2000 };
 // A connection lost or a stream reset is noticed within this time.
 constexpr milliseconds slack { 1000 };
-constexpr milliseconds askPatience { 1500 };
+constexpr milliseconds replyTimeout { 1500 };
 
 /// Routes whose names differ by hashes, so that they are long when compressed too.
 std::string manyRoutes(std::size_t count)
@@ -40,7 +40,7 @@
 }
 
 /// The lines of \p gateway's log that say \p sentence.
-std::vector<boost::json::object> linesOf(const GatewayDeployment& deployment, const GatewayDeployment::Gateway& gateway, const std::string& sentence)
+std::vector<boost::json::object> logLinesWith(const GatewayDeployment& deployment, const GatewayDeployment::Gateway& gateway, const std::string& sentence)
 {
     std::vector<boost::json::object> lines;
     std::ifstream file(deployment.logFile(gateway));
@@ -52,16 +52,16 @@
     return lines;
 }
 
-enum class Answer {
-    Given,
+enum class FetchResult {
+    Received,
     Busy,
     Other,
 };
 
 /// A peer of a gateway that asks for its configuration.
-class Asker {
+class ConfigurationFetcher {
 public:
-    explicit Asker(Endpoint gateway)
+    explicit ConfigurationFetcher(Endpoint gateway)
         : gateway_(std::move(gateway))
         , work_(asio::make_work_guard(io_))
         , pool_(std::make_unique<PeerPool>(io_.get_executor(), "credential-of-tests", nullptr))
@@ -69,71 +69,71 @@
     {
     }
 
-    ~Asker()
+    ~ConfigurationFetcher()
     {
         io_.stop();
         thread_.join();
     }
 
-    Asker(const Asker&) = delete;
-    Asker& operator=(const Asker&) = delete;
+    ConfigurationFetcher(const ConfigurationFetcher&) = delete;
+    ConfigurationFetcher& operator=(const ConfigurationFetcher&) = delete;
 
     /// Asks, and says nothing more until told: the stream is kept if it was given.
-    Answer ask()
+    FetchResult fetch()
     {
-        return run([this]() -> asio::awaitable<Answer> {
-            auto opened = co_await pool_->open(gateway_, request(), askPatience);
+        return run([this]() -> asio::awaitable<FetchResult> {
+            auto opened = co_await pool_->open(gateway_, request(), replyTimeout);
             if (!opened)
-                co_return Answer::Other;
+                co_return FetchResult::Other;
             auto stream = opened.value();
-            auto reply = co_await stream->receiveWithin(askPatience);
-            Answer answer = reply ? answerIn(reply.value()) : Answer::Other;
-            if (answer == Answer::Given)
-                given_.push_back(stream);
+            auto reply = co_await stream->receiveWithin(replyTimeout);
+            FetchResult result = reply ? resultOf(reply.value()) : FetchResult::Other;
+            if (result == FetchResult::Received)
+                openTransfers_.push_back(stream);
             else
                 stream->finish();
-            co_return answer;
+            co_return result;
         });
     }
 
     /// Asks as older versions do: the stream is ended at once, and nothing acknowledged.
-    Answer call()
+    FetchResult call()
     {
-        return run([this]() -> asio::awaitable<Answer> {
-            auto reply = co_await pool_->call(gateway_, request(), askPatience);
+        return run([this]() -> asio::awaitable<FetchResult> {
+            auto reply = co_await pool_->call(gateway_, request(), replyTimeout);
             if (!reply)
-                co_return reply.error().code_ == Errc::Overloaded ? Answer::Busy : Answer::Other;
-            co_return answerIn(reply.value());
+                co_return reply.error().code_ == Errc::Overloaded ? FetchResult::Busy : FetchResult::Other;
+            co_return resultOf(reply.value());
         });
     }
 
     void acknowledgeAll()
     {
-        run([this]() -> asio::awaitable<Answer> {
+        run([this]() -> asio::awaitable<FetchResult> {
             wire::Frame frame;
             frame.mutable_ack();
-            for (const auto& stream : std::exchange(given_, {})) {
+            for (const auto& stream : std::exchange(openTransfers_, {})) {
                 (void)co_await stream->send(frame);
                 stream->finish();
             }
-            co_return Answer::Other;
+            co_return FetchResult::Other;
         });
     }
 
     void cancelAll()
     {
-        for (const auto& stream : std::exchange(given_, {}))
+        for (const auto& stream : std::exchange(openTransfers_, {}))
             stream->cancel();
     }
 
-    void loseLink()
+    void dropLink()
     {
-        given_.clear();
+        openTransfers_.clear();
         pool_->stop();
     }
 
 private:
-    Answer run(std::function<asio::awaitable<Answer>()> task)
+    FetchResult run(std::function<asio::awaitable<FetchResult>()> task)
     {
         return asio::co_spawn(asio::make_strand(io_), std::move(task), asio::use_future).get();
     }
@@ -145,34 +145,34 @@
         return frame;
     }
 
-    static Answer answerIn(const wire::Frame& frame)
+    static FetchResult resultOf(const wire::Frame& frame)
     {
         if (frame.has_failure())
-            return frame.failure().code() == toString(Errc::Overloaded) && frame.failure().retry_after_ms() ? Answer::Busy : Answer::Other;
-        return frame.configuration_update().compressed_source().empty() ? Answer::Other : Answer::Given;
+            return frame.failure().code() == toString(Errc::Overloaded) && frame.failure().retry_after_ms() ? FetchResult::Busy : FetchResult::Other;
+        return frame.configuration_update().compressed_source().empty() ? FetchResult::Other : FetchResult::Received;
     }
 
     Endpoint gateway_;
     asio::io_context io_;
     asio::executor_work_guard<asio::io_context::executor_type> work_;
     std::unique_ptr<PeerPool> pool_;
-    std::vector<std::shared_ptr<PeerStream>> given_;
+    std::vector<std::shared_ptr<PeerStream>> openTransfers_;
     std::thread thread_;
 };
 
 /// How askers end what they were given.
-struct Ending {
+struct TransferEnd {
     std::string name_;
-    std::function<void(Asker&)> end_;
+    std::function<void(ConfigurationFetcher&)> end_;
     /// Until others are given it.
-    milliseconds within_;
+    milliseconds maxWait_;
 };
 
-const std::vector<Ending> endings {
-    { "acknowledged", [](Asker& asker) { asker.acknowledgeAll(); }, slack },
-    { "cancelled", [](Asker& asker) { asker.cancelAll(); }, slack },
-    { "link lost", [](Asker& asker) { asker.loseLink(); }, slack },
-    { "never", [](Asker&) {}, transferTimeout + slack },
+const std::vector<TransferEnd> transferEnds {
+    { "acknowledged", [](ConfigurationFetcher& fetcher) { fetcher.acknowledgeAll(); }, slack },
+    { "cancelled", [](ConfigurationFetcher& fetcher) { fetcher.cancelAll(); }, slack },
+    { "link lost", [](ConfigurationFetcher& fetcher) { fetcher.dropLink(); }, slack },
+    { "never", [](ConfigurationFetcher&) {}, transferTimeout + slack },
 };
 
 } // namespace
@@ -182,76 +182,76 @@
     GatewayDeployment deployment(1);
     deployment.standard();
     Endpoint gateway { deployment.gateways()[0].callers_.host_, 7003 };
-    for (const Ending& ending : endings) {
-        INFO(ending.name_);
-        Asker first(gateway);
-        Asker second(gateway);
+    for (const TransferEnd& transferEnd : transferEnds) {
+        INFO(transferEnd.name_);
+        ConfigurationFetcher first(gateway);
+        ConfigurationFetcher second(gateway);
         for (std::size_t i = 0; i < mostTransfers; ++i)
-            CHECK(first.ask() == Answer::Given);
-        auto begunAt = steadyNow();
+            CHECK(first.fetch() == FetchResult::Received);
+        auto startedAt = steadyNow();
         for (int i = 0; i < 5; ++i)
-            CHECK(second.ask() == Answer::Busy);
-        ending.end_(first);
-        CHECK(waitUntil([&] { return second.ask() == Answer::Given; }, ending.within_));
+            CHECK(second.fetch() == FetchResult::Busy);
+        transferEnd.end_(first);
+        CHECK(waitUntil([&] { return second.fetch() == FetchResult::Received; }, transferEnd.maxWait_));
         // Not before the end, nor before the timeout if there is none.
-        if (ending.within_ > transferTimeout)
-            CHECK(steadyNow() - begunAt > transferTimeout - slack);
+        if (transferEnd.maxWait_ > transferTimeout)
+            CHECK(steadyNow() - startedAt > transferTimeout - slack);
         second.cancelAll();
         first.cancelAll();
-        REQUIRE(waitUntil([&] { return !linesOf(deployment, deployment.gateways()[0], "handed on").empty(); }));
+        REQUIRE(waitUntil([&] { return !logLinesWith(deployment, deployment.gateways()[0], "handed on").empty(); }));
         std::this_thread::sleep_for(milliseconds(100));
     }
     // Refusals are logged with their count, not one by one.
-    auto busyLines = linesOf(deployment, deployment.gateways()[0], "told to ask others");
+    auto busyLines = logLinesWith(deployment, deployment.gateways()[0], "told to ask others");
     CHECK_FALSE(busyLines.empty());
-    CHECK(busyLines.size() <= 2 * endings.size() + 2);
+    CHECK(busyLines.size() <= 2 * transferEnds.size() + 2);
 }
 
 TEST_CASE("peers of older versions are given the configuration, and understand that others come first", "[gateway]")
 {
     GatewayDeployment deployment(1);
     deployment.standard();
-    Asker old({ deployment.gateways()[0].callers_.host_, 7003 });
-    std::size_t given = 0;
+    ConfigurationFetcher oldPeer({ deployment.gateways()[0].callers_.host_, 7003 });
+    std::size_t received = 0;
     std::size_t busy = 0;
     for (std::size_t i = 0; i < mostTransfers + 1; ++i) {
-        Answer answer = old.call();
-        given += answer == Answer::Given;
-        busy += answer == Answer::Busy;
+        FetchResult result = oldPeer.call();
+        received += result == FetchResult::Received;
+        busy += result == FetchResult::Busy;
     }
-    CHECK(given == mostTransfers);
+    CHECK(received == mostTransfers);
     CHECK(busy == 1);
-    CHECK(waitUntil([&] { return old.call() == Answer::Given; }, slack));
+    CHECK(waitUntil([&] { return oldPeer.call() == FetchResult::Received; }, slack));
 }
 
 TEST_CASE("a configuration of 4,000 routes is in force on twelve gateways within three seconds", "[gateway]")
 {
     constexpr std::size_t count = 12;
     constexpr std::size_t routes = 4000;
-    constexpr milliseconds spreadWithin { 3000 };
+    constexpr milliseconds maxSpreadTime { 3000 };
     GatewayDeployment deployment(count);
     deployment.standard();
     std::string text = manyRoutes(routes);
-    auto begunAt = steadyNow();
+    auto startedAt = steadyNow();
     deployment.putConfiguration(2, text);
-    CHECK(deployment.waitForVersion(2, spreadWithin));
-    INFO("in force on all after " << std::chrono::duration_cast<milliseconds>(steadyNow() - begunAt).count() << " ms");
+    CHECK(deployment.waitForVersion(2, maxSpreadTime));
+    INFO("in force on all after " << std::chrono::duration_cast<milliseconds>(steadyNow() - startedAt).count() << " ms");
 
     std::size_t fromPlatform = 0;
-    std::size_t handedOn = 0;
-    std::uint64_t mostUnderWay = 0;
+    std::size_t sentByPeers = 0;
+    std::uint64_t maxConcurrent = 0;
     for (const auto& gateway : deployment.gateways()) {
-        for (const auto& line : linesOf(deployment, gateway, "Configuration is in force"))
+        for (const auto& line : logLinesWith(deployment, gateway, "Configuration is in force"))
             fromPlatform += textField(line, "configuration") == "2" && textField(line, "from") == "platform";
-        for (const auto& line : linesOf(deployment, gateway, "was handed on")) {
+        for (const auto& line : logLinesWith(deployment, gateway, "was handed on")) {
             if (textField(line, "configuration") != "2")
                 continue;
-            ++handedOn;
-            mostUnderWay = std::max<std::uint64_t>(mostUnderWay, std::stoull(textField(line, "under_way")));
+            ++sentByPeers;
+            maxConcurrent = std::max<std::uint64_t>(maxConcurrent, std::stoull(textField(line, "under_way")));
             CHECK(std::stoull(textField(line, "bytes")) > 64UL * 1024);
         }
     }
-    CHECK(fromPlatform + handedOn >= count);
-    CHECK(handedOn > 0);
-    CHECK(mostUnderWay <= mostTransfers);
+    CHECK(fromPlatform + sentByPeers >= count);
+    CHECK(sentByPeers > 0);
+    CHECK(maxConcurrent <= mostTransfers);
 }
--- a/test/CrashingRequestsTest.cpp
+++ b/test/CrashingRequestsTest.cpp
@@ -16,14 +16,14 @@
 namespace {
 
 // The platform's contact time: what one gateway has seen is known to all after it.
-constexpr milliseconds contactTime { 3000 };
-constexpr std::size_t repeatsAllowed = 3;
-constexpr std::size_t crashesTolerated = 3;
-constexpr milliseconds repeatPause { 250 };
-constexpr milliseconds longestSeries { 20000 };
-constexpr milliseconds longestRefusal { 200 };
+constexpr milliseconds propagationTime { 3000 };
+constexpr std::size_t maxLateCrashes = 3;
+constexpr std::size_t crashThreshold = 3;
+constexpr milliseconds repeatInterval { 250 };
+constexpr milliseconds maxSeriesTime { 20000 };
+constexpr milliseconds maxRejectionTime { 200 };
 
-GatewayDeploymentOptions fleetOf(std::size_t count, const char* fanout)
+GatewayDeploymentOptions fleetOptions(std::size_t count, const char* fanout)
 {
     GatewayDeploymentOptions options;
     options.count_ = count;
@@ -34,7 +34,7 @@
 
 /// Eight engines, more than may crash in the time in which one starts; each that a request
 /// of crashing() reaches ends, and another starts.
-void startCrashable(GatewayDeployment& deployment)
+void startCrashableFleet(GatewayDeployment& deployment)
 {
     deployment.standard();
     for (const char* id : { "e-3", "e-4", "e-5", "e-6", "e-7", "e-8" })
@@ -45,7 +45,7 @@
 }
 
 /// The same request each time, but for the id of the attempt.
-HttpRequest crashing(const std::string& id)
+HttpRequest crashingRequest(const std::string& id)
 {
     HttpRequest request = gatewayRequest("POST", "/ask/stream/crash", id);
     request.body_ = "crashing body";
@@ -55,8 +55,8 @@
 std::vector<std::int64_t> crashTimes(const GatewayDeployment& deployment)
 {
     std::vector<std::int64_t> times;
-    json::object told = deployment.control();
-    for (const json::value& crash : told.at("crashes").as_array())
+    json::object state = deployment.control();
+    for (const json::value& crash : state.at("crashes").as_array())
         times.push_back(static_cast<std::int64_t>(numberField(crash.as_object(), "at_ms")));
     return times;
 }
@@ -72,102 +72,102 @@
 {
     const char* fanout = GENERATE("24", "1");
     CAPTURE(fanout);
-    GatewayDeployment deployment(fleetOf(4, fanout));
-    startCrashable(deployment);
+    GatewayDeployment deployment(fleetOptions(4, fanout));
+    startCrashableFleet(deployment);
     std::int64_t begin = nowMs();
     std::size_t served = 0;
     std::size_t others = 0;
     HttpResponse last;
     milliseconds lastTook {};
-    for (std::size_t i = 0; nowMs() - begin < longestSeries.count(); ++i) {
+    for (std::size_t i = 0; nowMs() - begin < maxSeriesTime.count(); ++i) {
         auto times = crashTimes(deployment);
-        if (times.size() >= crashesTolerated && nowMs() > times[crashesTolerated - 1] + 2 * contactTime.count())
+        if (times.size() >= crashThreshold && nowMs() > times[crashThreshold - 1] + 2 * propagationTime.count())
             break;
         auto& gateway = deployment.gateways()[i % 4];
         SteadyTime sentAt = steadyNow();
-        last = deployment.call(gateway, crashing("crash-" + std::to_string(i)));
+        last = deployment.call(gateway, crashingRequest("crash-" + std::to_string(i)));
         lastTook = std::chrono::duration_cast<milliseconds>(steadyNow() - sentAt);
         HttpRequest other = gatewayRequest("POST", "/draft/stream/other", "other-" + std::to_string(i));
         served += deployment.call(gateway, other).status_ == 200;
         ++others;
-        std::this_thread::sleep_for(repeatPause);
+        std::this_thread::sleep_for(repeatInterval);
     }
     auto times = crashTimes(deployment);
-    REQUIRE(times.size() >= crashesTolerated);
-    auto isLate = [&](std::int64_t at) { return at > times[crashesTolerated - 1] + contactTime.count(); };
-    CHECK(static_cast<std::size_t>(std::count_if(times.begin(), times.end(), isLate)) <= repeatsAllowed);
+    REQUIRE(times.size() >= crashThreshold);
+    auto isLate = [&](std::int64_t at) { return at > times[crashThreshold - 1] + propagationTime.count(); };
+    CHECK(static_cast<std::size_t>(std::count_if(times.begin(), times.end(), isLate)) <= maxLateCrashes);
     // Final, at once, and no promise that the request has not run.
     CHECK(last.status_ == 502);
-    CHECK(lastTook < longestRefusal);
+    CHECK(lastTook < maxRejectionTime);
     CHECK(served == others);
 }
 
 TEST_CASE("an operator sees a request in quarantine at any gateway, and lifts it at all", "[gateway]")
 {
-    GatewayDeployment deployment(fleetOf(3, "24"));
-    startCrashable(deployment);
-    auto isHeldAt = [&](const GatewayDeployment::Gateway& gateway, double held) {
-        return waitUntil([&] { return deployment.metric(gateway, "requests_in_quarantine") == held; }, contactTime);
+    GatewayDeployment deployment(fleetOptions(3, "24"));
+    startCrashableFleet(deployment);
+    auto hasQuarantined = [&](const GatewayDeployment::Gateway& gateway, double expected) {
+        return waitUntil([&] { return deployment.metric(gateway, "requests_in_quarantine") == expected; }, propagationTime);
     };
     // Each crash follows the one before: what was sent at one time may crash more.
     for (int i = 0; i < 3; ++i)
-        (void)deployment.call(deployment.gateways()[0], crashing("crash-" + std::to_string(i)));
+        (void)deployment.call(deployment.gateways()[0], crashingRequest("crash-" + std::to_string(i)));
     for (auto& gateway : deployment.gateways())
-        CHECK(isHeldAt(gateway, 1));
-    auto page = [&](const std::string& method, const std::string& target, const std::string& credential) {
-        auto answer = callHttpBlocking(deployment.gateways()[1].metrics_, { method, target, { { "authorization", "Bearer " + credential } }, {} }, contactTime);
+        CHECK(hasQuarantined(gateway, 1));
+    auto callOperatorEndpoint = [&](const std::string& method, const std::string& target, const std::string& credential) {
+        auto answer = callHttpBlocking(deployment.gateways()[1].metrics_, { method, target, { { "authorization", "Bearer " + credential } }, {} }, propagationTime);
         return answer ? answer.value() : HttpResponse { 0, {}, {} };
     };
-    HttpResponse shown = page("GET", "/quarantine", "");
-    CAPTURE(shown.status_, shown.body_);
-    json::object listed = parseJsonObject(shown.body_).value_or(json::object {});
+    HttpResponse listResponse = callOperatorEndpoint("GET", "/quarantine", "");
+    CAPTURE(listResponse.status_, listResponse.body_);
+    json::object listed = parseJsonObject(listResponse.body_).value_or(json::object {});
     auto rows = objectsField(listed, "requests");
     REQUIRE(rows.size() == 1);
     CHECK(numberField(rows[0], "crashes") == 3);
     std::string target = "/quarantine/" + textField(rows[0], "request");
-    CHECK(page("DELETE", target, "wrong").status_ == 401);
-    CHECK(page("DELETE", "/quarantine/none", "credential-of-tests").status_ == 400);
-    CHECK(page("DELETE", target, "credential-of-tests").status_ == 200);
-    CHECK(page("DELETE", target, "credential-of-tests").status_ == 404);
+    CHECK(callOperatorEndpoint("DELETE", target, "wrong").status_ == 401);
+    CHECK(callOperatorEndpoint("DELETE", "/quarantine/none", "credential-of-tests").status_ == 400);
+    CHECK(callOperatorEndpoint("DELETE", target, "credential-of-tests").status_ == 200);
+    CHECK(callOperatorEndpoint("DELETE", target, "credential-of-tests").status_ == 404);
     for (auto& gateway : deployment.gateways())
-        CHECK(isHeldAt(gateway, 0));
+        CHECK(hasQuarantined(gateway, 0));
     deployment.control({ { "crash_text", "" } });
-    CHECK(waitUntil([&] { return deployment.call(deployment.gateways()[2], crashing("mended")).status_ == 200; }, contactTime));
+    CHECK(waitUntil([&] { return deployment.call(deployment.gateways()[2], crashingRequest("mended")).status_ == 200; }, propagationTime));
 }
 
 TEST_CASE("a stop of all gateways at one moment forgets which request crashed three backend servers", "[gateway]")
 {
     const char* fanout = GENERATE("24", "1");
     CAPTURE(fanout);
-    GatewayDeployment deployment(fleetOf(3, fanout));
-    startCrashable(deployment);
+    GatewayDeployment deployment(fleetOptions(3, fanout));
+    startCrashableFleet(deployment);
     for (int i = 0; i < 3; ++i)
-        (void)deployment.call(deployment.gateways()[0], crashing("crash-" + std::to_string(i)));
-    REQUIRE(crashTimes(deployment).size() == crashesTolerated);
-    std::this_thread::sleep_for(contactTime);
+        (void)deployment.call(deployment.gateways()[0], crashingRequest("crash-" + std::to_string(i)));
+    REQUIRE(crashTimes(deployment).size() == crashThreshold);
+    std::this_thread::sleep_for(propagationTime);
     for (auto& gateway : deployment.gateways()) {
         gateway.process_->kill();
-        (void)gateway.process_->wait(contactTime);
+        (void)gateway.process_->wait(propagationTime);
     }
     for (auto& gateway : deployment.gateways())
         deployment.restart(gateway);
     for (auto& gateway : deployment.gateways())
         REQUIRE(waitUntil([&] { return deployment.isReady(gateway); }, milliseconds(10000)));
-    std::this_thread::sleep_for(contactTime);
+    std::this_thread::sleep_for(propagationTime);
     for (auto& gateway : deployment.gateways())
-        CHECK(deployment.call(gateway, crashing("crash-again")).status_ == 502);
-    CHECK(crashTimes(deployment).size() == crashesTolerated);
+        CHECK(deployment.call(gateway, crashingRequest("crash-again")).status_ == 502);
+    CHECK(crashTimes(deployment).size() == crashThreshold);
 }
 
 TEST_CASE("a gateway sends requests to a backend server that crashed under another one's", "[gateway]")
 {
     const char* fanout = GENERATE("24", "1");
     CAPTURE(fanout);
-    GatewayDeployment deployment(fleetOf(3, fanout));
-    startCrashable(deployment);
+    GatewayDeployment deployment(fleetOptions(3, fanout));
+    startCrashableFleet(deployment);
     // Its registration stays for long: only the gateways' own word keeps requests away.
     deployment.control({ { "restart_ms", 8000 } });
-    (void)deployment.call(deployment.gateways()[0], crashing("crash-0"));
+    (void)deployment.call(deployment.gateways()[0], crashingRequest("crash-0"));
     REQUIRE(crashTimes(deployment).size() == 1);
     std::this_thread::sleep_for(milliseconds(1200));
     double before = deployment.metric(deployment.gateways()[1], "retries_total") + deployment.metric(deployment.gateways()[2], "retries_total");
@@ -179,19 +179,19 @@
 
 TEST_CASE("a gateway that starts after the crashes does not send the request again", "[gateway]")
 {
-    GatewayDeployment deployment(fleetOf(3, "24"));
-    startCrashable(deployment);
+    GatewayDeployment deployment(fleetOptions(3, "24"));
+    startCrashableFleet(deployment);
     for (int i = 0; i < 3; ++i)
-        (void)deployment.call(deployment.gateways()[0], crashing("crash-" + std::to_string(i)));
-    REQUIRE(crashTimes(deployment).size() == crashesTolerated);
+        (void)deployment.call(deployment.gateways()[0], crashingRequest("crash-" + std::to_string(i)));
+    REQUIRE(crashTimes(deployment).size() == crashThreshold);
     auto& restarted = deployment.gateways()[2];
     restarted.process_->kill();
-    (void)restarted.process_->wait(contactTime);
+    (void)restarted.process_->wait(propagationTime);
     // What was told when it was new is told no more by then.
-    std::this_thread::sleep_for(contactTime);
+    std::this_thread::sleep_for(propagationTime);
     deployment.restart(restarted);
     REQUIRE(waitUntil([&] { return deployment.isReady(restarted); }, milliseconds(10000)));
-    std::this_thread::sleep_for(contactTime);
-    CHECK(deployment.call(restarted, crashing("crash-again")).status_ == 502);
-    CHECK(crashTimes(deployment).size() == crashesTolerated);
+    std::this_thread::sleep_for(propagationTime);
+    CHECK(deployment.call(restarted, crashingRequest("crash-again")).status_ == 502);
+    CHECK(crashTimes(deployment).size() == crashThreshold);
 }
--- a/test/CutsTest.cpp
+++ b/test/CutsTest.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-constexpr milliseconds answerPatience { 40000 };
+constexpr milliseconds answerTimeout { 40000 };
 
-enum class Cut {
+enum class Partition {
     FromOthers,
     FromPlatform,
     FromBoth,
@@ -25,19 +25,19 @@
 
 struct Row {
     std::string name_;
-    Cut cut_;
-    bool servesOnce_;
-    bool takesEdits_;
+    Partition partition_;
+    bool canRunOnce_;
+    bool canEdit_;
 };
 
-void setCut(Deployment& deployment, Cut cut, bool isCut)
+void setPartitioned(Deployment& deployment, Partition partition, bool isPartitioned)
 {
-    if (cut != Cut::FromPlatform)
-        deployment.cutDataCentre("bento-c", isCut);
-    if (cut == Cut::FromOthers)
+    if (partition != Partition::FromPlatform)
+        deployment.partitionDataCentre("bento-c", isPartitioned);
+    if (partition == Partition::FromOthers)
         return;
     boost::json::array names;
-    if (isCut)
+    if (isPartitioned)
         names.emplace_back("bento-c");
     deployment.controlPlatform({ { "cut_data_centres", names } });
 }
@@ -47,15 +47,15 @@
 TEST_CASE("a data centre that is cut off serves what it can and refuses the rest truthfully")
 {
     auto row = GENERATE(values<Row>({
-        { "from the other data centres", Cut::FromOthers, true, true },
-        { "from the platform", Cut::FromPlatform, false, false },
-        { "from both", Cut::FromBoth, false, false },
+        { "from the other data centres", Partition::FromOthers, true, true },
+        { "from the platform", Partition::FromPlatform, false, false },
+        { "from both", Partition::FromBoth, false, false },
     }));
     INFO(row.name_);
     DeploymentOptions options;
     options.nodesPerDataCentre_ = 2;
     options.servicesPerDataCentre_ = 1;
-    options.hasRelays_ = true;
+    options.hasProxies_ = true;
     options.engineArguments_ = { "--decode_us", "4000" };
     options.settings_ = "replica:\n  takeover_grace: 400ms\n  owner_silence: 800ms\nledger:\n  append_timeout: 300ms\n  append_patience: 600ms\n";
     Deployment deployment(options);
@@ -69,10 +69,10 @@
     for (int i = 0; i < 6; ++i) {
         completions.push_back({ Deployment::apiKey("rede"), "planogram", "across " + std::to_string(i), 700 });
         std::vector<Endpoint> entries { i % 2 ? inside.callers_ : outside.callers_ };
-        drafts.push_back(std::async(std::launch::async, [=] { return streamToEndBlocking(entries, completions.back(), answerPatience); }));
+        drafts.push_back(std::async(std::launch::async, [=] { return streamToEndBlocking(entries, completions.back(), answerTimeout); }));
     }
     REQUIRE(waitUntil([&] { return deployment.metricOfAll("tokens_delivered_total") > 60; }));
-    setCut(deployment, row.cut_, true);
+    setPartitioned(deployment, row.partition_, true);
 
     Completion question { Deployment::apiKey("rede"), "planogram", "while cut", 20 };
     for (auto* node : { &inside, &outside }) {
@@ -85,7 +85,7 @@
     }
     auto order = callService(inside.callers_, Deployment::apiKey("rede"), "labels/order", "cut-order", "{}");
     INFO("order: " << order.body_);
-    if (row.servesOnce_) {
+    if (row.canRunOnce_) {
         CHECK(order.status_ == 200);
     } else {
         CHECK(order.status_ == 503);
@@ -94,10 +94,10 @@
         CHECK(order.error_->retryAfter_.count() > 0);
     }
     CHECK(callService(outside.callers_, Deployment::apiKey("rede"), "labels/order", "cut-order", "{}").status_ == 200);
-    auto edited = deployment.tool(inside, { "catalogue", "remove", "store" });
-    CHECK((edited.first == 0) == row.takesEdits_);
+    auto edited = deployment.runTool(inside, { "catalogue", "remove", "store" });
+    CHECK((edited.first == 0) == row.canEdit_);
 
-    setCut(deployment, row.cut_, false);
+    setPartitioned(deployment, row.partition_, false);
     for (std::size_t i = 0; i < drafts.size(); ++i) {
         Answer answer = drafts[i].get();
         INFO("draft " << i << (answer.error_ ? ": " + describe(*answer.error_) : std::string()));
--- a/test/Demo.cpp
+++ b/test/Demo.cpp
@@ -15,29 +15,29 @@
 
 namespace {
 
-constexpr milliseconds stopPatience { 30000 };
+constexpr milliseconds stopTimeout { 30000 };
 
-void require(bool isGood, const std::string& step, const std::string& peer, const std::string& reason)
+void require(bool isSatisfied, const std::string& step, const std::string& peer, const std::string& reason)
 {
-    if (!isGood)
+    if (!isSatisfied)
         throw std::runtime_error("step '" + step + "' with " + peer + ": " + reason);
 }
 
-double meanGap(const Answer& answer)
+double meanTokenGapMs(const Answer& answer)
 {
     double sum = 0;
-    for (auto gap : answer.gaps_)
+    for (auto gap : answer.tokenGaps_)
         sum += static_cast<double>(gap.count()) / 1000;
-    return answer.gaps_.empty() ? 0 : sum / static_cast<double>(answer.gaps_.size());
+    return answer.tokenGaps_.empty() ? 0 : sum / static_cast<double>(answer.tokenGaps_.size());
 }
 
 void showHops(Deployment& deployment, Deployment::NodeProcess& node, const std::string& requestId)
 {
-    auto [code, output] = deployment.tool(node, { "trace", requestId });
+    auto [code, output] = deployment.runTool(node, { "trace", requestId });
     require(!code, "trace", node.id_, output);
     std::cout << "  hops:\n"
               << output;
-    auto [explained, candidates] = deployment.tool(node, { "explain", requestId });
+    auto [explained, candidates] = deployment.runTool(node, { "explain", requestId });
     if (!explained)
         std::cout << "  candidates:\n"
                   << candidates;
@@ -51,7 +51,7 @@
     require(answer.isDone_, title, node.id_, answer.error_ ? describe(*answer.error_) : "no whole answer");
     require(checkAnswer(answer, completion).empty(), title, node.id_, checkAnswer(answer, completion));
     std::cout << "  answer: " << answer.text().substr(0, 60) << "... (" << answer.tokens_.size() << " tokens)\n";
-    std::cout << "  engine " << answer.engine_ << ", first token " << answer.firstToken_.count() << " ms, between tokens " << meanGap(answer) << " ms\n";
+    std::cout << "  engine " << answer.engine_ << ", first token " << answer.timeToFirstToken_.count() << " ms, between tokens " << meanTokenGapMs(answer) << " ms\n";
     showHops(deployment, node, answer.requestId_);
 }
 
@@ -62,8 +62,8 @@
     auto result = callService(node.callers_, Deployment::apiKey("rede"), "labels/confirm", "order-4711", R"({"tag":"A-17"})");
     require(result.status_ == 200, "price-tag confirmation", node.id_, result.error_ ? describe(*result.error_) : "no answer");
     std::cout << "  answer: " << result.body_ << '\n';
-    auto again = callService(deployment.nodes()[(nodeIndex + 4) % 9].callers_, Deployment::apiKey("rede"), "labels/confirm", "order-4711", R"({"tag":"A-17"})");
-    require(again.isReplayed_ && again.body_ == result.body_, "repeated confirmation", node.id_, "expected the stored answer");
+    auto repeated = callService(deployment.nodes()[(nodeIndex + 4) % 9].callers_, Deployment::apiKey("rede"), "labels/confirm", "order-4711", R"({"tag":"A-17"})");
+    require(repeated.isReplayed_ && repeated.body_ == result.body_, "repeated confirmation", node.id_, "expected the stored answer");
     std::cout << "  repeated elsewhere: the stored answer, not run again\n";
 }
 
@@ -72,7 +72,7 @@
     for (auto& node : deployment.nodes())
         node.process_->signal(SIGTERM);
     for (auto& node : deployment.nodes())
-        require(!node.process_->wait(stopPatience), "graceful stop", node.id_, "did not exit with 0");
+        require(!node.process_->wait(stopTimeout), "graceful stop", node.id_, "did not exit with 0");
     std::cout << "\nall " << deployment.nodes().size() << " nodes drained and stopped\n";
 }
 
@@ -86,7 +86,7 @@
     Deployment deployment(options);
     deployment.applyCatalogue(Deployment::standardCatalogue());
     std::cout << "catalogue is in force on every node\n"
-              << deployment.tool(deployment.nodes().front(), { "catalogue", "list" }).second;
+              << deployment.runTool(deployment.nodes().front(), { "catalogue", "list" }).second;
     generate(deployment, 0, "planogram draft", { Deployment::apiKey("rede"), "planogram", "Draft the beverage wall for store 112, 9 shelves.", 200 });
     generate(deployment, 4, "store manager's question", { Deployment::apiKey("rede"), "store", "How many facings for SKU 8812?", 12 });
     confirm(deployment, 8);
--- a/test/DraftsTest.cpp
+++ b/test/DraftsTest.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr milliseconds answerPatience { 40000 };
+constexpr milliseconds answerTimeout { 40000 };
 
 DeploymentOptions draftOptions()
 {
@@ -40,9 +40,9 @@
         for (std::size_t i = 0; i < count; ++i)
             completions_.push_back({ Deployment::apiKey(i % 4 == 3 ? "visitante" : "rede"), "planogram", "draft number " + std::to_string(i), tokens });
         for (const Completion& completion : completions_)
-            answers_.push_back(std::async(std::launch::async, [=] { return streamToEndBlocking(entries, completion, answerPatience); }));
-        bool hasBegun = waitUntil([&] { return deployment.metricOfAll("tokens_delivered_total") > static_cast<double>(count * 20); });
-        REQUIRE(hasBegun);
+            answers_.push_back(std::async(std::launch::async, [=] { return streamToEndBlocking(entries, completion, answerTimeout); }));
+        bool hasStarted = waitUntil([&] { return deployment.metricOfAll("tokens_delivered_total") > static_cast<double>(count * 20); });
+        REQUIRE(hasStarted);
     }
 
     /// Every answer is whole, and nobody was told to start again.
@@ -63,18 +63,18 @@
 };
 
 /// An engine of \p dataCentre that works on something.
-Deployment::Backend& busyEngine(Deployment& deployment, const std::string& dataCentre)
+Deployment::Backend& busiestEngine(Deployment& deployment, const std::string& dataCentre)
 {
     Deployment::Backend* busiest = nullptr;
-    std::uint64_t most = 0;
+    std::uint64_t maxActive = 0;
     for (auto& engine : deployment.engines()) {
         std::uint64_t active = numberField(Deployment::control(engine.endpoint_), "active");
-        if (engine.dataCentre_ != dataCentre || active < most)
+        if (engine.dataCentre_ != dataCentre || active < maxActive)
             continue;
         busiest = &engine;
-        most = active;
+        maxActive = active;
     }
-    REQUIRE(most > 0);
+    REQUIRE(maxActive > 0);
     return *busiest;
 }
 
@@ -90,7 +90,7 @@
 {
     struct Reclaim {
         milliseconds notice_;
-        bool refusesImport_;
+        bool rejectsImport_;
         bool mustNotRecompute_;
     };
     auto reclaim = GENERATE(values<Reclaim>({
@@ -100,18 +100,18 @@
         { milliseconds(2000), true, false },
         { milliseconds(150), false, false },
     }));
-    INFO("notice " << reclaim.notice_.count() << " ms, import refused " << reclaim.refusesImport_);
+    INFO("notice " << reclaim.notice_.count() << " ms, import refused " << reclaim.rejectsImport_);
     Deployment deployment(draftOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
-    if (reclaim.refusesImport_) {
+    if (reclaim.rejectsImport_) {
         for (auto& engine : deployment.engines())
             Deployment::control(engine.endpoint_, { { "refuse_import", 1 } });
     }
     Drafts drafts(deployment, 8, 600);
-    reclaimEngine(deployment, busyEngine(deployment, "caxias-a"), reclaim.notice_);
+    reclaimEngine(deployment, busiestEngine(deployment, "caxias-a"), reclaim.notice_);
     drafts.checkAll();
     double recomputed = deployment.metricOfAll("tokens_recomputed_total");
-    WARN("notice " << reclaim.notice_.count() << " ms, import refused " << reclaim.refusesImport_ << ": " << recomputed << " tokens recomputed");
+    WARN("notice " << reclaim.notice_.count() << " ms, import refused " << reclaim.rejectsImport_ << ": " << recomputed << " tokens recomputed");
     if (reclaim.mustNotRecompute_)
         CHECK(recomputed == 0);
 }
@@ -121,28 +121,28 @@
     Deployment deployment(draftOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
     Drafts drafts(deployment, 6, 300);
-    busyEngine(deployment, "caxias-a").process_->kill();
+    busiestEngine(deployment, "caxias-a").process_->kill();
     drafts.checkAll();
 }
 
 TEST_CASE("drafts survive the death of a node, whatever its role")
 {
     enum class Victim {
-        Home,
+        Dispatcher,
         Entry,
-        EntryFrozen,
+        FrozenEntry,
     };
-    auto victim = GENERATE(Victim::Home, Victim::Entry, Victim::EntryFrozen);
+    auto victim = GENERATE(Victim::Dispatcher, Victim::Entry, Victim::FrozenEntry);
     INFO("victim " << static_cast<int>(victim));
     Deployment deployment(draftOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
     Drafts drafts(deployment, 6, 400);
     Deployment::NodeProcess* node = &deployment.node("caxias-a-1");
-    if (victim == Victim::Home) {
+    if (victim == Victim::Dispatcher) {
         node = &deployment.node("caxias-a-2");
         REQUIRE(waitUntil([&] { return deployment.metric(*node, "streams_homed") > 0; }));
     }
-    if (victim == Victim::EntryFrozen) {
+    if (victim == Victim::FrozenEntry) {
         node->process_->freeze();
         // Thawed once its replicas have taken over; its callers read from it still.
         CHECK(waitUntil([&] {
@@ -156,7 +156,7 @@
         node->process_->kill();
     }
     drafts.checkAll();
-    if (victim != Victim::EntryFrozen)
+    if (victim != Victim::FrozenEntry)
         CHECK(deployment.metricOfAll("tokens_recomputed_total") == 0);
 }
 
@@ -192,17 +192,17 @@
     Deployment deployment(draftOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
     Drafts drafts(deployment, 8, 500);
-    auto& home = deployment.node("caxias-a-2");
-    REQUIRE(waitUntil([&] { return deployment.metric(home, "streams_homed") > 0; }));
+    auto& dispatcher = deployment.node("caxias-a-2");
+    REQUIRE(waitUntil([&] { return deployment.metric(dispatcher, "streams_homed") > 0; }));
     for (auto& engine : deployment.engines()) {
         if (engine.dataCentre_ == "caxias-a")
             reclaimEngine(deployment, engine, milliseconds(3000));
     }
     REQUIRE(waitUntil([&] {
-        auto view = deployment.ask(home, "/engines");
+        auto view = deployment.query(dispatcher, "/engines");
         return view.is_object() && objectsField(view.as_object(), "engines").empty();
     }));
-    home.process_->kill();
+    dispatcher.process_->kill();
     drafts.checkAll();
 }
 
@@ -214,11 +214,11 @@
     Completion completion { Deployment::apiKey("rede"), "planogram", "no stream", 200 };
     auto pending = std::async(std::launch::async, [&] {
         HttpRequest request { "POST", "/v1/completions", { { "authorization", "Bearer " + completion.apiKey_ } }, completionBody(completion, false) };
-        return callHttpBlocking(entry.callers_, request, answerPatience);
+        return callHttpBlocking(entry.callers_, request, answerTimeout);
     });
     std::string requestId;
     REQUIRE(waitUntil([&] {
-        auto listed = deployment.ask(entry, "/requests");
+        auto listed = deployment.query(entry, "/requests");
         auto requests = listed.is_object() ? objectsField(listed.as_object(), "requests") : std::vector<boost::json::object> {};
         if (requests.empty() || numberField(requests.front(), "tokens") < 20)
             return false;
@@ -230,7 +230,7 @@
     HttpRequest fetch { "GET", "/v1/requests/" + requestId, { { "authorization", "Bearer " + completion.apiKey_ } }, {} };
     Answer answer;
     REQUIRE(waitUntil([&] {
-        auto response = callHttpBlocking(deployment.node("bento-c-2").callers_, fetch, answerPatience);
+        auto response = callHttpBlocking(deployment.node("bento-c-2").callers_, fetch, answerTimeout);
         if (!response || response.value().status_ != 200)
             return false;
         auto body = parseJsonObject(response.value().body_).value_or(boost::json::object {});
@@ -242,7 +242,7 @@
         }
         return true;
     },
-        answerPatience));
+        answerTimeout));
     CHECK(checkAnswer(answer, completion) == "");
 }
 
@@ -269,7 +269,7 @@
     Answer answer = draft.get();
     CHECK(answer.isDone_);
     CHECK(checkAnswer(answer, trial) == "");
-    auto told = Deployment::control(engine.endpoint_);
-    CHECK(numberField(told, "started") == 3);
-    CHECK(numberField(told, "cancelled") == 0);
+    auto state = Deployment::control(engine.endpoint_);
+    CHECK(numberField(state, "started") == 3);
+    CHECK(numberField(state, "cancelled") == 0);
 }
--- a/test/Harness/CallerClient.cpp
+++ b/test/Harness/CallerClient.cpp
@@ -59,7 +59,7 @@
         answer.isBroken_ = false;
         answer.isMoved_ = false;
         answer.error_.reset();
-        SteadyTime began = steadyNow();
+        SteadyTime startedAt = steadyNow();
         auto opened = co_await openHttp(entry, std::move(request), headTimeout);
         if (!opened) {
             answer.isBroken_ = true;
@@ -75,7 +75,7 @@
             co_return answer;
         }
         Event event;
-        SteadyTime last = began;
+        SteadyTime last = startedAt;
         for (;;) {
             auto line = co_await reader->readLine(lineTimeout);
             if (!line || !line.value()) {
@@ -97,9 +97,9 @@
             if (answer.tokens_.size() <= before)
                 continue;
             if (!before)
-                answer.firstToken_ = std::chrono::duration_cast<milliseconds>(steadyNow() - began);
+                answer.timeToFirstToken_ = std::chrono::duration_cast<milliseconds>(steadyNow() - startedAt);
             else
-                answer.gaps_.push_back(std::chrono::duration_cast<std::chrono::microseconds>(steadyNow() - last));
+                answer.tokenGaps_.push_back(std::chrono::duration_cast<std::chrono::microseconds>(steadyNow() - last));
             last = steadyNow();
         }
         reader->cancel();
@@ -154,12 +154,12 @@
     co_return co_await readEvents(entry, std::move(request), std::move(answer));
 }
 
-asio::awaitable<Answer> streamToEnd(std::vector<Endpoint> entries, Completion completion, milliseconds patience)
+asio::awaitable<Answer> streamToEnd(std::vector<Endpoint> entries, Completion completion, milliseconds timeout)
 {
-    SteadyTime until = steadyNow() + patience;
+    SteadyTime deadline = steadyNow() + timeout;
     Answer answer = co_await streamCompletion(entries.front(), completion);
     std::size_t next = 1;
-    while (!answer.isDone_ && !answer.requestId_.empty() && steadyNow() < until) {
+    while (!answer.isDone_ && !answer.requestId_.empty() && steadyNow() < deadline) {
         SteadyTimer timer(co_await asio::this_coro::executor, reconnectPause);
         co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
         Endpoint entry = entries[next++ % entries.size()];
@@ -173,9 +173,9 @@
     return runBlocking(streamCompletion(entry, completion));
 }
 
-Answer streamToEndBlocking(const std::vector<Endpoint>& entries, const Completion& completion, milliseconds patience)
+Answer streamToEndBlocking(const std::vector<Endpoint>& entries, const Completion& completion, milliseconds timeout)
 {
-    return runBlocking(streamToEnd(entries, completion, patience));
+    return runBlocking(streamToEnd(entries, completion, timeout));
 }
 
 ServiceCallResult callService(const Endpoint& entry, const std::string& apiKey, const std::string& path, const std::string& key, const std::string& body, milliseconds timeout)
--- a/test/Harness/CallerClient.h
+++ b/test/Harness/CallerClient.h
@@ -24,8 +24,8 @@
     /// Times the caller was told to drop what it had.
     int restarts_ = 0;
     std::optional<Error> error_;
-    milliseconds firstToken_ {};
-    std::vector<std::chrono::microseconds> gaps_;
+    milliseconds timeToFirstToken_ {};
+    std::vector<std::chrono::microseconds> tokenGaps_;
 
     std::string text() const;
 };
@@ -45,12 +45,12 @@
 /// Goes on with \p answer at \p entry from its last event id.
 asio::awaitable<Answer> resumeAnswer(Endpoint entry, std::string apiKey, Answer answer);
 /// Streams from the first of \p entries and, whenever the answer breaks off or
-/// moves, goes on at the next one, for \p patience in all.
-asio::awaitable<Answer> streamToEnd(std::vector<Endpoint> entries, Completion completion, milliseconds patience);
+/// moves, goes on at the next one, for \p timeout in all.
+asio::awaitable<Answer> streamToEnd(std::vector<Endpoint> entries, Completion completion, milliseconds timeout);
 
 /// Blocking forms.
 Answer streamCompletionBlocking(const Endpoint& entry, const Completion& completion);
-Answer streamToEndBlocking(const std::vector<Endpoint>& entries, const Completion& completion, milliseconds patience);
+Answer streamToEndBlocking(const std::vector<Endpoint>& entries, const Completion& completion, milliseconds timeout);
 
 struct ServiceCallResult {
     int status_ = 0;
--- a/test/Harness/LateLink.cpp
+++ b/test/Harness/DelayProxy.cpp
@@ -1,9 +1,9 @@
-//===- test/Harness/LateLink.cpp - a link whose bytes come late ------------===//
+//===- test/Harness/DelayProxy.cpp - a link whose bytes come late ------------===//
 ///
 /// \file
-/// See LateLink.h.
+/// See DelayProxy.h.
 //===----------------------------------------------------------------------===//
-#include "LateLink.h"
+#include "DelayProxy.h"
 
 #include <array>
 
@@ -18,7 +18,7 @@
 
 } // namespace
 
-struct LateLink::Link {
+struct DelayProxy::Link {
     explicit Link(tcp::socket caller)
         : caller_(std::move(caller))
         , server_(caller_.get_executor())
@@ -29,7 +29,7 @@
     tcp::socket server_;
 };
 
-LateLink::LateLink(Endpoint server)
+DelayProxy::DelayProxy(Endpoint server)
     : acceptor_(io_, tcp::endpoint(asio::ip::address_v4::loopback(), 0))
     , server_(std::move(server))
 {
@@ -37,18 +37,18 @@
     thread_ = std::thread([this] { io_.run(); });
 }
 
-LateLink::~LateLink()
+DelayProxy::~DelayProxy()
 {
     io_.stop();
     thread_.join();
 }
 
-Endpoint LateLink::endpoint() const
+Endpoint DelayProxy::endpoint() const
 {
     return { "127.0.0.1", acceptor_.local_endpoint().port() };
 }
 
-asio::awaitable<void> LateLink::accept()
+asio::awaitable<void> DelayProxy::accept()
 {
     for (;;) {
         auto [code, socket] = co_await acceptor_.async_accept(asTuple);
@@ -59,12 +59,12 @@
         auto [connectCode] = co_await link->server_.async_connect(address, asTuple);
         if (connectCode)
             continue;
-        asio::co_spawn(io_, pumpUp(link), asio::detached);
-        asio::co_spawn(io_, pumpDown(link), asio::detached);
+        asio::co_spawn(io_, pumpToServer(link), asio::detached);
+        asio::co_spawn(io_, pumpToCaller(link), asio::detached);
     }
 }
 
-asio::awaitable<void> LateLink::pumpUp(std::shared_ptr<Link> link)
+asio::awaitable<void> DelayProxy::pumpToServer(std::shared_ptr<Link> link)
 {
     std::array<char, bufferSize> buffer {};
     for (;;) {
@@ -80,13 +80,13 @@
 }
 
 /// The end of what the server sends comes as late as its bytes.
-asio::awaitable<void> LateLink::pumpDown(std::shared_ptr<Link> link)
+asio::awaitable<void> DelayProxy::pumpToCaller(std::shared_ptr<Link> link)
 {
     std::array<char, bufferSize> buffer {};
     SteadyTimer timer(io_);
     for (;;) {
         auto [code, count] = co_await link->server_.async_read_some(asio::buffer(buffer), asTuple);
-        timer.expires_after(late_.load());
+        timer.expires_after(delay_.load());
         (void)co_await timer.async_wait(asTuple);
         if (code)
             break;
--- a/test/Harness/LateLink.h
+++ b/test/Harness/DelayProxy.h
@@ -1,4 +1,4 @@
-//===- test/Harness/LateLink.h - a link whose bytes come late --------------===//
+//===- test/Harness/DelayProxy.h - a link whose bytes come late --------------===//
 ///
 /// \file
 /// A loopback relay that holds back what the server sends, its close included, as a
@@ -15,27 +15,27 @@
 namespace pistachioloom::test {
 
 /// Relays to one server on a thread of its own.
-class LateLink {
+class DelayProxy {
 public:
-    explicit LateLink(Endpoint server);
-    ~LateLink();
-    LateLink(const LateLink&) = delete;
-    LateLink& operator=(const LateLink&) = delete;
+    explicit DelayProxy(Endpoint server);
+    ~DelayProxy();
+    DelayProxy(const DelayProxy&) = delete;
+    DelayProxy& operator=(const DelayProxy&) = delete;
 
     Endpoint endpoint() const;
     /// What the server sends from now on arrives so much later.
-    void setLate(milliseconds late) { late_ = late; }
+    void setDelay(milliseconds delay) { delay_ = delay; }
 
 private:
     struct Link;
     asio::awaitable<void> accept();
-    static asio::awaitable<void> pumpUp(std::shared_ptr<Link> link);
-    asio::awaitable<void> pumpDown(std::shared_ptr<Link> link);
+    static asio::awaitable<void> pumpToServer(std::shared_ptr<Link> link);
+    asio::awaitable<void> pumpToCaller(std::shared_ptr<Link> link);
 
     asio::io_context io_;
     asio::ip::tcp::acceptor acceptor_;
     Endpoint server_;
-    std::atomic<milliseconds> late_ { milliseconds(0) };
+    std::atomic<milliseconds> delay_ { milliseconds(0) };
     std::thread thread_;
 };
 
--- a/test/Harness/Deployment.cpp
+++ b/test/Harness/Deployment.cpp
@@ -19,7 +19,7 @@
 namespace {
 
     constexpr milliseconds callTimeout { 5000 };
-    constexpr milliseconds startPatience { 30000 };
+    constexpr milliseconds startTimeout { 30000 };
     constexpr milliseconds pollPeriod { 10 };
     const std::string operatorCredential = "operators-secret-of-tests";
     const std::string peerCredential = "peers-secret-of-tests-only";
@@ -34,16 +34,16 @@
 
     std::uint16_t portOf(const Process& process, const char* name)
     {
-        return static_cast<std::uint16_t>(numberField(process.firstLine(), name));
+        return static_cast<std::uint16_t>(numberField(process.boundPorts(), name));
     }
 
 } // namespace
 
-bool waitUntil(const std::function<bool()>& condition, milliseconds patience)
+bool waitUntil(const std::function<bool()>& condition, milliseconds timeout)
 {
-    auto until = steadyNow() + patience;
+    auto deadline = steadyNow() + timeout;
     while (!condition()) {
-        if (steadyNow() > until)
+        if (steadyNow() > deadline)
             return false;
         std::this_thread::sleep_for(pollPeriod);
     }
@@ -90,7 +90,7 @@
     std::size_t expected = nodes_.size();
     for (const NodeProcess& node : nodes_) {
         bool isComplete = waitUntil([&] {
-            auto listed = ask(node, "/nodes");
+            auto listed = query(node, "/nodes");
             if (!listed.is_object())
                 return false;
             auto seen = objectsField(listed.as_object(), "nodes");
@@ -100,7 +100,7 @@
                 digests += line.contains("catalogue_offset") ? 1 : 0;
             return seen.size() == expected && digests == options_.nodesPerDataCentre_;
         },
-            startPatience);
+            startTimeout);
         if (!isComplete)
             throw std::runtime_error(node.id_ + " did not find its peers; see " + directory_);
     }
@@ -173,8 +173,8 @@
     node.callers_ = { "127.0.0.1", portOf(*node.process_, "callers") };
     node.peers_ = { "127.0.0.1", portOf(*node.process_, "peers") };
     node.operators_ = { "127.0.0.1", portOf(*node.process_, "operators") };
-    if (options_.hasRelays_)
-        addRelays(node);
+    if (options_.hasProxies_)
+        addProxies(node);
     putVm({ { "id", node.id_ }, { "kind", "entry" }, { "data_centre", node.dataCentre_ }, { "host", "127.0.0.1" }, { "port", node.peers_.port_ }, { "operator_port", node.operators_.port_ }, { "caller_port", node.callers_.port_ } });
 }
 
@@ -185,19 +185,19 @@
     return nodes_.back();
 }
 
-void Deployment::addRelays(const NodeProcess& node)
+void Deployment::addProxies(const NodeProcess& node)
 {
     json::array views;
     for (const std::string& from : options_.dataCentres_) {
         if (from == node.dataCentre_)
             continue;
-        auto& relays = relays_[{ from, node.dataCentre_ }];
-        if (!relays)
-            relays = std::make_unique<RelaySet>();
+        auto& proxies = proxies_[{ from, node.dataCentre_ }];
+        if (!proxies)
+            proxies = std::make_unique<TcpProxySet>();
         json::object view;
         view["from"] = from;
         view["vm"] = node.id_;
-        view["port"] = relays->add(node.peers_);
+        view["port"] = proxies->add(node.peers_);
         views.push_back(view);
     }
     json::object body;
@@ -205,11 +205,11 @@
     controlPlatform(body);
 }
 
-void Deployment::cutDataCentre(const std::string& dataCentre, bool isCut)
+void Deployment::partitionDataCentre(const std::string& dataCentre, bool isPartitioned)
 {
-    for (auto& [ends, relays] : relays_) {
+    for (auto& [ends, proxies] : proxies_) {
         if (ends.first == dataCentre || ends.second == dataCentre)
-            relays->setCut(isCut);
+            proxies->setPartitioned(isPartitioned);
     }
 }
 
@@ -253,7 +253,7 @@
     return parseJsonObject(response.value().body_).value_or(json::object {});
 }
 
-std::pair<int, std::string> Deployment::tool(const NodeProcess& node, const std::vector<std::string>& arguments) const
+std::pair<int, std::string> Deployment::runTool(const NodeProcess& node, const std::vector<std::string>& arguments) const
 {
     std::vector<std::string> all { "--node", node.operators_.toString(), "--credential", operatorCredential };
     all.insert(all.end(), arguments.begin(), arguments.end());
@@ -264,17 +264,17 @@
 {
     std::string file = directory_ + "/catalogue.yaml";
     std::ofstream(file) << yaml;
-    auto [code, output] = tool(nodes_.front(), { "catalogue", "apply", file });
+    auto [code, output] = runTool(nodes_.front(), { "catalogue", "apply", file });
     if (code)
         throw std::runtime_error("catalogue was not applied: " + output);
-    if (!waitForCatalogue(startPatience))
+    if (!waitForCatalogue(startTimeout))
         throw std::runtime_error("catalogue did not reach every node; see " + directory_);
 }
 
-bool Deployment::waitForCatalogue(milliseconds patience)
+bool Deployment::waitForCatalogue(milliseconds timeout)
 {
-    json::object told = controlPlatform();
-    std::uint64_t next = numberField(told.at("next").as_object(), "catalogue");
+    json::object state = controlPlatform();
+    std::uint64_t next = numberField(state.at("next").as_object(), "catalogue");
     return waitUntil([&] {
         for (NodeProcess& node : nodes_) {
             if (node.process_->isRunning() && metric(node, "catalogue_offset") < static_cast<double>(next))
@@ -282,10 +282,10 @@
         }
         return true;
     },
-        patience);
+        timeout);
 }
 
-json::value Deployment::ask(const NodeProcess& node, const std::string& target) const
+json::value Deployment::query(const NodeProcess& node, const std::string& target) const
 {
     HttpRequest request { "GET", target, { { "authorization", "Bearer " + operatorCredential } }, {} };
     auto response = callHttpBlocking(node.operators_, request, callTimeout);
@@ -312,10 +312,10 @@
     return -1;
 }
 
-Deployment::NodeProcess* Deployment::homeOf(const std::string& engine)
+Deployment::NodeProcess* Deployment::dispatcherOf(const std::string& engine)
 {
     for (NodeProcess& node : nodes_) {
-        json::value listed = ask(node, "/engines");
+        json::value listed = query(node, "/engines");
         if (!listed.is_object())
             continue;
         for (const json::object& line : objectsField(listed.as_object(), "engines")) {
--- a/test/Harness/Deployment.h
+++ b/test/Harness/Deployment.h
@@ -9,7 +9,7 @@
 
 #include "CallerClient.h"
 #include "Process.h"
-#include "Relay.h"
+#include "TcpProxySet.h"
 
 #include <functional>
 #include <memory>
@@ -25,7 +25,7 @@
     std::size_t servicesPerDataCentre_ = 0;
     std::vector<std::string> engineArguments_;
     /// Peers of other data centres are reached through relays that can be cut.
-    bool hasRelays_ = false;
+    bool hasProxies_ = false;
     /// YAML sections added to every node's settings.
     std::string settings_;
 };
@@ -57,7 +57,7 @@
     std::vector<Backend>& services() { return services_; }
     Backend& engine(const std::string& id);
     /// The node that lists \p engine among its own, or nullptr.
-    NodeProcess* homeOf(const std::string& engine);
+    NodeProcess* dispatcherOf(const std::string& engine);
     const Endpoint& platform() const { return platform_; }
     Process& platformProcess() { return *platformProcess_; }
     std::vector<Endpoint> callerEndpoints() const;
@@ -69,8 +69,8 @@
     Backend& startEngine(const std::string& id, const std::string& dataCentre, const std::string& model);
 
     /// Cuts or heals \p dataCentre from the other data centres, both ways. Only
-    /// with `hasRelays_`.
-    void cutDataCentre(const std::string& dataCentre, bool isCut);
+    /// with `hasProxies_`.
+    void partitionDataCentre(const std::string& dataCentre, bool isPartitioned);
 
     /// Sends \p body to a stand-in's control and returns what it tells.
     static boost::json::object control(const Endpoint& standin, const boost::json::object& body = {});
@@ -81,13 +81,13 @@
     void removeVm(const std::string& vm);
 
     /// Runs the tool against \p node. \returns exit code and output.
-    std::pair<int, std::string> tool(const NodeProcess& node, const std::vector<std::string>& arguments) const;
+    std::pair<int, std::string> runTool(const NodeProcess& node, const std::vector<std::string>& arguments) const;
     /// Applies \p yaml by the tool and waits until every node has it.
     void applyCatalogue(const std::string& yaml);
     /// Waits until every running node has the catalogue's newest record.
-    bool waitForCatalogue(milliseconds patience);
+    bool waitForCatalogue(milliseconds timeout);
     /// GET \p target at the operator port of \p node; null if it fails.
-    boost::json::value ask(const NodeProcess& node, const std::string& target) const;
+    boost::json::value query(const NodeProcess& node, const std::string& target) const;
     /// One sample of \p metric at \p node, or -1.
     double metric(const NodeProcess& node, const std::string& metric) const;
     double metricOfAll(const std::string& metric) const;
@@ -103,7 +103,7 @@
     void writeSettings(const std::string& id, const std::string& dataCentre);
     void launch(NodeProcess& node);
     void putVm(const boost::json::object& vm);
-    void addRelays(const NodeProcess& node);
+    void addProxies(const NodeProcess& node);
 
     DeploymentOptions options_;
     std::string directory_;
@@ -113,7 +113,7 @@
     std::vector<Backend> engines_;
     std::vector<Backend> services_;
     /// By the pair of data centres, from and to.
-    std::map<std::pair<std::string, std::string>, std::unique_ptr<RelaySet>> relays_;
+    std::map<std::pair<std::string, std::string>, std::unique_ptr<TcpProxySet>> proxies_;
 };
 
 } // namespace pistachioloom::test
--- a/test/Harness/Process.cpp
+++ b/test/Harness/Process.cpp
@@ -23,9 +23,9 @@
 namespace {
 
     constexpr milliseconds pollPeriod { 5 };
-    constexpr milliseconds freezePatience { 1000 };
-    constexpr int outputEnd = 1;
-    constexpr int inputEnd = 0;
+    constexpr milliseconds freezeTimeout { 1000 };
+    constexpr int writeEnd = 1;
+    constexpr int readEnd = 0;
 
     struct Spawned {
         pid_t id_ = -1;
@@ -41,7 +41,7 @@
         posix_spawn_file_actions_t actions;
         posix_spawn_file_actions_init(&actions);
         if (file.empty())
-            posix_spawn_file_actions_adddup2(&actions, pipeEnds[outputEnd], STDOUT_FILENO);
+            posix_spawn_file_actions_adddup2(&actions, pipeEnds[writeEnd], STDOUT_FILENO);
         else
             posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, file.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
         posix_spawn_file_actions_adddup2(&actions, STDOUT_FILENO, STDERR_FILENO);
@@ -49,13 +49,13 @@
         for (const std::string& argument : arguments)
             argv.push_back(const_cast<char*>(argument.c_str()));
         argv.push_back(nullptr);
-        Spawned spawned { -1, pipeEnds[inputEnd] };
+        Spawned spawned { -1, pipeEnds[readEnd] };
         int failed = posix_spawn(&spawned.id_, program.c_str(), &actions, nullptr, argv.data(), environ);
         posix_spawn_file_actions_destroy(&actions);
-        close(pipeEnds[outputEnd]);
+        close(pipeEnds[writeEnd]);
         if (!failed)
             return spawned;
-        close(pipeEnds[inputEnd]);
+        close(pipeEnds[readEnd]);
         throw std::runtime_error("cannot start " + program);
     }
 
@@ -90,7 +90,7 @@
     id_ = spawned.id_;
     while (isRunning()) {
         if (auto ports = findPorts(logFile, from)) {
-            firstLine_ = std::move(*ports);
+            boundPorts_ = std::move(*ports);
             return;
         }
         std::this_thread::sleep_for(pollPeriod);
@@ -135,7 +135,7 @@
 {
     signal(SIGSTOP);
     // The signal takes effect a moment later, in which the process may still read.
-    (void)waitUntil([this] { return isStopped(id_); }, freezePatience);
+    (void)waitUntil([this] { return isStopped(id_); }, freezeTimeout);
 }
 
 void Process::resume() const
@@ -143,9 +143,9 @@
     signal(SIGCONT);
 }
 
-int Process::wait(milliseconds patience)
+int Process::wait(milliseconds timeout)
 {
-    auto until = steadyNow() + patience;
+    auto deadline = steadyNow() + timeout;
     while (!hasEnded_) {
         int status = 0;
         if (waitpid(id_, &status, WNOHANG) == id_) {
@@ -153,7 +153,7 @@
             exitCode_ = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
             break;
         }
-        if (steadyNow() > until)
+        if (steadyNow() > deadline)
             break;
         std::this_thread::sleep_for(pollPeriod);
     }
--- a/test/Harness/Process.h
+++ b/test/Harness/Process.h
@@ -23,14 +23,14 @@
     Process(const Process&) = delete;
     Process& operator=(const Process&) = delete;
 
-    const boost::json::object& firstLine() const { return firstLine_; }
+    const boost::json::object& boundPorts() const { return boundPorts_; }
     pid_t id() const { return id_; }
     void signal(int number) const;
     void kill();
     void freeze() const;
     void resume() const;
     /// Waits for the end. \returns the exit code, or -1 for a signal or none.
-    int wait(milliseconds patience);
+    int wait(milliseconds timeout);
     bool isRunning();
     /// Processor time used so far, and memory held.
     std::chrono::microseconds processorTime() const;
@@ -40,7 +40,7 @@
     pid_t id_ = -1;
     bool hasEnded_ = false;
     int exitCode_ = -1;
-    boost::json::object firstLine_;
+    boost::json::object boundPorts_;
 };
 
 /// Runs \p program to its end. \returns its exit code and output.
@@ -50,6 +50,6 @@
 std::string programPath(const std::string& name);
 
 /// Waits for \p condition, asking again every few milliseconds.
-bool waitUntil(const std::function<bool()>& condition, milliseconds patience = milliseconds(20000));
+bool waitUntil(const std::function<bool()>& condition, milliseconds timeout = milliseconds(20000));
 
 } // namespace pistachioloom::test
--- a/test/Harness/Relay.cpp
+++ b/test/Harness/TcpProxySet.cpp
@@ -1,9 +1,9 @@
-//===- test/Harness/Relay.cpp - a connection that can be cut ---------------===//
+//===- test/Harness/TcpProxySet.cpp - a connection that can be cut ---------------===//
 ///
 /// \file
-/// See Relay.h.
+/// See TcpProxySet.h.
 //===----------------------------------------------------------------------===//
-#include "Relay.h"
+#include "TcpProxySet.h"
 
 #include <future>
 
@@ -13,52 +13,52 @@
 
 namespace {
 
-    constexpr auto tokenOf = asio::as_tuple(asio::use_awaitable);
+    constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
 
 } // namespace
 
-struct RelaySet::Link {
-    explicit Link(tcp::socket near)
-        : near_(std::move(near))
-        , far_(near_.get_executor())
+struct TcpProxySet::Link {
+    explicit Link(tcp::socket caller)
+        : caller_(std::move(caller))
+        , target_(caller_.get_executor())
     {
     }
 
     void close()
     {
         boost::system::error_code ignored;
-        near_.close(ignored);
-        far_.close(ignored);
+        caller_.close(ignored);
+        target_.close(ignored);
     }
 
-    tcp::socket near_;
-    tcp::socket far_;
+    tcp::socket caller_;
+    tcp::socket target_;
 };
 
-RelaySet::RelaySet()
+TcpProxySet::TcpProxySet()
     : work_(asio::make_work_guard(io_))
     , thread_([this] { io_.run(); })
 {
 }
 
-RelaySet::~RelaySet()
+TcpProxySet::~TcpProxySet()
 {
     io_.stop();
     thread_.join();
 }
 
-std::uint16_t RelaySet::add(const Endpoint& target)
+std::uint16_t TcpProxySet::add(const Endpoint& target)
 {
     auto acceptor = std::make_shared<tcp::acceptor>(io_, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
     asio::co_spawn(io_, accept(acceptor, target), asio::detached);
     return acceptor->local_endpoint().port();
 }
 
-void RelaySet::setCut(bool isCut)
+void TcpProxySet::setPartitioned(bool isPartitioned)
 {
     std::promise<void> done;
     asio::post(io_, [&] {
-        isCut_ = isCut;
+        isPartitioned_ = isPartitioned;
         for (const auto& link : links_)
             link->close();
         links_.clear();
@@ -67,23 +67,23 @@
     done.get_future().get();
 }
 
-void RelaySet::setDelay(milliseconds delay)
+void TcpProxySet::setDelay(milliseconds delay)
 {
     delay_ = delay;
 }
 
-asio::awaitable<void> RelaySet::accept(std::shared_ptr<tcp::acceptor> acceptor, Endpoint target)
+asio::awaitable<void> TcpProxySet::accept(std::shared_ptr<tcp::acceptor> acceptor, Endpoint target)
 {
     for (;;) {
-        auto [code, socket] = co_await acceptor->async_accept(tokenOf);
+        auto [code, socket] = co_await acceptor->async_accept(asTuple);
         if (code)
             co_return;
-        if (isCut_)
+        if (isPartitioned_)
             continue;
         auto link = std::make_shared<Link>(std::move(socket));
         tcp::endpoint address(asio::ip::make_address(target.host_), target.port_);
-        auto [connectCode] = co_await link->far_.async_connect(address, tokenOf);
-        if (connectCode || isCut_) {
+        auto [connectCode] = co_await link->target_.async_connect(address, asTuple);
+        if (connectCode || isPartitioned_) {
             link->close();
             continue;
         }
@@ -93,18 +93,18 @@
     }
 }
 
-asio::awaitable<void> RelaySet::pump(std::shared_ptr<Link> link, bool isUpward)
+asio::awaitable<void> TcpProxySet::pump(std::shared_ptr<Link> link, bool isToTarget)
 {
-    tcp::socket& from = isUpward ? link->near_ : link->far_;
-    tcp::socket& to = isUpward ? link->far_ : link->near_;
+    tcp::socket& from = isToTarget ? link->caller_ : link->target_;
+    tcp::socket& to = isToTarget ? link->target_ : link->caller_;
     std::vector<char> buffer(64UL * 1024);
     for (;;) {
-        auto [code, count] = co_await from.async_read_some(asio::buffer(buffer), tokenOf);
+        auto [code, count] = co_await from.async_read_some(asio::buffer(buffer), asTuple);
         if (code)
             break;
-        if (isUpward && delay_.load() > milliseconds(0))
+        if (isToTarget && delay_.load() > milliseconds(0))
             co_await sleepFor(delay_.load());
-        auto [writeCode, written] = co_await asio::async_write(to, asio::buffer(buffer, count), tokenOf);
+        auto [writeCode, written] = co_await asio::async_write(to, asio::buffer(buffer, count), asTuple);
         if (writeCode)
             break;
     }
--- a/test/IdleConnectionsTest.cpp
+++ b/test/IdleConnectionsTest.cpp
@@ -4,7 +4,7 @@
 /// A caller's next request and the end of its connection's idle time, while the
 /// link between them is late.
 //===----------------------------------------------------------------------===//
-#include "Harness/LateLink.h"
+#include "Harness/DelayProxy.h"
 #include "Platform/GatewayDeployment.h"
 
 #include <boost/asio.hpp>
@@ -20,9 +20,9 @@
 
 /// A caller that keeps its connection as HTTP/1.1 asks: until the time that the
 /// server announced, or until it sees the end.
-class KeepingCaller {
+class KeepAliveCaller {
 public:
-    explicit KeepingCaller(Endpoint server)
+    explicit KeepAliveCaller(Endpoint server)
         : server_(std::move(server))
     {
     }
@@ -55,7 +55,7 @@
 
     bool mayReuse()
     {
-        if (!socket_ || (announced_ && steadyNow() - answeredAt_ >= *announced_))
+        if (!socket_ || (announcedTimeout_ && steadyNow() - answeredAt_ >= *announcedTimeout_))
             return false;
         socket_->non_blocking(true);
         char byte = 0;
@@ -72,15 +72,15 @@
         std::size_t head = boost::asio::read_until(*socket_, boost::asio::dynamic_buffer(bytes), "\r\n\r\n", code);
         if (code)
             return {};
-        std::size_t length = numberAfter(bytes, "content-length: ").value_or(0);
+        std::size_t length = headerNumber(bytes, "content-length: ").value_or(0);
         if (bytes.size() < head + length)
             boost::asio::read(*socket_, boost::asio::dynamic_buffer(bytes), boost::asio::transfer_exactly(head + length - bytes.size()), code);
-        auto seconds = numberAfter(bytes, "keep-alive: timeout=");
-        announced_ = seconds ? std::optional(milliseconds(*seconds * 1000)) : std::nullopt;
+        auto seconds = headerNumber(bytes, "keep-alive: timeout=");
+        announcedTimeout_ = seconds ? std::optional(milliseconds(*seconds * 1000)) : std::nullopt;
         return bytes;
     }
 
-    static std::optional<std::size_t> numberAfter(std::string text, const std::string& name)
+    static std::optional<std::size_t> headerNumber(std::string text, const std::string& name)
     {
         std::transform(text.begin(), text.end(), text.begin(), [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
         std::size_t at = text.find("\r\n" + name);
@@ -90,7 +90,7 @@
     Endpoint server_;
     boost::asio::io_context io_;
     std::optional<tcp::socket> socket_;
-    std::optional<milliseconds> announced_;
+    std::optional<milliseconds> announcedTimeout_;
     SteadyTime answeredAt_ {};
     int connections_ = 0;
 };
@@ -107,8 +107,8 @@
 {
     struct Row {
         const char* name_;
-        milliseconds late_;
-        milliseconds idle_;
+        milliseconds delay_;
+        milliseconds pause_;
         int connections_;
     };
     // The idle limit of the deployment is 5 s.
@@ -120,11 +120,11 @@
     CAPTURE(row.name_);
     GatewayDeployment deployment(1);
     deployment.standard();
-    LateLink link(deployment.gateways()[0].callers_);
-    KeepingCaller caller(link.endpoint());
+    DelayProxy link(deployment.gateways()[0].callers_);
+    KeepAliveCaller caller(link.endpoint());
     REQUIRE(caller.call(gatewayRequest("GET", "/safe/x", "first")).starts_with("HTTP/1.1 200"));
-    link.setLate(row.late_);
-    std::this_thread::sleep_for(row.idle_);
+    link.setDelay(row.delay_);
+    std::this_thread::sleep_for(row.pause_);
     CHECK(caller.call(gatewayRequest("GET", "/safe/x", "second")).starts_with("HTTP/1.1 200"));
     CHECK(caller.connections() == row.connections_);
 }
@@ -133,7 +133,7 @@
 {
     GatewayDeployment deployment(1);
     deployment.standard();
-    KeepingCaller caller(deployment.gateways()[0].callers_);
+    KeepAliveCaller caller(deployment.gateways()[0].callers_);
     // The request is admitted under the limit of 5 s, and its answer announces that.
     deployment.disturbAll({ { "delay_ms", 1000 } });
     std::thread operators([&] {
@@ -177,15 +177,15 @@
     GatewayDeployment deployment(1);
     deployment.standard();
     auto& gateway = deployment.gateways()[0];
-    KeepingCaller caller(gateway.callers_);
+    KeepAliveCaller caller(gateway.callers_);
     REQUIRE(caller.call(gatewayRequest("GET", "/safe/x", "first")).starts_with("HTTP/1.1 200"));
     std::this_thread::sleep_for(milliseconds(3500));
     gateway.process_->freeze();
-    std::thread waker([&] {
+    std::thread resumer([&] {
         std::this_thread::sleep_for(milliseconds(2500));
         gateway.process_->resume();
     });
     CHECK(caller.call(gatewayRequest("GET", "/safe/x", "second")).starts_with("HTTP/1.1 200"));
     CHECK(caller.connections() == 1);
-    waker.join();
+    resumer.join();
 }
--- a/test/KeptConnectionsTest.cpp
+++ b/test/KeptConnectionsTest.cpp
@@ -4,7 +4,7 @@
 /// A server closes a kept connection after an idle time. A request that is on its
 /// way at that moment is lost, and one that may run only once cannot be repeated.
 //===----------------------------------------------------------------------===//
-#include "Harness/Relay.h"
+#include "Harness/TcpProxySet.h"
 #include "Platform/GatewayDeployment.h"
 
 #include <boost/beast/core/flat_buffer.hpp>
@@ -24,9 +24,9 @@
 
 /// A caller that keeps its connection, so that one worker of the node, with its own
 /// connections to backend servers, gets all its requests.
-class KeptCaller {
+class KeepAliveCaller {
 public:
-    explicit KeptCaller(const Endpoint& endpoint)
+    explicit KeepAliveCaller(const Endpoint& endpoint)
         : socket_(io_)
     {
         socket_.connect({ boost::asio::ip::make_address(endpoint.host_), endpoint.port_ });
@@ -55,14 +55,14 @@
     boost::beast::flat_buffer buffer_;
 };
 
-/// Starts the only backend server, which states \p idle, behind \p link.
-void startBehind(GatewayDeployment& deployment, RelaySet& link, std::chrono::seconds idle)
+/// Starts the only backend server, which states \p idleTimeout, behind \p proxy.
+void startBackendBehind(GatewayDeployment& deployment, TcpProxySet& proxy, std::chrono::seconds idleTimeout)
 {
     deployment.putConfiguration(1);
-    json::object wanted { { "id", backendId }, { "service", "plain" }, { "unregistered", 1 }, { "idle_s", idle.count() } };
+    json::object wanted { { "id", backendId }, { "service", "plain" }, { "unregistered", 1 }, { "idle_s", idleTimeout.count() } };
     json::object started = deployment.control({ { "backends", json::array { wanted } } });
     auto port = static_cast<std::uint16_t>(numberField(started.at("ports").as_object(), backendId));
-    std::string address = "127.0.0.1:" + std::to_string(link.add({ "127.0.0.1", port }));
+    std::string address = "127.0.0.1:" + std::to_string(proxy.add({ "127.0.0.1", port }));
     deployment.registerBackend(backendId, "plain", address, "up");
     REQUIRE(deployment.waitForVersion(1, milliseconds(20000)));
     REQUIRE(deployment.waitForBackends(1));
@@ -72,8 +72,8 @@
 
 TEST_CASE("a request late in the idle time of a backend server does not cross its close", "[gateway]")
 {
-    constexpr std::chrono::seconds idle { 4 };
-    constexpr milliseconds lateness { 500 };
+    constexpr std::chrono::seconds idleTimeout { 4 };
+    constexpr milliseconds delay { 500 };
     struct Row {
         const char* name_;
         milliseconds pause_;
@@ -85,12 +85,12 @@
     }));
     CAPTURE(row.name_);
     GatewayDeployment deployment(1);
-    RelaySet link;
-    startBehind(deployment, link, idle);
-    KeptCaller caller(deployment.gateways()[0].callers_);
+    TcpProxySet proxy;
+    startBackendBehind(deployment, proxy, idleTimeout);
+    KeepAliveCaller caller(deployment.gateways()[0].callers_);
     REQUIRE(caller.callOnce("first") == 200);
     std::this_thread::sleep_for(row.pause_);
-    link.setDelay(lateness);
+    proxy.setDelay(delay);
     CHECK(caller.callOnce("second") == 200);
     json::array runs { "first", "second" };
     CHECK(deployment.backend(backendId).at("runs").as_array() == runs);
--- a/test/LeavingTest.cpp
+++ b/test/LeavingTest.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-constexpr milliseconds leavingBound { 2000 };
-constexpr milliseconds stopPatience { 30000 };
-constexpr milliseconds answerPatience { 30000 };
+constexpr milliseconds maxNoticeDelay { 2000 };
+constexpr milliseconds stopTimeout { 30000 };
+constexpr milliseconds answerTimeout { 30000 };
 
 DeploymentOptions twoEngines()
 {
@@ -35,19 +35,19 @@
     return { Deployment::apiKey("rede"), "planogram", "question " + std::to_string(number), 2 };
 }
 
-std::uint64_t startedAt(Deployment::Backend& engine)
+std::uint64_t startedCount(Deployment::Backend& engine)
 {
     return numberField(Deployment::control(engine.endpoint_), "started");
 }
 
 /// Sends questions through every node until stopped. \returns failures.
-class SteadyLoad {
+class BackgroundLoad {
 public:
-    explicit SteadyLoad(const std::vector<Endpoint>& entries)
+    explicit BackgroundLoad(const std::vector<Endpoint>& entries)
         : thread_([this, entries] { run(entries); })
     {
     }
-    ~SteadyLoad() { stop(); }
+    ~BackgroundLoad() { stop(); }
 
     int stop()
     {
@@ -76,25 +76,25 @@
 enum class NoticeSource {
     CloudNotice,
     VmList,
-    OwnRefusal,
-    CloudNoticeWhileHomeIsCut,
+    OwnRejection,
+    CloudNoticeWhilePartitioned,
 };
 
 } // namespace
 
 TEST_CASE("a leaving engine gets no new work two seconds after the first notice")
 {
-    auto source = GENERATE(NoticeSource::CloudNotice, NoticeSource::VmList, NoticeSource::OwnRefusal, NoticeSource::CloudNoticeWhileHomeIsCut);
+    auto source = GENERATE(NoticeSource::CloudNotice, NoticeSource::VmList, NoticeSource::OwnRejection, NoticeSource::CloudNoticeWhilePartitioned);
     INFO("source " << static_cast<int>(source));
     auto options = twoEngines();
     Deployment deployment(options);
     deployment.applyCatalogue(Deployment::standardCatalogue());
     auto& engine = deployment.engine("planogram-caxias-a-1");
-    SteadyLoad load(deployment.callerEndpoints());
-    REQUIRE(waitUntil([&] { return startedAt(engine) > 5; }));
+    BackgroundLoad load(deployment.callerEndpoints());
+    REQUIRE(waitUntil([&] { return startedCount(engine) > 5; }));
     boost::json::object leavingVm { { "id", engine.id_ }, { "kind", "engine" }, { "data_centre", engine.dataCentre_ }, { "host", "127.0.0.1" }, { "port", engine.endpoint_.port_ }, { "serves", boost::json::array { "planogram" } }, { "state", "leaving" } };
     switch (source) {
-    case NoticeSource::CloudNoticeWhileHomeIsCut:
+    case NoticeSource::CloudNoticeWhilePartitioned:
         deployment.controlPlatform({ { "cut_data_centres", boost::json::array { "caxias-a" } } });
         deployment.announceReclaim(engine.id_, milliseconds(60000));
         break;
@@ -104,17 +104,17 @@
     case NoticeSource::VmList:
         deployment.controlPlatform({ { "put_vms", boost::json::array { leavingVm } } });
         break;
-    case NoticeSource::OwnRefusal:
+    case NoticeSource::OwnRejection:
         Deployment::control(engine.endpoint_, { { "leaving", 1 } });
         break;
     }
-    std::this_thread::sleep_for(leavingBound);
-    std::uint64_t started = startedAt(engine);
-    std::uint64_t asked = numberField(Deployment::control(engine.endpoint_), "started_while_leaving");
+    std::this_thread::sleep_for(maxNoticeDelay);
+    std::uint64_t started = startedCount(engine);
+    std::uint64_t startedWhileLeaving = numberField(Deployment::control(engine.endpoint_), "started_while_leaving");
     int answeredBefore = load.answered();
     REQUIRE(waitUntil([&] { return load.answered() > answeredBefore + 100; }));
-    CHECK(startedAt(engine) == started);
-    CHECK(numberField(Deployment::control(engine.endpoint_), "started_while_leaving") == asked);
+    CHECK(startedCount(engine) == started);
+    CHECK(numberField(Deployment::control(engine.endpoint_), "started_while_leaving") == startedWhileLeaving);
     CHECK(load.stop() == 0);
 }
 
@@ -125,7 +125,7 @@
     Deployment deployment(options);
     deployment.applyCatalogue(Deployment::standardCatalogue());
     auto& leaving = deployment.node("caxias-a-1");
-    bool isByTool = GENERATE(true, false);
+    bool isStoppedByTool = GENERATE(true, false);
     for (auto& service : deployment.services())
         Deployment::control(service.endpoint_, { { "delay_ms", 300 } });
 
@@ -147,10 +147,10 @@
         }));
     }
     REQUIRE(waitUntil([&] { return deployment.metricOfAll("service_calls_total") > 0; }));
-    SteadyLoad load({ deployment.node("caxias-a-2").callers_, deployment.node("caxias-b-1").callers_ });
+    BackgroundLoad load({ deployment.node("caxias-a-2").callers_, deployment.node("caxias-b-1").callers_ });
 
-    if (isByTool)
-        CHECK(deployment.tool(leaving, { "drain" }).first == 0);
+    if (isStoppedByTool)
+        CHECK(deployment.runTool(leaving, { "drain" }).first == 0);
     else
         leaving.process_->signal(SIGTERM);
     // Readiness goes off first, while callers that the balancer still sends are served.
@@ -168,7 +168,7 @@
     }
     for (auto& call : calls)
         CHECK(call.get().status_ == 200);
-    CHECK(leaving.process_->wait(stopPatience) == 0);
+    CHECK(leaving.process_->wait(stopTimeout) == 0);
     CHECK(load.stop() == 0);
 }
 
@@ -184,16 +184,16 @@
     auto& leaving = deployment.node("caxias-a-1");
     auto& successor = deployment.node("caxias-b-1");
     Completion handedOver { Deployment::apiKey("rede"), "planogram", "handed over", 400 };
-    Completion stays { Deployment::apiKey("rede"), "planogram", "stays", 1600 };
+    Completion ownDraft { Deployment::apiKey("rede"), "planogram", "stays", 1600 };
     std::vector<Endpoint> entries { leaving.callers_, successor.callers_ };
-    auto first = std::async(std::launch::async, [=] { return streamToEndBlocking(entries, handedOver, answerPatience); });
-    auto second = std::async(std::launch::async, [=] { return streamCompletionBlocking(entries[1], stays); });
+    auto first = std::async(std::launch::async, [=] { return streamToEndBlocking(entries, handedOver, answerTimeout); });
+    auto second = std::async(std::launch::async, [=] { return streamCompletionBlocking(entries[1], ownDraft); });
     REQUIRE(waitUntil([&] { return deployment.metric(leaving, "generations_running") == 1 && deployment.metric(successor, "generations_running") == 1; }));
     deployment.announceReclaim(leaving.id_, milliseconds(800));
     Answer answer = first.get();
     CHECK(answer.isDone_);
     CHECK(checkAnswer(answer, handedOver) == "");
-    auto limits = deployment.ask(successor, "/limits");
+    auto limits = deployment.query(successor, "/limits");
     std::uint64_t inProgress = 0;
     for (const auto& line : objectsField(limits.as_object(), "entries"))
         inProgress += numberField(line, "in_progress");
@@ -218,7 +218,7 @@
     for (int i = 0; i < 8; ++i)
         completions.push_back({ Deployment::apiKey("rede"), "planogram", "long draft " + std::to_string(i), 500 });
     for (const Completion& completion : completions)
-        streams.push_back(std::async(std::launch::async, [=] { return streamToEndBlocking(entries, completion, answerPatience); }));
+        streams.push_back(std::async(std::launch::async, [=] { return streamToEndBlocking(entries, completion, answerTimeout); }));
     REQUIRE(waitUntil([&] { return deployment.metric(leaving, "generations_running") >= 8; }));
     for (auto& engine : deployment.engines())
         Deployment::control(engine.endpoint_, { { "attach_delay_ms", attachDelay.count() } });
--- a/test/LimitsTest.cpp
+++ b/test/LimitsTest.cpp
@@ -15,11 +15,11 @@
 
 namespace {
 
-constexpr std::uint64_t mostInProgress = 30;
+constexpr std::uint64_t maxInProgress = 30;
 constexpr std::uint64_t tokensPerSecond = 2000;
 // That all of a limit can be used is waited for: a busy machine may need more
 // than one round of a crowd to show it. That it holds is wanted of every round.
-constexpr int mostRounds = 4;
+constexpr int maxRounds = 4;
 
 std::string limitedCatalogue(const std::string& limits)
 {
@@ -28,7 +28,7 @@
         + "name: planogram\nkind: engine\nconcurrency: 64\n";
 }
 
-DeploymentOptions threeByTwo()
+DeploymentOptions sixNodeOptions()
 {
     DeploymentOptions options;
     options.nodesPerDataCentre_ = 2;
@@ -38,15 +38,15 @@
 
 /// Callers at several entry VMs who ask again as soon as they are answered, and
 /// come back after a pause when they are refused, until the time is over.
-struct Crowd {
+struct LoadGenerator {
     std::vector<Endpoint> entries_;
     std::size_t callers_ = 0;
     std::uint64_t tokens_ = 0;
-    milliseconds lasts_ {};
+    milliseconds duration_ {};
 
     struct Outcome {
         std::size_t answered_ = 0;
-        std::size_t refused_ = 0;
+        std::size_t rejected_ = 0;
         std::size_t broken_ = 0;
         std::uint64_t tokens_ = 0;
     };
@@ -55,18 +55,18 @@
     {
         asio::io_context io;
         Outcome outcome;
-        SteadyTime until = steadyNow() + lasts_;
+        SteadyTime deadline = steadyNow() + duration_;
         for (std::size_t i = 0; i < callers_; ++i)
-            asio::co_spawn(io, caller(entries_[i % entries_.size()], i, until, outcome), asio::detached);
+            asio::co_spawn(io, caller(entries_[i % entries_.size()], i, deadline, outcome), asio::detached);
         io.run();
         return outcome;
     }
 
 private:
-    asio::awaitable<void> caller(Endpoint entry, std::size_t number, SteadyTime until, Outcome& outcome) const
+    asio::awaitable<void> caller(Endpoint entry, std::size_t number, SteadyTime deadline, Outcome& outcome) const
     {
         SteadyTimer timer(co_await asio::this_coro::executor);
-        while (steadyNow() < until) {
+        while (steadyNow() < deadline) {
             Completion completion { Deployment::apiKey("rede"), "planogram", "crowd " + std::to_string(number), tokens_ };
             Answer answer = co_await streamCompletion(entry, completion);
             outcome.tokens_ += answer.tokens_.size();
@@ -74,7 +74,7 @@
                 ++outcome.answered_;
                 continue;
             }
-            ++(answer.status_ == 429 ? outcome.refused_ : outcome.broken_);
+            ++(answer.status_ == 429 ? outcome.rejected_ : outcome.broken_);
             timer.expires_after(milliseconds(50));
             co_await timer.async_wait(asio::use_awaitable);
         }
@@ -91,11 +91,11 @@
 
 /// Requests that the nodes but \p left out count as in progress. Engines may
 /// work on more for a while: on streams whose home was frozen.
-std::uint64_t admitted(Deployment& deployment, const std::string& leftOut)
+std::uint64_t admitted(Deployment& deployment, const std::string& excluded)
 {
     std::uint64_t sum = 0;
     for (auto& node : deployment.nodes()) {
-        auto listed = node.id_ == leftOut ? boost::json::value {} : deployment.ask(node, "/limits");
+        auto listed = node.id_ == excluded ? boost::json::value {} : deployment.query(node, "/limits");
         for (const auto& line : listed.is_object() ? objectsField(listed.as_object(), "entries") : std::vector<boost::json::object> {})
             sum += numberField(line, "in_progress");
     }
@@ -106,49 +106,49 @@
 
 TEST_CASE("a limit on requests in progress holds over all data centres and can be used from one")
 {
-    bool isFromOne = GENERATE(true, false);
-    INFO((isFromOne ? "from one data centre" : "from all"));
-    Deployment deployment(threeByTwo());
-    deployment.applyCatalogue(limitedCatalogue("  requests_in_progress: " + std::to_string(mostInProgress) + "\n"));
+    bool usesOneDataCentre = GENERATE(true, false);
+    INFO((usesOneDataCentre ? "from one data centre" : "from all"));
+    Deployment deployment(sixNodeOptions());
+    deployment.applyCatalogue(limitedCatalogue("  requests_in_progress: " + std::to_string(maxInProgress) + "\n"));
     auto entries = deployment.callerEndpoints();
-    if (isFromOne)
+    if (usesOneDataCentre)
         entries.resize(2);
-    Crowd crowd { entries, 90, 100, milliseconds(8000) };
-    std::uint64_t most = 0;
-    for (int round = 0; round < mostRounds && most < mostInProgress * 9 / 10; ++round) {
+    LoadGenerator load { entries, 90, 100, milliseconds(8000) };
+    std::uint64_t peak = 0;
+    for (int round = 0; round < maxRounds && peak < maxInProgress * 9 / 10; ++round) {
         std::atomic<bool> isOver { false };
         std::thread watcher([&] {
             while (!isOver)
-                most = std::max(most, inProgress(deployment));
+                peak = std::max(peak, inProgress(deployment));
         });
-        auto outcome = crowd.run();
+        auto outcome = load.run();
         isOver = true;
         watcher.join();
-        WARN((isFromOne ? "from one: " : "from all: ") << most << " at once of " << mostInProgress << ", " << outcome.answered_ << " answered, " << outcome.refused_ << " refused");
+        WARN((usesOneDataCentre ? "from one: " : "from all: ") << peak << " at once of " << maxInProgress << ", " << outcome.answered_ << " answered, " << outcome.rejected_ << " refused");
         CHECK(outcome.broken_ == 0);
     }
-    CHECK(most <= mostInProgress);
-    CHECK(most >= mostInProgress * 9 / 10);
+    CHECK(peak <= maxInProgress);
+    CHECK(peak >= maxInProgress * 9 / 10);
 }
 
 TEST_CASE("a limit on tokens a second holds over all nodes and can be used from one data centre")
 {
-    bool isFromOne = GENERATE(true, false);
-    INFO((isFromOne ? "from one data centre" : "from all"));
-    Deployment deployment(threeByTwo());
+    bool usesOneDataCentre = GENERATE(true, false);
+    INFO((usesOneDataCentre ? "from one data centre" : "from all"));
+    Deployment deployment(sixNodeOptions());
     deployment.applyCatalogue(limitedCatalogue("  requests_in_progress: 300\n  tokens_per_second: " + std::to_string(tokensPerSecond) + "\n  burst: " + std::to_string(tokensPerSecond) + "\n"));
     auto entries = deployment.callerEndpoints();
-    if (isFromOne)
+    if (usesOneDataCentre)
         entries.resize(2);
     constexpr std::uint64_t seconds = 8;
-    Crowd crowd { entries, 120, 40, milliseconds(seconds * 1000) };
+    LoadGenerator load { entries, 120, 40, milliseconds(seconds * 1000) };
     double rate = 0;
-    for (int round = 0; round < mostRounds && rate < 0.85 * tokensPerSecond; ++round) {
-        SteadyTime began = steadyNow();
-        auto outcome = crowd.run();
-        double lasted = std::chrono::duration<double>(steadyNow() - began).count();
-        rate = static_cast<double>(outcome.tokens_ - std::min(outcome.tokens_, tokensPerSecond)) / lasted;
-        WARN((isFromOne ? "from one: " : "from all: ") << rate << " tokens a second beyond the burst, of " << tokensPerSecond);
+    for (int round = 0; round < maxRounds && rate < 0.85 * tokensPerSecond; ++round) {
+        SteadyTime startedAt = steadyNow();
+        auto outcome = load.run();
+        double elapsed = std::chrono::duration<double>(steadyNow() - startedAt).count();
+        rate = static_cast<double>(outcome.tokens_ - std::min(outcome.tokens_, tokensPerSecond)) / elapsed;
+        WARN((usesOneDataCentre ? "from one: " : "from all: ") << rate << " tokens a second beyond the burst, of " << tokensPerSecond);
         CHECK(outcome.broken_ == 0);
         // Whole requests are admitted, so a little more may be on its way at the end.
         CHECK(rate <= 1.1 * tokensPerSecond);
@@ -158,43 +158,43 @@
 
 TEST_CASE("a keeper that was frozen and replaced exceeds a limit by no more than a share")
 {
-    auto options = threeByTwo();
+    auto options = sixNodeOptions();
     options.nodesPerDataCentre_ = 3;
     Deployment deployment(options);
-    deployment.applyCatalogue(limitedCatalogue("  requests_in_progress: " + std::to_string(mostInProgress) + "\n"));
-    auto listed = deployment.ask(deployment.node("caxias-a-1"), "/limits");
-    std::string keeperId = textField(objectsField(listed.as_object(), "entries").front(), "keeper");
-    auto& keeper = deployment.node(keeperId);
+    deployment.applyCatalogue(limitedCatalogue("  requests_in_progress: " + std::to_string(maxInProgress) + "\n"));
+    auto listed = deployment.query(deployment.node("caxias-a-1"), "/limits");
+    std::string coordinatorId = textField(objectsField(listed.as_object(), "entries").front(), "keeper");
+    auto& coordinator = deployment.node(coordinatorId);
     std::vector<Endpoint> entries;
     for (auto& node : deployment.nodes()) {
-        if (node.id_ != keeperId)
+        if (node.id_ != coordinatorId)
             entries.push_back(node.callers_);
     }
-    Crowd crowd { entries, 80, 100, milliseconds(14000) };
+    LoadGenerator load { entries, 80, 100, milliseconds(14000) };
     std::atomic<bool> isOver { false };
-    std::uint64_t most = 0;
-    SteadyTime began = steadyNow();
+    std::uint64_t peak = 0;
+    SteadyTime startedAt = steadyNow();
     std::thread watcher([&] {
         bool isFrozen = false;
-        bool isThawed = false;
+        bool isResumed = false;
         while (!isOver) {
-            auto passed = steadyNow() - began;
-            if (!isFrozen && passed > milliseconds(2000)) {
-                keeper.process_->freeze();
+            auto sinceStart = steadyNow() - startedAt;
+            if (!isFrozen && sinceStart > milliseconds(2000)) {
+                coordinator.process_->freeze();
                 isFrozen = true;
             }
-            if (!isThawed && passed > milliseconds(8000)) {
-                keeper.process_->resume();
-                isThawed = true;
+            if (!isResumed && sinceStart > milliseconds(8000)) {
+                coordinator.process_->resume();
+                isResumed = true;
             }
-            most = std::max(most, admitted(deployment, keeperId));
+            peak = std::max(peak, admitted(deployment, coordinatorId));
         }
     });
-    auto outcome = crowd.run();
+    auto outcome = load.run();
     isOver = true;
     watcher.join();
-    WARN(most << " at once of " << mostInProgress << ", " << outcome.answered_ << " answered, " << outcome.broken_ << " broken");
-    CHECK(most <= mostInProgress + mostInProgress / 3);
-    CHECK(most >= mostInProgress * 9 / 10);
+    WARN(peak << " at once of " << maxInProgress << ", " << outcome.answered_ << " answered, " << outcome.broken_ << " broken");
+    CHECK(peak <= maxInProgress + maxInProgress / 3);
+    CHECK(peak >= maxInProgress * 9 / 10);
     CHECK(outcome.answered_ > 200);
 }
--- a/test/OrdersTest.cpp
+++ b/test/OrdersTest.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr milliseconds rollPatience { 40000 };
+constexpr milliseconds rolloutTimeout { 40000 };
 
 std::string engineEntry(const std::string& version, bool honoursFencing)
 {
@@ -27,7 +27,7 @@
     return textField(Deployment::control(engine.endpoint_), "version");
 }
 
-std::uint64_t countOf(const Deployment::Backend& engine, const char* counter)
+std::uint64_t counterOf(const Deployment::Backend& engine, const char* counter)
 {
     return numberField(Deployment::control(engine.endpoint_), counter);
 }
@@ -54,43 +54,43 @@
             Completion completion { Deployment::apiKey("rede"), "planogram", "while engines change", 30 };
             while (!isOver) {
                 Answer answer = streamCompletionBlocking(entry, completion);
-                bool isGood = answer.isDone_ && checkAnswer(answer, completion).empty();
-                ++(isGood ? answered : failed);
+                bool isCorrect = answer.isDone_ && checkAnswer(answer, completion).empty();
+                ++(isCorrect ? answered : failed);
             }
         }));
     }
     REQUIRE(waitUntil([&] { return answered > 10; }));
     deployment.applyCatalogue(engineEntry("v2", true));
-    std::map<std::string, std::uint64_t> mostLoading;
-    bool isRolled = waitUntil([&] {
+    std::map<std::string, std::uint64_t> maxLoading;
+    bool isRolledOut = waitUntil([&] {
         std::map<std::string, std::uint64_t> loading;
         bool isEverywhere = true;
         for (const auto& engine : deployment.engines()) {
-            auto told = Deployment::control(engine.endpoint_);
-            loading[engine.dataCentre_] += numberField(told, "loading");
-            isEverywhere &= textField(told, "version") == "v2";
+            auto state = Deployment::control(engine.endpoint_);
+            loading[engine.dataCentre_] += numberField(state, "loading");
+            isEverywhere &= textField(state, "version") == "v2";
         }
         for (const auto& [dataCentre, count] : loading)
-            mostLoading[dataCentre] = std::max(mostLoading[dataCentre], count);
+            maxLoading[dataCentre] = std::max(maxLoading[dataCentre], count);
         return isEverywhere;
     },
-        rollPatience);
+        rolloutTimeout);
     isOver = true;
     callers.clear();
-    CHECK(isRolled);
+    CHECK(isRolledOut);
     CHECK(failed == 0);
-    for (const auto& [dataCentre, most] : mostLoading)
-        CHECK(most == 1);
+    for (const auto& [dataCentre, maxCount] : maxLoading)
+        CHECK(maxCount == 1);
     for (const auto& engine : deployment.engines()) {
-        CHECK(countOf(engine, "orders_obeyed") == 1);
-        CHECK(countOf(engine, "obeyed_while_active") == 0);
-        CHECK(countOf(engine, "started_while_loading") == 0);
+        CHECK(counterOf(engine, "orders_obeyed") == 1);
+        CHECK(counterOf(engine, "obeyed_while_active") == 0);
+        CHECK(counterOf(engine, "started_while_loading") == 0);
     }
     // Once settled, every engine works again.
     CHECK(waitUntil([&] {
         std::size_t settled = 0;
         for (auto& node : deployment.nodes()) {
-            auto listed = deployment.ask(node, "/engines");
+            auto listed = deployment.query(node, "/engines");
             for (const auto& line : objectsField(listed.as_object(), "engines"))
                 settled += textField(line, "order") == "settled" && numberField(line, "free_slots") == 64 ? 1 : 0;
         }
@@ -110,20 +110,20 @@
     Deployment deployment(options);
     deployment.applyCatalogue(Deployment::standardCatalogue());
     auto& engine = deployment.engines().front();
-    Deployment::NodeProcess* home = nullptr;
-    REQUIRE(waitUntil([&] { return (home = deployment.homeOf(engine.id_)); }));
+    Deployment::NodeProcess* dispatcher = nullptr;
+    REQUIRE(waitUntil([&] { return (dispatcher = deployment.dispatcherOf(engine.id_)); }));
     Deployment::control(engine.endpoint_, { { "order_delay_ms", 5500 } });
     deployment.applyCatalogue(engineEntry("v2", honoursFencing));
-    REQUIRE(waitUntil([&] { return countOf(engine, "orders_received") == 1; }));
-    home->process_->kill();
+    REQUIRE(waitUntil([&] { return counterOf(engine, "orders_received") == 1; }));
+    dispatcher->process_->kill();
     Deployment::control(engine.endpoint_, { { "order_delay_ms", 0 } });
-    auto& other = deployment.nodes()[home == &deployment.nodes().front() ? 1 : 0];
+    auto& other = deployment.nodes()[dispatcher == &deployment.nodes().front() ? 1 : 0];
     std::ofstream(deployment.directory() + "/v3.yaml") << engineEntry("v3", honoursFencing);
-    REQUIRE(deployment.tool(other, { "catalogue", "apply", deployment.directory() + "/v3.yaml" }).first == 0);
-    CHECK(waitUntil([&] { return versionOf(engine) == "v3"; }, rollPatience));
+    REQUIRE(deployment.runTool(other, { "catalogue", "apply", deployment.directory() + "/v3.yaml" }).first == 0);
+    CHECK(waitUntil([&] { return versionOf(engine) == "v3"; }, rolloutTimeout));
     // The late order has been dealt with, one way or the other.
-    CHECK(waitUntil([&] { return countOf(engine, "stale_refused") + countOf(engine, "orders_obeyed") >= 2; }, rollPatience));
-    CHECK(waitUntil([&] { return versionOf(engine) == "v3" && !countOf(engine, "loading"); }));
-    CHECK(countOf(engine, "stale_obeyed") == 0);
-    CHECK(countOf(engine, "stale_refused") == (honoursFencing ? 1 : 0));
+    CHECK(waitUntil([&] { return counterOf(engine, "stale_refused") + counterOf(engine, "orders_obeyed") >= 2; }, rolloutTimeout));
+    CHECK(waitUntil([&] { return versionOf(engine) == "v3" && !counterOf(engine, "loading"); }));
+    CHECK(counterOf(engine, "stale_obeyed") == 0);
+    CHECK(counterOf(engine, "stale_refused") == (honoursFencing ? 1 : 0));
 }
--- a/test/Platform/GatewayDeployment.cpp
+++ b/test/Platform/GatewayDeployment.cpp
@@ -48,7 +48,7 @@
         throw std::runtime_error("no directory for logs");
     directory_ = name;
     platform_ = std::make_unique<Process>(programPath("standin-fleet"), std::vector<std::string> {}, directory_ + "/platform.log");
-    platformAddress_ = { "127.0.0.1", static_cast<std::uint16_t>(numberField(platform_->firstLine(), "port")) };
+    platformAddress_ = { "127.0.0.1", static_cast<std::uint16_t>(numberField(platform_->boundPorts(), "port")) };
     // Other tests of this machine draw other networks.
     std::string network = "127." + std::to_string(1 + randomBits() % 250) + "." + std::to_string(randomBits() % 250) + ".";
     for (std::size_t i = 0; i < options_.count_; ++i) {
--- a/test/PlatformFleetTest.cpp
+++ b/test/PlatformFleetTest.cpp
@@ -20,12 +20,12 @@
 
 namespace {
 
-constexpr milliseconds patience { 15000 };
+constexpr milliseconds waitLimit { 15000 };
 
 /// A caller that keeps its connection.
-class KeptCaller {
+class KeepAliveCaller {
 public:
-    explicit KeptCaller(const Endpoint& endpoint)
+    explicit KeepAliveCaller(const Endpoint& endpoint)
         : socket_(io_)
     {
         socket_.connect({ boost::asio::ip::make_address(endpoint.host_), endpoint.port_ });
@@ -63,14 +63,14 @@
     options.moreSettings_ = [](const std::string&) { return "  gossip:\n    fanout: 1\n"; };
     GatewayDeployment deployment(std::move(options));
     deployment.standard();
-    auto knowsOf = [&](std::size_t from, double nodes) {
+    auto allKnow = [&](std::size_t from, double nodes) {
         return waitUntil([&] {
             auto first = deployment.gateways().begin() + static_cast<std::ptrdiff_t>(from);
             return std::all_of(first, deployment.gateways().end(), [&](const auto& gateway) { return deployment.metric(gateway, "nodes_known_of") == nodes; });
         },
-            patience);
+            waitLimit);
     };
-    CHECK(knowsOf(0, 5));
+    CHECK(allKnow(0, 5));
 
     // The small organisation has one request, and half of one a second. Each node
     // may admit one before it hears of the others.
@@ -91,7 +91,7 @@
     // One node of each data centre, a relay perhaps.
     for (std::size_t i : { 0U, 1U })
         deployment.gateways()[i].process_->kill();
-    CHECK(knowsOf(2, 3));
+    CHECK(allKnow(2, 3));
     CHECK(deployment.call(deployment.gateways()[2], gatewayRequest("GET", "/safe/x", "after")).status_ == 200);
 }
 
@@ -103,19 +103,19 @@
     deployment.disturbAll({ { "delay_ms", 100 } });
     // Callers that never stop asking, on connections from before the stop.
     std::atomic<bool> isStopping { false };
-    std::atomic<int> answeredInStop { 0 };
-    std::atomic<int> lost { 0 };
+    std::atomic<int> answeredWhileStopping { 0 };
+    std::atomic<int> unanswered { 0 };
     std::vector<std::thread> callers;
     for (int number = 0; number < 6; ++number) {
         callers.emplace_back([&, number] {
-            KeptCaller caller(gateway.callers_);
+            KeepAliveCaller caller(gateway.callers_);
             for (int i = 0;; ++i) {
                 auto answer = caller.call("k" + std::to_string(number) + "-" + std::to_string(i));
                 if (!answer) {
-                    ++lost;
+                    ++unanswered;
                     return;
                 }
-                answeredInStop += isStopping;
+                answeredWhileStopping += isStopping;
                 if (!answer->keep_alive())
                     return;
             }
@@ -127,8 +127,8 @@
     CHECK(gateway.process_->wait(milliseconds(4500)) == 0);
     for (std::thread& caller : callers)
         caller.join();
-    CHECK(lost == 0);
-    CHECK(answeredInStop >= 6);
+    CHECK(unanswered == 0);
+    CHECK(answeredWhileStopping >= 6);
 }
 
 TEST_CASE("a holder of the duties that stops is succeeded while it still drains", "[gateway]")
@@ -143,21 +143,21 @@
         }
         return gateways.size();
     };
-    REQUIRE(waitUntil([&] { return holderOf() < gateways.size(); }, patience));
+    REQUIRE(waitUntil([&] { return holderOf() < gateways.size(); }, waitLimit));
     std::size_t first = holderOf();
     // A long stream holds the stopping node for all of its grace time of 3 s.
     deployment.disturbAll({ { "events", 1000 } });
     std::thread caller([&] { (void)deployment.call(gateways[first], gatewayRequest("POST", "/ask/stream", "long")); });
-    REQUIRE(waitUntil([&] { return deployment.metric(gateways[first], "requests_running") > 0; }, patience));
+    REQUIRE(waitUntil([&] { return deployment.metric(gateways[first], "requests_running") > 0; }, waitLimit));
     gateways[first].process_->signal(SIGTERM);
-    auto isSucceeded = [&] {
+    auto hasSuccessor = [&] {
         for (std::size_t i = 0; i < gateways.size(); ++i) {
             if (i != first && deployment.metric(gateways[i], "duty_token_held") > 0)
                 return true;
         }
         return false;
     };
-    CHECK(waitUntil(isSucceeded, milliseconds(2000)));
+    CHECK(waitUntil(hasSuccessor, milliseconds(2000)));
     CHECK(gateways[first].process_->isRunning());
     caller.join();
 }
--- a/test/PlatformGatewayTest.cpp
+++ b/test/PlatformGatewayTest.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-constexpr milliseconds patience { 15000 };
+constexpr milliseconds waitLimit { 15000 };
 
 std::size_t runsOf(const GatewayDeployment& deployment, const std::string& id)
 {
@@ -42,9 +42,9 @@
 }
 
 /// A connection that sends bytes as they are and reads to its end.
-class RawCaller {
+class RawConnection {
 public:
-    explicit RawCaller(const Endpoint& endpoint)
+    explicit RawConnection(const Endpoint& endpoint)
         : socket_(io_)
     {
         socket_.connect({ boost::asio::ip::make_address(endpoint.host_), endpoint.port_ });
@@ -101,9 +101,9 @@
     CHECK_FALSE(headers.contains("authorization"));
     CHECK_FALSE(headers.contains("x-pistachioloom-hold"));
     CHECK_FALSE(headers.contains("kv-from"));
-    auto left = std::stoi(textField(headers, "x-pistachioloom-deadline-ms"));
-    CHECK(left <= 2000);
-    CHECK(left > 1000);
+    auto remainingMs = std::stoi(textField(headers, "x-pistachioloom-deadline-ms"));
+    CHECK(remainingMs <= 2000);
+    CHECK(remainingMs > 1000);
 }
 
 TEST_CASE("what the configuration does not allow is refused", "[gateway]")
@@ -126,11 +126,11 @@
     HttpRequest request = gatewayRequest("GET", "/safe/x", "r");
     request.headers_["Authorization"] = "Bearer key-small";
     (void)deployment.call(gateway, request);
-    HttpResponse refused = deployment.call(gateway, request);
-    CHECK(refused.status_ == 429);
-    CHECK(std::stod(refused.headers_["retry-after"]) > 0.1);
+    HttpResponse rejected = deployment.call(gateway, request);
+    CHECK(rejected.status_ == 429);
+    CHECK(std::stod(rejected.headers_["retry-after"]) > 0.1);
 
-    RawCaller raw(gateway.callers_);
+    RawConnection raw(gateway.callers_);
     raw.send("POST /once/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /once/smuggled HTTP/1.1\r\nHost: h.example\r\n\r\n");
     CHECK(raw.readToEnd().find("HTTP/1.1 400") == 0);
     CHECK(runsOf(deployment, "") == 0);
@@ -237,7 +237,7 @@
         first = std::find_if(engines.begin(), engines.end(), [&](const std::string& engine) { return count(engine, "runs"); });
         return first != engines.end();
     },
-        patience));
+        waitLimit));
     deployment.control({ { "reclaim", *first } });
     caller.join();
     CHECK(answer.status_ == 200);
@@ -259,7 +259,7 @@
     GatewayDeployment deployment(1);
     deployment.standard();
     deployment.disturbAll({ { "events", 1000 }, { "gap_ms", 20 } });
-    RawCaller raw(deployment.gateways()[0].callers_);
+    RawConnection raw(deployment.gateways()[0].callers_);
     raw.send("POST /draft/stream HTTP/1.1\r\nHost: h.example\r\nAuthorization: Bearer key-north\r\nX-Pistachioloom-Attempt-Id: left\r\nContent-Length: 0\r\n\r\n");
     CHECK(raw.readUntil("id: 3").find("200 OK") != std::string::npos);
     raw.close();
@@ -287,14 +287,14 @@
     json::object before = deployment.control({ { "born", "p-1" } });
     deployment.setLeaving("p-1", "plain", "127.0.0.1:1");
     deployment.setLeaving("p-2", "plain", "127.0.0.1:1");
-    CHECK(waitUntil([&] { return deployment.call(deployment.gateways()[0], gatewayRequest("GET", "/safe/x", "none")).status_ == 503; }, patience));
+    CHECK(waitUntil([&] { return deployment.call(deployment.gateways()[0], gatewayRequest("GET", "/safe/x", "none")).status_ == 503; }, waitLimit));
     deployment.control({ { "restart", "p-1" } });
     auto serves = [&](GatewayDeployment::Gateway& gateway) { return deployment.call(gateway, gatewayRequest("GET", "/safe/x", "again")).status_ == 200; };
     for (auto& gateway : deployment.gateways())
-        CHECK(waitUntil([&] { return serves(gateway); }, patience));
+        CHECK(waitUntil([&] { return serves(gateway); }, waitLimit));
     // The start before says once more that it leaves.
-    json::object late { { "service", "plain" }, { "address", "127.0.0.1:1" }, { "zone", "a" }, { "version", "v1" }, { "slot_count", 8 }, { "phase", "draining" }, { "cold_left_ms", 0 }, { "call_seq", 1 }, { "born", before.at("born") } };
-    json::object entry { { "topic", "keyed.servers" }, { "key", "p-1" }, { "value", json::serialize(late) } };
+    json::object staleRecord { { "service", "plain" }, { "address", "127.0.0.1:1" }, { "zone", "a" }, { "version", "v1" }, { "slot_count", 8 }, { "phase", "draining" }, { "cold_left_ms", 0 }, { "call_seq", 1 }, { "born", before.at("born") } };
+    json::object entry { { "topic", "keyed.servers" }, { "key", "p-1" }, { "value", json::serialize(staleRecord) } };
     deployment.control({ { "put", json::array { entry } } });
     // Longer than two reads of the registry and the reports of both.
     std::this_thread::sleep_for(milliseconds(1500));
@@ -322,10 +322,10 @@
         for (int i = 0; i < 8; ++i)
             CHECK(deployment.call(gateway, gatewayRequest("GET", "/safe/x", "after")).status_ == 200);
     }
-    double told = 0;
+    double rejectedRegistrations = 0;
     for (auto& gateway : deployment.gateways())
-        told += deployment.metric(gateway, "registrations_refused_total");
-    CHECK(told >= 4);
+        rejectedRegistrations += deployment.metric(gateway, "registrations_refused_total");
+    CHECK(rejectedRegistrations >= 4);
 }
 
 TEST_CASE("a new version is in force everywhere, also at a node that the platform does not serve", "[gateway]")
@@ -341,8 +341,8 @@
     auto& restarted = deployment.gateways()[2];
     restarted.process_->kill();
     deployment.restart(restarted);
-    CHECK(waitUntil([&] { return deployment.isReady(restarted); }, patience));
-    CHECK(waitUntil([&] { return deployment.call(restarted, gatewayRequest("GET", "/new/x", "n")).status_ == 200; }, patience));
+    CHECK(waitUntil([&] { return deployment.isReady(restarted); }, waitLimit));
+    CHECK(waitUntil([&] { return deployment.call(restarted, gatewayRequest("GET", "/new/x", "n")).status_ == 200; }, waitLimit));
     CHECK(deployment.metric(restarted, "configuration_version") == 2);
 }
 
@@ -357,7 +357,7 @@
     auto& restarted = deployment.gateways()[2];
     restarted.process_->kill();
     deployment.restart(restarted);
-    CHECK(waitUntil([&] { return deployment.call(restarted, gatewayRequest("GET", "/safe/x", "n")).status_ == 200; }, patience));
+    CHECK(waitUntil([&] { return deployment.call(restarted, gatewayRequest("GET", "/safe/x", "n")).status_ == 200; }, waitLimit));
 }
 
 TEST_CASE("a stopping node serves what it has and ends by itself", "[gateway]")
@@ -368,7 +368,7 @@
     deployment.disturbAll({ { "events", 40 }, { "gap_ms", 20 } });
     std::string body;
     std::thread caller([&] { body = deployment.call(gateway, gatewayRequest("POST", "/draft/stream", "d")).body_; });
-    REQUIRE(waitUntil([&] { return runsOf(deployment, "d") == 1; }, patience));
+    REQUIRE(waitUntil([&] { return runsOf(deployment, "d") == 1; }, waitLimit));
     gateway.process_->signal(SIGTERM);
     CHECK(waitUntil([&] { return !deployment.isReady(gateway); }, milliseconds(1000)));
     // The balancer has not noticed yet.
@@ -384,17 +384,17 @@
     deployment.standard();
     auto& gateway = deployment.gateways()[0];
     gateway.process_->signal(SIGHUP);
-    auto logHas = [&](const std::string& text) {
+    auto logContains = [&](const std::string& text) {
         return waitUntil([&] {
             std::ifstream log(deployment.logFile(gateway));
             return std::string(std::istreambuf_iterator<char>(log), {}).find(text) != std::string::npos;
         },
-            patience);
+            waitLimit);
     };
-    CHECK(logHas("Settings were read again"));
+    CHECK(logContains("Settings were read again"));
     std::ofstream(deployment.settingsFile(gateway), std::ios::app) << "unknown_key: 1\n";
     gateway.process_->signal(SIGHUP);
-    CHECK(logHas("unknown_key"));
+    CHECK(logContains("unknown_key"));
     CHECK(deployment.call(gateway, gatewayRequest("GET", "/safe/x", "r")).status_ == 200);
 }
 
@@ -403,14 +403,14 @@
     GatewayDeployment deployment(3);
     deployment.standard();
     auto duties = [&] { return deployment.control().at("duties").as_array(); };
-    auto callSome = [&] {
+    auto callRunningGateways = [&] {
         for (auto& gateway : deployment.gateways()) {
             if (gateway.process_->isRunning())
                 (void)deployment.call(gateway, gatewayRequest("GET", "/safe/x", "r"));
         }
     };
-    auto hasUsageOf = [&](const std::function<bool(const std::string&)>& isHolder) {
-        callSome();
+    auto hasUsageReportFrom = [&](const std::function<bool(const std::string&)>& isHolder) {
+        callRunningGateways();
         json::array seen = duties();
         for (const json::value& duty : seen) {
             if (textField(duty.as_object(), "call") == "/usage" && isHolder(textField(duty.as_object(), "holder")))
@@ -418,14 +418,14 @@
         }
         return false;
     };
-    REQUIRE(waitUntil([&] { return hasUsageOf([](const std::string&) { return true; }); }, patience));
+    REQUIRE(waitUntil([&] { return hasUsageReportFrom([](const std::string&) { return true; }); }, waitLimit));
     json::array seen = duties();
     std::string first = textField(seen.back().as_object(), "holder");
     for (auto& gateway : deployment.gateways()) {
         if (gateway.vm_ == first)
             gateway.process_->kill();
     }
-    CHECK(waitUntil([&] { return hasUsageOf([&](const std::string& holder) { return holder != first; }); }, patience));
+    CHECK(waitUntil([&] { return hasUsageReportFrom([&](const std::string& holder) { return holder != first; }); }, waitLimit));
     std::uint64_t token = 0;
     std::map<std::uint64_t, std::string> reported;
     std::string holder = first;
@@ -462,11 +462,11 @@
     for (const char* id : { "first", "second" })
         running.emplace_back([&, id] { served += deployment.call(gateway, request(id)).status_ == 200; });
     // Both engines read a long prompt.
-    REQUIRE(waitUntil([&] { return runsOf(deployment, "first") == 1 && runsOf(deployment, "second") == 1; }, patience));
+    REQUIRE(waitUntil([&] { return runsOf(deployment, "first") == 1 && runsOf(deployment, "second") == 1; }, waitLimit));
     auto begin = steadyNow();
-    HttpResponse refused = deployment.call(gateway, request("third"));
-    CHECK(refused.status_ == 503);
-    CHECK(refused.headers_["retry-after"] == "0.800");
+    HttpResponse rejected = deployment.call(gateway, request("third"));
+    CHECK(rejected.status_ == 503);
+    CHECK(rejected.headers_["retry-after"] == "0.800");
     CHECK(steadyNow() - begin < milliseconds(400));
     CHECK(runsOf(deployment, "third") == 0);
     for (std::thread& thread : running)
@@ -483,21 +483,21 @@
     auto& gateway = deployment.gateways()[0];
     // 24 for all of at least 12 nodes with two workers each: one for each worker.
     deployment.putConfiguration(2, {}, 24);
-    REQUIRE(deployment.waitForVersion(2, patience));
+    REQUIRE(deployment.waitForVersion(2, waitLimit));
     deployment.disturbAll({ { "delay_ms", 1000 } });
     std::vector<std::thread> callers;
     std::atomic<int> served { 0 };
-    std::atomic<int> refused { 0 };
+    std::atomic<int> rejected { 0 };
     for (int i = 0; i < 12; ++i) {
         callers.emplace_back([&, i] {
             HttpResponse answer = deployment.call(gateway, gatewayRequest("POST", "/once/x", "c" + std::to_string(i)));
             served += answer.status_ == 200;
-            refused += answer.status_ == 503 && answer.headers_.contains("retry-after");
+            rejected += answer.status_ == 503 && answer.headers_.contains("retry-after");
         });
     }
     for (std::thread& caller : callers)
         caller.join();
     CHECK(served >= 1);
     CHECK(served <= 4);
-    CHECK(served + refused == 12);
+    CHECK(served + rejected == 12);
 }
--- a/test/RolloutsTest.cpp
+++ b/test/RolloutsTest.cpp
@@ -16,13 +16,13 @@
 
 namespace {
 
-constexpr milliseconds patience { 12000 };
-constexpr double period = 8;
+constexpr milliseconds waitLimit { 12000 };
+constexpr double periodSeconds = 8;
 // A share that few callers of a test give enough answers with.
 constexpr const char* rolloutSettings = "  rollout:\n    trial_share: 0.2\n    exposed_share: 0.25\n    exposed_extra: 20\n";
-constexpr std::size_t stable = 4;
+constexpr std::size_t stableCount = 4;
 
-GatewayDeploymentOptions fleetOf(std::size_t count, const char* fanout)
+GatewayDeploymentOptions fleetOptions(std::size_t count, const char* fanout)
 {
     GatewayDeploymentOptions options;
     options.count_ = count;
@@ -32,17 +32,17 @@
 }
 
 /// Callers that send plain and streaming requests to all gateways until they are ended.
-class Callers {
+class BackgroundCallers {
 public:
-    explicit Callers(GatewayDeployment& deployment)
+    explicit BackgroundCallers(GatewayDeployment& deployment)
         : deployment_(deployment)
     {
         for (std::size_t i = 0; i < 6; ++i)
             threads_.emplace_back([this, i] { run(i); });
     }
-    ~Callers() { end(); }
-    Callers(const Callers&) = delete;
-    Callers& operator=(const Callers&) = delete;
+    ~BackgroundCallers() { end(); }
+    BackgroundCallers(const BackgroundCallers&) = delete;
+    BackgroundCallers& operator=(const BackgroundCallers&) = delete;
 
     void end()
     {
@@ -66,34 +66,34 @@
     std::vector<std::thread> threads_;
 };
 
-std::size_t runsAt(const GatewayDeployment& deployment, const std::string& id)
+std::size_t runsOf(const GatewayDeployment& deployment, const std::string& id)
 {
     return deployment.backend(id).at("runs").as_array().size();
 }
 
-std::size_t runsAt(const GatewayDeployment& deployment, const std::vector<std::string>& ids)
+std::size_t runsOf(const GatewayDeployment& deployment, const std::vector<std::string>& ids)
 {
     std::size_t runs = 0;
     for (const std::string& id : ids)
-        runs += runsAt(deployment, id);
+        runs += runsOf(deployment, id);
     return runs;
 }
 
-const std::vector<std::string> newOnes { "n-1", "n-2", "n-3", "n-4" };
-const std::vector<std::string> oldOnes { "e-1", "e-2", "e-3", "e-4" };
+const std::vector<std::string> newServers { "n-1", "n-2", "n-3", "n-4" };
+const std::vector<std::string> oldServers { "e-1", "e-2", "e-3", "e-4" };
 
-void startNew(const GatewayDeployment& deployment, const json::object& faults)
+void startNewServers(const GatewayDeployment& deployment, const json::object& faults)
 {
-    for (const std::string& id : newOnes) {
+    for (const std::string& id : newServers) {
         json::object entry { { "id", id }, { "service", "engines" }, { "version", "v2" }, { "zone", "a" }, { "slot_count", 8 }, { "phase", "up" } };
         deployment.control({ { "backends", json::array { entry } } });
         deployment.backend(id, faults);
     }
 }
 
-void order(const GatewayDeployment& deployment, const char* target = "v2")
+void orderRollout(const GatewayDeployment& deployment, const char* target = "v2")
 {
-    json::object value { { "service", "engines" }, { "target", target }, { "period_s", period } };
+    json::object value { { "service", "engines" }, { "target", target }, { "period_s", periodSeconds } };
     json::object entry { { "topic", "keyed.op" }, { "key", "rollout/engines" }, { "value", json::serialize(value) } };
     deployment.control({ { "put", json::array { entry } } });
 }
@@ -102,39 +102,39 @@
 std::vector<std::string> phases(const GatewayDeployment& deployment)
 {
     std::vector<std::string> phases;
-    json::object told = deployment.control();
-    for (const json::value& record : told.at("statuses").as_array())
+    json::object reported = deployment.control();
+    for (const json::value& record : reported.at("statuses").as_array())
         phases.push_back(textField(parseJsonObject(std::string(record.as_object().at("value").as_string())).value_or(json::object {}), "phase"));
     return phases;
 }
 
 bool waitForPhase(const GatewayDeployment& deployment, const char* phase)
 {
-    return waitUntil([&] { auto told = phases(deployment); return !told.empty() && told.back() == phase; }, patience);
+    return waitUntil([&] { auto reported = phases(deployment); return !reported.empty() && reported.back() == phase; }, waitLimit);
 }
 
 /// Each verdict once, nothing after it.
-void checkOneVerdict(const GatewayDeployment& deployment, const std::string& verdict)
+void checkOneDecision(const GatewayDeployment& deployment, const std::string& decision)
 {
-    auto told = phases(deployment);
-    CAPTURE(told);
-    REQUIRE(!told.empty());
-    CHECK(told.back() == verdict);
-    CHECK(std::count_if(told.begin(), told.end(), [](const std::string& phase) { return phase != "active"; }) == 1);
+    auto reported = phases(deployment);
+    CAPTURE(reported);
+    REQUIRE(!reported.empty());
+    CHECK(reported.back() == decision);
+    CHECK(std::count_if(reported.begin(), reported.end(), [](const std::string& phase) { return phase != "active"; }) == 1);
 }
 
-void start(GatewayDeployment& deployment)
+void startFleet(GatewayDeployment& deployment)
 {
     deployment.standard();
     for (const char* id : { "e-3", "e-4" })
         deployment.startBackend(id, "engines");
-    if (!deployment.waitForBackends(2 + stable))
+    if (!deployment.waitForBackends(2 + stableCount))
         throw std::runtime_error("gateways do not know all backend servers");
     bool hasHolder = waitUntil([&] {
         auto& all = deployment.gateways();
         return std::any_of(all.begin(), all.end(), [&](const auto& gateway) { return deployment.metric(gateway, "duty_token_held") > 0; });
     },
-        patience);
+        waitLimit);
     if (!hasHolder)
         throw std::runtime_error("no gateway holds the duties");
 }
@@ -154,31 +154,31 @@
 {
     const char* fanout = GENERATE("24", "1");
     CAPTURE(fanout);
-    GatewayDeployment deployment(fleetOf(4, fanout));
-    start(deployment);
-    Callers callers(deployment);
-    order(deployment);
-    startNew(deployment, {});
-    REQUIRE(deployment.waitForBackends(2 + stable + newOnes.size()));
+    GatewayDeployment deployment(fleetOptions(4, fanout));
+    startFleet(deployment);
+    BackgroundCallers callers(deployment);
+    orderRollout(deployment);
+    startNewServers(deployment, {});
+    REQUIRE(deployment.waitForBackends(2 + stableCount + newServers.size()));
     std::this_thread::sleep_for(milliseconds(3500));
-    auto ofNew = static_cast<double>(runsAt(deployment, newOnes));
-    auto ofOld = static_cast<double>(runsAt(deployment, oldOnes));
-    CHECK(ofNew > 0);
-    CHECK(ofNew <= 0.25 * (ofNew + ofOld) + 20);
+    auto newRuns = static_cast<double>(runsOf(deployment, newServers));
+    auto oldRuns = static_cast<double>(runsOf(deployment, oldServers));
+    CHECK(newRuns > 0);
+    CHECK(newRuns <= 0.25 * (newRuns + oldRuns) + 20);
     CHECK(waitForPhase(deployment, "complete"));
-    std::size_t before = runsAt(deployment, oldOnes);
-    std::size_t newBefore = runsAt(deployment, newOnes);
+    std::size_t before = runsOf(deployment, oldServers);
+    std::size_t newBefore = runsOf(deployment, newServers);
     std::this_thread::sleep_for(milliseconds(1000));
-    CHECK(runsAt(deployment, oldOnes) == before);
-    CHECK(runsAt(deployment, newOnes) > newBefore);
-    checkOneVerdict(deployment, "complete");
+    CHECK(runsOf(deployment, oldServers) == before);
+    CHECK(runsOf(deployment, newServers) > newBefore);
+    checkOneDecision(deployment, "complete");
     CHECK(phases(deployment).front() == "active");
 }
 
 TEST_CASE("a bad version gets requests after its roll-back", "[gateway]")
 {
     struct Row {
-        const char* what_;
+        const char* name_;
         json::object faults_;
     };
     const std::vector<Row> rows {
@@ -187,104 +187,104 @@
         { "wrong bytes", { { "no_seal", 1 } } },
     };
     std::size_t row = GENERATE(0, 1, 2);
-    CAPTURE(rows[row].what_);
-    GatewayDeployment deployment(fleetOf(4, "1"));
-    start(deployment);
-    Callers callers(deployment);
-    order(deployment);
-    startNew(deployment, rows[row].faults_);
+    CAPTURE(rows[row].name_);
+    GatewayDeployment deployment(fleetOptions(4, "1"));
+    startFleet(deployment);
+    BackgroundCallers callers(deployment);
+    orderRollout(deployment);
+    startNewServers(deployment, rows[row].faults_);
     CHECK(waitForPhase(deployment, "reverted"));
     std::this_thread::sleep_for(milliseconds(1000));
-    std::size_t after = runsAt(deployment, newOnes);
+    std::size_t after = runsOf(deployment, newServers);
     CHECK(after > 0);
     std::this_thread::sleep_for(milliseconds(1500));
-    CHECK(runsAt(deployment, newOnes) == after);
-    checkOneVerdict(deployment, "reverted");
+    CHECK(runsOf(deployment, newServers) == after);
+    checkOneDecision(deployment, "reverted");
 }
 
 TEST_CASE("an order has no verdict, or two, when the node that leads it is killed", "[gateway]")
 {
     const bool isGood = GENERATE(true, false);
     CAPTURE(isGood);
-    GatewayDeployment deployment(fleetOf(4, "24"));
-    start(deployment);
-    Callers callers(deployment);
-    order(deployment);
-    startNew(deployment, {});
+    GatewayDeployment deployment(fleetOptions(4, "24"));
+    startFleet(deployment);
+    BackgroundCallers callers(deployment);
+    orderRollout(deployment);
+    startNewServers(deployment, {});
     REQUIRE(waitForPhase(deployment, "active"));
-    auto& led = holder(deployment);
-    led.process_->kill();
-    (void)led.process_->wait(patience);
-    deployment.restart(led);
+    auto& leader = holder(deployment);
+    leader.process_->kill();
+    (void)leader.process_->wait(waitLimit);
+    deployment.restart(leader);
     if (!isGood) {
-        for (const std::string& id : newOnes)
+        for (const std::string& id : newServers)
             deployment.backend(id, { { "fails_one_in", 2 } });
     }
     CHECK(waitForPhase(deployment, isGood ? "complete" : "reverted"));
     std::this_thread::sleep_for(milliseconds(1500));
-    checkOneVerdict(deployment, isGood ? "complete" : "reverted");
+    checkOneDecision(deployment, isGood ? "complete" : "reverted");
 }
 
 TEST_CASE("a verdict is forgotten, or told again, after a stop of all nodes", "[gateway]")
 {
     const bool isGood = GENERATE(true, false);
     CAPTURE(isGood);
-    const char* verdict = isGood ? "complete" : "reverted";
-    const std::vector<std::string>& unused = isGood ? oldOnes : newOnes;
-    const std::vector<std::string>& used = isGood ? newOnes : oldOnes;
-    GatewayDeployment deployment(fleetOf(3, "24"));
-    start(deployment);
-    auto callers = std::make_unique<Callers>(deployment);
-    order(deployment);
-    startNew(deployment, { { "fails_one_in", isGood ? 0 : 2 } });
-    REQUIRE(waitForPhase(deployment, verdict));
+    const char* decision = isGood ? "complete" : "reverted";
+    const std::vector<std::string>& unused = isGood ? oldServers : newServers;
+    const std::vector<std::string>& used = isGood ? newServers : oldServers;
+    GatewayDeployment deployment(fleetOptions(3, "24"));
+    startFleet(deployment);
+    auto callers = std::make_unique<BackgroundCallers>(deployment);
+    orderRollout(deployment);
+    startNewServers(deployment, { { "fails_one_in", isGood ? 0 : 2 } });
+    REQUIRE(waitForPhase(deployment, decision));
     callers.reset();
     for (auto& gateway : deployment.gateways()) {
         gateway.process_->kill();
-        (void)gateway.process_->wait(patience);
+        (void)gateway.process_->wait(waitLimit);
     }
     // The platform stops the old version's servers when an order is complete.
     if (isGood) {
-        for (const std::string& id : oldOnes)
+        for (const std::string& id : oldServers)
             deployment.control({ { "put", json::array { json::object { { "topic", "keyed.servers" }, { "key", id }, { "value", "" } } } } });
     }
-    std::size_t before = runsAt(deployment, unused);
-    std::size_t usedBefore = runsAt(deployment, used);
+    std::size_t before = runsOf(deployment, unused);
+    std::size_t usedBefore = runsOf(deployment, used);
     for (auto& gateway : deployment.gateways())
         deployment.restart(gateway);
     for (auto& gateway : deployment.gateways())
-        REQUIRE(waitUntil([&] { return deployment.isReady(gateway); }, patience));
-    callers = std::make_unique<Callers>(deployment);
+        REQUIRE(waitUntil([&] { return deployment.isReady(gateway); }, waitLimit));
+    callers = std::make_unique<BackgroundCallers>(deployment);
     std::this_thread::sleep_for(milliseconds(6000));
-    CHECK(runsAt(deployment, unused) == before);
-    CHECK(runsAt(deployment, used) > usedBefore);
-    checkOneVerdict(deployment, verdict);
+    CHECK(runsOf(deployment, unused) == before);
+    CHECK(runsOf(deployment, used) > usedBefore);
+    checkOneDecision(deployment, decision);
 }
 
 TEST_CASE("an operator sees an order at any gateway, and ends it at all", "[gateway]")
 {
-    GatewayDeployment deployment(fleetOf(3, "24"));
-    start(deployment);
-    Callers callers(deployment);
-    order(deployment);
-    startNew(deployment, {});
+    GatewayDeployment deployment(fleetOptions(3, "24"));
+    startFleet(deployment);
+    BackgroundCallers callers(deployment);
+    orderRollout(deployment);
+    startNewServers(deployment, {});
     REQUIRE(waitForPhase(deployment, "active"));
-    auto page = [&](const std::string& method, const std::string& target, const std::string& credential) {
-        auto answer = callHttpBlocking(deployment.gateways()[1].metrics_, { method, target, { { "authorization", "Bearer " + credential } }, {} }, patience);
+    auto callOperatorEndpoint = [&](const std::string& method, const std::string& target, const std::string& credential) {
+        auto answer = callHttpBlocking(deployment.gateways()[1].metrics_, { method, target, { { "authorization", "Bearer " + credential } }, {} }, waitLimit);
         return answer ? answer.value() : HttpResponse { 0, {}, {} };
     };
-    auto listed = objectsField(parseJsonObject(page("GET", "/rollouts", "").body_).value_or(json::object {}), "rollouts");
+    auto listed = objectsField(parseJsonObject(callOperatorEndpoint("GET", "/rollouts", "").body_).value_or(json::object {}), "rollouts");
     REQUIRE(listed.size() == 1);
     CHECK(textField(listed[0], "phase") == "trial");
     CHECK(textField(listed[0], "target") == "v2");
-    CHECK(page("DELETE", "/rollouts/engines", "wrong").status_ == 401);
-    CHECK(page("DELETE", "/rollouts/none", "credential-of-tests").status_ == 404);
-    CHECK(page("DELETE", "/rollouts/engines", "credential-of-tests").status_ == 200);
-    CHECK(page("DELETE", "/rollouts/engines", "credential-of-tests").status_ == 409);
+    CHECK(callOperatorEndpoint("DELETE", "/rollouts/engines", "wrong").status_ == 401);
+    CHECK(callOperatorEndpoint("DELETE", "/rollouts/none", "credential-of-tests").status_ == 404);
+    CHECK(callOperatorEndpoint("DELETE", "/rollouts/engines", "credential-of-tests").status_ == 200);
+    CHECK(callOperatorEndpoint("DELETE", "/rollouts/engines", "credential-of-tests").status_ == 409);
     CHECK(waitForPhase(deployment, "reverted"));
     std::this_thread::sleep_for(milliseconds(800));
-    std::size_t after = runsAt(deployment, newOnes);
+    std::size_t after = runsOf(deployment, newServers);
     std::this_thread::sleep_for(milliseconds(1000));
-    CHECK(runsAt(deployment, newOnes) == after);
-    checkOneVerdict(deployment, "reverted");
+    CHECK(runsOf(deployment, newServers) == after);
+    checkOneDecision(deployment, "reverted");
 }
