--- a/test/AnswersTest.cpp
+++ b/test/AnswersTest.cpp
@@ -1,8 +1,8 @@
-//===- test/AnswersTest.cpp - each caller's own whole answer ---------------===//
+//===- test/AnswersTest.cpp - correct and complete answers ----------------===//
 ///
 /// \file
-/// Many streams at once, callers of other organisations, resumption, bad
-/// requests and slow or vanished readers.
+/// Many concurrent streams, callers of other organisations, resumption, invalid
+/// requests and readers that disconnect.
 //===----------------------------------------------------------------------===//
 #include "Harness/Deployment.h"
 
@@ -51,7 +51,7 @@
 
 } // namespace
 
-TEST_CASE("a thousand streams at once each get their own answer")
+TEST_CASE("each of a thousand concurrent streams gets its own complete answer")
 {
     Deployment deployment(answerOptions());
     deployment.applyCatalogue(manyStreamsCatalogue());
@@ -76,7 +76,7 @@
     CHECK(complete == count);
 }
 
-TEST_CASE("a request id is worth nothing to another organisation")
+TEST_CASE("an organisation cannot read another organisation's answer by its request id")
 {
     Deployment deployment(answerOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
@@ -96,7 +96,7 @@
     }
 }
 
-TEST_CASE("a caller resumes at any entry from any event it has")
+TEST_CASE("a caller resumes its answer at any entry VM after any event")
 {
     Deployment deployment(answerOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
@@ -124,7 +124,7 @@
         CHECK(resumed.restarts_ == 0);
         CHECK(checkAnswer(resumed, completion) == "");
     }
-    // Text that is not this answer's is never continued.
+    // Text that does not belong to this answer is never continued: the stream restarts.
     partial.lastEventId_ = "5-123";
     asio::io_context io;
     Answer restarted;
@@ -135,7 +135,7 @@
     CHECK(checkAnswer(restarted, completion) == "");
 }
 
-TEST_CASE("an engine's work stops when its caller stays away")
+TEST_CASE("an engine stops working for a caller that does not return")
 {
     Deployment deployment(answerOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
@@ -145,7 +145,7 @@
         auto task = [&]() -> asio::awaitable<void> { co_await streamCompletion(deployment.nodes()[0].callers_, completion); };
         asio::co_spawn(io, task, asio::detached);
         io.run_for(milliseconds(500));
-        // The context ends here, and with it the caller's connection.
+        // The destructor of the context closes the caller's connection.
     }
     CHECK(waitUntil([&] {
         std::uint64_t active = 0;
@@ -155,7 +155,7 @@
     }));
 }
 
-TEST_CASE("bad requests get the right status and the one error body")
+TEST_CASE("invalid requests get the right status and the common error body")
 {
     Deployment deployment(answerOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
@@ -192,12 +192,12 @@
         for (const char* field : { "message", "step", "peer", "ran", "retry_after_ms" })
             CHECK(error.contains(field));
     }
-    // The node is none the worse for it.
+    // The node still serves valid requests.
     Completion completion { Deployment::apiKey("rede"), "planogram", "still here", 5 };
     CHECK(streamCompletionBlocking(deployment.nodes()[0].callers_, completion).isDone_);
 }
 
-TEST_CASE("bytes that are no peer protocol harm nobody else")
+TEST_CASE("bytes that are not the peer protocol do not affect other requests")
 {
     Deployment deployment(answerOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
@@ -220,7 +220,7 @@
         CHECK(streamCompletionBlocking(node.callers_, completion).isDone_);
 }
 
-TEST_CASE("two nodes that both believe to be an engine's home are safe, only wasteful")
+TEST_CASE("two nodes that both dispatch to one engine waste work but answer correctly")
 {
     auto options = answerOptions();
     options.dataCentres_ = { "caxias-a", "caxias-b" };
@@ -240,7 +240,7 @@
         if (&node != dispatcher)
             entries.push_back(node.callers_);
     }
-    // More than both engines take; every caller follows its answer to the end.
+    // More requests than both engines accept; every caller follows its answer to the end.
     std::vector<Completion> completions;
     for (int i = 0; i < 40; ++i)
         completions.push_back({ Deployment::apiKey("rede"), "planogram", "two homes " + std::to_string(i), 500 });
@@ -253,7 +253,7 @@
     std::thread callers([&] { io.run(); });
     REQUIRE(waitUntil([&] { return numberField(Deployment::control(engine.endpoint_), "active") == concurrency; }));
     dispatcher->process_->freeze();
-    // Its successor dispatches while the frozen one still holds its streams.
+    // The successor dispatches while the frozen dispatcher still holds its streams.
     bool hasTwoDispatchers = waitUntil([&] { return numberField(Deployment::control(engine.endpoint_), "started") > concurrency; });
     dispatcher->process_->resume();
     callers.join();
--- a/test/AtMostOnceTest.cpp
+++ b/test/AtMostOnceTest.cpp
@@ -1,7 +1,7 @@
-//===- test/AtMostOnceTest.cpp - calls that may not be repeated ------------===//
+//===- test/AtMostOnceTest.cpp - calls that must run at most once ---------===//
 ///
 /// \file
-/// Whole processes, the plain service counting the executions of each key.
+/// Runs whole processes; the stand-in service counts the executions of each key.
 //===----------------------------------------------------------------------===//
 #include "Harness/Deployment.h"
 #include "pistachioloom/Ledger.h"
@@ -53,7 +53,7 @@
         Deployment::control(service.endpoint_, values);
 }
 
-/// The node of \p dataCentre that keeps \p key, and the other one.
+/// The nodes of \p dataCentre: first the coordinator of \p key, then the other one.
 std::vector<VmId> coordinatorsOf(Deployment& deployment, const std::string& dataCentre, const std::string& key)
 {
     std::vector<VmId> nodes;
@@ -72,7 +72,7 @@
 
 } // namespace
 
-TEST_CASE("one key sent at once through three data centres runs once")
+TEST_CASE("concurrent calls with one key through three data centres run once")
 {
     Deployment deployment(serviceOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
@@ -86,7 +86,8 @@
         for (auto& call : calls) {
             auto result = call.get();
             answered += result.status_ == 200 ? 1 : 0;
-            // Whoever lost is told that the call was started, never that it was not.
+            // The other callers get the answer or learn that the call was started, never
+            // that it has not run.
             CHECK_FALSE(reportsNotRun(result));
         }
         CHECK(answered >= 1);
@@ -99,7 +100,7 @@
     CHECK(reused.status_ == 422);
 }
 
-TEST_CASE("a keeper killed before or after dispatch never lets a call run twice")
+TEST_CASE("a call never runs twice when its coordinator is killed before or after dispatch")
 {
     Deployment deployment(serviceOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
@@ -124,7 +125,7 @@
     if (reportsNotRun(result))
         CHECK(executionsOf(deployment, key) == 0);
     controlServices(deployment, { { "delay_ms", 0 } });
-    // Repeats through every other node never add an execution.
+    // Repeated calls through all other nodes never add an execution.
     for (auto& node : deployment.nodes()) {
         if (node.id_ != coordinator.id_)
             confirm(node.callers_, key);
@@ -132,7 +133,7 @@
     CHECK(executionsOf(deployment, key) <= 1);
 }
 
-TEST_CASE("a keeper frozen past its take-over does nothing when it wakes")
+TEST_CASE("a coordinator that resumes after its takeover does not run the call")
 {
     Deployment deployment(serviceOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
@@ -140,8 +141,8 @@
     auto coordinators = coordinatorsOf(deployment, "caxias-a", key);
     auto& coordinator = deployment.node(coordinators[0].value_);
     auto& other = deployment.node(coordinators[1].value_);
-    // Frozen while its intent is on the way to the log, so it wakes up with the
-    // append answered and everything it believed out of date.
+    // The coordinator is frozen while the append of its intent is pending. When it
+    // resumes, the append has been answered and all of its other state is stale.
     deployment.controlPlatform({ { "log_delay_ms", 400 } });
     auto first = confirmAsync(other.callers_, key);
     REQUIRE(waitUntil([&] { return numberField(deployment.controlPlatform(), "appends") > 6; }));
@@ -166,13 +167,13 @@
         CHECK(executionsOf(deployment, key) == 0);
 }
 
-TEST_CASE("faults of the log refuse truthfully")
+TEST_CASE("faults of the log never lead to a wrong statement about execution")
 {
     Deployment deployment(serviceOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
     Endpoint entry = deployment.node("caxias-b-1").callers_;
 
-    SECTION("an append whose answer is lost")
+    SECTION("the answer of an append is lost")
     {
         deployment.controlPlatform({ { "lose_append_answers", 1 } });
         auto result = confirm(entry, "lost");
@@ -181,7 +182,7 @@
         CHECK(confirm(deployment.node("bento-c-1").callers_, "lost").isReplayed_);
         CHECK(executionsOf(deployment, "lost") == 1);
     }
-    SECTION("the log is down: refused at once, not run, and runs once it is back")
+    SECTION("the log is down: the call is rejected, has not run, and runs after the log recovers")
     {
         deployment.controlPlatform({ { "log_down", 1 } });
         auto result = confirm(entry, "down");
@@ -193,25 +194,25 @@
         REQUIRE(waitUntil([&] { return confirm(entry, "down").status_ == 200; }));
         CHECK(executionsOf(deployment, "down") == 1);
     }
-    SECTION("the log trimmed what a keeper had not read")
+    SECTION("the log trims records that a coordinator has not read")
     {
         CHECK(confirm(entry, "before").status_ == 200);
         std::uint32_t shard = shardOf(makeCallKey({ "rede" }, { "labels" }, { "before" }), shardCount);
         deployment.controlPlatform({ { "trim_stream", "ledger-" + std::to_string(shard) }, { "trim_to", 1 } });
-        // The outcome is still kept, and it alone answers a repeat.
+        // The stored outcome remains, and a repeated call is answered from it.
         auto repeat = confirm(deployment.node("bento-c-1").callers_, "before");
         CHECK(repeat.isReplayed_);
         CHECK(executionsOf(deployment, "before") == 1);
     }
 }
 
-TEST_CASE("a service's lost answer is unknown, and its refusal is not run")
+TEST_CASE("a lost answer of a service is reported as unknown, a rejection as not run")
 {
     Deployment deployment(serviceOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
     Endpoint entry = deployment.node("caxias-b-1").callers_;
 
-    SECTION("lost after it ran: told unknown, never repeated")
+    SECTION("the answer is lost after the call ran: reported as unknown, never repeated")
     {
         controlServices(deployment, { { "lose_answers", 1 } });
         auto result = confirm(entry, "lost-answer");
@@ -221,21 +222,21 @@
         CHECK(confirm(deployment.node("bento-c-1").callers_, "lost-answer").status_ == 409);
         CHECK(executionsOf(deployment, "lost-answer") == 1);
     }
-    SECTION("refused before it ran: another backend server runs it")
+    SECTION("the call is rejected before it ran: another backend server runs it")
     {
         Deployment::control(deployment.services()[1].endpoint_, { { "leaving", 1 } });
         auto result = confirm(entry, "refused");
         CHECK(result.status_ == 200);
         CHECK(executionsOf(deployment, "refused") == 1);
     }
-    SECTION("no backend server is left: not run, and free for a repeat")
+    SECTION("no backend server is available: not run, and may be repeated")
     {
         controlServices(deployment, { { "leaving", 1 } });
         auto result = confirm(entry, "nobody");
         CHECK(reportsNotRun(result));
         CHECK(executionsOf(deployment, "nobody") == 0);
     }
-    SECTION("a call that may be repeated is repeated when its answer is lost")
+    SECTION("a repeatable call is repeated when its answer is lost")
     {
         controlServices(deployment, { { "lose_answers", 1 } });
         auto result = callService(entry, Deployment::apiKey("rede"), "records/outfall/7", "", "");
--- a/test/CatalogueTest.cpp
+++ b/test/CatalogueTest.cpp
@@ -1,7 +1,7 @@
-//===- test/CatalogueTest.cpp - accepted changes are in force and stay -----===//
+//===- test/CatalogueTest.cpp - accepted changes take effect and persist --===//
 ///
 /// \file
-/// Racing operators, lost answers, trims, outages and cuts, over whole
+/// Concurrent operators, lost answers, trims, outages and partitions, with whole
 /// processes.
 //===----------------------------------------------------------------------===//
 #include "Harness/Deployment.h"
@@ -46,14 +46,14 @@
     return deployment.runTool(node, arguments);
 }
 
-/// The text of entry \p name in force at \p node.
+/// The text of entry \p name that is in force at \p node, or empty.
 std::string entryInForce(Deployment& deployment, Deployment::NodeProcess& node, const std::string& name)
 {
     auto entry = deployment.query(node, "/catalogue/" + name);
     return entry.is_object() ? textField(entry.as_object(), "body") : std::string();
 }
 
-/// Offset of the first snapshot in the log as of \p asOf or later, or 0.
+/// Offset of the first snapshot in the log that covers offset \p asOf, or 0.
 std::uint64_t firstSnapshotCovering(Deployment& deployment, std::uint64_t asOf)
 {
     HttpRequest request { "GET", "/streams/catalogue/records?from=0&wait_ms=0", {}, {} };
@@ -81,7 +81,7 @@
 
 } // namespace
 
-TEST_CASE("of twenty racing operators one wins each version")
+TEST_CASE("of twenty concurrent edits exactly one wins each version")
 {
     Deployment deployment(smallOptions());
     REQUIRE(applyEntry(deployment, deployment.nodes()[0], "s.yaml", service("s", 1)).first == 0);
@@ -115,7 +115,7 @@
     }
 }
 
-TEST_CASE("an edit whose append answer is lost is resolved by its id")
+TEST_CASE("an edit is resolved by its id when the answer of its append is lost")
 {
     Deployment deployment(smallOptions());
     deployment.controlPlatform({ { "lose_append_answers", 1 } });
@@ -134,7 +134,7 @@
     REQUIRE(applyEntry(deployment, deployment.nodes()[0], "s.yaml", service("s", 1)).first == 0);
     REQUIRE(applyEntry(deployment, deployment.nodes()[0], "s.yaml", service("s", 2)).first == 0);
     std::uint64_t second = numberField(deployment.query(deployment.nodes()[0], "/catalogue/s").as_object(), "version");
-    // The log forgets everything before the first snapshot that covers both edits.
+    // The log drops all records before the first snapshot that covers both edits.
     std::uint64_t covering = 0;
     REQUIRE(waitUntil([&] { return (covering = firstSnapshotCovering(deployment, second)) > 0; }));
     deployment.controlPlatform({ { "trim_stream", "catalogue" }, { "trim_to", covering } });
@@ -148,21 +148,21 @@
     CHECK(isInForceEverywhere(deployment, "s", service("s", 3)));
 }
 
-TEST_CASE("a node that starts while the log is down takes the catalogue from its peers")
+TEST_CASE("a node that starts while the log is down gets the catalogue from its peers")
 {
     Deployment deployment(smallOptions());
     REQUIRE(applyEntry(deployment, deployment.nodes()[0], "s.yaml", service("s", 5)).first == 0);
     REQUIRE(isInForceEverywhere(deployment, "s", service("s", 5)));
     deployment.controlPlatform({ { "log_down", 1 } });
     auto [code, output] = applyEntry(deployment, deployment.nodes()[0], "s.yaml", service("s", 6));
-    // The log's refusal does not say whether the record was taken.
+    // The log's rejection does not show whether the record was stored.
     constexpr int unknownOutcome = 4;
     CHECK(code == unknownOutcome);
     auto& newNode = deployment.startNode("caxias-a-9", "caxias-a");
     CHECK(waitUntil([&] { return entryInForce(deployment, newNode, "s") == service("s", 5); }, inForceTimeout));
 }
 
-TEST_CASE("a data centre cut from the platform follows by its peers")
+TEST_CASE("a data centre that is partitioned from the platform gets changes from its peers")
 {
     Deployment deployment(smallOptions());
     REQUIRE(applyEntry(deployment, deployment.node("caxias-a-1"), "s.yaml", service("s", 1)).first == 0);
@@ -170,13 +170,13 @@
     deployment.controlPlatform({ { "cut_data_centres", boost::json::array { "bento-c" } } });
     REQUIRE(applyEntry(deployment, deployment.node("caxias-a-1"), "s.yaml", service("s", 2)).first == 0);
     CHECK(isInForceEverywhere(deployment, "s", service("s", 2)));
-    // An edit sent there is refused, and says that nothing came of it.
+    // An edit sent to that data centre is rejected and has no effect.
     auto [code, output] = applyEntry(deployment, deployment.node("bento-c-1"), "s.yaml", service("s", 3));
     CHECK(code != 0);
     CHECK(isInForceEverywhere(deployment, "s", service("s", 2)));
 }
 
-TEST_CASE("the tool refuses a bad entry and names the field")
+TEST_CASE("the tool rejects an invalid entry and names the field")
 {
     Deployment deployment(smallOptions());
     auto [code, output] = applyEntry(deployment, deployment.nodes()[0], "bad.yaml", "name: s\nkind: service\nconcurrency: none\nrepeatable: true\n");
--- a/test/ConfigurationSpreadTest.cpp
+++ b/test/ConfigurationSpreadTest.cpp
@@ -1,8 +1,8 @@
-//===- test/ConfigurationSpreadTest.cpp - a long configuration, passed on --===//
+//===- test/ConfigurationSpreadTest.cpp - spread of a large configuration -===//
 ///
 /// \file
-/// Whole gateways: a configuration of thousands of routes comes to all soon, while
-/// each gives it to a few peers at a time.
+/// Runs whole gateways. A configuration of thousands of routes reaches all of them
+/// quickly although each sends it to only a few peers at a time.
 //===----------------------------------------------------------------------===//
 #include "Platform/GatewayDeployment.h"
 #include "generated/Peer.pb.h"
@@ -20,14 +20,14 @@
 
 namespace {
 
-// How many a gateway gives the configuration at once, and how long one may take.
+// Concurrent transfers that a gateway allows, and the time limit of one.
 constexpr std::size_t mostTransfers = 2;
 constexpr milliseconds transferTimeout { 2000 };
-// A connection lost or a stream reset is noticed within this time.
+// A lost connection or a reset stream is detected within this time.
 constexpr milliseconds slack { 1000 };
 constexpr milliseconds replyTimeout { 1500 };
 
-/// Routes whose names differ by hashes, so that they are long when compressed too.
+/// Routes with hashes as names, so that the configuration is large even when compressed.
 std::string manyRoutes(std::size_t count)
 {
     std::string routes;
@@ -39,7 +39,7 @@
     return routes;
 }
 
-/// The lines of \p gateway's log that say \p sentence.
+/// The lines of the log of \p gateway that contain \p sentence.
 std::vector<boost::json::object> logLinesWith(const GatewayDeployment& deployment, const GatewayDeployment::Gateway& gateway, const std::string& sentence)
 {
     std::vector<boost::json::object> lines;
@@ -58,7 +58,7 @@
     Other,
 };
 
-/// A peer of a gateway that asks for its configuration.
+/// A peer that fetches the configuration of a gateway.
 class ConfigurationFetcher {
 public:
     explicit ConfigurationFetcher(Endpoint gateway)
@@ -78,7 +78,8 @@
     ConfigurationFetcher(const ConfigurationFetcher&) = delete;
     ConfigurationFetcher& operator=(const ConfigurationFetcher&) = delete;
 
-    /// Asks, and says nothing more until told: the stream is kept if it was given.
+    /// Fetches the configuration and keeps the stream of a received one open without an
+    /// acknowledgement until one of the functions below ends it.
     FetchResult fetch()
     {
         return run([this]() -> asio::awaitable<FetchResult> {
@@ -96,8 +97,9 @@
         });
     }
 
-    /// Asks as older versions do: the stream is ended at once, and nothing acknowledged.
-    FetchResult call()
+    /// Fetches as older versions do: the stream ends immediately, without an
+    /// acknowledgement.
+    FetchResult fetchWithoutAck()
     {
         return run([this]() -> asio::awaitable<FetchResult> {
             auto reply = co_await pool_->call(gateway_, request(), replyTimeout);
@@ -126,6 +128,7 @@
             stream->cancel();
     }
 
+    /// Closes the connection under all open transfers.
     void dropLink()
     {
         openTransfers_.clear();
@@ -160,11 +163,11 @@
     std::thread thread_;
 };
 
-/// How askers end what they were given.
+/// A way in which a peer ends its transfers.
 struct TransferEnd {
     std::string name_;
     std::function<void(ConfigurationFetcher&)> end_;
-    /// Until others are given it.
+    /// Bound on the time until another peer receives the configuration.
     milliseconds maxWait_;
 };
 
@@ -177,7 +180,7 @@
 
 } // namespace
 
-TEST_CASE("a gateway gives its configuration to few peers at a time, and to others once those have it", "[gateway]")
+TEST_CASE("a gateway sends its configuration to few peers at a time, and to others when those transfers end", "[gateway]")
 {
     GatewayDeployment deployment(1);
     deployment.standard();
@@ -193,7 +196,7 @@
             CHECK(second.fetch() == FetchResult::Busy);
         transferEnd.end_(first);
         CHECK(waitUntil([&] { return second.fetch() == FetchResult::Received; }, transferEnd.maxWait_));
-        // Not before the end, nor before the timeout if there is none.
+        // Without an end, other peers must wait for the transfer timeout.
         if (transferEnd.maxWait_ > transferTimeout)
             CHECK(steadyNow() - startedAt > transferTimeout - slack);
         second.cancelAll();
@@ -201,13 +204,13 @@
         REQUIRE(waitUntil([&] { return !logLinesWith(deployment, deployment.gateways()[0], "handed on").empty(); }));
         std::this_thread::sleep_for(milliseconds(100));
     }
-    // Refusals are logged with their count, not one by one.
+    // Rejections are logged in groups with their count, not one by one.
     auto busyLines = logLinesWith(deployment, deployment.gateways()[0], "told to ask others");
     CHECK_FALSE(busyLines.empty());
     CHECK(busyLines.size() <= 2 * transferEnds.size() + 2);
 }
 
-TEST_CASE("peers of older versions are given the configuration, and understand that others come first", "[gateway]")
+TEST_CASE("peers of older versions receive the configuration, or a rejection while other transfers run", "[gateway]")
 {
     GatewayDeployment deployment(1);
     deployment.standard();
@@ -215,13 +218,13 @@
     std::size_t received = 0;
     std::size_t busy = 0;
     for (std::size_t i = 0; i < mostTransfers + 1; ++i) {
-        FetchResult result = oldPeer.call();
+        FetchResult result = oldPeer.fetchWithoutAck();
         received += result == FetchResult::Received;
         busy += result == FetchResult::Busy;
     }
     CHECK(received == mostTransfers);
     CHECK(busy == 1);
-    CHECK(waitUntil([&] { return oldPeer.call() == FetchResult::Received; }, slack));
+    CHECK(waitUntil([&] { return oldPeer.fetchWithoutAck() == FetchResult::Received; }, slack));
 }
 
 TEST_CASE("a configuration of 4,000 routes is in force on twelve gateways within three seconds", "[gateway]")
--- a/test/CrashingRequestsTest.cpp
+++ b/test/CrashingRequestsTest.cpp
@@ -1,8 +1,8 @@
-//===- test/CrashingRequestsTest.cpp - requests that crash their servers ---===//
+//===- test/CrashingRequestsTest.cpp - requests that crash their servers --===//
 ///
 /// \file
-/// One request crashes each backend server that begins to run it and comes again at
-/// every gateway; other requests are served beside it.
+/// One request crashes each backend server that starts to run it and is repeated at
+/// every gateway; other requests are still served.
 //===----------------------------------------------------------------------===//
 #include "Platform/GatewayDeployment.h"
 
@@ -15,7 +15,7 @@
 
 namespace {
 
-// The platform's contact time: what one gateway has seen is known to all after it.
+// The platform's contact time: within it, all gateways learn what one has observed.
 constexpr milliseconds propagationTime { 3000 };
 constexpr std::size_t maxLateCrashes = 3;
 constexpr std::size_t crashThreshold = 3;
@@ -32,8 +32,8 @@
     return options;
 }
 
-/// Eight engines, more than may crash in the time in which one starts; each that a request
-/// of crashing() reaches ends, and another starts.
+/// Starts eight engines, more than can crash while one restarts. A request of
+/// crashingRequest() crashes the engine that it reaches, which then restarts.
 void startCrashableFleet(GatewayDeployment& deployment)
 {
     deployment.standard();
@@ -44,7 +44,7 @@
         throw std::runtime_error("gateways do not know all backend servers");
 }
 
-/// The same request each time, but for the id of the attempt.
+/// A request that is the same each time except for its attempt id.
 HttpRequest crashingRequest(const std::string& id)
 {
     HttpRequest request = gatewayRequest("POST", "/ask/stream/crash", id);
@@ -68,18 +68,18 @@
 
 } // namespace
 
-TEST_CASE("a request that crashed three backend servers is sent to others again and again", "[gateway]")
+TEST_CASE("a request that crashed three backend servers crashes at most three more afterwards", "[gateway]")
 {
     const char* fanout = GENERATE("24", "1");
     CAPTURE(fanout);
     GatewayDeployment deployment(fleetOptions(4, fanout));
     startCrashableFleet(deployment);
-    std::int64_t begin = nowMs();
+    std::int64_t startedAt = nowMs();
     std::size_t served = 0;
     std::size_t others = 0;
     HttpResponse last;
     milliseconds lastTook {};
-    for (std::size_t i = 0; nowMs() - begin < maxSeriesTime.count(); ++i) {
+    for (std::size_t i = 0; nowMs() - startedAt < maxSeriesTime.count(); ++i) {
         auto times = crashTimes(deployment);
         if (times.size() >= crashThreshold && nowMs() > times[crashThreshold - 1] + 2 * propagationTime.count())
             break;
@@ -96,20 +96,20 @@
     REQUIRE(times.size() >= crashThreshold);
     auto isLate = [&](std::int64_t at) { return at > times[crashThreshold - 1] + propagationTime.count(); };
     CHECK(static_cast<std::size_t>(std::count_if(times.begin(), times.end(), isLate)) <= maxLateCrashes);
-    // Final, at once, and no promise that the request has not run.
+    // The rejection is final and immediate, and does not state that the request has not run.
     CHECK(last.status_ == 502);
     CHECK(lastTook < maxRejectionTime);
     CHECK(served == others);
 }
 
-TEST_CASE("an operator sees a request in quarantine at any gateway, and lifts it at all", "[gateway]")
+TEST_CASE("an operator can see a quarantined request at any gateway, and release it at all gateways", "[gateway]")
 {
     GatewayDeployment deployment(fleetOptions(3, "24"));
     startCrashableFleet(deployment);
     auto hasQuarantined = [&](const GatewayDeployment::Gateway& gateway, double expected) {
         return waitUntil([&] { return deployment.metric(gateway, "requests_in_quarantine") == expected; }, propagationTime);
     };
-    // Each crash follows the one before: what was sent at one time may crash more.
+    // The requests are sent one after the other: concurrent ones could crash more servers.
     for (int i = 0; i < 3; ++i)
         (void)deployment.call(deployment.gateways()[0], crashingRequest("crash-" + std::to_string(i)));
     for (auto& gateway : deployment.gateways())
@@ -135,7 +135,7 @@
     CHECK(waitUntil([&] { return deployment.call(deployment.gateways()[2], crashingRequest("mended")).status_ == 200; }, propagationTime));
 }
 
-TEST_CASE("a stop of all gateways at one moment forgets which request crashed three backend servers", "[gateway]")
+TEST_CASE("the quarantine of a request survives a simultaneous crash of all gateways", "[gateway]")
 {
     const char* fanout = GENERATE("24", "1");
     CAPTURE(fanout);
@@ -159,13 +159,14 @@
     CHECK(crashTimes(deployment).size() == crashThreshold);
 }
 
-TEST_CASE("a gateway sends requests to a backend server that crashed under another one's", "[gateway]")
+TEST_CASE("a gateway sends no requests to a backend server that crashed on another gateway's request", "[gateway]")
 {
     const char* fanout = GENERATE("24", "1");
     CAPTURE(fanout);
     GatewayDeployment deployment(fleetOptions(3, fanout));
     startCrashableFleet(deployment);
-    // Its registration stays for long: only the gateways' own word keeps requests away.
+    // The registration remains for a long time, so only reports between gateways keep
+    // requests away.
     deployment.control({ { "restart_ms", 8000 } });
     (void)deployment.call(deployment.gateways()[0], crashingRequest("crash-0"));
     REQUIRE(crashTimes(deployment).size() == 1);
@@ -177,7 +178,7 @@
     CHECK(after == before);
 }
 
-TEST_CASE("a gateway that starts after the crashes does not send the request again", "[gateway]")
+TEST_CASE("a gateway that starts after the crashes does not dispatch the quarantined request", "[gateway]")
 {
     GatewayDeployment deployment(fleetOptions(3, "24"));
     startCrashableFleet(deployment);
@@ -187,7 +188,7 @@
     auto& restarted = deployment.gateways()[2];
     restarted.process_->kill();
     (void)restarted.process_->wait(propagationTime);
-    // What was told when it was new is told no more by then.
+    // By then the peers no longer send the report as a new one.
     std::this_thread::sleep_for(propagationTime);
     deployment.restart(restarted);
     REQUIRE(waitUntil([&] { return deployment.isReady(restarted); }, milliseconds(10000)));
--- a/test/CutsTest.cpp
+++ b/test/CutsTest.cpp
@@ -1,9 +1,9 @@
-//===- test/CutsTest.cpp - data centres cut off ----------------------------===//
+//===- test/CutsTest.cpp - partitioned data centres -----------------------===//
 ///
 /// \file
-/// What each data centre goes on serving while it is cut from the others, from
-/// the platform, or from both, and that nothing doubles when the cut heals.
-/// Each row of the table in docs/OPERATIONS.md is a case here.
+/// What a data centre still serves while it is partitioned from the others, from
+/// the platform, or from both, and that nothing runs twice after the partition
+/// heals. Each row of the table in docs/OPERATIONS.md is a case here.
 //===----------------------------------------------------------------------===//
 #include "Harness/Deployment.h"
 
@@ -44,7 +44,7 @@
 
 } // namespace
 
-TEST_CASE("a data centre that is cut off serves what it can and refuses the rest truthfully")
+TEST_CASE("a partitioned data centre serves what it can and rejects the rest with a correct reason")
 {
     auto row = GENERATE(values<Row>({
         { "from the other data centres", Partition::FromOthers, true, true },
@@ -63,7 +63,7 @@
     auto& inside = deployment.node("bento-c-1");
     auto& outside = deployment.node("caxias-a-1");
 
-    // Drafts that run across the cut, owned inside and outside.
+    // Drafts that run during the partition, owned inside and outside of it.
     std::vector<Completion> completions;
     std::vector<std::future<Answer>> drafts;
     for (int i = 0; i < 6; ++i) {
@@ -104,7 +104,7 @@
         CHECK(answer.isDone_);
         CHECK(checkAnswer(answer, completions[i]) == "");
     }
-    // Healed, the order is known everywhere and was run once.
+    // After the partition heals, the order is known everywhere and has run once.
     CHECK(waitUntil([&] { return callService(inside.callers_, Deployment::apiKey("rede"), "labels/order", "cut-order", "{}").status_ == 200; }));
     std::uint64_t executions = 0;
     for (auto& service : deployment.services())
--- a/test/Demo.cpp
+++ b/test/Demo.cpp
@@ -1,8 +1,8 @@
-//===- test/Demo.cpp - the main job, shown end to end ----------------------===//
+//===- test/Demo.cpp - end-to-end demonstration ---------------------------===//
 ///
 /// \file
 /// Starts stand-ins and nine daemons in three data centres, publishes a
-/// catalogue with the tool, and sends a planogram draft, a store manager's
+/// catalogue with pistachioloomctl, and sends a planogram draft, a store manager's
 /// question and a price-tag confirmation through different entry VMs.
 //===----------------------------------------------------------------------===//
 #include "Harness/Deployment.h"
@@ -48,7 +48,7 @@
     auto& node = deployment.nodes()[nodeIndex];
     std::cout << "\n== " << title << " through " << node.id_ << '\n';
     Answer answer = streamCompletionBlocking(node.callers_, completion);
-    require(answer.isDone_, title, node.id_, answer.error_ ? describe(*answer.error_) : "no whole answer");
+    require(answer.isDone_, title, node.id_, answer.error_ ? describe(*answer.error_) : "incomplete answer");
     require(checkAnswer(answer, completion).empty(), title, node.id_, checkAnswer(answer, completion));
     std::cout << "  answer: " << answer.text().substr(0, 60) << "... (" << answer.tokens_.size() << " tokens)\n";
     std::cout << "  engine " << answer.engine_ << ", first token " << answer.timeToFirstToken_.count() << " ms, between tokens " << meanTokenGapMs(answer) << " ms\n";
@@ -62,8 +62,8 @@
     auto result = callService(node.callers_, Deployment::apiKey("rede"), "labels/confirm", "order-4711", R"({"tag":"A-17"})");
     require(result.status_ == 200, "price-tag confirmation", node.id_, result.error_ ? describe(*result.error_) : "no answer");
     std::cout << "  answer: " << result.body_ << '\n';
-    auto repeated = callService(deployment.nodes()[(nodeIndex + 4) % 9].callers_, Deployment::apiKey("rede"), "labels/confirm", "order-4711", R"({"tag":"A-17"})");
-    require(repeated.isReplayed_ && repeated.body_ == result.body_, "repeated confirmation", node.id_, "expected the stored answer");
+    auto secondResult = callService(deployment.nodes()[(nodeIndex + 4) % 9].callers_, Deployment::apiKey("rede"), "labels/confirm", "order-4711", R"({"tag":"A-17"})");
+    require(secondResult.isReplayed_ && secondResult.body_ == result.body_, "repeated confirmation", node.id_, "expected the stored answer");
     std::cout << "  repeated elsewhere: the stored answer, not run again\n";
 }
 
--- a/test/DraftsTest.cpp
+++ b/test/DraftsTest.cpp
@@ -1,8 +1,8 @@
-//===- test/DraftsTest.cpp - accepted drafts survive -----------------------===//
+//===- test/DraftsTest.cpp - accepted drafts survive failures -------------===//
 ///
 /// \file
-/// Reclaims, kills and freezes of whatever works on an accepted generation;
-/// the caller ends with the engine's exact sequence.
+/// Reclaims, kills and freezes the processes that work on an accepted generation.
+/// The caller still receives the engine's exact sequence.
 //===----------------------------------------------------------------------===//
 #include "Harness/Deployment.h"
 
@@ -27,7 +27,7 @@
     return options;
 }
 
-/// Drafts in progress, each followed by its caller across entry VMs.
+/// Drafts in progress. Each caller resumes its draft at other entry VMs.
 class Drafts {
 public:
     Drafts(Deployment& deployment, std::size_t count, std::uint64_t tokens, const std::string& firstEntry = "caxias-a-1")
@@ -45,7 +45,7 @@
         REQUIRE(hasStarted);
     }
 
-    /// Every answer is whole, and nobody was told to start again.
+    /// Checks that every answer is complete and that no stream was restarted.
     void checkAll()
     {
         for (std::size_t i = 0; i < answers_.size(); ++i) {
@@ -62,7 +62,7 @@
     std::vector<std::future<Answer>> answers_;
 };
 
-/// An engine of \p dataCentre that works on something.
+/// The engine of \p dataCentre with the most active requests, at least one.
 Deployment::Backend& busiestEngine(Deployment& deployment, const std::string& dataCentre)
 {
     Deployment::Backend* busiest = nullptr;
@@ -100,7 +100,7 @@
         { milliseconds(2000), true, false },
         { milliseconds(150), false, false },
     }));
-    INFO("notice " << reclaim.notice_.count() << " ms, import refused " << reclaim.rejectsImport_);
+    INFO("notice " << reclaim.notice_.count() << " ms, import rejected " << reclaim.rejectsImport_);
     Deployment deployment(draftOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
     if (reclaim.rejectsImport_) {
@@ -111,12 +111,12 @@
     reclaimEngine(deployment, busiestEngine(deployment, "caxias-a"), reclaim.notice_);
     drafts.checkAll();
     double recomputed = deployment.metricOfAll("tokens_recomputed_total");
-    WARN("notice " << reclaim.notice_.count() << " ms, import refused " << reclaim.rejectsImport_ << ": " << recomputed << " tokens recomputed");
+    WARN("notice " << reclaim.notice_.count() << " ms, import rejected " << reclaim.rejectsImport_ << ": " << recomputed << " tokens recomputed");
     if (reclaim.mustNotRecompute_)
         CHECK(recomputed == 0);
 }
 
-TEST_CASE("drafts survive the sudden death of their engine")
+TEST_CASE("drafts survive a crash of their engine")
 {
     Deployment deployment(draftOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
@@ -125,7 +125,7 @@
     drafts.checkAll();
 }
 
-TEST_CASE("drafts survive the death of a node, whatever its role")
+TEST_CASE("drafts survive the loss of a node in any role")
 {
     enum class Victim {
         Dispatcher,
@@ -144,7 +144,8 @@
     }
     if (victim == Victim::FrozenEntry) {
         node->process_->freeze();
-        // Thawed once its replicas have taken over; its callers read from it still.
+        // The node resumes after its replicas have taken over; its callers still read
+        // from it.
         CHECK(waitUntil([&] {
             double takeovers = 0;
             for (auto& other : deployment.nodes())
@@ -160,7 +161,7 @@
         CHECK(deployment.metricOfAll("tokens_recomputed_total") == 0);
 }
 
-TEST_CASE("drafts survive the reclaim of a whole data centre at once")
+TEST_CASE("drafts survive the simultaneous reclaim of a complete data centre")
 {
     bool isAnnounced = GENERATE(true, false);
     Deployment deployment(draftOptions());
@@ -187,7 +188,7 @@
     WARN((isAnnounced ? "announced: " : "sudden: ") << deployment.metricOfAll("tokens_recomputed_total") << " tokens recomputed");
 }
 
-TEST_CASE("a home killed in the middle of its hand-over loses nothing")
+TEST_CASE("a dispatcher that is killed during its handover loses no draft")
 {
     Deployment deployment(draftOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
@@ -206,7 +207,7 @@
     drafts.checkAll();
 }
 
-TEST_CASE("a caller that does not stream fetches its answer after its entry is gone")
+TEST_CASE("a caller that does not stream fetches its answer after its entry VM is lost")
 {
     Deployment deployment(draftOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
@@ -246,7 +247,7 @@
     CHECK(checkAnswer(answer, completion) == "");
 }
 
-TEST_CASE("a cancel that comes late ends no newer attempt")
+TEST_CASE("a delayed cancel does not end a newer attempt")
 {
     DeploymentOptions options;
     options.dataCentres_ = { "caxias-a" };
@@ -263,7 +264,8 @@
     Completion paid { Deployment::apiKey("rede"), "planogram", "question", 5 };
     auto draft = std::async(std::launch::async, [=] { return streamCompletionBlocking(entry, trial); });
     REQUIRE(waitUntil([&] { return deployment.metricOfAll("tokens_delivered_total") > 10; }));
-    // Longer than a home waits for the engine's answer to a cancel.
+    // The delay exceeds the time that a dispatcher waits for the engine's answer to a
+    // cancel.
     Deployment::control(engine.endpoint_, { { "cancel_delay_ms", 2500 } });
     CHECK(streamCompletionBlocking(entry, paid).isDone_);
     Answer answer = draft.get();
--- a/test/Harness/CallerClient.cpp
+++ b/test/Harness/CallerClient.cpp
@@ -1,4 +1,4 @@
-//===- test/Harness/CallerClient.cpp - a caller of the system --------------===//
+//===- test/Harness/CallerClient.cpp - client of the entry VMs ------------===//
 ///
 /// \file
 /// See CallerClient.h.
@@ -215,7 +215,7 @@
         if (tokenRun == run)
             continue;
         if (endedRuns.contains(tokenRun))
-            return "run " + tokenRun + " comes back at " + std::to_string(i);
+            return "run " + tokenRun + " recurs at token " + std::to_string(i);
         endedRuns.insert(run);
         run = tokenRun;
     }
--- a/test/Harness/CallerClient.h
+++ b/test/Harness/CallerClient.h
@@ -1,4 +1,4 @@
-//===- test/Harness/CallerClient.h - a caller of the system ----------------===//
+//===- test/Harness/CallerClient.h - client of the entry VMs --------------===//
 ///
 /// \file
 /// Sends completions and service calls as a customer's program would, follows
@@ -10,7 +10,7 @@
 
 namespace pistachioloom::test {
 
-/// What a caller has of one streamed answer.
+/// What a caller has received of one streamed answer.
 struct Answer {
     int status_ = 0;
     std::string requestId_;
@@ -21,7 +21,7 @@
     bool isMoved_ = false;
     /// The connection broke before the answer's end.
     bool isBroken_ = false;
-    /// Times the caller was told to drop what it had.
+    /// Number of `restart` events; each discards the tokens received before it.
     int restarts_ = 0;
     std::optional<Error> error_;
     milliseconds timeToFirstToken_ {};
@@ -37,18 +37,18 @@
     std::uint64_t maxTokens_ = 20;
 };
 
-/// The body of \p completion as the API takes it.
+/// The JSON request body of \p completion.
 std::string completionBody(const Completion& completion, bool isStream);
 
-/// Reads a streamed answer until it ends, moves or breaks.
+/// Sends \p completion to \p entry and reads the stream until it ends, moves or breaks.
 asio::awaitable<Answer> streamCompletion(Endpoint entry, Completion completion);
-/// Goes on with \p answer at \p entry from its last event id.
+/// Resumes \p answer at \p entry after its last event id.
 asio::awaitable<Answer> resumeAnswer(Endpoint entry, std::string apiKey, Answer answer);
-/// Streams from the first of \p entries and, whenever the answer breaks off or
-/// moves, goes on at the next one, for \p timeout in all.
+/// Streams from the first of \p entries and resumes at the next one whenever the
+/// stream breaks or moves, until \p timeout has passed since the start.
 asio::awaitable<Answer> streamToEnd(std::vector<Endpoint> entries, Completion completion, milliseconds timeout);
 
-/// Blocking forms.
+/// Blocking variants.
 Answer streamCompletionBlocking(const Endpoint& entry, const Completion& completion);
 Answer streamToEndBlocking(const std::vector<Endpoint>& entries, const Completion& completion, milliseconds timeout);
 
@@ -57,15 +57,15 @@
     std::string body_;
     bool isReplayed_ = false;
     std::optional<Error> error_;
-    /// Whether the answer came from the system, as opposed to a broken connection.
+    /// True if the system answered; false if the connection broke.
     bool isAnswered_ = false;
 };
 
 ServiceCallResult callService(const Endpoint& entry, const std::string& apiKey, const std::string& path, const std::string& key, const std::string& body, milliseconds timeout = milliseconds(20000));
 
-/// Empty if \p answer is exactly the engine's sequence for \p completion:
-/// every position once, every token of this prompt, and sampling runs that
-/// follow one another without coming back. Otherwise what is wrong.
+/// Checks that \p answer is exactly the engine's sequence for \p completion: each
+/// position occurs once, each token belongs to this prompt, and no sampling run
+/// recurs after another one. \returns an empty string, or the first mismatch.
 std::string checkAnswer(const Answer& answer, const Completion& completion);
 
 } // namespace pistachioloom::test
--- a/test/Harness/DelayProxy.cpp
+++ b/test/Harness/DelayProxy.cpp
@@ -1,4 +1,4 @@
-//===- test/Harness/DelayProxy.cpp - a link whose bytes come late ------------===//
+//===- test/Harness/DelayProxy.cpp - proxy that delays responses ----------===//
 ///
 /// \file
 /// See DelayProxy.h.
@@ -79,7 +79,7 @@
     link->server_.shutdown(tcp::socket::shutdown_send, ignored);
 }
 
-/// The end of what the server sends comes as late as its bytes.
+/// Delays the end of the server's stream as much as its bytes.
 asio::awaitable<void> DelayProxy::pumpToCaller(std::shared_ptr<Link> link)
 {
     std::array<char, bufferSize> buffer {};
--- a/test/Harness/DelayProxy.h
+++ b/test/Harness/DelayProxy.h
@@ -1,8 +1,8 @@
-//===- test/Harness/DelayProxy.h - a link whose bytes come late --------------===//
+//===- test/Harness/DelayProxy.h - proxy that delays responses ------------===//
 ///
 /// \file
-/// A loopback relay that holds back what the server sends, its close included, as a
-/// full link does.
+/// A loopback TCP proxy that delays the server's bytes, and the close of its
+/// connection, as a saturated link does.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -14,7 +14,7 @@
 
 namespace pistachioloom::test {
 
-/// Relays to one server on a thread of its own.
+/// Forwards connections to one server on a thread of its own.
 class DelayProxy {
 public:
     explicit DelayProxy(Endpoint server);
@@ -23,7 +23,7 @@
     DelayProxy& operator=(const DelayProxy&) = delete;
 
     Endpoint endpoint() const;
-    /// What the server sends from now on arrives so much later.
+    /// Delays everything that the server sends from now on by \p delay.
     void setDelay(milliseconds delay) { delay_ = delay; }
 
 private:
--- a/test/Harness/Deployment.cpp
+++ b/test/Harness/Deployment.cpp
@@ -1,4 +1,4 @@
-//===- test/Harness/Deployment.cpp - a small deployment on loopback --------===//
+//===- test/Harness/Deployment.cpp - a small deployment on loopback -------===//
 ///
 /// \file
 /// See Deployment.h.
@@ -28,7 +28,7 @@
     {
         std::string pattern = (std::filesystem::temp_directory_path() / "pistachioloom-XXXXXX").string();
         if (!mkdtemp(pattern.data()))
-            throw std::runtime_error("no temporary directory");
+            throw std::runtime_error("cannot create a temporary directory");
         return pattern;
     }
 
@@ -94,7 +94,8 @@
             if (!listed.is_object())
                 return false;
             auto seen = objectsField(listed.as_object(), "nodes");
-            // Every node of the list, and live digests of our own data centre.
+            // The node must know every node of the list, and have live digests of
+            // all nodes of its own data centre.
             std::size_t digests = 0;
             for (const json::object& line : seen)
                 digests += line.contains("catalogue_offset") ? 1 : 0;
@@ -224,7 +225,7 @@
         if (candidate.id_ == id)
             return candidate;
     }
-    throw std::runtime_error("no node " + id);
+    throw std::runtime_error("unknown node " + id);
 }
 
 Deployment::Backend& Deployment::engine(const std::string& id)
@@ -233,7 +234,7 @@
         if (candidate.id_ == id)
             return candidate;
     }
-    throw std::runtime_error("no engine " + id);
+    throw std::runtime_error("unknown engine " + id);
 }
 
 std::vector<Endpoint> Deployment::callerEndpoints() const
--- a/test/Harness/Deployment.h
+++ b/test/Harness/Deployment.h
@@ -1,9 +1,9 @@
-//===- test/Harness/Deployment.h - a small deployment on loopback ----------===//
+//===- test/Harness/Deployment.h - a small deployment on loopback ---------===//
 ///
 /// \file
 /// Starts the stand-ins and a few daemons as processes with kernel-chosen
-/// ports. It fakes nothing itself: cuts, outages and leaving are caused at the
-/// stand-ins, kills and freezes at the processes.
+/// ports. It simulates nothing itself: the stand-ins cause partitions, outages
+/// and leaving, and signals kill or freeze the processes.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -20,11 +20,12 @@
 struct DeploymentOptions {
     std::vector<std::string> dataCentres_ { "caxias-a", "caxias-b", "bento-c" };
     std::size_t nodesPerDataCentre_ = 3;
-    /// Engines of each data centre, by the model they serve.
+    /// Number of engines in each data centre, by the model they serve.
     std::map<std::string, std::size_t> enginesPerDataCentre_ { { "planogram", 1 } };
     std::size_t servicesPerDataCentre_ = 0;
     std::vector<std::string> engineArguments_;
-    /// Peers of other data centres are reached through relays that can be cut.
+    /// Nodes reach peers in other data centres through proxies that can simulate
+    /// a network partition.
     bool hasProxies_ = false;
     /// YAML sections added to every node's settings.
     std::string settings_;
@@ -56,46 +57,47 @@
     std::vector<Backend>& engines() { return engines_; }
     std::vector<Backend>& services() { return services_; }
     Backend& engine(const std::string& id);
-    /// The node that lists \p engine among its own, or nullptr.
+    /// The node that dispatches to \p engine, or nullptr if there is none.
     NodeProcess* dispatcherOf(const std::string& engine);
     const Endpoint& platform() const { return platform_; }
     Process& platformProcess() { return *platformProcess_; }
     std::vector<Endpoint> callerEndpoints() const;
 
-    /// Starts one more node (its VM is put on the list).
+    /// Starts one more node and adds its VM to the VM list.
     NodeProcess& startNode(const std::string& id, const std::string& dataCentre);
-    /// Starts a node anew under its old id, with new ports.
+    /// Starts a node again under the same id, with new ports.
     void restartNode(NodeProcess& node);
     Backend& startEngine(const std::string& id, const std::string& dataCentre, const std::string& model);
 
-    /// Cuts or heals \p dataCentre from the other data centres, both ways. Only
-    /// with `hasProxies_`.
+    /// Partitions \p dataCentre from the other data centres in both directions, or
+    /// heals the partition. Has an effect only with `hasProxies_`.
     void partitionDataCentre(const std::string& dataCentre, bool isPartitioned);
 
-    /// Sends \p body to a stand-in's control and returns what it tells.
+    /// Sends \p body to the control endpoint of \p standin. \returns its state.
     static boost::json::object control(const Endpoint& standin, const boost::json::object& body = {});
     boost::json::object controlPlatform(const boost::json::object& body = {}) { return control(platform_, body); }
-    /// Tells the platform to announce a reclaim of \p vm.
+    /// Makes the platform announce a reclaim of \p vm.
     void announceReclaim(const std::string& vm, milliseconds notice);
-    /// Takes \p vm off the VM list.
+    /// Removes \p vm from the VM list.
     void removeVm(const std::string& vm);
 
-    /// Runs the tool against \p node. \returns exit code and output.
+    /// Runs pistachioloomctl against \p node. \returns its exit code and output.
     std::pair<int, std::string> runTool(const NodeProcess& node, const std::vector<std::string>& arguments) const;
-    /// Applies \p yaml by the tool and waits until every node has it.
+    /// Applies \p yaml with pistachioloomctl and waits until every node has it.
     void applyCatalogue(const std::string& yaml);
     /// Waits until every running node has the catalogue's newest record.
     bool waitForCatalogue(milliseconds timeout);
-    /// GET \p target at the operator port of \p node; null if it fails.
+    /// Fetches \p target from the operator port of \p node. \returns null on failure.
     boost::json::value query(const NodeProcess& node, const std::string& target) const;
-    /// One sample of \p metric at \p node, or -1.
+    /// The value of \p metric at \p node, or -1 if it is unavailable.
     double metric(const NodeProcess& node, const std::string& metric) const;
+    /// The sum of \p metric over all running nodes.
     double metricOfAll(const std::string& metric) const;
     const std::string& directory() const { return directory_; }
 
-    /// The catalogue most tests use: `rede` (paid) and `visitante` (trial) with
-    /// keys of those names, every model and the services `labels` (may not be
-    /// repeated) and `records` (may be).
+    /// The catalogue that most tests use: the workloads `rede` (paid) and `visitante`
+    /// (trial) with the keys that apiKey() returns, every model, and the services
+    /// `labels` (not repeatable) and `records` (repeatable).
     static std::string standardCatalogue();
     static std::string apiKey(const std::string& entry) { return "key-of-" + entry; }
 
@@ -112,7 +114,7 @@
     std::vector<NodeProcess> nodes_;
     std::vector<Backend> engines_;
     std::vector<Backend> services_;
-    /// By the pair of data centres, from and to.
+    /// Proxies by pair of data centres: source and destination.
     std::map<std::pair<std::string, std::string>, std::unique_ptr<TcpProxySet>> proxies_;
 };
 
--- a/test/Harness/Process.cpp
+++ b/test/Harness/Process.cpp
@@ -1,4 +1,4 @@
-//===- test/Harness/Process.cpp - child processes of tests -----------------===//
+//===- test/Harness/Process.cpp - child processes of tests ----------------===//
 ///
 /// \file
 /// See Process.h.
@@ -32,12 +32,13 @@
         int output_ = -1;
     };
 
-    /// Both outputs go to \p file, or to the pipe if it is empty.
+    /// Starts \p program. Standard output and standard error go to \p file, or to the
+    /// pipe if \p file is empty.
     Spawned spawn(const std::string& program, const std::vector<std::string>& arguments, const std::string& file)
     {
         int pipeEnds[2];
         if (pipe2(pipeEnds, O_CLOEXEC))
-            throw std::runtime_error("no pipe");
+            throw std::runtime_error("cannot create a pipe");
         posix_spawn_file_actions_t actions;
         posix_spawn_file_actions_init(&actions);
         if (file.empty())
@@ -66,14 +67,14 @@
     return std::string(PISTACHIOLOOM_PROGRAMS) + "/" + name;
 }
 
-/// The line of bound ports among those that \p file got after \p from.
+/// The object of bound ports among the lines of \p file after offset \p from.
 static std::optional<boost::json::object> findPorts(const std::string& file, std::streamoff from)
 {
     std::ifstream input(file);
     input.seekg(from);
     std::string line;
     while (std::getline(input, line)) {
-        // Log lines are text, or JSON with a message.
+        // Log lines are plain text, or JSON objects with a message.
         auto object = parseJsonObject(line);
         if (object && !object->contains("message") && !input.eof())
             return object;
@@ -83,8 +84,8 @@
 
 Process::Process(const std::string& program, const std::vector<std::string>& arguments, const std::string& logFile)
 {
-    std::ifstream before(logFile, std::ios::ate);
-    std::streamoff from = before ? static_cast<std::streamoff>(before.tellg()) : 0;
+    std::ifstream existingLog(logFile, std::ios::ate);
+    std::streamoff from = existingLog ? static_cast<std::streamoff>(existingLog.tellg()) : 0;
     Spawned spawned = spawn(program, arguments, logFile);
     close(spawned.output_);
     id_ = spawned.id_;
@@ -123,7 +124,7 @@
     for (const auto& task : std::filesystem::directory_iterator("/proc/" + std::to_string(process) + "/task", code)) {
         std::ifstream file(task.path() / "stat");
         std::string stat((std::istreambuf_iterator<char>(file)), {});
-        // The state follows the name, which is in brackets and may hold any character.
+        // The state follows the name, which is in brackets and may contain any character.
         std::size_t name = stat.rfind(')');
         if (name == std::string::npos || name + 2 >= stat.size() || stat[name + 2] != 'T')
             return false;
@@ -134,7 +135,7 @@
 void Process::freeze() const
 {
     signal(SIGSTOP);
-    // The signal takes effect a moment later, in which the process may still read.
+    // SIGSTOP takes effect after a short delay, in which the process may still read.
     (void)waitUntil([this] { return isStopped(id_); }, freezeTimeout);
 }
 
@@ -170,8 +171,8 @@
 {
     std::ifstream stat("/proc/" + std::to_string(id_) + "/stat");
     std::string field;
-    // Fields 14 and 15, user and system time in clock ticks; the name in field
-    // 2 has no blanks in our programs.
+    // Fields 14 and 15 are the user and system time in clock ticks. The name in field
+    // 2 has no blanks in this project's programs.
     constexpr int fieldsBefore = 13;
     for (int i = 0; i < fieldsBefore; ++i)
         stat >> field;
--- a/test/Harness/TcpProxySet.cpp
+++ b/test/Harness/TcpProxySet.cpp
@@ -1,4 +1,4 @@
-//===- test/Harness/TcpProxySet.cpp - a connection that can be cut ---------------===//
+//===- test/Harness/TcpProxySet.cpp - proxies that can be partitioned -----===//
 ///
 /// \file
 /// See TcpProxySet.h.
--- a/test/Harness/TcpProxySet.h
+++ b/test/Harness/TcpProxySet.h
@@ -1,8 +1,8 @@
-//===- test/Harness/TcpProxySet.h - a connection that can be cut -----------------===//
+//===- test/Harness/TcpProxySet.h - proxies that can be partitioned -------===//
 ///
 /// \file
-/// Forwards TCP connections until it is cut, so a test can part two data
-/// centres without touching the machine's network.
+/// Forwards TCP connections and can break them all, so that a test can partition
+/// two data centres without a change to the machine's network.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -15,7 +15,7 @@
 
 namespace pistachioloom::test {
 
-/// Relays from one data centre to nodes of others, all on one thread.
+/// Proxies from one data centre to nodes of another, all on one thread.
 class TcpProxySet {
 public:
     TcpProxySet();
@@ -23,11 +23,12 @@
     TcpProxySet(const TcpProxySet&) = delete;
     TcpProxySet& operator=(const TcpProxySet&) = delete;
 
-    /// Listens on a port of its own and forwards to \p target. \returns the port.
+    /// Listens on a new port and forwards to \p target. \returns the port.
     std::uint16_t add(const Endpoint& target);
-    /// Breaks every connection and takes no new one until healed.
+    /// Breaks every connection. While \p isPartitioned is set, new connections are
+    /// closed as well.
     void setPartitioned(bool isPartitioned);
-    /// From now on what goes to a target arrives so much later.
+    /// Delays everything that callers send to a target from now on by \p delay.
     void setDelay(milliseconds delay);
 
 private:
--- a/test/IdleConnectionsTest.cpp
+++ b/test/IdleConnectionsTest.cpp
@@ -1,8 +1,8 @@
-//===- test/IdleConnectionsTest.cpp - kept connections of callers, late -----===//
+//===- test/IdleConnectionsTest.cpp - idle connections on delayed links ---===//
 ///
 /// \file
-/// A caller's next request and the end of its connection's idle time, while the
-/// link between them is late.
+/// A caller sends its next request near the idle timeout of its connection while
+/// the link delays the node's bytes.
 //===----------------------------------------------------------------------===//
 #include "Harness/DelayProxy.h"
 #include "Platform/GatewayDeployment.h"
@@ -18,8 +18,8 @@
 
 namespace {
 
-/// A caller that keeps its connection as HTTP/1.1 asks: until the time that the
-/// server announced, or until it sees the end.
+/// A caller that reuses its connection as HTTP/1.1 specifies: until the timeout that
+/// the server announced, or until it sees the close.
 class KeepAliveCaller {
 public:
     explicit KeepAliveCaller(Endpoint server)
@@ -27,7 +27,7 @@
     {
     }
 
-    /// Sends one request and returns the answer; empty if there was none.
+    /// Sends one request. \returns the answer, or an empty string if there was none.
     std::string call(const HttpRequest& request)
     {
         if (!mayReuse())
@@ -97,13 +97,12 @@
 
 } // namespace
 
-// A node closed callers' connections at the end of their idle time and said nothing
-// before. Its close waited behind other bytes in a full link, so a caller whose connection
-// still looked open sent its next request; the node read it, and threw it away. In the logs
-// of a run with a configuration of 4,240 routes: "Closed by this node", reason idle, idle_ms
-// 15000, held 2242, 0.5 s after the close was sent; the caller saw the connection end
-// without an answer.
-TEST_CASE("a caller's next request is answered while its link is late", "[idle]")
+// Guards against lost requests on idle connections. A node that closes them without an
+// announced timeout sends its close behind other bytes of a saturated link. The caller still
+// sees an open connection and sends its next request, which the node reads and discards; the
+// connection ends without an answer. Observed with a configuration of 4,240 routes: the node
+// logged "Closed by this node" (reason idle, idle_ms 15000, held 2242) 0.5 s after its close.
+TEST_CASE("a caller's next request is answered while its link is delayed", "[idle]")
 {
     struct Row {
         const char* name_;
@@ -111,11 +110,11 @@
         milliseconds pause_;
         int connections_;
     };
-    // The idle limit of the deployment is 5 s.
+    // The idle timeout of the deployment is 5 s.
     auto row = GENERATE(values<Row>({
-        { "within the time that may be used", milliseconds(600), milliseconds(3700), 1 },
-        { "while the close is on its way", milliseconds(600), milliseconds(5200), 2 },
-        { "after a close that came in time", milliseconds(0), milliseconds(5200), 2 },
+        { "within the announced timeout", milliseconds(600), milliseconds(3700), 1 },
+        { "while the close is in transit", milliseconds(600), milliseconds(5200), 2 },
+        { "after a close that arrived without delay", milliseconds(0), milliseconds(5200), 2 },
     }));
     CAPTURE(row.name_);
     GatewayDeployment deployment(1);
@@ -129,12 +128,12 @@
     CHECK(caller.connections() == row.connections_);
 }
 
-TEST_CASE("a lower idle limit holds for connections whose callers were told of it", "[idle]")
+TEST_CASE("a lower idle timeout applies only to connections whose callers have received it", "[idle]")
 {
     GatewayDeployment deployment(1);
     deployment.standard();
     KeepAliveCaller caller(deployment.gateways()[0].callers_);
-    // The request is admitted under the limit of 5 s, and its answer announces that.
+    // The request is admitted under the timeout of 5 s, which its answer announces.
     deployment.disturbAll({ { "delay_ms", 1000 } });
     std::thread operators([&] {
         std::this_thread::sleep_for(milliseconds(300));
@@ -152,7 +151,7 @@
     CHECK(caller.connections() == 2);
 }
 
-TEST_CASE("a request that comes after the end of the idle time stays unread", "[idle]")
+TEST_CASE("a request that arrives after the idle timeout is not read", "[idle]")
 {
     GatewayDeployment deployment(1);
     deployment.standard();
@@ -160,7 +159,7 @@
     boost::asio::io_context io;
     tcp::socket socket(io);
     socket.connect({ boost::asio::ip::make_address(gateway.callers_.host_), gateway.callers_.port_ });
-    // The idle limit of 5 s; a caller that takes no heed of closes.
+    // The wait exceeds the idle timeout of 5 s; the caller ignores the close.
     std::this_thread::sleep_for(milliseconds(5200));
     double accepted = deployment.metric(gateway, "requests_accepted_total");
     boost::system::error_code code;
@@ -172,7 +171,7 @@
     CHECK(lines.find("Connection ends with unanswered bytes.") == std::string::npos);
 }
 
-TEST_CASE("a request that came in time is answered by a node that was frozen at the idle limit", "[idle]")
+TEST_CASE("a request that arrived in time is answered by a node that was frozen at the idle timeout", "[idle]")
 {
     GatewayDeployment deployment(1);
     deployment.standard();
--- a/test/KeptConnectionsTest.cpp
+++ b/test/KeptConnectionsTest.cpp
@@ -1,8 +1,8 @@
-//===- test/KeptConnectionsTest.cpp - connections closed while in use -------===//
+//===- test/KeptConnectionsTest.cpp - closes of keep-alive connections ----===//
 ///
 /// \file
-/// A server closes a kept connection after an idle time. A request that is on its
-/// way at that moment is lost, and one that may run only once cannot be repeated.
+/// A server closes a keep-alive connection after its idle timeout. A request that is
+/// in transit at that moment is lost, and a run-once request cannot be repeated.
 //===----------------------------------------------------------------------===//
 #include "Harness/TcpProxySet.h"
 #include "Platform/GatewayDeployment.h"
@@ -22,8 +22,8 @@
 
 constexpr const char* backendId = "p-1";
 
-/// A caller that keeps its connection, so that one worker of the node, with its own
-/// connections to backend servers, gets all its requests.
+/// A caller that keeps its connection open, so that a single worker of the node, with
+/// its own connections to backend servers, gets all its requests.
 class KeepAliveCaller {
 public:
     explicit KeepAliveCaller(const Endpoint& endpoint)
@@ -32,8 +32,7 @@
         socket_.connect({ boost::asio::ip::make_address(endpoint.host_), endpoint.port_ });
     }
 
-    /// Sends a request that may run only once. \returns its status; 0 if the
-    /// connection broke.
+    /// Sends a run-once request. \returns its status, or 0 if the connection broke.
     unsigned callOnce(const std::string& id)
     {
         HttpRequest wanted = gatewayRequest("POST", "/once/x", id);
@@ -55,7 +54,7 @@
     boost::beast::flat_buffer buffer_;
 };
 
-/// Starts the only backend server, which states \p idleTimeout, behind \p proxy.
+/// Starts the only backend server, which announces \p idleTimeout, behind \p proxy.
 void startBackendBehind(GatewayDeployment& deployment, TcpProxySet& proxy, std::chrono::seconds idleTimeout)
 {
     deployment.putConfiguration(1);
@@ -70,7 +69,7 @@
 
 } // namespace
 
-TEST_CASE("a request late in the idle time of a backend server does not cross its close", "[gateway]")
+TEST_CASE("a request near the idle timeout of a backend server is not lost to its close", "[gateway]")
 {
     constexpr std::chrono::seconds idleTimeout { 4 };
     constexpr milliseconds delay { 500 };
@@ -79,8 +78,8 @@
         milliseconds pause_;
     };
     auto row = GENERATE(values<Row>({
-        { "in time on the kept connection", milliseconds(2500) },
-        { "sent before the close, there after it", milliseconds(3600) },
+        { "in time on the open connection", milliseconds(2500) },
+        { "sent before the close, would arrive after it", milliseconds(3600) },
         { "after the close", milliseconds(4200) },
     }));
     CAPTURE(row.name_);
--- a/test/LeavingTest.cpp
+++ b/test/LeavingTest.cpp
@@ -1,8 +1,8 @@
-//===- test/LeavingTest.cpp - leaving back ends and graceful stops ---------===//
+//===- test/LeavingTest.cpp - leaving backend servers, graceful stops -----===//
 ///
 /// \file
-/// A backend server that leaves gets no new work within two seconds of the
-/// first notice from any source; an entry VM that stops cuts nothing off.
+/// A leaving backend server gets no new work from two seconds after the first notice
+/// of any source. A planned stop of an entry VM interrupts no request.
 //===----------------------------------------------------------------------===//
 #include "Harness/Deployment.h"
 
@@ -40,7 +40,7 @@
     return numberField(Deployment::control(engine.endpoint_), "started");
 }
 
-/// Sends questions through every node until stopped. \returns failures.
+/// Sends questions through every node in turn until stopped.
 class BackgroundLoad {
 public:
     explicit BackgroundLoad(const std::vector<Endpoint>& entries)
@@ -49,6 +49,7 @@
     }
     ~BackgroundLoad() { stop(); }
 
+    /// Ends the load. \returns the number of failed questions.
     int stop()
     {
         isStopped_ = true;
@@ -82,7 +83,7 @@
 
 } // namespace
 
-TEST_CASE("a leaving engine gets no new work two seconds after the first notice")
+TEST_CASE("a leaving engine gets no new work from two seconds after the first notice")
 {
     auto source = GENERATE(NoticeSource::CloudNotice, NoticeSource::VmList, NoticeSource::OwnRejection, NoticeSource::CloudNoticeWhilePartitioned);
     INFO("source " << static_cast<int>(source));
@@ -118,7 +119,7 @@
     CHECK(load.stop() == 0);
 }
 
-TEST_CASE("a planned stop of an entry VM under load cuts nothing off")
+TEST_CASE("a planned stop of an entry VM under load interrupts no request")
 {
     auto options = twoEngines();
     options.servicesPerDataCentre_ = 1;
@@ -129,8 +130,8 @@
     for (auto& service : deployment.services())
         Deployment::control(service.endpoint_, { { "delay_ms", 300 } });
 
-    // Long streams through the leaving node and through others (whose engines'
-    // home it may be), and service calls in flight.
+    // Long streams through the leaving node and through others (whose engines it may
+    // dispatch to), and service calls in flight.
     std::vector<std::future<Answer>> streams;
     std::vector<Completion> completions;
     for (int i = 0; i < 24; ++i)
@@ -153,7 +154,7 @@
         CHECK(deployment.runTool(leaving, { "drain" }).first == 0);
     else
         leaving.process_->signal(SIGTERM);
-    // Readiness goes off first, while callers that the balancer still sends are served.
+    // Readiness ends first; callers that the load balancer still sends are served.
     HttpRequest ready { "GET", "/readyz", {}, {} };
     CHECK(waitUntil([&] {
         auto response = callHttpBlocking(leaving.callers_, ready, milliseconds(1000));
@@ -172,7 +173,7 @@
     CHECK(load.stop() == 0);
 }
 
-TEST_CASE("a request taken over gives back no place that it did not take")
+TEST_CASE("a request that is handed over does not release capacity that it did not take")
 {
     DeploymentOptions options;
     options.dataCentres_ = { "caxias-a", "caxias-b" };
@@ -201,9 +202,9 @@
     CHECK(second.get().isDone_);
 }
 
-TEST_CASE("a stop with less time than its streams need hands them over whole")
+TEST_CASE("a stop with less time than its streams need hands them over completely")
 {
-    // A successor may reach the engine long after the old owner let go.
+    // A successor may attach to the engine long after the old owner has released it.
     auto attachDelay = GENERATE(milliseconds(0), milliseconds(300));
     INFO("attaching takes " << attachDelay.count() << " ms more");
     auto options = twoEngines();
@@ -231,8 +232,8 @@
         CHECK(answer.restarts_ == 0);
         CHECK(checkAnswer(answer, completions[i]) == "");
     }
-    // Handed over, not found missing by their replicas; and the engines' streams
-    // went on under their new homes.
+    // The streams were handed over, not taken over by replicas that found them
+    // missing, and the engines' streams continued under their new dispatchers.
     CHECK(deployment.metricOfAll("takeovers_total") == 0);
     CHECK(deployment.metricOfAll("tokens_recomputed_total") == 0);
 }
--- a/test/LimitsTest.cpp
+++ b/test/LimitsTest.cpp
@@ -1,8 +1,8 @@
-//===- test/LimitsTest.cpp - limits across nodes and data centres ----------===//
+//===- test/LimitsTest.cpp - limits across nodes and data centres ---------===//
 ///
 /// \file
-/// An organisation's limits hold over all nodes together, and all of a limit
-/// can be used from any data centre.
+/// An organisation's limits hold over all nodes together, and the full limit can be
+/// used from any data centre.
 //===----------------------------------------------------------------------===//
 #include "Harness/Deployment.h"
 
@@ -17,8 +17,8 @@
 
 constexpr std::uint64_t maxInProgress = 30;
 constexpr std::uint64_t tokensPerSecond = 2000;
-// That all of a limit can be used is waited for: a busy machine may need more
-// than one round of a crowd to show it. That it holds is wanted of every round.
+// Only one round of load must reach the full limit, since a busy machine may need
+// more than one for it. The limit must hold in every round.
 constexpr int maxRounds = 4;
 
 std::string limitedCatalogue(const std::string& limits)
@@ -36,8 +36,8 @@
     return options;
 }
 
-/// Callers at several entry VMs who ask again as soon as they are answered, and
-/// come back after a pause when they are refused, until the time is over.
+/// Callers at several entry VMs that send the next request as soon as they are
+/// answered, or after a pause when they are rejected, until the duration is over.
 struct LoadGenerator {
     std::vector<Endpoint> entries_;
     std::size_t callers_ = 0;
@@ -124,14 +124,14 @@
         auto outcome = load.run();
         isOver = true;
         watcher.join();
-        WARN((usesOneDataCentre ? "from one: " : "from all: ") << peak << " at once of " << maxInProgress << ", " << outcome.answered_ << " answered, " << outcome.rejected_ << " refused");
+        WARN((usesOneDataCentre ? "from one: " : "from all: ") << peak << " concurrent of " << maxInProgress << ", " << outcome.answered_ << " answered, " << outcome.rejected_ << " rejected");
         CHECK(outcome.broken_ == 0);
     }
     CHECK(peak <= maxInProgress);
     CHECK(peak >= maxInProgress * 9 / 10);
 }
 
-TEST_CASE("a limit on tokens a second holds over all nodes and can be used from one data centre")
+TEST_CASE("a limit on tokens per second holds over all nodes and can be used from one data centre")
 {
     bool usesOneDataCentre = GENERATE(true, false);
     INFO((usesOneDataCentre ? "from one data centre" : "from all"));
@@ -148,15 +148,15 @@
         auto outcome = load.run();
         double elapsed = std::chrono::duration<double>(steadyNow() - startedAt).count();
         rate = static_cast<double>(outcome.tokens_ - std::min(outcome.tokens_, tokensPerSecond)) / elapsed;
-        WARN((usesOneDataCentre ? "from one: " : "from all: ") << rate << " tokens a second beyond the burst, of " << tokensPerSecond);
+        WARN((usesOneDataCentre ? "from one: " : "from all: ") << rate << " tokens per second beyond the burst, of " << tokensPerSecond);
         CHECK(outcome.broken_ == 0);
-        // Whole requests are admitted, so a little more may be on its way at the end.
+        // Requests are admitted as a unit, so slightly more tokens may be pending at the end.
         CHECK(rate <= 1.1 * tokensPerSecond);
     }
     CHECK(rate >= 0.85 * tokensPerSecond);
 }
 
-TEST_CASE("a keeper that was frozen and replaced exceeds a limit by no more than a share")
+TEST_CASE("a limit is exceeded by at most one share when its coordinator is frozen and replaced")
 {
     auto options = sixNodeOptions();
     options.nodesPerDataCentre_ = 3;
@@ -193,7 +193,7 @@
     auto outcome = load.run();
     isOver = true;
     watcher.join();
-    WARN(peak << " at once of " << maxInProgress << ", " << outcome.answered_ << " answered, " << outcome.broken_ << " broken");
+    WARN(peak << " concurrent of " << maxInProgress << ", " << outcome.answered_ << " answered, " << outcome.broken_ << " broken");
     CHECK(peak <= maxInProgress + maxInProgress / 3);
     CHECK(peak >= maxInProgress * 9 / 10);
     CHECK(outcome.answered_ > 200);
--- a/test/OrdersTest.cpp
+++ b/test/OrdersTest.cpp
@@ -1,8 +1,8 @@
-//===- test/OrdersTest.cpp - orders to engines -----------------------------===//
+//===- test/OrdersTest.cpp - orders to engines ----------------------------===//
 ///
 /// \file
-/// A new version in the catalogue rolls through the engines without a request
-/// lost, and an order of a home that was replaced never undoes a newer one.
+/// A new version in the catalogue is rolled out to the engines without a lost request,
+/// and an order of a replaced dispatcher never undoes a newer one.
 //===----------------------------------------------------------------------===//
 #include "Harness/Deployment.h"
 
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("a new version rolls through the engines and loses no request")
+TEST_CASE("a new version is rolled out to the engines without a lost request")
 {
     DeploymentOptions options;
     options.dataCentres_ = { "caxias-a", "caxias-b" };
@@ -86,7 +86,7 @@
         CHECK(counterOf(engine, "obeyed_while_active") == 0);
         CHECK(counterOf(engine, "started_while_loading") == 0);
     }
-    // Once settled, every engine works again.
+    // After the roll-out every engine accepts work again.
     CHECK(waitUntil([&] {
         std::size_t settled = 0;
         for (auto& node : deployment.nodes()) {
@@ -98,7 +98,7 @@
     }));
 }
 
-TEST_CASE("an order that arrives after its home was replaced undoes nothing")
+TEST_CASE("an order that arrives after its dispatcher was replaced does not undo a newer one")
 {
     bool honoursFencing = GENERATE(true, false);
     INFO("engine honours fencing tokens: " << honoursFencing);
@@ -121,7 +121,7 @@
     std::ofstream(deployment.directory() + "/v3.yaml") << engineEntry("v3", honoursFencing);
     REQUIRE(deployment.runTool(other, { "catalogue", "apply", deployment.directory() + "/v3.yaml" }).first == 0);
     CHECK(waitUntil([&] { return versionOf(engine) == "v3"; }, rolloutTimeout));
-    // The late order has been dealt with, one way or the other.
+    // The delayed order has been either obeyed or rejected.
     CHECK(waitUntil([&] { return counterOf(engine, "stale_refused") + counterOf(engine, "orders_obeyed") >= 2; }, rolloutTimeout));
     CHECK(waitUntil([&] { return versionOf(engine) == "v3" && !counterOf(engine, "loading"); }));
     CHECK(counterOf(engine, "stale_obeyed") == 0);
--- a/test/PlatformFleetTest.cpp
+++ b/test/PlatformFleetTest.cpp
@@ -1,8 +1,8 @@
-//===- test/PlatformFleetTest.cpp - gateways as a fleet, whole processes ---===//
+//===- test/PlatformFleetTest.cpp - a fleet of gateways -------------------===//
 ///
 /// \file
-/// What several gateways know of each other, and what becomes of callers and
-/// duties when one of them stops or is lost.
+/// Runs whole gateways: what they know of each other, and what happens to callers
+/// and duties when one of them stops or is lost.
 //===----------------------------------------------------------------------===//
 #include "Platform/GatewayDeployment.h"
 
@@ -22,7 +22,7 @@
 
 constexpr milliseconds waitLimit { 15000 };
 
-/// A caller that keeps its connection.
+/// A caller that keeps its connection open.
 class KeepAliveCaller {
 public:
     explicit KeepAliveCaller(const Endpoint& endpoint)
@@ -31,7 +31,7 @@
         socket_.connect({ boost::asio::ip::make_address(endpoint.host_), endpoint.port_ });
     }
 
-    /// Sends one request and reads its answer; nullopt if the connection ended.
+    /// Sends one request. \returns its answer, or nullopt if the connection ended.
     std::optional<boost::beast::http::response<boost::beast::http::string_body>> call(const std::string& id)
     {
         namespace http = boost::beast::http;
@@ -55,7 +55,7 @@
 
 } // namespace
 
-TEST_CASE("in a large fleet relays tell every node of all others, also after some are lost", "[gateway]")
+TEST_CASE("in a large fleet every node learns of all others through relays, also after relays are lost", "[gateway]")
 {
     GatewayDeploymentOptions options;
     options.count_ = 6;
@@ -72,9 +72,9 @@
     };
     CHECK(allKnow(0, 5));
 
-    // The small organisation has one request, and half of one a second. Each node
-    // may admit one before it hears of the others.
-    auto begin = steadyNow();
+    // The small organisation may send a burst of one request and 0.5 requests per
+    // second. Each node may admit one before it receives the others' reports.
+    auto startedAt = steadyNow();
     int admitted = 0;
     for (int round = 0; round < 30; ++round) {
         for (auto& gateway : deployment.gateways()) {
@@ -84,24 +84,24 @@
         }
         std::this_thread::sleep_for(milliseconds(100));
     }
-    double seconds = std::chrono::duration<double>(steadyNow() - begin).count();
+    double seconds = std::chrono::duration<double>(steadyNow() - startedAt).count();
     CHECK(admitted >= 1);
     CHECK(admitted <= 6 + 1 + 0.5 * seconds);
 
-    // One node of each data centre, a relay perhaps.
+    // One node of each data centre, which may be a relay.
     for (std::size_t i : { 0U, 1U })
         deployment.gateways()[i].process_->kill();
     CHECK(allKnow(2, 3));
     CHECK(deployment.call(deployment.gateways()[2], gatewayRequest("GET", "/safe/x", "after")).status_ == 200);
 }
 
-TEST_CASE("kept connections are served through a stop, and closed only after saying so", "[gateway]")
+TEST_CASE("keep-alive connections are served during a stop, and closed only after an announcement", "[gateway]")
 {
     GatewayDeployment deployment(1);
     deployment.standard();
     auto& gateway = deployment.gateways()[0];
     deployment.disturbAll({ { "delay_ms", 100 } });
-    // Callers that never stop asking, on connections from before the stop.
+    // Callers that send requests all the time, on connections from before the stop.
     std::atomic<bool> isStopping { false };
     std::atomic<int> answeredWhileStopping { 0 };
     std::atomic<int> unanswered { 0 };
@@ -131,7 +131,7 @@
     CHECK(answeredWhileStopping >= 6);
 }
 
-TEST_CASE("a holder of the duties that stops is succeeded while it still drains", "[gateway]")
+TEST_CASE("a stopping holder of the duties gets a successor while it still drains", "[gateway]")
 {
     GatewayDeployment deployment(3);
     deployment.standard();
@@ -145,7 +145,7 @@
     };
     REQUIRE(waitUntil([&] { return holderOf() < gateways.size(); }, waitLimit));
     std::size_t first = holderOf();
-    // A long stream holds the stopping node for all of its grace time of 3 s.
+    // A long stream keeps the stopping node running for its full grace time of 3 s.
     deployment.disturbAll({ { "events", 1000 } });
     std::thread caller([&] { (void)deployment.call(gateways[first], gatewayRequest("POST", "/ask/stream", "long")); });
     REQUIRE(waitUntil([&] { return deployment.metric(gateways[first], "requests_running") > 0; }, waitLimit));
--- a/test/PlatformGatewayTest.cpp
+++ b/test/PlatformGatewayTest.cpp
@@ -1,8 +1,8 @@
-//===- test/PlatformGatewayTest.cpp - transparent requests, whole processes ===//
+//===- test/PlatformGatewayTest.cpp - transparent requests ----------------===//
 ///
 /// \file
-/// Gateways before a stand-in of the users' platform: what reaches backend
-/// servers, what callers get, and what failures may not change.
+/// Runs whole gateways with a stand-in of the users' platform: what reaches backend
+/// servers, what callers receive, and what failures must not change.
 //===----------------------------------------------------------------------===//
 #include "Platform/GatewayDeployment.h"
 
@@ -41,7 +41,7 @@
     return events;
 }
 
-/// A connection that sends bytes as they are and reads to its end.
+/// A connection that sends raw bytes and reads until a text or its end.
 class RawConnection {
 public:
     explicit RawConnection(const Endpoint& endpoint)
@@ -74,7 +74,7 @@
 
 } // namespace
 
-TEST_CASE("a request reaches its service unchanged, with what the system sets", "[gateway]")
+TEST_CASE("a request reaches its service unchanged except for the headers that the system sets", "[gateway]")
 {
     GatewayDeployment deployment(2);
     CHECK_FALSE(deployment.isReady(deployment.gateways()[0]));
@@ -106,7 +106,7 @@
     CHECK(remainingMs > 1000);
 }
 
-TEST_CASE("what the configuration does not allow is refused", "[gateway]")
+TEST_CASE("requests that the configuration does not allow are rejected", "[gateway]")
 {
     GatewayDeployment deployment(1);
     deployment.standard();
@@ -136,7 +136,7 @@
     CHECK(runsOf(deployment, "") == 0);
 }
 
-TEST_CASE("what may run once runs once, and is not called refused after it ran", "[gateway]")
+TEST_CASE("a run-once request runs once, and is not reported as rejected after it ran", "[gateway]")
 {
     GatewayDeployment deployment(1);
     deployment.standard();
@@ -145,7 +145,7 @@
     HttpResponse once = deployment.call(gateway, gatewayRequest("POST", "/once/x", "once-1"));
     CHECK(once.status_ == 502);
     CHECK(runsOf(deployment, "once-1") == 1);
-    // One that may be repeated is, at another backend server.
+    // A repeatable request is repeated at another backend server.
     deployment.backend("p-1", { { "lose_answers", 0 } });
     deployment.backend("p-2", { { "lose_answers", 0 } });
     deployment.backend("p-1", { { "other_id", 1 } });
@@ -162,13 +162,13 @@
     CHECK(deployment.call(gateway, gatewayRequest("POST", "/once/x", "once-3")).status_ == 502);
 }
 
-TEST_CASE("a slow backend server has all the time left when there is no other to try", "[gateway]")
+TEST_CASE("the last attempt at a slow backend server may use all of the remaining time", "[gateway]")
 {
     GatewayDeployment deployment(1);
     deployment.standard();
-    // The first try is given up after 0.4 of 5,000 ms. The second needs 2,500 of the
-    // 3,000 ms left, far beyond 0.4 of them: it answers only if it may use them all.
-    // Either bound is 500 ms away, so that a slow machine does not decide.
+    // The first attempt is cancelled after 0.4 of 5,000 ms. The second needs 2,500 of the
+    // remaining 3,000 ms, far more than 0.4 of them, so it answers only if it may use all
+    // of them. Both bounds are 500 ms away, so that a slow machine does not affect the result.
     deployment.putConfiguration(2, R"(,{"name":"patient","hostname":"h.example","path_prefix":"/patient/","type":"safe","timeout_ms":5000,"goal_ms":100,"priority":2,"service":"plain","attempts":2})");
     REQUIRE(deployment.waitForVersion(2, milliseconds(5000)));
     deployment.disturbAll({ { "delay_ms", 2500 } });
@@ -178,7 +178,7 @@
     CHECK(runsOf(deployment, "slow") == 2);
 }
 
-TEST_CASE("a resumable stream goes on elsewhere without a gap, any other is cut", "[gateway]")
+TEST_CASE("a resumable stream continues at another engine without a gap, any other is aborted", "[gateway]")
 {
     GatewayDeployment deployment(1);
     deployment.standard();
@@ -187,7 +187,8 @@
     deployment.backend("e-1", { { "cut_at", 5 } });
     deployment.backend("e-2", { { "cut_at", 8 } });
     HttpResponse answer = deployment.call(gateway, gatewayRequest("POST", "/draft/stream", "d-1"));
-    // The first engine stops within event 5 or 8; the second ends or stops later.
+    // The first engine breaks the stream within event 5 or 8; the second one completes it
+    // or breaks it later.
     std::size_t runs = runsOf(deployment, "d-1");
     CHECK(runs == 2);
     deployment.backend("e-2", { { "cut_at", 0 } });
@@ -202,7 +203,7 @@
     CHECK(runsOf(deployment, "a-1") == 1);
 }
 
-TEST_CASE("a stream moves on from an engine that is about to be taken away", "[gateway]")
+TEST_CASE("a stream moves from an engine that is being reclaimed to another one", "[gateway]")
 {
     struct Row {
         const char* name_;
@@ -213,9 +214,9 @@
     };
     auto row = GENERATE(values<Row>({
         { "moved", {}, true, 1, 0 },
-        { "no room elsewhere: it runs on", { { "refuse_moves", 1 } }, false, 0, 0 },
-        { "it cannot be stopped: it runs on, and its copy is freed", { { "refuse_stops", 1 } }, false, 0, 1 },
-        { "the copy is gone: the prompt is read again", { { "lose_copies", 1 } }, true, 0, 0 },
+        { "no other engine has capacity: it stays", { { "refuse_moves", 1 } }, false, 0, 0 },
+        { "it cannot be stopped: it stays, and its copy is released", { { "refuse_stops", 1 } }, false, 0, 1 },
+        { "the copy is lost: the prompt is computed again", { { "lose_copies", 1 } }, true, 0, 0 },
     }));
     CAPTURE(row.name_);
     GatewayDeployment deployment(1);
@@ -254,7 +255,7 @@
     CHECK(runs == (row.isStopped_ ? 2 : 1));
 }
 
-TEST_CASE("a caller who leaves ends the engine's work", "[gateway]")
+TEST_CASE("an engine stops working when its caller disconnects", "[gateway]")
 {
     GatewayDeployment deployment(1);
     deployment.standard();
@@ -272,7 +273,7 @@
     deployment.standard();
     json::object unused = deployment.backend("p-1");
     deployment.setLeaving("p-1", "plain", "127.0.0.1:1");
-    // Both gateways know within two reads of the registry.
+    // Both gateways learn of it within two polls of the registry.
     std::this_thread::sleep_for(milliseconds(1500));
     std::size_t before = deployment.backend("p-1").at("runs").as_array().size();
     for (int i = 0; i < 20; ++i)
@@ -280,7 +281,7 @@
     CHECK(deployment.backend("p-1").at("runs").as_array().size() == before);
 }
 
-TEST_CASE("a backend server that starts anew under its id is used again, and late word of before is not", "[gateway]")
+TEST_CASE("a backend server that restarts under its id is used again, and delayed reports of its previous start are ignored", "[gateway]")
 {
     GatewayDeployment deployment(2);
     deployment.standard();
@@ -292,17 +293,17 @@
     auto serves = [&](GatewayDeployment::Gateway& gateway) { return deployment.call(gateway, gatewayRequest("GET", "/safe/x", "again")).status_ == 200; };
     for (auto& gateway : deployment.gateways())
         CHECK(waitUntil([&] { return serves(gateway); }, waitLimit));
-    // The start before says once more that it leaves.
+    // The previous start reports once more that it is leaving.
     json::object staleRecord { { "service", "plain" }, { "address", "127.0.0.1:1" }, { "zone", "a" }, { "version", "v1" }, { "slot_count", 8 }, { "phase", "draining" }, { "cold_left_ms", 0 }, { "call_seq", 1 }, { "born", before.at("born") } };
     json::object entry { { "topic", "keyed.servers" }, { "key", "p-1" }, { "value", json::serialize(staleRecord) } };
     deployment.control({ { "put", json::array { entry } } });
-    // Longer than two reads of the registry and the reports of both.
+    // The wait is longer than two polls of the registry and the reports of both gateways.
     std::this_thread::sleep_for(milliseconds(1500));
     for (auto& gateway : deployment.gateways())
         CHECK(serves(gateway));
 }
 
-TEST_CASE("entries of other writers name no backend server, and the others hold", "[gateway]")
+TEST_CASE("invalid entries of other writers add no backend server, and the valid ones remain", "[gateway]")
 {
     GatewayDeployment deployment(2);
     deployment.standard();
@@ -313,7 +314,7 @@
     deployment.control({ { "put", entries } });
     deployment.startBackend("p-3", "plain");
     CHECK(deployment.waitForBackends(5));
-    // Told of once, though heartbeats repeat them.
+    // Each invalid entry is counted once, although heartbeats repeat it.
     deployment.control({ { "put", entries } });
     std::this_thread::sleep_for(milliseconds(1200));
     for (auto& gateway : deployment.gateways()) {
@@ -328,7 +329,7 @@
     CHECK(rejectedRegistrations >= 4);
 }
 
-TEST_CASE("a new version is in force everywhere, also at a node that the platform does not serve", "[gateway]")
+TEST_CASE("a new configuration is in force everywhere, also at a node that cannot reach the platform", "[gateway]")
 {
     GatewayDeployment deployment(3);
     deployment.standard();
@@ -336,7 +337,7 @@
     CHECK(deployment.waitForVersion(2, milliseconds(2000)));
     for (auto& gateway : deployment.gateways())
         CHECK(deployment.call(gateway, gatewayRequest("GET", "/new/x", "n")).status_ == 200);
-    // The platform is away: a restarted node learns all from its peers.
+    // The platform is down, so a restarted node gets everything from its peers.
     deployment.control({ { "down", 1 } });
     auto& restarted = deployment.gateways()[2];
     restarted.process_->kill();
@@ -346,13 +347,13 @@
     CHECK(deployment.metric(restarted, "configuration_version") == 2);
 }
 
-TEST_CASE("a node that starts long after the platform has gone learns all from its peers", "[gateway]")
+TEST_CASE("a node that starts long after a platform outage began gets everything from its peers", "[gateway]")
 {
     GatewayDeployment deployment(3);
     deployment.standard();
     deployment.control({ { "down", 1 } });
-    // Every reader knows by now, and every list is older than what is used beside a
-    // platform that answers.
+    // By now every reader has detected the outage, and every list is older than nodes
+    // accept while the platform answers.
     std::this_thread::sleep_for(milliseconds(4000));
     auto& restarted = deployment.gateways()[2];
     restarted.process_->kill();
@@ -360,7 +361,7 @@
     CHECK(waitUntil([&] { return deployment.call(restarted, gatewayRequest("GET", "/safe/x", "n")).status_ == 200; }, waitLimit));
 }
 
-TEST_CASE("a stopping node serves what it has and ends by itself", "[gateway]")
+TEST_CASE("a stopping node completes its requests and then exits", "[gateway]")
 {
     GatewayDeployment deployment(1);
     deployment.standard();
@@ -371,14 +372,14 @@
     REQUIRE(waitUntil([&] { return runsOf(deployment, "d") == 1; }, waitLimit));
     gateway.process_->signal(SIGTERM);
     CHECK(waitUntil([&] { return !deployment.isReady(gateway); }, milliseconds(1000)));
-    // The balancer has not noticed yet.
+    // The load balancer has not detected the stop yet.
     CHECK(deployment.call(gateway, gatewayRequest("GET", "/safe/x", "late")).status_ == 200);
     caller.join();
     CHECK(body == eventsUpTo(40));
     CHECK(gateway.process_->wait(milliseconds(3000)) == 0);
 }
 
-TEST_CASE("changed settings are applied or refused, and the node runs on", "[gateway]")
+TEST_CASE("changed settings are applied or rejected, and the node keeps running", "[gateway]")
 {
     GatewayDeployment deployment(1);
     deployment.standard();
@@ -398,7 +399,7 @@
     CHECK(deployment.call(gateway, gatewayRequest("GET", "/safe/x", "r")).status_ == 200);
 }
 
-TEST_CASE("one node at a time holds the duties, and tokens only rise", "[gateway]")
+TEST_CASE("one node at a time holds the duties, and tokens only increase", "[gateway]")
 {
     GatewayDeployment deployment(3);
     deployment.standard();
@@ -445,13 +446,13 @@
     }
 }
 
-TEST_CASE("a stream that would wait beyond its objective is refused at once, and has not run", "[gateway]")
+TEST_CASE("a stream that would wait beyond its objective is rejected immediately, and has not run", "[gateway]")
 {
     GatewayDeployment deployment(1);
     deployment.standard();
     auto& gateway = deployment.gateways()[0];
     deployment.disturbAll({ { "delay_ms", 1500 } });
-    // 60,000 tokens are 1.2 s at 50 a millisecond; the objective is 0.5 s.
+    // 60,000 tokens take 1.2 s at 50 tokens per millisecond; the objective is 0.5 s.
     auto request = [](const std::string& id) {
         HttpRequest request = gatewayRequest("POST", "/ask/stream", id);
         request.headers_["X-Pistachioloom-Token-Count"] = "60000,5";
@@ -461,13 +462,13 @@
     std::atomic<int> served { 0 };
     for (const char* id : { "first", "second" })
         running.emplace_back([&, id] { served += deployment.call(gateway, request(id)).status_ == 200; });
-    // Both engines read a long prompt.
+    // Both engines process a long prompt.
     REQUIRE(waitUntil([&] { return runsOf(deployment, "first") == 1 && runsOf(deployment, "second") == 1; }, waitLimit));
-    auto begin = steadyNow();
+    auto startedAt = steadyNow();
     HttpResponse rejected = deployment.call(gateway, request("third"));
     CHECK(rejected.status_ == 503);
     CHECK(rejected.headers_["retry-after"] == "0.800");
-    CHECK(steadyNow() - begin < milliseconds(400));
+    CHECK(steadyNow() - startedAt < milliseconds(400));
     CHECK(runsOf(deployment, "third") == 0);
     for (std::thread& thread : running)
         thread.join();
@@ -476,12 +477,13 @@
     CHECK(deployment.call(gateway, request("fourth")).status_ == 200);
 }
 
-TEST_CASE("a node opens no more connections than its share", "[gateway]")
+TEST_CASE("a node opens at most its share of the connections", "[gateway]")
 {
     GatewayDeployment deployment(1);
     deployment.standard();
     auto& gateway = deployment.gateways()[0];
-    // 24 for all of at least 12 nodes with two workers each: one for each worker.
+    // A limit of 24 connections is shared by at least 12 nodes with two workers each, so
+    // each worker may open one.
     deployment.putConfiguration(2, {}, 24);
     REQUIRE(deployment.waitForVersion(2, waitLimit));
     deployment.disturbAll({ { "delay_ms", 1000 } });
--- a/test/RolloutsTest.cpp
+++ b/test/RolloutsTest.cpp
@@ -1,8 +1,8 @@
-//===- test/RolloutsTest.cpp - new versions of a service, whole processes --===//
+//===- test/RolloutsTest.cpp - roll-outs of service versions --------------===//
 ///
 /// \file
-/// An operator orders a version, good or bad; gateways bring it in or revert it, also
-/// when the one that leads is killed, all are, or one cannot reach the platform.
+/// Runs whole gateways. An operator orders a good or bad version, and the gateways roll
+/// it out or revert it, also when the holder of the duties or all gateways are killed.
 //===----------------------------------------------------------------------===//
 #include "Platform/GatewayDeployment.h"
 
@@ -18,7 +18,7 @@
 
 constexpr milliseconds waitLimit { 12000 };
 constexpr double periodSeconds = 8;
-// A share that few callers of a test give enough answers with.
+// Shares with which the few callers of a test produce enough answers.
 constexpr const char* rolloutSettings = "  rollout:\n    trial_share: 0.2\n    exposed_share: 0.25\n    exposed_extra: 20\n";
 constexpr std::size_t stableCount = 4;
 
@@ -31,7 +31,7 @@
     return options;
 }
 
-/// Callers that send plain and streaming requests to all gateways until they are ended.
+/// Callers that send streaming requests to all gateways until end().
 class BackgroundCallers {
 public:
     explicit BackgroundCallers(GatewayDeployment& deployment)
@@ -98,7 +98,7 @@
     deployment.control({ { "put", json::array { entry } } });
 }
 
-/// The phases that the operator was told, in their order.
+/// The phases that were reported to the operator, in order.
 std::vector<std::string> phases(const GatewayDeployment& deployment)
 {
     std::vector<std::string> phases;
@@ -113,7 +113,7 @@
     return waitUntil([&] { auto reported = phases(deployment); return !reported.empty() && reported.back() == phase; }, waitLimit);
 }
 
-/// Each verdict once, nothing after it.
+/// Checks that \p decision is the last report and the only decision.
 void checkOneDecision(const GatewayDeployment& deployment, const std::string& decision)
 {
     auto reported = phases(deployment);
@@ -150,7 +150,7 @@
 
 } // namespace
 
-TEST_CASE("a version is not in use when its period ends, or got its part of all requests from the start", "[gateway]")
+TEST_CASE("a good version is complete when its period ends, and gets a limited part of the requests before", "[gateway]")
 {
     const char* fanout = GENERATE("24", "1");
     CAPTURE(fanout);
@@ -175,7 +175,7 @@
     CHECK(phases(deployment).front() == "active");
 }
 
-TEST_CASE("a bad version gets requests after its roll-back", "[gateway]")
+TEST_CASE("a bad version is rolled back and then gets no requests", "[gateway]")
 {
     struct Row {
         const char* name_;
@@ -202,7 +202,7 @@
     checkOneDecision(deployment, "reverted");
 }
 
-TEST_CASE("an order has no verdict, or two, when the node that leads it is killed", "[gateway]")
+TEST_CASE("a roll-out gets exactly one decision when the node that controls it is killed", "[gateway]")
 {
     const bool isGood = GENERATE(true, false);
     CAPTURE(isGood);
@@ -225,7 +225,7 @@
     checkOneDecision(deployment, isGood ? "complete" : "reverted");
 }
 
-TEST_CASE("a verdict is forgotten, or told again, after a stop of all nodes", "[gateway]")
+TEST_CASE("a decision is neither forgotten nor reported again after a crash of all nodes", "[gateway]")
 {
     const bool isGood = GENERATE(true, false);
     CAPTURE(isGood);
@@ -261,7 +261,7 @@
     checkOneDecision(deployment, decision);
 }
 
-TEST_CASE("an operator sees an order at any gateway, and ends it at all", "[gateway]")
+TEST_CASE("an operator can see a roll-out at any gateway, and end it at all gateways", "[gateway]")
 {
     GatewayDeployment deployment(fleetOptions(3, "24"));
     startFleet(deployment);
--- a/test/ServerSignalsTest.cpp
+++ b/test/ServerSignalsTest.cpp
@@ -1,8 +1,8 @@
-//===- test/ServerSignalsTest.cpp - what backend servers say of themselves -===//
+//===- test/ServerSignalsTest.cpp - signals in backend servers' answers ---===//
 ///
 /// \file
-/// Word that comes with an answer holds from that answer on, whatever the platform and
-/// peers say, and goes no further than to other gateways.
+/// A signal in an answer applies from that answer on, whatever the platform and peers
+/// report, and is sent to no one but other gateways.
 //===----------------------------------------------------------------------===//
 #include "Platform/GatewayDeployment.h"
 
@@ -14,7 +14,7 @@
 
 namespace {
 
-// No new work reaches a leaving backend server later than this.
+// No new work reaches a leaving backend server after this time.
 constexpr milliseconds maxNoticeDelay { 2000 };
 
 std::size_t runsOf(const GatewayDeployment& deployment, const std::string& backend)
@@ -28,7 +28,7 @@
     return backend.substr(0, 2) + (backend.back() == '1' ? "2" : "1");
 }
 
-/// Requests of the kind of \p path at \p gateway until one ran at \p backend, while the
+/// Sends requests for \p path to \p gateway until one has run at \p backend, while the
 /// other server of its service is full.
 HttpResponse callUntilServedBy(const GatewayDeployment& deployment, const GatewayDeployment::Gateway& gateway, const std::string& path, const std::string& backend)
 {
@@ -43,7 +43,7 @@
 
 } // namespace
 
-TEST_CASE("an engine that says in an answer that it leaves gets new requests while the platform is away", "[gateway]")
+TEST_CASE("an engine that announces in an answer that it is leaving gets no new requests while the platform is down", "[gateway]")
 {
     const char* path = GENERATE("/safe/x", "/once/x", "/draft/stream/x", "/ask/stream/x");
     CAPTURE(path);
@@ -52,16 +52,16 @@
     deployment.standard();
     deployment.backend(leaving, { { "says_leaving", 1 } });
     deployment.control({ { "down", 1 } });
-    HttpResponse told = callUntilServedBy(deployment, deployment.gateways()[0], path, leaving);
+    HttpResponse response = callUntilServedBy(deployment, deployment.gateways()[0], path, leaving);
     deployment.backend(otherServerOf(leaving), { { "full", 0 } });
-    // It is meant for the gateway, not for its caller.
-    CHECK(told.headers_.count("server-leaving") == 0);
+    // The header is meant for the gateway, not for its caller.
+    CHECK(response.headers_.count("server-leaving") == 0);
     std::this_thread::sleep_for(maxNoticeDelay);
     std::size_t before = runsOf(deployment, leaving);
     for (int i = 0; i < 40; ++i)
         CHECK(deployment.call(deployment.gateways()[i % 2], gatewayRequest("GET", path, "later-" + std::to_string(i))).status_ == 200);
     CHECK(runsOf(deployment, leaving) == before);
-    // The platform is back, with a list of before.
+    // The platform is up again, with a list from before the answer.
     deployment.control({ { "down", 0 } });
     std::this_thread::sleep_for(maxNoticeDelay);
     for (int i = 0; i < 20; ++i)
@@ -69,7 +69,7 @@
     CHECK(runsOf(deployment, leaving) == before);
 }
 
-TEST_CASE("an engine that turns a request away and says that it leaves gets new requests", "[gateway]")
+TEST_CASE("an engine that rejects a request and announces that it is leaving gets no new requests", "[gateway]")
 {
     GatewayDeployment deployment(1);
     deployment.standard();
@@ -87,7 +87,7 @@
     CHECK(rejectedCount() == before);
 }
 
-TEST_CASE("an engine that asked for a pause gets requests in it", "[gateway]")
+TEST_CASE("an engine that asked for a pause gets no requests during it", "[gateway]")
 {
     GatewayDeployment deployment(1);
     deployment.standard();
@@ -104,17 +104,17 @@
     SteadyTime pauseStartedAt = steadyNow();
     std::uint64_t before = totalRejected();
     HttpResponse rejected;
-    milliseconds told {};
+    milliseconds retryAfter {};
     while (steadyNow() - pauseStartedAt < pause - milliseconds(1000)) {
         rejected = deployment.call(gateway, gatewayRequest("GET", "/safe/x", "in-pause"));
         CHECK(rejected.status_ == 503);
-        told = milliseconds(static_cast<std::int64_t>(std::stod("0" + rejected.headers_["retry-after"]) * 1000));
+        retryAfter = milliseconds(static_cast<std::int64_t>(std::stod("0" + rejected.headers_["retry-after"]) * 1000));
         std::this_thread::sleep_for(milliseconds(100));
     }
     CHECK(totalRejected() == before);
-    // Some 0.9 s are left: true word of when it is worth to return.
-    CHECK(told > milliseconds(300));
-    CHECK(told < milliseconds(1500));
+    // About 0.9 s of the pause remain, and Retry-After must state that.
+    CHECK(retryAfter > milliseconds(300));
+    CHECK(retryAfter < milliseconds(1500));
     for (const char* id : { "p-1", "p-2" })
         deployment.backend(id, { { "full", 0 } });
     CHECK(waitUntil([&] { return deployment.call(gateway, gatewayRequest("GET", "/safe/x", "after")).status_ == 200; }, 2 * maxNoticeDelay));
