--- a/test/LimitsTest.cpp
+++ b/test/LimitsTest.cpp
@@ -89,8 +89,8 @@
     return sum;
 }
 
-/// Requests that the nodes but \p left out count as in progress. Engines may
-/// work on more for a while: on streams whose home was frozen.
+/// Requests that all nodes except \p excluded count as in progress. Engines may
+/// temporarily work on more: on streams whose dispatcher is frozen.
 std::uint64_t admitted(Deployment& deployment, const std::string& excluded)
 {
     std::uint64_t sum = 0;
