--- a/benchmarks/ControlBenchmark.cpp
+++ b/benchmarks/ControlBenchmark.cpp
@@ -118,7 +118,7 @@
         std::string file = deployment.directory() + "/s.yaml";
         std::ofstream(file) << serviceEntry(i);
         auto& node = deployment.nodes()[static_cast<std::size_t>(i) % deployment.nodes().size()];
-        auto [code, output] = deployment.tool(node, { "catalogue", "apply", file });
+        auto [code, output] = deployment.runTool(node, { "catalogue", "apply", file });
         if (code) {
             std::printf("  a catalogue edit was not accepted: %s\n", output.c_str());
             continue;
@@ -201,7 +201,7 @@
         for (auto& node : deployment.nodes()) {
             if (node.dataCentre_ != victim.dataCentre_ || node.id_ == victim.id_)
                 continue;
-            auto nodeList = deployment.ask(node, "/nodes");
+            auto nodeList = deployment.query(node, "/nodes");
             if (!nodeList.is_object())
                 return false;
             for (const auto& line : objectsField(nodeList.as_object(), "nodes")) {
--- a/benchmarks/FloodBenchmark.cpp
+++ b/benchmarks/FloodBenchmark.cpp
@@ -38,7 +38,7 @@
 
 /// Counts and latencies, in milliseconds, of the answers to one class of requests.
 struct AnswerStats {
-    std::vector<double> firstToken_;
+    std::vector<double> timeToFirstToken_;
     std::vector<double> fullAnswer_;
     std::size_t answered_ = 0;
     std::size_t rejected_ = 0;
@@ -53,7 +53,7 @@
             return;
         }
         ++answered_;
-        firstToken_.push_back(static_cast<double>(answer.firstToken_.count()));
+        timeToFirstToken_.push_back(static_cast<double>(answer.timeToFirstToken_.count()));
         fullAnswer_.push_back(std::chrono::duration<double, std::milli>(steadyNow() - startedAt).count());
     }
 };
@@ -113,8 +113,8 @@
 
 void print(const char* name, const AnswerStats& stats)
 {
-    std::printf("%-28s | %8zu %8zu %6zu | %8.0f %8.0f %8.0f | %8.0f\n", name, stats.answered_, stats.rejected_, stats.failed_, percentile(stats.firstToken_, 0.5),
-        percentile(stats.firstToken_, 0.95), percentile(stats.firstToken_, 0.99), percentile(stats.fullAnswer_, 0.5));
+    std::printf("%-28s | %8zu %8zu %6zu | %8.0f %8.0f %8.0f | %8.0f\n", name, stats.answered_, stats.rejected_, stats.failed_, percentile(stats.timeToFirstToken_, 0.5),
+        percentile(stats.timeToFirstToken_, 0.95), percentile(stats.timeToFirstToken_, 0.99), percentile(stats.fullAnswer_, 0.5));
 }
 
 } // namespace
@@ -143,8 +143,8 @@
     print("trials", flooded.trial_);
     std::printf("capacity %.0f answers/s, paid %.0f/s, trials %.0f/s\n", capacity, paidLoad * capacity, trialLoad * capacity);
     std::printf("trials yielded %.0f times, %.0f tokens were computed again\n", deployment.metricOfAll("trials_yielded_total"), deployment.metricOfAll("tokens_recomputed_total"));
-    double baselineP99 = percentile(baseline.paid_.firstToken_, 0.99);
-    double floodedP99 = percentile(flooded.paid_.firstToken_, 0.99);
+    double baselineP99 = percentile(baseline.paid_.timeToFirstToken_, 0.99);
+    double floodedP99 = percentile(flooded.paid_.timeToFirstToken_, 0.99);
     bool isWithin = floodedP99 <= baselineP99 * maxGrowth + noiseMs && !flooded.paid_.rejected_ && !flooded.paid_.failed_;
     std::printf("paid first token p99: %.0f ms alone, %.0f ms beside the flood: %s\n", baselineP99, floodedP99, isWithin ? "within its bound" : "past its bound");
     return isWithin ? 0 : 1;
--- a/benchmarks/PathBenchmark.cpp
+++ b/benchmarks/PathBenchmark.cpp
@@ -21,7 +21,7 @@
 constexpr int clientThreads = 2;
 
 struct Timing {
-    std::vector<double> firstToken_;
+    std::vector<double> timeToFirstToken_;
     std::vector<double> fullAnswer_;
     double seconds_ = 0;
     std::size_t failures_ = 0;
@@ -67,7 +67,7 @@
     SteadyTime startedAt = steadyNow();
     Completion completion { Deployment::apiKey("rede"), "planogram", id, tokensPerAnswer };
     Answer answer = co_await streamCompletion(entry, completion);
-    firstTokenMs = static_cast<double>(answer.firstToken_.count());
+    firstTokenMs = static_cast<double>(answer.timeToFirstToken_.count());
     fullAnswerMs = elapsedMs(startedAt);
     co_return answer.isDone_;
 }
@@ -77,7 +77,7 @@
 Timing run(std::size_t concurrency, std::size_t total, const Call& call)
 {
     Timing timing;
-    timing.firstToken_.resize(total);
+    timing.timeToFirstToken_.resize(total);
     timing.fullAnswer_.resize(total);
     std::atomic<std::size_t> next { 0 };
     std::atomic<std::size_t> failures { 0 };
@@ -85,7 +85,7 @@
     for (std::size_t worker = 0; worker < concurrency; ++worker) {
         auto task = [&]() -> asio::awaitable<void> {
             for (std::size_t i = next++; i < total; i = next++) {
-                bool hasSucceeded = co_await call(i, timing.firstToken_[i], timing.fullAnswer_[i]);
+                bool hasSucceeded = co_await call(i, timing.timeToFirstToken_[i], timing.fullAnswer_[i]);
                 failures += hasSucceeded ? 0 : 1;
             }
         };
@@ -132,7 +132,7 @@
         Timing system = run(concurrency, total, viaSystem);
         double memory = static_cast<double>(deployment.nodes()[0].process_->residentMemory().value_) / 1024 / 1024;
         auto print = [&](const char* name, const Timing& timing, double nodeMemory) {
-            std::printf("%8zu %8s | %9.0f %9zu | %9.1f %9.1f | %9.1f %9.1f | %8.1f\n", concurrency, name, static_cast<double>(total) / timing.seconds_, timing.failures_, percentile(timing.firstToken_, 0.5), percentile(timing.firstToken_, 0.99), percentile(timing.fullAnswer_, 0.5), percentile(timing.fullAnswer_, 0.99), nodeMemory);
+            std::printf("%8zu %8s | %9.0f %9zu | %9.1f %9.1f | %9.1f %9.1f | %8.1f\n", concurrency, name, static_cast<double>(total) / timing.seconds_, timing.failures_, percentile(timing.timeToFirstToken_, 0.5), percentile(timing.timeToFirstToken_, 0.99), percentile(timing.fullAnswer_, 0.5), percentile(timing.fullAnswer_, 0.99), nodeMemory);
         };
         print("engine", engine, 0);
         print("system", system, memory);
--- a/test/ConfigurationSpreadTest.cpp
+++ b/test/ConfigurationSpreadTest.cpp
@@ -1,8 +1,8 @@
-//===- test/ConfigurationSpreadTest.cpp - a long configuration, passed on --===//
+//===- test/ConfigurationSpreadTest.cpp - spread of a large configuration -===//
 ///
 /// \file
-/// Whole gateways: a configuration of thousands of routes comes to all soon, while
-/// each gives it to a few peers at a time.
+/// Runs whole gateways. A configuration of thousands of routes reaches all of them
+/// quickly although each sends it to only a few peers at a time.
 //===----------------------------------------------------------------------===//
 #include "Platform/GatewayDeployment.h"
 #include "generated/Peer.pb.h"
@@ -20,14 +20,14 @@
 
 namespace {
 
-// How many a gateway gives the configuration at once, and how long one may take.
+// Concurrent transfers that a gateway allows, and the time limit of one.
 constexpr std::size_t maxTransfers = 2;
 constexpr milliseconds transferTimeout { 2000 };
-// A connection lost or a stream reset is noticed within this time.
+// A lost connection or a reset stream is detected within this time.
 constexpr milliseconds slack { 1000 };
-constexpr milliseconds askPatience { 1500 };
+constexpr milliseconds replyTimeout { 1500 };
 
-/// Routes whose names differ by hashes, so that they are long when compressed too.
+/// Routes with hashes as names, so that the configuration is large even when compressed.
 std::string manyRoutes(std::size_t count)
 {
     std::string routes;
@@ -39,8 +39,8 @@
     return routes;
 }
 
-/// The lines of \p gateway's log that say \p sentence.
-std::vector<boost::json::object> linesOf(const GatewayDeployment& deployment, const GatewayDeployment::Gateway& gateway, const std::string& sentence)
+/// The lines of the log of \p gateway that contain \p sentence.
+std::vector<boost::json::object> logLinesWith(const GatewayDeployment& deployment, const GatewayDeployment::Gateway& gateway, const std::string& sentence)
 {
     std::vector<boost::json::object> lines;
     std::ifstream file(deployment.logFile(gateway));
@@ -52,16 +52,16 @@
     return lines;
 }
 
-enum class Answer {
-    Given,
+enum class FetchResult {
+    Received,
     Busy,
     Other,
 };
 
-/// A peer of a gateway that asks for its configuration.
-class Asker {
+/// A peer that fetches the configuration of a gateway.
+class ConfigurationFetcher {
 public:
-    explicit Asker(Endpoint gateway)
+    explicit ConfigurationFetcher(Endpoint gateway)
         : gateway_(std::move(gateway))
         , work_(asio::make_work_guard(io_))
         , pool_(std::make_unique<PeerPool>(io_.get_executor(), "credential-of-tests", nullptr))
@@ -69,71 +69,74 @@
     {
     }
 
-    ~Asker()
+    ~ConfigurationFetcher()
     {
         io_.stop();
         thread_.join();
     }
 
-    Asker(const Asker&) = delete;
-    Asker& operator=(const Asker&) = delete;
+    ConfigurationFetcher(const ConfigurationFetcher&) = delete;
+    ConfigurationFetcher& operator=(const ConfigurationFetcher&) = delete;
 
-    /// Asks, and says nothing more until told: the stream is kept if it was given.
-    Answer ask()
+    /// Fetches the configuration and keeps the stream of a received one open without an
+    /// acknowledgement until one of the functions below ends it.
+    FetchResult fetch()
     {
-        return run([this]() -> asio::awaitable<Answer> {
-            auto opened = co_await pool_->open(gateway_, request(), askPatience);
+        return run([this]() -> asio::awaitable<FetchResult> {
+            auto opened = co_await pool_->open(gateway_, request(), replyTimeout);
             if (!opened)
-                co_return Answer::Other;
+                co_return FetchResult::Other;
             auto stream = opened.value();
-            auto reply = co_await stream->receiveWithin(askPatience);
-            Answer answer = reply ? answerIn(reply.value()) : Answer::Other;
-            if (answer == Answer::Given)
-                given_.push_back(stream);
+            auto reply = co_await stream->receiveWithin(replyTimeout);
+            FetchResult result = reply ? resultOf(reply.value()) : FetchResult::Other;
+            if (result == FetchResult::Received)
+                openTransfers_.push_back(stream);
             else
                 stream->finish();
-            co_return answer;
+            co_return result;
         });
     }
 
-    /// Asks as older versions do: the stream is ended at once, and nothing acknowledged.
-    Answer call()
+    /// Fetches as older versions do: the stream ends immediately, without an
+    /// acknowledgement.
+    FetchResult fetchWithoutAck()
     {
-        return run([this]() -> asio::awaitable<Answer> {
-            auto reply = co_await pool_->call(gateway_, request(), askPatience);
+        return run([this]() -> asio::awaitable<FetchResult> {
+            auto reply = co_await pool_->call(gateway_, request(), replyTimeout);
             if (!reply)
-                co_return reply.error().code_ == Errc::Overloaded ? Answer::Busy : Answer::Other;
-            co_return answerIn(reply.value());
+                co_return reply.error().code_ == Errc::Overloaded ? FetchResult::Busy : FetchResult::Other;
+            co_return resultOf(reply.value());
         });
     }
 
     void acknowledgeAll()
     {
-        run([this]() -> asio::awaitable<Answer> {
+        run([this]() -> asio::awaitable<FetchResult> {
             wire::Frame frame;
             frame.mutable_ack();
-            for (const auto& stream : std::exchange(given_, {})) {
+            for (const auto& stream : std::exchange(openTransfers_, {})) {
                 (void)co_await stream->send(frame);
                 stream->finish();
             }
-            co_return Answer::Other;
+            co_return FetchResult::Other;
         });
     }
 
     void cancelAll()
     {
-        for (const auto& stream : std::exchange(given_, {}))
+        for (const auto& stream : std::exchange(openTransfers_, {}))
             stream->cancel();
     }
 
-    void loseLink()
+    /// Closes the connection under all open transfers.
+    void dropLink()
     {
-        given_.clear();
+        openTransfers_.clear();
         pool_->stop();
     }
 
 private:
-    Answer run(std::function<asio::awaitable<Answer>()> task)
+    FetchResult run(std::function<asio::awaitable<FetchResult>()> task)
     {
         return asio::co_spawn(asio::make_strand(io_), std::move(task), asio::use_future).get();
     }
@@ -145,113 +148,113 @@
         return frame;
     }
 
-    static Answer answerIn(const wire::Frame& frame)
+    static FetchResult resultOf(const wire::Frame& frame)
     {
         if (frame.has_failure())
-            return frame.failure().code() == toString(Errc::Overloaded) && frame.failure().retry_after_ms() ? Answer::Busy : Answer::Other;
-        return frame.configuration_update().compressed_source().empty() ? Answer::Other : Answer::Given;
+            return frame.failure().code() == toString(Errc::Overloaded) && frame.failure().retry_after_ms() ? FetchResult::Busy : FetchResult::Other;
+        return frame.configuration_update().compressed_source().empty() ? FetchResult::Other : FetchResult::Received;
     }
 
     Endpoint gateway_;
     asio::io_context io_;
     asio::executor_work_guard<asio::io_context::executor_type> work_;
     std::unique_ptr<PeerPool> pool_;
-    std::vector<std::shared_ptr<PeerStream>> given_;
+    std::vector<std::shared_ptr<PeerStream>> openTransfers_;
     std::thread thread_;
 };
 
-/// How askers end what they were given.
-struct Ending {
+/// A way in which a peer ends its transfers.
+struct TransferEnd {
     std::string name_;
-    std::function<void(Asker&)> end_;
-    /// Until others are given it.
-    milliseconds within_;
+    std::function<void(ConfigurationFetcher&)> end_;
+    /// Bound on the time until another peer receives the configuration.
+    milliseconds maxWait_;
 };
 
-const std::vector<Ending> endings {
-    { "acknowledged", [](Asker& asker) { asker.acknowledgeAll(); }, slack },
-    { "cancelled", [](Asker& asker) { asker.cancelAll(); }, slack },
-    { "link lost", [](Asker& asker) { asker.loseLink(); }, slack },
-    { "never", [](Asker&) {}, transferTimeout + slack },
+const std::vector<TransferEnd> transferEnds {
+    { "acknowledged", [](ConfigurationFetcher& fetcher) { fetcher.acknowledgeAll(); }, slack },
+    { "cancelled", [](ConfigurationFetcher& fetcher) { fetcher.cancelAll(); }, slack },
+    { "link lost", [](ConfigurationFetcher& fetcher) { fetcher.dropLink(); }, slack },
+    { "never", [](ConfigurationFetcher&) {}, transferTimeout + slack },
 };
 
 } // namespace
 
-TEST_CASE("a gateway gives its configuration to few peers at a time, and to others once those have it", "[gateway]")
+TEST_CASE("a gateway sends its configuration to few peers at a time, and to others when those transfers end", "[gateway]")
 {
     GatewayDeployment deployment(1);
     deployment.standard();
     Endpoint gateway { deployment.gateways()[0].callers_.host_, 7003 };
-    for (const Ending& ending : endings) {
-        INFO(ending.name_);
-        Asker first(gateway);
-        Asker second(gateway);
+    for (const TransferEnd& transferEnd : transferEnds) {
+        INFO(transferEnd.name_);
+        ConfigurationFetcher first(gateway);
+        ConfigurationFetcher second(gateway);
         for (std::size_t i = 0; i < maxTransfers; ++i)
-            CHECK(first.ask() == Answer::Given);
-        auto begunAt = steadyNow();
+            CHECK(first.fetch() == FetchResult::Received);
+        auto startedAt = steadyNow();
         for (int i = 0; i < 5; ++i)
-            CHECK(second.ask() == Answer::Busy);
-        ending.end_(first);
-        CHECK(waitUntil([&] { return second.ask() == Answer::Given; }, ending.within_));
-        // Not before the end, nor before the timeout if there is none.
-        if (ending.within_ > transferTimeout)
-            CHECK(steadyNow() - begunAt > transferTimeout - slack);
+            CHECK(second.fetch() == FetchResult::Busy);
+        transferEnd.end_(first);
+        CHECK(waitUntil([&] { return second.fetch() == FetchResult::Received; }, transferEnd.maxWait_));
+        // Without an end, other peers must wait for the transfer timeout.
+        if (transferEnd.maxWait_ > transferTimeout)
+            CHECK(steadyNow() - startedAt > transferTimeout - slack);
         second.cancelAll();
         first.cancelAll();
-        REQUIRE(waitUntil([&] { return !linesOf(deployment, deployment.gateways()[0], "sent to a peer").empty(); }));
+        REQUIRE(waitUntil([&] { return !logLinesWith(deployment, deployment.gateways()[0], "sent to a peer").empty(); }));
         std::this_thread::sleep_for(milliseconds(100));
     }
-    // Refusals are logged with their count, not one by one.
-    auto busyLines = linesOf(deployment, deployment.gateways()[0], "rejected while other transfers run");
+    // Rejections are logged in groups with their count, not one by one.
+    auto busyLines = logLinesWith(deployment, deployment.gateways()[0], "rejected while other transfers run");
     CHECK_FALSE(busyLines.empty());
-    CHECK(busyLines.size() <= 2 * endings.size() + 2);
+    CHECK(busyLines.size() <= 2 * transferEnds.size() + 2);
 }
 
-TEST_CASE("peers of older versions are given the configuration, and understand that others come first", "[gateway]")
+TEST_CASE("peers of older versions receive the configuration, or a rejection while other transfers run", "[gateway]")
 {
     GatewayDeployment deployment(1);
     deployment.standard();
-    Asker old({ deployment.gateways()[0].callers_.host_, 7003 });
-    std::size_t given = 0;
+    ConfigurationFetcher oldPeer({ deployment.gateways()[0].callers_.host_, 7003 });
+    std::size_t received = 0;
     std::size_t busy = 0;
     for (std::size_t i = 0; i < maxTransfers + 1; ++i) {
-        Answer answer = old.call();
-        given += answer == Answer::Given;
-        busy += answer == Answer::Busy;
+        FetchResult result = oldPeer.fetchWithoutAck();
+        received += result == FetchResult::Received;
+        busy += result == FetchResult::Busy;
     }
-    CHECK(given == maxTransfers);
+    CHECK(received == maxTransfers);
     CHECK(busy == 1);
-    CHECK(waitUntil([&] { return old.call() == Answer::Given; }, slack));
+    CHECK(waitUntil([&] { return oldPeer.fetchWithoutAck() == FetchResult::Received; }, slack));
 }
 
 TEST_CASE("a configuration of 4,000 routes is in force on twelve gateways within three seconds", "[gateway]")
 {
     constexpr std::size_t count = 12;
     constexpr std::size_t routes = 4000;
-    constexpr milliseconds spreadWithin { 3000 };
+    constexpr milliseconds maxSpreadTime { 3000 };
     GatewayDeployment deployment(count);
     deployment.standard();
     std::string text = manyRoutes(routes);
-    auto begunAt = steadyNow();
+    auto startedAt = steadyNow();
     deployment.putConfiguration(2, text);
-    CHECK(deployment.waitForVersion(2, spreadWithin));
-    INFO("in force on all after " << std::chrono::duration_cast<milliseconds>(steadyNow() - begunAt).count() << " ms");
+    CHECK(deployment.waitForVersion(2, maxSpreadTime));
+    INFO("in force on all after " << std::chrono::duration_cast<milliseconds>(steadyNow() - startedAt).count() << " ms");
 
     std::size_t fromPlatform = 0;
-    std::size_t handedOn = 0;
-    std::uint64_t mostUnderWay = 0;
+    std::size_t sentByPeers = 0;
+    std::uint64_t maxConcurrent = 0;
     for (const auto& gateway : deployment.gateways()) {
-        for (const auto& line : linesOf(deployment, gateway, "Configuration is in force"))
+        for (const auto& line : logLinesWith(deployment, gateway, "Configuration is in force"))
             fromPlatform += textField(line, "configuration") == "2" && textField(line, "from") == "platform";
-        for (const auto& line : linesOf(deployment, gateway, "was sent to a peer")) {
+        for (const auto& line : logLinesWith(deployment, gateway, "was sent to a peer")) {
             if (textField(line, "configuration") != "2")
                 continue;
-            ++handedOn;
-            mostUnderWay = std::max<std::uint64_t>(mostUnderWay, std::stoull(textField(line, "under_way")));
+            ++sentByPeers;
+            maxConcurrent = std::max<std::uint64_t>(maxConcurrent, std::stoull(textField(line, "under_way")));
             CHECK(std::stoull(textField(line, "bytes")) > 64UL * 1024);
         }
     }
-    CHECK(fromPlatform + handedOn >= count);
-    CHECK(handedOn > 0);
-    CHECK(mostUnderWay <= maxTransfers);
+    CHECK(fromPlatform + sentByPeers >= count);
+    CHECK(sentByPeers > 0);
+    CHECK(maxConcurrent <= maxTransfers);
 }
--- a/test/CutsTest.cpp
+++ b/test/CutsTest.cpp
@@ -1,9 +1,9 @@
-//===- test/CutsTest.cpp - data centres cut off ----------------------------===//
+//===- test/CutsTest.cpp - partitioned data centres -----------------------===//
 ///
 /// \file
-/// What each data centre goes on serving while it is cut from the others, from
-/// the platform, or from both, and that nothing doubles when the cut heals.
-/// Each row of the table in docs/OPERATIONS.md is a case here.
+/// What a data centre still serves while it is partitioned from the others, from
+/// the platform, or from both, and that nothing runs twice after the partition
+/// heals. Each row of the table in docs/OPERATIONS.md is a case here.
 //===----------------------------------------------------------------------===//
 #include "Harness/Deployment.h"
 
@@ -15,9 +15,9 @@
 
 namespace {
 
-constexpr milliseconds answerPatience { 40000 };
+constexpr milliseconds answerTimeout { 40000 };
 
-enum class Cut {
+enum class Partition {
     FromOthers,
     FromPlatform,
     FromBoth,
@@ -25,37 +25,37 @@
 
 struct Row {
     std::string name_;
-    Cut cut_;
-    bool servesOnce_;
-    bool takesEdits_;
+    Partition partition_;
+    bool canRunOnce_;
+    bool canEdit_;
 };
 
-void setCut(Deployment& deployment, Cut cut, bool isCut)
+void setPartitioned(Deployment& deployment, Partition partition, bool isPartitioned)
 {
-    if (cut != Cut::FromPlatform)
-        deployment.cutDataCentre("bento-c", isCut);
-    if (cut == Cut::FromOthers)
+    if (partition != Partition::FromPlatform)
+        deployment.partitionDataCentre("bento-c", isPartitioned);
+    if (partition == Partition::FromOthers)
         return;
     boost::json::array names;
-    if (isCut)
+    if (isPartitioned)
         names.emplace_back("bento-c");
     deployment.controlPlatform({ { "cut_data_centres", names } });
 }
 
 } // namespace
 
-TEST_CASE("a data centre that is cut off serves what it can and refuses the rest truthfully")
+TEST_CASE("a partitioned data centre serves what it can and rejects the rest with a correct reason")
 {
     auto row = GENERATE(values<Row>({
-        { "from the other data centres", Cut::FromOthers, true, true },
-        { "from the platform", Cut::FromPlatform, false, false },
-        { "from both", Cut::FromBoth, false, false },
+        { "from the other data centres", Partition::FromOthers, true, true },
+        { "from the platform", Partition::FromPlatform, false, false },
+        { "from both", Partition::FromBoth, false, false },
     }));
     INFO(row.name_);
     DeploymentOptions options;
     options.nodesPerDataCentre_ = 2;
     options.servicesPerDataCentre_ = 1;
-    options.hasRelays_ = true;
+    options.hasProxies_ = true;
     options.engineArguments_ = { "--decode_us", "4000" };
     options.settings_ = "replica:\n  takeover_grace: 400ms\n  owner_silence: 800ms\nledger:\n  append_timeout: 300ms\n  append_patience: 600ms\n";
     Deployment deployment(options);
@@ -63,16 +63,16 @@
     auto& inside = deployment.node("bento-c-1");
     auto& outside = deployment.node("caxias-a-1");
 
-    // Drafts that run across the cut, owned inside and outside.
+    // Drafts that run during the partition, owned inside and outside of it.
     std::vector<Completion> completions;
     std::vector<std::future<Answer>> drafts;
     for (int i = 0; i < 6; ++i) {
         completions.push_back({ Deployment::apiKey("rede"), "planogram", "across " + std::to_string(i), 700 });
         std::vector<Endpoint> entries { i % 2 ? inside.callers_ : outside.callers_ };
-        drafts.push_back(std::async(std::launch::async, [=] { return streamToEndBlocking(entries, completions.back(), answerPatience); }));
+        drafts.push_back(std::async(std::launch::async, [=] { return streamToEndBlocking(entries, completions.back(), answerTimeout); }));
     }
     REQUIRE(waitUntil([&] { return deployment.metricOfAll("tokens_delivered_total") > 60; }));
-    setCut(deployment, row.cut_, true);
+    setPartitioned(deployment, row.partition_, true);
 
     Completion question { Deployment::apiKey("rede"), "planogram", "while cut", 20 };
     for (auto* node : { &inside, &outside }) {
@@ -85,7 +85,7 @@
     }
     auto order = callService(inside.callers_, Deployment::apiKey("rede"), "labels/order", "cut-order", "{}");
     INFO("order: " << order.body_);
-    if (row.servesOnce_) {
+    if (row.canRunOnce_) {
         CHECK(order.status_ == 200);
     } else {
         CHECK(order.status_ == 503);
@@ -94,17 +94,17 @@
         CHECK(order.error_->retryAfter_.count() > 0);
     }
     CHECK(callService(outside.callers_, Deployment::apiKey("rede"), "labels/order", "cut-order", "{}").status_ == 200);
-    auto edited = deployment.tool(inside, { "catalogue", "remove", "store" });
-    CHECK((edited.first == 0) == row.takesEdits_);
+    auto edited = deployment.runTool(inside, { "catalogue", "remove", "store" });
+    CHECK((edited.first == 0) == row.canEdit_);
 
-    setCut(deployment, row.cut_, false);
+    setPartitioned(deployment, row.partition_, false);
     for (std::size_t i = 0; i < drafts.size(); ++i) {
         Answer answer = drafts[i].get();
         INFO("draft " << i << (answer.error_ ? ": " + describe(*answer.error_) : std::string()));
         CHECK(answer.isDone_);
         CHECK(checkAnswer(answer, completions[i]) == "");
     }
-    // Healed, the order is known everywhere and was run once.
+    // After the partition heals, the order is known everywhere and has run once.
     CHECK(waitUntil([&] { return callService(inside.callers_, Deployment::apiKey("rede"), "labels/order", "cut-order", "{}").status_ == 200; }));
     std::uint64_t executions = 0;
     for (auto& service : deployment.services())
--- a/test/LeavingTest.cpp
+++ b/test/LeavingTest.cpp
@@ -1,8 +1,8 @@
-//===- test/LeavingTest.cpp - leaving back ends and graceful stops ---------===//
+//===- test/LeavingTest.cpp - leaving backend servers, graceful stops -----===//
 ///
 /// \file
-/// A backend server that leaves gets no new work within two seconds of the
-/// first notice from any source; an entry VM that stops cuts nothing off.
+/// A leaving backend server gets no new work from two seconds after the first notice
+/// of any source. A planned stop of an entry VM interrupts no request.
 //===----------------------------------------------------------------------===//
 #include "Harness/Deployment.h"
 
@@ -15,9 +15,9 @@
 
 namespace {
 
-constexpr milliseconds leavingBound { 2000 };
-constexpr milliseconds stopPatience { 30000 };
-constexpr milliseconds answerPatience { 30000 };
+constexpr milliseconds maxNoticeDelay { 2000 };
+constexpr milliseconds stopTimeout { 30000 };
+constexpr milliseconds answerTimeout { 30000 };
 
 DeploymentOptions twoEngines()
 {
@@ -35,20 +35,21 @@
     return { Deployment::apiKey("rede"), "planogram", "question " + std::to_string(number), 2 };
 }
 
-std::uint64_t startedAt(Deployment::Backend& engine)
+std::uint64_t startedCount(Deployment::Backend& engine)
 {
     return numberField(Deployment::control(engine.endpoint_), "started");
 }
 
-/// Sends questions through every node until stopped. \returns failures.
-class SteadyLoad {
+/// Sends questions through every node in turn until stopped.
+class BackgroundLoad {
 public:
-    explicit SteadyLoad(const std::vector<Endpoint>& entries)
+    explicit BackgroundLoad(const std::vector<Endpoint>& entries)
         : thread_([this, entries] { run(entries); })
     {
     }
-    ~SteadyLoad() { stop(); }
+    ~BackgroundLoad() { stop(); }
 
+    /// Ends the load. \returns the number of failed questions.
     int stop()
     {
         isStopped_ = true;
@@ -76,25 +77,25 @@
 enum class NoticeSource {
     CloudNotice,
     VmList,
-    OwnRefusal,
-    CloudNoticeWhileHomeIsCut,
+    OwnRejection,
+    CloudNoticeWhilePartitioned,
 };
 
 } // namespace
 
-TEST_CASE("a leaving engine gets no new work two seconds after the first notice")
+TEST_CASE("a leaving engine gets no new work from two seconds after the first notice")
 {
-    auto source = GENERATE(NoticeSource::CloudNotice, NoticeSource::VmList, NoticeSource::OwnRefusal, NoticeSource::CloudNoticeWhileHomeIsCut);
+    auto source = GENERATE(NoticeSource::CloudNotice, NoticeSource::VmList, NoticeSource::OwnRejection, NoticeSource::CloudNoticeWhilePartitioned);
     INFO("source " << static_cast<int>(source));
     auto options = twoEngines();
     Deployment deployment(options);
     deployment.applyCatalogue(Deployment::standardCatalogue());
     auto& engine = deployment.engine("planogram-caxias-a-1");
-    SteadyLoad load(deployment.callerEndpoints());
-    REQUIRE(waitUntil([&] { return startedAt(engine) > 5; }));
+    BackgroundLoad load(deployment.callerEndpoints());
+    REQUIRE(waitUntil([&] { return startedCount(engine) > 5; }));
     boost::json::object leavingVm { { "id", engine.id_ }, { "kind", "engine" }, { "data_centre", engine.dataCentre_ }, { "host", "127.0.0.1" }, { "port", engine.endpoint_.port_ }, { "serves", boost::json::array { "planogram" } }, { "state", "leaving" } };
     switch (source) {
-    case NoticeSource::CloudNoticeWhileHomeIsCut:
+    case NoticeSource::CloudNoticeWhilePartitioned:
         deployment.controlPlatform({ { "cut_data_centres", boost::json::array { "caxias-a" } } });
         deployment.announceReclaim(engine.id_, milliseconds(60000));
         break;
@@ -104,33 +105,33 @@
     case NoticeSource::VmList:
         deployment.controlPlatform({ { "put_vms", boost::json::array { leavingVm } } });
         break;
-    case NoticeSource::OwnRefusal:
+    case NoticeSource::OwnRejection:
         Deployment::control(engine.endpoint_, { { "leaving", 1 } });
         break;
     }
-    std::this_thread::sleep_for(leavingBound);
-    std::uint64_t started = startedAt(engine);
-    std::uint64_t asked = numberField(Deployment::control(engine.endpoint_), "started_while_leaving");
+    std::this_thread::sleep_for(maxNoticeDelay);
+    std::uint64_t started = startedCount(engine);
+    std::uint64_t startedWhileLeaving = numberField(Deployment::control(engine.endpoint_), "started_while_leaving");
     int answeredBefore = load.answered();
     REQUIRE(waitUntil([&] { return load.answered() > answeredBefore + 100; }));
-    CHECK(startedAt(engine) == started);
-    CHECK(numberField(Deployment::control(engine.endpoint_), "started_while_leaving") == asked);
+    CHECK(startedCount(engine) == started);
+    CHECK(numberField(Deployment::control(engine.endpoint_), "started_while_leaving") == startedWhileLeaving);
     CHECK(load.stop() == 0);
 }
 
-TEST_CASE("a planned stop of an entry VM under load cuts nothing off")
+TEST_CASE("a planned stop of an entry VM under load interrupts no request")
 {
     auto options = twoEngines();
     options.servicesPerDataCentre_ = 1;
     Deployment deployment(options);
     deployment.applyCatalogue(Deployment::standardCatalogue());
     auto& leaving = deployment.node("caxias-a-1");
-    bool isByTool = GENERATE(true, false);
+    bool isStoppedByTool = GENERATE(true, false);
     for (auto& service : deployment.services())
         Deployment::control(service.endpoint_, { { "delay_ms", 300 } });
 
-    // Long streams through the leaving node and through others (whose engines'
-    // home it may be), and service calls in flight.
+    // Long streams through the leaving node and through others (whose engines it may
+    // dispatch to), and service calls in flight.
     std::vector<std::future<Answer>> streams;
     std::vector<Completion> completions;
     for (int i = 0; i < 24; ++i)
@@ -147,13 +148,13 @@
         }));
     }
     REQUIRE(waitUntil([&] { return deployment.metricOfAll("service_calls_total") > 0; }));
-    SteadyLoad load({ deployment.node("caxias-a-2").callers_, deployment.node("caxias-b-1").callers_ });
+    BackgroundLoad load({ deployment.node("caxias-a-2").callers_, deployment.node("caxias-b-1").callers_ });
 
-    if (isByTool)
-        CHECK(deployment.tool(leaving, { "drain" }).first == 0);
+    if (isStoppedByTool)
+        CHECK(deployment.runTool(leaving, { "drain" }).first == 0);
     else
         leaving.process_->signal(SIGTERM);
-    // Readiness goes off first, while callers that the balancer still sends are served.
+    // Readiness ends first; callers that the load balancer still sends are served.
     HttpRequest ready { "GET", "/readyz", {}, {} };
     CHECK(waitUntil([&] {
         auto response = callHttpBlocking(leaving.callers_, ready, milliseconds(1000));
@@ -168,11 +169,11 @@
     }
     for (auto& call : calls)
         CHECK(call.get().status_ == 200);
-    CHECK(leaving.process_->wait(stopPatience) == 0);
+    CHECK(leaving.process_->wait(stopTimeout) == 0);
     CHECK(load.stop() == 0);
 }
 
-TEST_CASE("a request taken over gives back no place that it did not take")
+TEST_CASE("a request that is handed over does not release capacity that it did not take")
 {
     DeploymentOptions options;
     options.dataCentres_ = { "caxias-a", "caxias-b" };
@@ -184,16 +185,16 @@
     auto& leaving = deployment.node("caxias-a-1");
     auto& successor = deployment.node("caxias-b-1");
     Completion handedOver { Deployment::apiKey("rede"), "planogram", "handed over", 400 };
-    Completion stays { Deployment::apiKey("rede"), "planogram", "stays", 1600 };
+    Completion ownDraft { Deployment::apiKey("rede"), "planogram", "stays", 1600 };
     std::vector<Endpoint> entries { leaving.callers_, successor.callers_ };
-    auto first = std::async(std::launch::async, [=] { return streamToEndBlocking(entries, handedOver, answerPatience); });
-    auto second = std::async(std::launch::async, [=] { return streamCompletionBlocking(entries[1], stays); });
+    auto first = std::async(std::launch::async, [=] { return streamToEndBlocking(entries, handedOver, answerTimeout); });
+    auto second = std::async(std::launch::async, [=] { return streamCompletionBlocking(entries[1], ownDraft); });
     REQUIRE(waitUntil([&] { return deployment.metric(leaving, "generations_running") == 1 && deployment.metric(successor, "generations_running") == 1; }));
     deployment.announceReclaim(leaving.id_, milliseconds(800));
     Answer answer = first.get();
     CHECK(answer.isDone_);
     CHECK(checkAnswer(answer, handedOver) == "");
-    auto limits = deployment.ask(successor, "/limits");
+    auto limits = deployment.query(successor, "/limits");
     std::uint64_t inProgress = 0;
     for (const auto& line : objectsField(limits.as_object(), "entries"))
         inProgress += numberField(line, "in_progress");
@@ -201,9 +202,9 @@
     CHECK(second.get().isDone_);
 }
 
-TEST_CASE("a stop with less time than its streams need hands them over whole")
+TEST_CASE("a stop with less time than its streams need hands them over completely")
 {
-    // A successor may reach the engine long after the old owner let go.
+    // A successor may attach to the engine long after the old owner has released it.
     auto attachDelay = GENERATE(milliseconds(0), milliseconds(300));
     INFO("attaching takes " << attachDelay.count() << " ms more");
     auto options = twoEngines();
@@ -218,7 +219,7 @@
     for (int i = 0; i < 8; ++i)
         completions.push_back({ Deployment::apiKey("rede"), "planogram", "long draft " + std::to_string(i), 500 });
     for (const Completion& completion : completions)
-        streams.push_back(std::async(std::launch::async, [=] { return streamToEndBlocking(entries, completion, answerPatience); }));
+        streams.push_back(std::async(std::launch::async, [=] { return streamToEndBlocking(entries, completion, answerTimeout); }));
     REQUIRE(waitUntil([&] { return deployment.metric(leaving, "generations_running") >= 8; }));
     for (auto& engine : deployment.engines())
         Deployment::control(engine.endpoint_, { { "attach_delay_ms", attachDelay.count() } });
@@ -231,8 +232,8 @@
         CHECK(answer.restarts_ == 0);
         CHECK(checkAnswer(answer, completions[i]) == "");
     }
-    // Handed over, not found missing by their replicas; and the engines' streams
-    // went on under their new homes.
+    // The streams were handed over, not taken over by replicas that found them
+    // missing, and the engines' streams continued under their new dispatchers.
     CHECK(deployment.metricOfAll("takeovers_total") == 0);
     CHECK(deployment.metricOfAll("tokens_recomputed_total") == 0);
 }
