--- a/test/ConfigurationSpreadTest.cpp
+++ b/test/ConfigurationSpreadTest.cpp
@@ -180,7 +180,7 @@
 TEST_CASE("a gateway gives its configuration to few peers at a time, and to others once those have it", "[gateway]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     Endpoint gateway { deployment.gateways()[0].callers_.host_, 7003 };
     for (const Ending& ending : endings) {
         INFO(ending.name_);
@@ -210,7 +210,7 @@
 TEST_CASE("peers of older versions are given the configuration, and understand that others come first", "[gateway]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     Asker old({ deployment.gateways()[0].callers_.host_, 7003 });
     std::size_t given = 0;
     std::size_t busy = 0;
@@ -230,7 +230,7 @@
     constexpr std::size_t routes = 4000;
     constexpr milliseconds spreadWithin { 3000 };
     GatewayDeployment deployment(count);
-    deployment.standard();
+    deployment.startStandardServices();
     std::string text = manyRoutes(routes);
     auto begunAt = steadyNow();
     deployment.putConfiguration(2, text);
--- a/test/CrashingRequestsTest.cpp
+++ b/test/CrashingRequestsTest.cpp
@@ -28,7 +28,7 @@
     GatewayDeploymentOptions options;
     options.count_ = count;
     options.dataCentres_ = 2;
-    options.moreSettings_ = [fanout](const std::string&) { return std::string("  gossip:\n    fanout: ") + fanout + "\n"; };
+    options.extraSettings_ = [fanout](const std::string&) { return std::string("  gossip:\n    fanout: ") + fanout + "\n"; };
     return options;
 }
 
@@ -36,7 +36,7 @@
 /// of crashing() reaches ends, and another starts.
 void startCrashable(GatewayDeployment& deployment)
 {
-    deployment.standard();
+    deployment.startStandardServices();
     for (const char* id : { "e-3", "e-4", "e-5", "e-6", "e-7", "e-8" })
         deployment.startBackend(id, "engines");
     deployment.control({ { "crash_text", "crashing body" }, { "restart_ms", 1000 } });
--- a/test/IdleConnectionsTest.cpp
+++ b/test/IdleConnectionsTest.cpp
@@ -119,7 +119,7 @@
     }));
     CAPTURE(row.name_);
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     LateLink link(deployment.gateways()[0].callers_);
     KeepingCaller caller(link.endpoint());
     REQUIRE(caller.call(gatewayRequest("GET", "/safe/x", "first")).starts_with("HTTP/1.1 200"));
@@ -132,10 +132,10 @@
 TEST_CASE("a lower idle limit holds for connections whose callers were told of it", "[idle]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     KeepingCaller caller(deployment.gateways()[0].callers_);
     // The request is admitted under the limit of 5 s, and its answer announces that.
-    deployment.disturbAll({ { "delay_ms", 1000 } });
+    deployment.setBackendFaults({ { "delay_ms", 1000 } });
     std::thread operators([&] {
         std::this_thread::sleep_for(milliseconds(300));
         deployment.putConfiguration(2, {}, 2000, milliseconds(1500));
@@ -143,7 +143,7 @@
     CHECK(caller.call(gatewayRequest("GET", "/safe/x", "first")).starts_with("HTTP/1.1 200"));
     operators.join();
     REQUIRE(deployment.waitForVersion(2, milliseconds(5000)));
-    deployment.disturbAll({ { "delay_ms", 0 } });
+    deployment.setBackendFaults({ { "delay_ms", 0 } });
     std::this_thread::sleep_for(milliseconds(3000));
     CHECK(caller.call(gatewayRequest("GET", "/safe/x", "second")).starts_with("HTTP/1.1 200"));
     CHECK(caller.connections() == 1);
@@ -155,7 +155,7 @@
 TEST_CASE("a request that comes after the end of the idle time stays unread", "[idle]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     auto& gateway = deployment.gateways()[0];
     boost::asio::io_context io;
     tcp::socket socket(io);
@@ -175,7 +175,7 @@
 TEST_CASE("a request that came in time is answered by a node that was frozen at the idle limit", "[idle]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     auto& gateway = deployment.gateways()[0];
     KeepingCaller caller(gateway.callers_);
     REQUIRE(caller.call(gatewayRequest("GET", "/safe/x", "first")).starts_with("HTTP/1.1 200"));
--- a/test/Platform/GatewayDeployment.cpp
+++ b/test/Platform/GatewayDeployment.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-    constexpr milliseconds callPatience { 8000 };
-    constexpr milliseconds startPatience { 20000 };
+    constexpr milliseconds callTimeout { 8000 };
+    constexpr milliseconds startTimeout { 20000 };
 
     std::string address(const Endpoint& endpoint)
     {
@@ -74,14 +74,14 @@
 void GatewayDeployment::writeSettings(const Gateway& gateway, const std::string& dataCentre) const
 {
     const std::string& host = gateway.callers_.host_;
-    Endpoint platform = options_.platformFor_ ? options_.platformFor_(gateway.vm_, platformAddress_) : platformAddress_;
+    Endpoint platform = options_.platformEndpointFor_ ? options_.platformEndpointFor_(gateway.vm_, platformAddress_) : platformAddress_;
     std::ofstream file(settingsFile(gateway));
     file << "gateway:\n  vm: " << gateway.vm_ << "\n  data_centre: " << dataCentre << "\n  threads: 2\n  peer_credential: credential-of-tests\n  store: " << address(platform)
          << "\n  seeds: [\"" << gateways_.front().callers_.host_ << ":7003\"]\n  listen:\n    callers: " << address(gateway.callers_) << "\n    readiness: " << address(gateway.readiness_)
          << "\n    peers: " << address({ host, 7003 }) << "\n    gossip: " << address({ host, 7004 }) << "\n    metrics: " << address(gateway.metrics_)
          << "\n  duties:\n    address: " << address(platform) << "\n    usage_window: 1s\n    usage_delay: 1s\n  stopping:\n    grace: 3s\n    balancer_grace: 500ms\n"
          << "  retries:\n    extra: 200\n"
-         << (options_.moreSettings_ ? options_.moreSettings_(gateway.vm_) : "") << "logs:\n  level: info\n  json: true\n";
+         << (options_.extraSettings_ ? options_.extraSettings_(gateway.vm_) : "") << "logs:\n  level: info\n  json: true\n";
 }
 
 void GatewayDeployment::launch(Gateway& gateway)
@@ -96,7 +96,7 @@
 
 json::object GatewayDeployment::control(const json::object& body) const
 {
-    auto answer = callHttpBlocking(platformAddress_, { "POST", "/control", {}, json::serialize(body) }, callPatience);
+    auto answer = callHttpBlocking(platformAddress_, { "POST", "/control", {}, json::serialize(body) }, callTimeout);
     if (!answer)
         throw std::runtime_error(describe(answer.error()));
     return parseJsonObject(answer.value().body_).value_or(json::object {});
@@ -108,7 +108,7 @@
     return control(faults);
 }
 
-void GatewayDeployment::disturbAll(const json::object& faults) const
+void GatewayDeployment::setBackendFaults(const json::object& faults) const
 {
     for (const char* id : { "p-1", "p-2", "e-1", "e-2" })
         backend(id, faults);
@@ -128,8 +128,8 @@
 void GatewayDeployment::registerBackend(const std::string& id, const std::string& service, const std::string& address, const char* phase) const
 {
     json::object value { { "service", service }, { "address", address }, { "zone", "a" }, { "version", "v1" }, { "slot_count", 8 }, { "phase", phase }, { "cold_left_ms", 0 }, { "call_seq", 1 } };
-    if (const json::value* born = control({ { "born", id } }).if_contains("born"))
-        value["born"] = *born;
+    if (const json::value* startTime = control({ { "born", id } }).if_contains("born"))
+        value["born"] = *startTime;
     json::object entry { { "topic", "keyed.servers" }, { "key", id }, { "value", json::serialize(value) } };
     control({ { "put", json::array { entry } } });
 }
@@ -145,47 +145,47 @@
     control({ { "put", json::array { entry } } });
 }
 
-void GatewayDeployment::standard()
+void GatewayDeployment::startStandardServices()
 {
     putConfiguration(1);
     for (const char* id : { "p-1", "p-2" })
         startBackend(id, "plain");
     for (const char* id : { "e-1", "e-2" })
         startBackend(id, "engines");
-    if (!waitForVersion(1, startPatience) || !waitForBackends(4))
+    if (!waitForVersion(1, startTimeout) || !waitForBackends(4))
         throw std::runtime_error("gateways did not learn the configuration; see " + directory_);
 }
 
-bool GatewayDeployment::waitForVersion(std::uint64_t version, milliseconds patience) const
+bool GatewayDeployment::waitForVersion(std::uint64_t version, milliseconds timeout) const
 {
-    return waitUntil([&] { return std::all_of(gateways_.begin(), gateways_.end(), [&](const Gateway& gateway) { return metric(gateway, "configuration_version") >= static_cast<double>(version); }); }, patience);
+    return waitUntil([&] { return std::all_of(gateways_.begin(), gateways_.end(), [&](const Gateway& gateway) { return metric(gateway, "configuration_version") >= static_cast<double>(version); }); }, timeout);
 }
 
 bool GatewayDeployment::waitForBackends(std::size_t count) const
 {
-    return waitUntil([&] { return std::all_of(gateways_.begin(), gateways_.end(), [&](const Gateway& gateway) { return metric(gateway, "backend_servers") == static_cast<double>(count); }); }, startPatience);
+    return waitUntil([&] { return std::all_of(gateways_.begin(), gateways_.end(), [&](const Gateway& gateway) { return metric(gateway, "backend_servers") == static_cast<double>(count); }); }, startTimeout);
 }
 
 HttpResponse GatewayDeployment::call(const Gateway& gateway, const HttpRequest& request) const
 {
-    auto answer = callHttpBlocking(gateway.callers_, request, callPatience);
+    auto answer = callHttpBlocking(gateway.callers_, request, callTimeout);
     return answer ? answer.value() : HttpResponse { 0, {}, describe(answer.error()) };
 }
 
 bool GatewayDeployment::isReady(const Gateway& gateway) const
 {
-    auto answer = callHttpBlocking(gateway.readiness_, { "GET", "/readyz", {}, {} }, callPatience);
+    auto answer = callHttpBlocking(gateway.readiness_, { "GET", "/readyz", {}, {} }, callTimeout);
     return answer && answer.value().status_ == 200;
 }
 
 double GatewayDeployment::metric(const Gateway& gateway, const std::string& name) const
 {
-    auto answer = callHttpBlocking(gateway.metrics_, { "GET", "/metrics", {}, {} }, callPatience);
+    auto answer = callHttpBlocking(gateway.metrics_, { "GET", "/metrics", {}, {} }, callTimeout);
     if (!answer)
         return -1;
     std::string key = "\npistachioloom_" + name + " ";
-    std::size_t at = answer.value().body_.find(key);
-    return at == std::string::npos ? -1 : std::stod(answer.value().body_.substr(at + key.size()));
+    std::size_t position = answer.value().body_.find(key);
+    return position == std::string::npos ? -1 : std::stod(answer.value().body_.substr(position + key.size()));
 }
 
 HttpRequest gatewayRequest(const std::string& method, const std::string& path, const std::string& id)
--- a/test/Platform/GatewayDeployment.h
+++ b/test/Platform/GatewayDeployment.h
@@ -18,9 +18,9 @@
     /// Data centres that the gateways are spread over in turn.
     std::size_t dataCentres_ = 1;
     /// Where a gateway finds the platform, given where it is; for proxies between.
-    std::function<Endpoint(const std::string& vm, const Endpoint& platform)> platformFor_;
+    std::function<Endpoint(const std::string& vm, const Endpoint& platform)> platformEndpointFor_;
     /// More lines of a gateway's settings, indented by two spaces.
-    std::function<std::string(const std::string& vm)> moreSettings_;
+    std::function<std::string(const std::string& vm)> extraSettings_;
 };
 
 class GatewayDeployment {
@@ -49,7 +49,7 @@
     /// Faults of one backend server, and what arrived there.
     boost::json::object backend(const std::string& id, boost::json::object faults = {}) const;
     /// Faults of all four backend servers of standard().
-    void disturbAll(const boost::json::object& faults) const;
+    void setBackendFaults(const boost::json::object& faults) const;
     void startBackend(const std::string& id, const std::string& service);
     void setLeaving(const std::string& id, const std::string& service, const std::string& address) const;
     /// Registers the start of \p id that is there, at \p address, without its own word.
@@ -59,8 +59,8 @@
     void putConfiguration(std::uint64_t version, const std::string& extraRoutes = {}, std::uint64_t connections = 2000, milliseconds idle = milliseconds(5000)) const;
     /// Puts version 1 and two backend servers of each service, and waits until
     /// every gateway knows them.
-    void standard();
-    bool waitForVersion(std::uint64_t version, milliseconds patience) const;
+    void startStandardServices();
+    bool waitForVersion(std::uint64_t version, milliseconds timeout) const;
     /// Waits until every gateway counts \p count backend servers.
     bool waitForBackends(std::size_t count) const;
 
--- a/test/Platform/Soak/FaultProxy.cpp
+++ b/test/Platform/Soak/FaultProxy.cpp
@@ -13,7 +13,7 @@
 
     constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
     // A connection whose bytes are held back looks this often whether they pass.
-    constexpr milliseconds heldPeriod { 10 };
+    constexpr milliseconds stallPollPeriod { 10 };
     constexpr std::size_t bufferSize = 16UL * 1024;
 
 } // namespace
@@ -27,11 +27,11 @@
         return "delayed";
     case LinkFault::Reset:
         return "reset";
-    case LinkFault::Silent:
+    case LinkFault::Stalled:
         return "silent";
-    case LinkFault::DeafUp:
+    case LinkFault::StalledToClient:
         return "deaf_up";
-    case LinkFault::DeafDown:
+    case LinkFault::StalledToServer:
         return "deaf_down";
     case LinkFault::Refused:
         return "refused";
@@ -40,9 +40,9 @@
 }
 
 struct FaultProxy::Link {
-    explicit Link(tcp::socket near)
-        : near_(std::move(near))
-        , far_(near_.get_executor())
+    explicit Link(tcp::socket client)
+        : client_(std::move(client))
+        , server_(client_.get_executor())
     {
     }
 
@@ -51,16 +51,16 @@
     {
         boost::system::error_code ignored;
         if (isReset) {
-            near_.set_option(asio::socket_base::linger(true, 0), ignored);
-            far_.set_option(asio::socket_base::linger(true, 0), ignored);
+            client_.set_option(asio::socket_base::linger(true, 0), ignored);
+            server_.set_option(asio::socket_base::linger(true, 0), ignored);
         }
-        near_.close(ignored);
-        far_.close(ignored);
+        client_.close(ignored);
+        server_.close(ignored);
     }
 
-    tcp::socket near_;
-    tcp::socket far_;
-    int ended_ = 0;
+    tcp::socket client_;
+    tcp::socket server_;
+    int endedDirections_ = 0;
 };
 
 FaultProxy::FaultProxy(asio::io_context& io, Endpoint target)
@@ -89,11 +89,11 @@
         fault_ = LinkFault::None;
 }
 
-bool FaultProxy::passes(bool isUpward) const
+bool FaultProxy::canForward(bool isToServer) const
 {
-    if (fault_ == LinkFault::Silent)
+    if (fault_ == LinkFault::Stalled)
         return false;
-    return fault_ != (isUpward ? LinkFault::DeafDown : LinkFault::DeafUp);
+    return fault_ != (isToServer ? LinkFault::StalledToServer : LinkFault::StalledToClient);
 }
 
 asio::awaitable<void> FaultProxy::accept()
@@ -104,7 +104,7 @@
             co_return;
         auto link = std::make_shared<Link>(std::move(socket));
         tcp::endpoint address(asio::ip::make_address(target_.host_), target_.port_);
-        auto [connectCode] = co_await link->far_.async_connect(address, asTuple);
+        auto [connectCode] = co_await link->server_.async_connect(address, asTuple);
         if (connectCode || fault_ == LinkFault::Refused) {
             link->close(true);
             if (connectCode != asio::error::connection_refused)
@@ -115,15 +115,15 @@
             co_return;
         }
         links_.insert(link);
-        asio::co_spawn(acceptor_.get_executor(), pump(link, true), asio::detached);
-        asio::co_spawn(acceptor_.get_executor(), pump(link, false), asio::detached);
+        asio::co_spawn(acceptor_.get_executor(), forwardBytes(link, true), asio::detached);
+        asio::co_spawn(acceptor_.get_executor(), forwardBytes(link, false), asio::detached);
     }
 }
 
-asio::awaitable<void> FaultProxy::pump(std::shared_ptr<Link> link, bool isUpward)
+asio::awaitable<void> FaultProxy::forwardBytes(std::shared_ptr<Link> link, bool isToServer)
 {
-    tcp::socket& from = isUpward ? link->near_ : link->far_;
-    tcp::socket& to = isUpward ? link->far_ : link->near_;
+    tcp::socket& from = isToServer ? link->client_ : link->server_;
+    tcp::socket& to = isToServer ? link->server_ : link->client_;
     SteadyTimer timer(acceptor_.get_executor());
     std::vector<char> buffer(bufferSize);
     bool isCleanEnd = false;
@@ -136,8 +136,8 @@
             timer.expires_after(delay_);
             (void)co_await timer.async_wait(asTuple);
         }
-        while (!passes(isUpward) && to.is_open()) {
-            timer.expires_after(heldPeriod);
+        while (!canForward(isToServer) && to.is_open()) {
+            timer.expires_after(stallPollPeriod);
             (void)co_await timer.async_wait(asTuple);
         }
         auto [writeCode, written] = co_await asio::async_write(to, asio::buffer(buffer, count), asTuple);
@@ -148,7 +148,7 @@
     if (isCleanEnd)
         to.shutdown(tcp::socket::shutdown_send, ignored);
     // The other direction may still have bytes after a half-close.
-    if (++link->ended_ < 2 && isCleanEnd)
+    if (++link->endedDirections_ < 2 && isCleanEnd)
         co_return;
     link->close(!isCleanEnd);
     links_.erase(link);
--- a/test/Platform/Soak/FaultProxy.h
+++ b/test/Platform/Soak/FaultProxy.h
@@ -20,11 +20,11 @@
     /// Open connections are reset once; new ones work.
     Reset,
     /// Nothing passes in either direction, and nothing is closed.
-    Silent,
+    Stalled,
     /// What the server sends does not arrive.
-    DeafUp,
+    StalledToClient,
     /// What the client sends does not arrive.
-    DeafDown,
+    StalledToServer,
     /// New connections are refused.
     Refused,
 };
@@ -45,8 +45,8 @@
 private:
     struct Link;
     asio::awaitable<void> accept();
-    asio::awaitable<void> pump(std::shared_ptr<Link> link, bool isUpward);
-    bool passes(bool isUpward) const;
+    asio::awaitable<void> forwardBytes(std::shared_ptr<Link> link, bool isToServer);
+    bool canForward(bool isToServer) const;
 
     asio::ip::tcp::acceptor acceptor_;
     const std::uint16_t port_;
--- a/test/Platform/Soak/Schedule.cpp
+++ b/test/Platform/Soak/Schedule.cpp
@@ -14,31 +14,31 @@
 
     // Faults begin 0.05 to 0.9 s apart and last 0.1 to 3 s, so that two or three
     // overlap; the contact time of the users' platform is 3 s.
-    constexpr std::int64_t leastPause = 50;
-    constexpr std::int64_t mostPause = 900;
-    constexpr std::int64_t leastLength = 100;
-    constexpr std::int64_t mostLength = 3000;
-    constexpr std::int64_t longestDelay = 300;
+    constexpr std::int64_t minFaultGap = 50;
+    constexpr std::int64_t maxFaultGap = 900;
+    constexpr std::int64_t minDuration = 100;
+    constexpr std::int64_t maxDuration = 3000;
+    constexpr std::int64_t maxDelay = 300;
     // Reclaims come this far apart, with a notice of 0.5 to 2.5 s; that of the users'
     // platform is 1 to 3 s.
-    constexpr std::int64_t leastReclaimPause = 500;
-    constexpr std::int64_t mostReclaimPause = 4000;
-    constexpr std::int64_t leastNotice = 500;
-    constexpr std::int64_t mostNotice = 2500;
+    constexpr std::int64_t minReclaimGap = 500;
+    constexpr std::int64_t maxReclaimGap = 4000;
+    constexpr std::int64_t minNotice = 500;
+    constexpr std::int64_t maxNotice = 2500;
     // They are drawn apart, so that seeds that are kept draw the same other faults.
     constexpr std::uint64_t reclaimSeed = 0x5ec1a1;
     constexpr std::uint64_t signalSeed = 0x51610;
-    constexpr std::int64_t leastSignalPause = 700;
-    constexpr std::int64_t mostSignalPause = 3500;
-    constexpr std::int64_t longestAskedPause = 2000;
+    constexpr std::int64_t minSignalGap = 700;
+    constexpr std::int64_t maxSignalGap = 3500;
+    constexpr std::int64_t maxRequestedPause = 2000;
 
-    struct Weighted {
+    struct WeightedKind {
         FaultKind kind_;
         double weight_;
     };
 
     // Killing all at once is rare, or little else would be seen.
-    constexpr Weighted kinds[] = {
+    constexpr WeightedKind kinds[] = {
         { FaultKind::Kill, 2 },
         { FaultKind::Stop, 2 },
         { FaultKind::Freeze, 2 },
@@ -53,11 +53,11 @@
         { FaultKind::Configure, 1 },
     };
 
-    constexpr LinkFault linkFaults[] = { LinkFault::Delayed, LinkFault::Reset, LinkFault::Silent, LinkFault::DeafUp, LinkFault::DeafDown, LinkFault::Refused };
+    constexpr LinkFault linkFaults[] = { LinkFault::Delayed, LinkFault::Reset, LinkFault::Stalled, LinkFault::StalledToClient, LinkFault::StalledToServer, LinkFault::Refused };
 
     struct BackendFaultKind {
-        const char* control_;
-        std::int64_t strength_;
+        const char* controlKey_;
+        std::int64_t parameter_;
     };
 
     constexpr BackendFaultKind backendFaults[] = { { "full", 1 }, { "lose_answers", 1 }, { "other_id", 1 }, { "no_seal", 1 }, { "delay_ms", 700 }, { "cut_at", 3 }, { "gap_ms", 300 } };
@@ -93,9 +93,9 @@
         return "reclaim";
     case FaultKind::Configure:
         return "configure";
-    case FaultKind::SayLeaving:
+    case FaultKind::ReportLeaving:
         return "say_leaving";
-    case FaultKind::AskPause:
+    case FaultKind::RequestPause:
         return "ask_pause";
     case FaultKind::CrashEngines:
         return "crash_engines";
@@ -103,76 +103,76 @@
     return "unknown";
 }
 
-static std::vector<Fault> drawReclaims(std::uint64_t seed, milliseconds length)
+static std::vector<Fault> generateReclaims(std::uint64_t seed, milliseconds runDuration)
 {
     std::mt19937_64 random(seed ^ reclaimSeed);
-    auto draw = [&](std::int64_t least, std::int64_t most) { return std::uniform_int_distribution<std::int64_t>(least, most)(random); };
+    auto randomBetween = [&](std::int64_t min, std::int64_t max) { return std::uniform_int_distribution<std::int64_t>(min, max)(random); };
     std::vector<Fault> faults;
-    for (milliseconds at(draw(leastReclaimPause, mostReclaimPause)); at < length; at += milliseconds(draw(leastReclaimPause, mostReclaimPause))) {
+    for (milliseconds at(randomBetween(minReclaimGap, maxReclaimGap)); at < runDuration; at += milliseconds(randomBetween(minReclaimGap, maxReclaimGap))) {
         Fault fault;
         fault.at_ = at;
         fault.kind_ = FaultKind::Reclaim;
-        fault.target_ = static_cast<std::size_t>(draw(0, 1000));
-        fault.for_ = milliseconds(draw(leastNotice, mostNotice));
+        fault.target_ = static_cast<std::size_t>(randomBetween(0, 1000));
+        fault.duration_ = milliseconds(randomBetween(minNotice, maxNotice));
         faults.push_back(std::move(fault));
     }
     return faults;
 }
 
 /// What backend servers say of themselves, and one request that crashes engines.
-static std::vector<Fault> drawSignals(std::uint64_t seed, milliseconds length)
+static std::vector<Fault> generateSignals(std::uint64_t seed, milliseconds runDuration)
 {
     std::mt19937_64 random(seed ^ signalSeed);
-    auto draw = [&](std::int64_t least, std::int64_t most) { return std::uniform_int_distribution<std::int64_t>(least, most)(random); };
+    auto randomBetween = [&](std::int64_t min, std::int64_t max) { return std::uniform_int_distribution<std::int64_t>(min, max)(random); };
     std::vector<Fault> faults;
     Fault crashes;
     crashes.kind_ = FaultKind::CrashEngines;
-    crashes.at_ = milliseconds(draw(0, length.count() / 2));
+    crashes.at_ = milliseconds(randomBetween(0, runDuration.count() / 2));
     faults.push_back(crashes);
-    for (milliseconds at(draw(0, mostSignalPause)); at < length; at += milliseconds(draw(leastSignalPause, mostSignalPause))) {
+    for (milliseconds at(randomBetween(0, maxSignalGap)); at < runDuration; at += milliseconds(randomBetween(minSignalGap, maxSignalGap))) {
         Fault fault;
         fault.at_ = at;
-        fault.kind_ = draw(0, 1) ? FaultKind::SayLeaving : FaultKind::AskPause;
-        fault.target_ = static_cast<std::size_t>(draw(0, 1000));
-        fault.for_ = milliseconds(draw(leastLength, mostLength));
-        fault.strength_ = draw(longestAskedPause / 4, longestAskedPause);
+        fault.kind_ = randomBetween(0, 1) ? FaultKind::ReportLeaving : FaultKind::RequestPause;
+        fault.target_ = static_cast<std::size_t>(randomBetween(0, 1000));
+        fault.duration_ = milliseconds(randomBetween(minDuration, maxDuration));
+        fault.parameter_ = randomBetween(maxRequestedPause / 4, maxRequestedPause);
         faults.push_back(std::move(fault));
     }
     return faults;
 }
 
-std::vector<Fault> drawFaults(std::uint64_t seed, milliseconds length)
+std::vector<Fault> generateFaults(std::uint64_t seed, milliseconds runDuration)
 {
     std::mt19937_64 random(seed);
-    auto draw = [&](std::int64_t least, std::int64_t most) { return std::uniform_int_distribution<std::int64_t>(least, most)(random); };
+    auto randomBetween = [&](std::int64_t min, std::int64_t max) { return std::uniform_int_distribution<std::int64_t>(min, max)(random); };
     std::vector<double> weights;
-    for (const Weighted& kind : kinds)
+    for (const WeightedKind& kind : kinds)
         weights.push_back(kind.weight_);
-    std::discrete_distribution<std::size_t> kindOf(weights.begin(), weights.end());
+    std::discrete_distribution<std::size_t> kindDistribution(weights.begin(), weights.end());
     std::vector<Fault> faults;
-    for (milliseconds at(draw(leastPause, mostPause)); at < length; at += milliseconds(draw(leastPause, mostPause))) {
+    for (milliseconds at(randomBetween(minFaultGap, maxFaultGap)); at < runDuration; at += milliseconds(randomBetween(minFaultGap, maxFaultGap))) {
         Fault fault;
         fault.at_ = at;
-        fault.kind_ = kinds[kindOf(random)].kind_;
-        fault.target_ = static_cast<std::size_t>(draw(0, 1000));
-        fault.for_ = std::min(milliseconds(draw(leastLength, mostLength)), length - at);
+        fault.kind_ = kinds[kindDistribution(random)].kind_;
+        fault.target_ = static_cast<std::size_t>(randomBetween(0, 1000));
+        fault.duration_ = std::min(milliseconds(randomBetween(minDuration, maxDuration)), runDuration - at);
         bool isLink = fault.kind_ == FaultKind::PlatformLink || fault.kind_ == FaultKind::BackendLink;
         if (isLink) {
-            fault.link_ = linkFaults[static_cast<std::size_t>(draw(0, std::size(linkFaults) - 1))];
-            fault.strength_ = draw(1, longestDelay);
+            fault.link_ = linkFaults[static_cast<std::size_t>(randomBetween(0, std::size(linkFaults) - 1))];
+            fault.parameter_ = randomBetween(1, maxDelay);
         }
         if (fault.kind_ == FaultKind::BackendFault) {
-            const BackendFaultKind& chosen = backendFaults[static_cast<std::size_t>(draw(0, std::size(backendFaults) - 1))];
-            fault.control_ = chosen.control_;
-            fault.strength_ = chosen.strength_;
+            const BackendFaultKind& backendFault = backendFaults[static_cast<std::size_t>(randomBetween(0, std::size(backendFaults) - 1))];
+            fault.controlKey_ = backendFault.controlKey_;
+            fault.parameter_ = backendFault.parameter_;
         }
         if (fault.kind_ == FaultKind::Configure)
-            fault.strength_ = draw(1, 5);
+            fault.parameter_ = randomBetween(1, 5);
         faults.push_back(std::move(fault));
     }
-    for (Fault& fault : drawReclaims(seed, length))
+    for (Fault& fault : generateReclaims(seed, runDuration))
         faults.push_back(std::move(fault));
-    for (Fault& fault : drawSignals(seed, length))
+    for (Fault& fault : generateSignals(seed, runDuration))
         faults.push_back(std::move(fault));
     std::stable_sort(faults.begin(), faults.end(), [](const Fault& left, const Fault& right) { return left.at_ < right.at_; });
     return faults;
@@ -180,13 +180,13 @@
 
 std::string describe(const Fault& fault)
 {
-    std::string text = std::to_string(fault.at_.count()) + " ms " + std::string(toString(fault.kind_)) + " of " + std::to_string(fault.target_) + " for " + std::to_string(fault.for_.count()) + " ms";
+    std::string text = std::to_string(fault.at_.count()) + " ms " + std::string(toString(fault.kind_)) + " of " + std::to_string(fault.target_) + " for " + std::to_string(fault.duration_.count()) + " ms";
     if (fault.link_ != LinkFault::None)
         text += " " + std::string(toString(fault.link_));
-    if (!fault.control_.empty())
-        text += " " + fault.control_;
-    if (fault.strength_)
-        text += "=" + std::to_string(fault.strength_);
+    if (!fault.controlKey_.empty())
+        text += " " + fault.controlKey_;
+    if (fault.parameter_)
+        text += "=" + std::to_string(fault.parameter_);
     return text;
 }
 
--- a/test/Platform/Soak/Schedule.h
+++ b/test/Platform/Soak/Schedule.h
@@ -29,7 +29,7 @@
     PlatformDown,
     /// Records are written whose answers are lost.
     LoseAppends,
-    /// A backend server misbehaves: `control_` says how.
+    /// A backend server misbehaves: `controlKey_` says how.
     BackendFault,
     /// A backend server leaves, and another one comes.
     Replace,
@@ -39,9 +39,9 @@
     /// New versions of the configuration, one after the other.
     Configure,
     /// A backend server says in its answers that it leaves; another one comes.
-    SayLeaving,
+    ReportLeaving,
     /// A backend server turns requests away and asks for a pause.
-    AskPause,
+    RequestPause,
     /// From now on a caller sends a request that crashes each engine that begins to
     /// run it; another engine comes for each.
     CrashEngines,
@@ -54,16 +54,16 @@
     FaultKind kind_ = FaultKind::Kill;
     /// Which gateway or backend server; taken modulo their number.
     std::size_t target_ = 0;
-    milliseconds for_ {};
+    milliseconds duration_ {};
     LinkFault link_ = LinkFault::None;
     /// The stand-in's name of a backend server's fault, and its strength.
-    std::string control_;
-    std::int64_t strength_ = 0;
+    std::string controlKey_;
+    std::int64_t parameter_ = 0;
 };
 
 /// The faults of one run, by time. They end so that each lasts no longer than
-/// \p length.
-std::vector<Fault> drawFaults(std::uint64_t seed, milliseconds length);
+/// \p runDuration.
+std::vector<Fault> generateFaults(std::uint64_t seed, milliseconds runDuration);
 
 std::string describe(const Fault& fault);
 
--- a/test/Platform/Soak/Soak.cpp
+++ b/test/Platform/Soak/Soak.cpp
@@ -46,10 +46,10 @@
     std::vector<std::uint64_t> seeds = readSeeds(seedsFile);
     for (std::uint64_t i = 0; i < runs; ++i)
         seeds.push_back(options.seed_ + i);
-    bool isGood = true;
+    bool hasPassed = true;
     for (std::uint64_t seed : std::set<std::uint64_t>(seeds.begin(), seeds.end())) {
         options.seed_ = seed;
-        isGood &= SoakRun(options).run();
+        hasPassed &= SoakRun(options).run();
     }
-    return isGood ? 0 : 1;
+    return hasPassed ? 0 : 1;
 }
--- a/test/Platform/Soak/SoakCaller.cpp
+++ b/test/Platform/Soak/SoakCaller.cpp
@@ -18,13 +18,13 @@
 
     constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
     // Longer than any route's timeout of 5 s; a frozen gateway answers later.
-    constexpr milliseconds longestWait { 12000 };
-    constexpr milliseconds longestPause { 60 };
-    constexpr milliseconds pauseAfterBreak { 30 };
-    constexpr milliseconds crashingPause { 200 };
+    constexpr milliseconds ioTimeout { 12000 };
+    constexpr milliseconds maxPause { 60 };
+    constexpr milliseconds pauseAfterFailure { 30 };
+    constexpr milliseconds crashingRequestPause { 200 };
     // One request in this many is given up by its caller midway.
-    constexpr int leavesOneIn = 25;
-    constexpr int mostRequestsOnConnection = 60;
+    constexpr int abandonOneIn = 25;
+    constexpr int maxRequestsPerConnection = 60;
     constexpr const char* deadlineMs = "3000";
 
     struct Connection {
@@ -72,10 +72,10 @@
         return request;
     }
 
-    /// Closes the connection after \p wait unless it is disarmed before.
-    void armLimit(const std::shared_ptr<Connection>& connection, milliseconds wait)
+    /// Closes the connection after \p timeout unless it is disarmed before.
+    void armTimeout(const std::shared_ptr<Connection>& connection, milliseconds timeout)
     {
-        connection->timer_.expires_after(wait);
+        connection->timer_.expires_after(timeout);
         connection->timer_.async_wait([connection](const boost::system::error_code& code) {
             boost::system::error_code ignored;
             if (!code)
@@ -95,27 +95,27 @@
         call.status_ = static_cast<int>(parser.get().result_int());
         call.hasRetryAfter_ = parser.get().find(http::field::retry_after) != parser.get().end();
         auto [bodyCode, bodyCount] = co_await http::async_read(connection->socket_, connection->buffer_, parser, asTuple);
-        call.isWhole_ = !bodyCode;
+        call.isComplete_ = !bodyCode;
         call.body_ = parser.get().body();
-        connection->isOpen_ = call.isWhole_ && parser.get().keep_alive();
+        connection->isOpen_ = call.isComplete_ && parser.get().keep_alive();
     }
 
-    asio::awaitable<void> exchange(std::shared_ptr<Connection> connection, Call& call, milliseconds leaveAfter)
+    asio::awaitable<void> exchange(std::shared_ptr<Connection> connection, Call& call, milliseconds abandonAfter)
     {
-        armLimit(connection, leaveAfter.count() ? leaveAfter : longestWait);
-        call.hasLeft_ = leaveAfter.count() > 0;
+        armTimeout(connection, abandonAfter.count() ? abandonAfter : ioTimeout);
+        call.hasCallerLeft_ = abandonAfter.count() > 0;
         http::request<http::string_body> request = requestFor(call);
         auto [code, count] = co_await http::async_write(connection->socket_, request, asTuple);
         // An answer may be there although the request was not wholly taken.
         co_await readAnswer(connection, call);
         connection->timer_.cancel();
         call.endedAt_ = steadyNow();
-        connection->isOpen_ &= !code && !call.hasLeft_;
+        connection->isOpen_ &= !code && !call.hasCallerLeft_;
     }
 
     asio::awaitable<bool> connect(std::shared_ptr<Connection> connection, Endpoint address)
     {
-        armLimit(connection, longestWait);
+        armTimeout(connection, ioTimeout);
         tcp::endpoint endpoint(asio::ip::make_address(address.host_), address.port_);
         auto [code] = co_await connection->socket_.async_connect(endpoint, asTuple);
         connection->timer_.cancel();
@@ -123,9 +123,9 @@
         co_return !code;
     }
 
-    asio::awaitable<void> pause(milliseconds length)
+    asio::awaitable<void> pause(milliseconds duration)
     {
-        SteadyTimer timer(co_await asio::this_coro::executor, length);
+        SteadyTimer timer(co_await asio::this_coro::executor, duration);
         (void)co_await timer.async_wait(asTuple);
     }
 
@@ -147,7 +147,7 @@
     std::mt19937_64 random(seed);
     auto executor = co_await asio::this_coro::executor;
     for (int sent = 0; !hooks.isOver_(); ++sent) {
-        co_await pause(crashingPause);
+        co_await pause(crashingRequestPause);
         auto connection = std::make_shared<Connection>(executor);
         auto [name, address] = hooks.pickGateway_(random);
         if (!co_await connect(connection, address))
@@ -168,29 +168,29 @@
     auto executor = co_await asio::this_coro::executor;
     std::shared_ptr<Connection> connection;
     constexpr RequestKind kinds[] = { RequestKind::Unsafe, RequestKind::Safe, RequestKind::Draft, RequestKind::Ask, RequestKind::Limited };
-    int onConnection = 0;
+    int requestsOnConnection = 0;
     for (int sent = 0; !hooks.isOver_(); ++sent) {
-        if (!connection || !connection->isOpen_ || onConnection >= mostRequestsOnConnection) {
+        if (!connection || !connection->isOpen_ || requestsOnConnection >= maxRequestsPerConnection) {
             connection = std::make_shared<Connection>(executor);
-            onConnection = 0;
+            requestsOnConnection = 0;
             auto [name, address] = hooks.pickGateway_(random);
             connection->gateway_ = name;
             if (!co_await connect(connection, address)) {
-                co_await pause(pauseAfterBreak);
+                co_await pause(pauseAfterFailure);
                 continue;
             }
         }
-        ++onConnection;
+        ++requestsOnConnection;
         Call call;
         call.id_ = "c" + std::to_string(number) + "-" + std::to_string(sent);
         call.kind_ = kinds[random() % std::size(kinds)];
         call.gateway_ = connection->gateway_;
         call.sentAt_ = steadyNow();
-        milliseconds leaveAfter(random() % leavesOneIn ? 0 : 1 + random() % 50);
-        co_await exchange(connection, call, leaveAfter);
-        bool isBroken = !connection->isOpen_;
+        milliseconds abandonAfter(random() % abandonOneIn ? 0 : 1 + random() % 50);
+        co_await exchange(connection, call, abandonAfter);
+        bool isClosed = !connection->isOpen_;
         hooks.onCall_(std::move(call));
-        co_await pause(isBroken ? pauseAfterBreak : milliseconds(random() % longestPause.count()));
+        co_await pause(isClosed ? pauseAfterFailure : milliseconds(random() % maxPause.count()));
     }
 }
 
--- a/test/Platform/Soak/SoakCaller.h
+++ b/test/Platform/Soak/SoakCaller.h
@@ -43,9 +43,9 @@
     /// 0 if the connection ended before a status line.
     int status_ = 0;
     /// The whole answer came.
-    bool isWhole_ = false;
+    bool isComplete_ = false;
     /// The caller left before the answer.
-    bool hasLeft_ = false;
+    bool hasCallerLeft_ = false;
     std::string body_;
     bool hasRetryAfter_ = false;
 };
--- a/test/Platform/Soak/SoakFaults.cpp
+++ b/test/Platform/Soak/SoakFaults.cpp
@@ -13,15 +13,15 @@
 namespace pistachioloom::test {
 
 // After the last fault: the platform's contact time, and a holder's succession.
-static constexpr milliseconds recovery { 6000 };
+static constexpr milliseconds recoveryTime { 6000 };
 // How long requests are counted after that.
-static constexpr milliseconds calm { 3000 };
+static constexpr milliseconds measuredTime { 3000 };
 // Grace of the gateways' settings, and what the machine may take beside.
-static constexpr milliseconds longestStop { 3000 + 2500 };
+static constexpr milliseconds maxStopTime { 3000 + 2500 };
 // When requests are counted that reach a backend server which says that it leaves.
-static constexpr milliseconds leavingKnown { 2500 };
+static constexpr milliseconds leavingPropagation { 2500 };
 
-asio::awaitable<void> SoakRun::bringDown(std::size_t index, int signal, milliseconds pause)
+asio::awaitable<void> SoakRun::stopAndRestart(std::size_t index, int signal, milliseconds pause)
 {
     Node& node = nodes_[index];
     if (node.isDown_)
@@ -30,53 +30,53 @@
     SteadyTime at = steadyNow();
     Process& process = *gateway(index).process_;
     process.signal(signal);
-    SteadyTime until = at + longestStop;
-    while (process.isRunning() && (steadyNow() < until || node.frozen_))
+    SteadyTime deadline = at + maxStopTime;
+    while (process.isRunning() && (steadyNow() < deadline || node.freezeCount_))
         co_await sleepFor(milliseconds(10));
-    if (process.isRunning() && !promises_.disturbances().overlap(gateway(index).vm_, at, steadyNow()))
-        promises_.broken("a node stops within its grace time", gateway(index).vm_);
+    if (process.isRunning() && !checker_.faultIntervals().overlaps(gateway(index).vm_, at, steadyNow()))
+        checker_.reportViolation("a node stops within its grace time", gateway(index).vm_);
     process.kill();
-    (void)process.wait(metricPatience);
+    (void)process.wait(gatewayTimeout);
     co_await sleepFor(pause);
-    promises_.disturbances().note(gateway(index).vm_, at, steadyNow());
+    checker_.faultIntervals().add(gateway(index).vm_, at, steadyNow());
     deployment_->restart(gateway(index));
-    ++node.starts_;
+    ++node.startCount_;
     node.version_ = 0;
-    node.frozen_ = 0;
+    node.freezeCount_ = 0;
     node.isDown_ = false;
 }
 
-asio::awaitable<void> SoakRun::freeze(std::size_t index, milliseconds length)
+asio::awaitable<void> SoakRun::freeze(std::size_t index, milliseconds duration)
 {
     Node& node = nodes_[index];
     if (node.isDown_)
         co_return;
-    std::uint64_t start = node.starts_;
+    std::uint64_t start = node.startCount_;
     SteadyTime at = steadyNow();
-    ++node.frozen_;
+    ++node.freezeCount_;
     gateway(index).process_->freeze();
-    co_await sleepFor(length);
-    promises_.disturbances().note(gateway(index).vm_, at, steadyNow());
-    if (node.starts_ != start)
+    co_await sleepFor(duration);
+    checker_.faultIntervals().add(gateway(index).vm_, at, steadyNow());
+    if (node.startCount_ != start)
         co_return;
-    if (--node.frozen_ == 0)
+    if (--node.freezeCount_ == 0)
         gateway(index).process_->resume();
 }
 
-asio::awaitable<void> SoakRun::disturbLink(FaultProxy& proxy, const std::string& what, Fault fault)
+asio::awaitable<void> SoakRun::injectLinkFault(FaultProxy& proxy, const std::string& component, Fault fault)
 {
     SteadyTime at = steadyNow();
-    proxy.set(fault.link_, milliseconds(fault.strength_));
-    co_await sleepFor(fault.for_);
+    proxy.set(fault.link_, milliseconds(fault.parameter_));
+    co_await sleepFor(fault.duration_);
     proxy.set(LinkFault::None);
-    promises_.disturbances().note(what, at, steadyNow());
+    checker_.faultIntervals().add(component, at, steadyNow());
 }
 
 asio::awaitable<void> SoakRun::control(std::string key, Fault fault)
 {
     bool isPlatform = fault.kind_ != FaultKind::BackendFault;
     Server& server = *servers_[fault.target_ % servers_.size()];
-    json::object body { { key, isPlatform ? 1 : fault.strength_ } };
+    json::object body { { key, isPlatform ? 1 : fault.parameter_ } };
     json::object undo { { key, 0 } };
     if (!isPlatform)
         body["backend"] = undo["backend"] = server.id_;
@@ -84,9 +84,9 @@
         undo[key] = 5;
     SteadyTime at = steadyNow();
     deployment_->control(body);
-    co_await sleepFor(fault.for_);
+    co_await sleepFor(fault.duration_);
     deployment_->control(undo);
-    promises_.disturbances().note(isPlatform ? "platform" : server.id_, at, steadyNow());
+    checker_.faultIntervals().add(isPlatform ? "platform" : server.id_, at, steadyNow());
 }
 
 asio::awaitable<void> SoakRun::replace(std::size_t index)
@@ -96,7 +96,7 @@
         co_return;
     server.isLeaving_ = true;
     startServer(server.service_);
-    announce(server, "draining");
+    registerServer(server, "draining");
 }
 
 /// The first engine from \p index on that stays so far is taken away.
@@ -108,20 +108,20 @@
             continue;
         server.isLeaving_ = true;
         startServer(server.service_);
-        announce(server, "draining", true);
+        registerServer(server, "draining", true);
         SteadyTime at = steadyNow();
         co_await sleepFor(notice);
         server.proxy_->set(LinkFault::Reset);
         co_await sleepFor(monitorPeriod);
         server.proxy_->set(LinkFault::Refused);
-        server.isGone_ = true;
-        promises_.disturbances().note(server.id_, at, steadyNow());
+        server.isRemoved_ = true;
+        checker_.faultIntervals().add(server.id_, at, steadyNow());
         co_return;
     }
 }
 
 /// It is registered as before: only its answers tell that it leaves.
-asio::awaitable<void> SoakRun::sayLeaving(std::size_t index)
+asio::awaitable<void> SoakRun::reportLeaving(std::size_t index)
 {
     Server& server = *servers_[index % servers_.size()];
     if (server.isLeaving_)
@@ -130,26 +130,26 @@
     startServer(server.service_);
     json::object runs = deployment_->backend(server.id_, { { "says_leaving", 1 } });
     // Nobody knows before an answer tells.
-    std::size_t before = runs.at("runs").as_array().size();
-    std::size_t served = before;
-    while (!isOver_ && served == before) {
+    std::size_t initialRunCount = runs.at("runs").as_array().size();
+    std::size_t runCount = initialRunCount;
+    while (!isOver_ && runCount == initialRunCount) {
         co_await sleepFor(monitorPeriod);
-        served = deployment_->backend(server.id_).at("runs").as_array().size();
+        runCount = deployment_->backend(server.id_).at("runs").as_array().size();
     }
-    SteadyTime saidAt = steadyNow();
-    co_await sleepFor(leavingKnown);
-    std::size_t counted = deployment_->backend(server.id_).at("runs").as_array().size();
+    SteadyTime announcedAt = steadyNow();
+    co_await sleepFor(leavingPropagation);
+    std::size_t firstLateRun = deployment_->backend(server.id_).at("runs").as_array().size();
     while (!isOver_)
         co_await sleepFor(monitorPeriod);
-    std::vector<std::string> late;
-    json::object told = deployment_->backend(server.id_);
-    const json::array& all = told.at("runs").as_array();
-    for (std::size_t i = counted; i < all.size(); ++i)
-        late.emplace_back(all[i].as_string());
-    promises_.takeLateRuns(server.id_, late, saidAt);
+    std::vector<std::string> lateRuns;
+    json::object state = deployment_->backend(server.id_);
+    const json::array& all = state.at("runs").as_array();
+    for (std::size_t i = firstLateRun; i < all.size(); ++i)
+        lateRuns.emplace_back(all[i].as_string());
+    checker_.addLateRuns(server.id_, lateRuns, announcedAt);
 }
 
-asio::awaitable<void> SoakRun::askPause(std::size_t index, milliseconds length, milliseconds pause)
+asio::awaitable<void> SoakRun::requestPause(std::size_t index, milliseconds duration, milliseconds pause)
 {
     Server& server = *servers_[index % servers_.size()];
     if (server.isLeaving_)
@@ -157,37 +157,37 @@
     SteadyTime at = steadyNow();
     std::string id = server.id_;
     deployment_->backend(id, { { "full", 1 }, { "retry_after_ms", pause.count() } });
-    co_await sleepFor(length);
-    json::object told = deployment_->backend(id, { { "full", 0 }, { "retry_after_ms", 0 } });
-    promises_.disturbances().note(id, at, steadyNow());
+    co_await sleepFor(duration);
+    json::object state = deployment_->backend(id, { { "full", 0 }, { "retry_after_ms", 0 } });
+    checker_.faultIntervals().add(id, at, steadyNow());
     // In each pause a gateway may send two requests, and so may each start of one.
-    auto pauses = static_cast<std::uint64_t>(length / pause + 1);
+    auto pauses = static_cast<std::uint64_t>(duration / pause + 1);
     std::uint64_t starts = 0;
     for (const Node& node : nodes_)
-        starts += node.starts_;
-    std::uint64_t turnedAway = numberField(told, "turned_away");
+        starts += node.startCount_;
+    std::uint64_t rejectedCount = numberField(state, "turned_away");
     // Requests of the half second in which the first answers come are not counted.
-    if (turnedAway > 2 * pauses * starts + options_.callers_)
-        promises_.broken("a pause that a backend server asks for is kept", id + " turned away " + std::to_string(turnedAway) + " in " + std::to_string(length.count()) + " ms");
+    if (rejectedCount > 2 * pauses * starts + options_.callers_)
+        checker_.reportViolation("a pause that a backend server asks for is kept", id + " turned away " + std::to_string(rejectedCount) + " in " + std::to_string(duration.count()) + " ms");
 }
 
-void SoakRun::crashEngines()
+void SoakRun::startCrashingCaller()
 {
     deployment_->control({ { "crash_text", crashText }, { "restart_ms", 600000 } });
     CallerHooks hooks;
     hooks.pickGateway_ = [this](std::mt19937_64& random) { return pickGateway(random); };
-    hooks.onCall_ = [this](Call call) { promises_.take(std::move(call)); };
+    hooks.onCall_ = [this](Call call) { checker_.addCall(std::move(call)); };
     hooks.isOver_ = [this] { return isOver_; };
     asio::co_spawn(io_, runCrashingCaller(options_.seed_, hooks), asio::detached);
-    asio::co_spawn(io_, replaceCrashed(), asio::detached);
+    asio::co_spawn(io_, replaceCrashedEngines(), asio::detached);
 }
 
-asio::awaitable<void> SoakRun::replaceCrashed()
+asio::awaitable<void> SoakRun::replaceCrashedEngines()
 {
     while (!isOver_) {
         co_await sleepFor(monitorPeriod);
-        json::object told = deployment_->control();
-        for (const json::value& crash : told.at("crashes").as_array()) {
+        json::object state = deployment_->control();
+        for (const json::value& crash : state.at("crashes").as_array()) {
             std::string id = textField(crash.as_object(), "backend");
             auto found = std::find_if(servers_.begin(), servers_.end(), [&](const auto& server) { return server->id_ == id; });
             if (found == servers_.end() || (*found)->hasCrashed_)
@@ -195,9 +195,9 @@
             Server& server = **found;
             server.hasCrashed_ = true;
             server.isLeaving_ = true;
-            server.isGone_ = true;
+            server.isRemoved_ = true;
             SteadyTime at { milliseconds(numberField(crash.as_object(), "at_ms")) };
-            promises_.disturbances().note(id, at, steadyNow());
+            checker_.faultIntervals().add(id, at, steadyNow());
             startServer(server.service_);
         }
     }
@@ -211,70 +211,70 @@
     }
 }
 
-asio::awaitable<void> SoakRun::apply(Fault fault)
+asio::awaitable<void> SoakRun::applyFault(Fault fault)
 {
     std::size_t node = fault.target_ % options_.gateways_;
     switch (fault.kind_) {
     case FaultKind::Kill:
-        co_return co_await bringDown(node, SIGKILL, fault.for_);
+        co_return co_await stopAndRestart(node, SIGKILL, fault.duration_);
     case FaultKind::Stop:
-        co_return co_await bringDown(node, SIGTERM, fault.for_);
+        co_return co_await stopAndRestart(node, SIGTERM, fault.duration_);
     case FaultKind::Freeze:
-        co_return co_await freeze(node, fault.for_);
+        co_return co_await freeze(node, fault.duration_);
     case FaultKind::Reload:
         if (!nodes_[node].isDown_)
             gateway(node).process_->signal(SIGHUP);
         co_return;
     case FaultKind::KillAll:
         for (std::size_t i = 0; i < options_.gateways_; ++i)
-            asio::co_spawn(io_, bringDown(i, SIGKILL, fault.for_), asio::detached);
+            asio::co_spawn(io_, stopAndRestart(i, SIGKILL, fault.duration_), asio::detached);
         co_return;
     case FaultKind::PlatformLink:
-        co_return co_await disturbLink(*nodes_[node].platformLink_, gateway(node).vm_, fault);
+        co_return co_await injectLinkFault(*nodes_[node].platformLink_, gateway(node).vm_, fault);
     case FaultKind::BackendLink: {
         Server& server = *servers_[fault.target_ % servers_.size()];
-        co_return co_await disturbLink(*server.proxy_, server.id_, fault);
+        co_return co_await injectLinkFault(*server.proxy_, server.id_, fault);
     }
     case FaultKind::PlatformDown:
         co_return co_await control("down", fault);
     case FaultKind::LoseAppends:
         co_return co_await control("lose_appends", fault);
     case FaultKind::BackendFault:
-        co_return co_await control(fault.control_, fault);
+        co_return co_await control(fault.controlKey_, fault);
     case FaultKind::Replace:
         co_return co_await replace(fault.target_);
     case FaultKind::Reclaim:
-        co_return co_await reclaim(fault.target_, fault.for_);
+        co_return co_await reclaim(fault.target_, fault.duration_);
     case FaultKind::Configure:
-        co_return co_await configure(fault.strength_);
-    case FaultKind::SayLeaving:
-        co_return co_await sayLeaving(fault.target_);
-    case FaultKind::AskPause:
-        co_return co_await askPause(fault.target_, fault.for_, milliseconds(fault.strength_));
+        co_return co_await configure(fault.parameter_);
+    case FaultKind::ReportLeaving:
+        co_return co_await reportLeaving(fault.target_);
+    case FaultKind::RequestPause:
+        co_return co_await requestPause(fault.target_, fault.duration_, milliseconds(fault.parameter_));
     case FaultKind::CrashEngines:
-        co_return crashEngines();
+        co_return startCrashingCaller();
     }
 }
 
 /// Brings about the faults, lets the system recover, and ends the run.
-asio::awaitable<void> SoakRun::inject()
+asio::awaitable<void> SoakRun::injectFaults()
 {
-    milliseconds length(static_cast<std::int64_t>(options_.seconds_ * 1000));
-    for (const Fault& fault : drawFaults(options_.seed_, length)) {
+    milliseconds duration(static_cast<std::int64_t>(options_.seconds_ * 1000));
+    for (const Fault& fault : generateFaults(options_.seed_, duration)) {
         milliseconds wait = std::chrono::duration_cast<milliseconds>(startedAt_ + fault.at_ - steadyNow());
         co_await sleepFor(std::max(milliseconds(0), wait));
         if (options_.isVerbose_)
             std::cerr << describe(fault) << "\n";
-        asio::co_spawn(io_, apply(fault), asio::detached);
+        asio::co_spawn(io_, applyFault(fault), asio::detached);
     }
-    milliseconds rest = std::chrono::duration_cast<milliseconds>(startedAt_ + length - steadyNow());
+    milliseconds rest = std::chrono::duration_cast<milliseconds>(startedAt_ + duration - steadyNow());
     co_await sleepFor(std::max(milliseconds(0), rest));
     // Stops that began last may take their grace time.
-    while (std::any_of(nodes_.begin(), nodes_.end(), [](const Node& node) { return node.isDown_ || node.frozen_; }))
+    while (std::any_of(nodes_.begin(), nodes_.end(), [](const Node& node) { return node.isDown_ || node.freezeCount_; }))
         co_await sleepFor(monitorPeriod);
-    co_await sleepFor(recovery);
-    calmFrom_ = steadyNow();
-    co_await sleepFor(calm);
+    co_await sleepFor(recoveryTime);
+    recoveredAt_ = steadyNow();
+    co_await sleepFor(measuredTime);
     isOver_ = true;
 }
 
--- a/test/Platform/Soak/SoakMonitor.cpp
+++ b/test/Platform/Soak/SoakMonitor.cpp
@@ -11,8 +11,8 @@
 static double versionIn(const std::string& page)
 {
     constexpr std::string_view key = "\npistachioloom_configuration_version ";
-    std::size_t at = page.find(key);
-    return at == std::string::npos ? 0 : std::stod(page.substr(at + key.size()));
+    std::size_t position = page.find(key);
+    return position == std::string::npos ? 0 : std::stod(page.substr(position + key.size()));
 }
 
 /// Watches one gateway: it runs on, and its configuration never goes back.
@@ -22,14 +22,14 @@
     while (!isOver_) {
         co_await sleepFor(monitorPeriod);
         if (!node.isDown_ && !gateway(index).process_->isRunning()) {
-            promises_.broken("processes do not end by themselves", gateway(index).vm_);
+            checker_.reportViolation("processes do not end by themselves", gateway(index).vm_);
             isOver_ = true;
             co_return;
         }
-        std::uint64_t start = node.starts_;
+        std::uint64_t start = node.startCount_;
         HttpRequest request { "GET", "/metrics", {}, {} };
-        auto answer = co_await callHttp(gateway(index).metrics_, request, metricPatience);
-        if (!answer || node.isDown_ || node.starts_ != start)
+        auto answer = co_await callHttp(gateway(index).metrics_, request, gatewayTimeout);
+        if (!answer || node.isDown_ || node.startCount_ != start)
             continue;
         checkVersion(index, versionIn(answer.value().body_));
     }
@@ -39,11 +39,11 @@
 {
     Node& node = nodes_[index];
     if (version < node.version_)
-        promises_.broken("configurations only go forward", gateway(index).vm_ + " went from " + std::to_string(node.version_) + " to " + std::to_string(version));
+        checker_.reportViolation("configurations only go forward", gateway(index).vm_ + " went from " + std::to_string(node.version_) + " to " + std::to_string(version));
     node.version_ = std::max(node.version_, version);
-    bool shouldHaveNewest = calmFrom_ != SteadyTime {} && steadyNow() > calmFrom_;
+    bool shouldHaveNewest = recoveredAt_ != SteadyTime {} && steadyNow() > recoveredAt_;
     if (shouldHaveNewest && version != static_cast<double>(version_))
-        promises_.broken("the newest configuration is in force after the faults", gateway(index).vm_ + " has " + std::to_string(version) + " of " + std::to_string(version_));
+        checker_.reportViolation("the newest configuration is in force after the faults", gateway(index).vm_ + " has " + std::to_string(version) + " of " + std::to_string(version_));
 }
 
 } // namespace pistachioloom::test
--- a/test/Platform/Soak/SoakRun.cpp
+++ b/test/Platform/Soak/SoakRun.cpp
@@ -12,13 +12,13 @@
 
 namespace pistachioloom::test {
 
-static constexpr std::size_t serversOfEachKind = 3;
+static constexpr std::size_t serversPerService = 3;
 // The clock of one gateway is wrong by this much in every third run.
-static constexpr const char* wrongClock = "  clock_offset: 7s\n";
+static constexpr const char* clockOffsetSetting = "  clock_offset: 7s\n";
 
-asio::awaitable<void> sleepFor(milliseconds length)
+asio::awaitable<void> sleepFor(milliseconds duration)
 {
-    SteadyTimer timer(co_await asio::this_coro::executor, length);
+    SteadyTimer timer(co_await asio::this_coro::executor, duration);
     (void)co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
@@ -34,21 +34,21 @@
     options.count_ = options_.gateways_;
     options.dataCentres_ = 2;
     auto next = std::make_shared<std::size_t>(0);
-    options.platformFor_ = [this, next](const std::string&, const Endpoint& platform) {
+    options.platformEndpointFor_ = [this, next](const std::string&, const Endpoint& platform) {
         nodes_[*next].platformLink_ = std::make_unique<FaultProxy>(io_, platform);
         return nodes_[(*next)++].platformLink_->endpoint();
     };
     // Odd seeds run with relays, as a large fleet does.
     bool hasRelays = options_.seed_ % 2;
-    bool hasWrongClock = options_.seed_ % 3 == 0;
-    options.moreSettings_ = [hasRelays, hasWrongClock](const std::string& vm) {
+    bool hasClockOffset = options_.seed_ % 3 == 0;
+    options.extraSettings_ = [hasRelays, hasClockOffset](const std::string& vm) {
         std::string text = hasRelays ? "  gossip:\n    fanout: 1\n" : "";
-        return text + (hasWrongClock && vm == "node-2" ? wrongClock : "");
+        return text + (hasClockOffset && vm == "node-2" ? clockOffsetSetting : "");
     };
     return options;
 }
 
-void SoakRun::announce(const Server& server, const char* phase, bool isReclaimed) const
+void SoakRun::registerServer(const Server& server, const char* phase, bool isReclaimed) const
 {
     json::object value { { "service", server.service_ }, { "address", server.proxy_->endpoint().toString() }, { "zone", "a" }, { "version", "v1" }, { "slot_count", 8 }, { "phase", phase }, { "cold_left_ms", 0 }, { "call_seq", 0 }, { "spot", isReclaimed } };
     json::object entry { { "topic", "keyed.servers" }, { "key", server.id_ }, { "value", json::serialize(value) } };
@@ -58,13 +58,13 @@
 void SoakRun::startServer(const std::string& service)
 {
     auto server = std::make_unique<Server>();
-    server->id_ = service + "-" + std::to_string(++serversMade_);
+    server->id_ = service + "-" + std::to_string(++lastServerNumber_);
     server->service_ = service;
-    json::object wanted { { "id", server->id_ }, { "service", service }, { "unregistered", 1 } };
-    json::object answer = deployment_->control({ { "backends", json::array { wanted } } });
+    json::object spec { { "id", server->id_ }, { "service", service }, { "unregistered", 1 } };
+    json::object answer = deployment_->control({ { "backends", json::array { spec } } });
     auto port = static_cast<std::uint16_t>(numberField(answer.at("ports").as_object(), server->id_.c_str()));
     server->proxy_ = std::make_unique<FaultProxy>(io_, Endpoint { "127.0.0.1", port });
-    announce(*server, "up");
+    registerServer(*server, "up");
     servers_.push_back(std::move(server));
 }
 
@@ -78,7 +78,7 @@
 {
     deployment_ = std::make_unique<GatewayDeployment>(deploymentOptions());
     deployment_->putConfiguration(version_);
-    for (std::size_t i = 0; i < serversOfEachKind; ++i) {
+    for (std::size_t i = 0; i < serversPerService; ++i) {
         startServer("plain");
         startServer("engines");
     }
@@ -87,11 +87,11 @@
 /// Proxies work on this thread, so waiting means running them.
 void SoakRun::waitUntilServing()
 {
-    SteadyTime until = steadyNow() + milliseconds(20000);
+    SteadyTime deadline = steadyNow() + milliseconds(20000);
     auto guard = asio::make_work_guard(io_);
     for (std::size_t i = 0; i < options_.gateways_; ++i) {
-        while (!deployment_->isReady(gateway(i)) || deployment_->metric(gateway(i), "backend_servers") < 2 * serversOfEachKind) {
-            if (steadyNow() > until)
+        while (!deployment_->isReady(gateway(i)) || deployment_->metric(gateway(i), "backend_servers") < 2 * serversPerService) {
+            if (steadyNow() > deadline)
                 throw std::runtime_error("gateways do not become ready; see " + deployment_->directory());
             io_.run_for(milliseconds(50));
         }
@@ -103,7 +103,7 @@
     for (std::size_t i = 0; i < options_.callers_; ++i) {
         CallerHooks hooks;
         hooks.pickGateway_ = [this](std::mt19937_64& random) { return pickGateway(random); };
-        hooks.onCall_ = [this](Call call) { promises_.take(std::move(call)); };
+        hooks.onCall_ = [this](Call call) { checker_.addCall(std::move(call)); };
         hooks.isOver_ = [this] { return isOver_; };
         asio::co_spawn(io_, runCaller(i, options_.seed_ * 1000 + i, hooks), asio::detached);
     }
@@ -117,37 +117,37 @@
     startCallers();
     for (std::size_t i = 0; i < options_.gateways_; ++i)
         asio::co_spawn(io_, monitor(i), asio::detached);
-    asio::co_spawn(io_, inject(), asio::detached);
+    asio::co_spawn(io_, injectFaults(), asio::detached);
     while (!isOver_)
         io_.run_for(monitorPeriod);
     // What callers still wait for; answers come within their time.
     io_.run_for(milliseconds(4000));
-    collect();
+    checkResults();
     return report();
 }
 
-void SoakRun::collect()
+void SoakRun::checkResults()
 {
     for (const auto& server : servers_)
-        promises_.takeRuns(deployment_->backend(server->id_).at("runs").as_array(), server->isGone_);
-    json::object told = deployment_->control();
-    promises_.checkDuties(told.at("duties").as_array());
-    promises_.checkCrashes(told.at("crashes").as_array());
-    promises_.checkWhole(startedAt_, calmFrom_);
+        checker_.addRuns(deployment_->backend(server->id_).at("runs").as_array(), server->isRemoved_);
+    json::object state = deployment_->control();
+    checker_.checkDuties(state.at("duties").as_array());
+    checker_.checkCrashes(state.at("crashes").as_array());
+    checker_.checkEntireRun(startedAt_, recoveredAt_);
 }
 
 /// \returns whether every promise was kept.
 bool SoakRun::report() const
 {
-    json::object summary { { "seed", options_.seed_ }, { "calls", promises_.calls() }, { "served", promises_.served() }, { "broken", promises_.findings().size() } };
+    json::object summary { { "seed", options_.seed_ }, { "calls", checker_.calls() }, { "served", checker_.served() }, { "broken", checker_.violations().size() } };
     std::cout << json::serialize(summary) << std::endl;
-    for (const std::string& finding : promises_.findings())
+    for (const std::string& finding : checker_.violations())
         std::cout << "  " << finding << "\n";
-    if (promises_.findings().empty())
+    if (checker_.violations().empty())
         std::filesystem::remove_all(deployment_->directory());
     else
         std::cout << "  logs are in " << deployment_->directory() << "\n";
-    return promises_.findings().empty();
+    return checker_.violations().empty();
 }
 
 } // namespace pistachioloom::test
--- a/test/Platform/Soak/SoakRun.h
+++ b/test/Platform/Soak/SoakRun.h
@@ -8,7 +8,7 @@
 #pragma once
 
 #include "Platform/GatewayDeployment.h"
-#include "Promises.h"
+#include "InvariantChecker.h"
 #include "Schedule.h"
 
 namespace pistachioloom::test {
@@ -16,7 +16,7 @@
 /// Between two looks at a gateway.
 inline constexpr milliseconds monitorPeriod { 200 };
 /// How long a gateway may take to tell its metrics, or to be gone after a kill.
-inline constexpr milliseconds metricPatience { 2000 };
+inline constexpr milliseconds gatewayTimeout { 2000 };
 
 struct SoakOptions {
     std::uint64_t seed_ = 1;
@@ -41,7 +41,7 @@
         std::unique_ptr<FaultProxy> proxy_;
         bool isLeaving_ = false;
         /// It was taken away.
-        bool isGone_ = false;
+        bool isRemoved_ = false;
         bool hasCrashed_ = false;
     };
     struct Node {
@@ -49,8 +49,8 @@
         /// It was told to end, or is not started again yet.
         bool isDown_ = false;
         /// Freezes under way; they may overlap.
-        int frozen_ = 0;
-        std::uint64_t starts_ = 1;
+        int freezeCount_ = 0;
+        std::uint64_t startCount_ = 1;
         double version_ = 0;
     };
 
@@ -58,31 +58,31 @@
     GatewayDeploymentOptions deploymentOptions();
     void startDeployment();
     void startServer(const std::string& service);
-    void announce(const Server& server, const char* phase, bool isReclaimed = false) const;
+    void registerServer(const Server& server, const char* phase, bool isReclaimed = false) const;
     void waitUntilServing();
     void startCallers();
     std::pair<std::string, Endpoint> pickGateway(std::mt19937_64& random);
     GatewayDeployment::Gateway& gateway(std::size_t index) { return deployment_->gateways()[index]; }
     // Faults.
-    asio::awaitable<void> inject();
-    asio::awaitable<void> apply(Fault fault);
-    asio::awaitable<void> bringDown(std::size_t index, int signal, milliseconds pause);
-    asio::awaitable<void> freeze(std::size_t index, milliseconds length);
-    asio::awaitable<void> disturbLink(FaultProxy& proxy, const std::string& what, Fault fault);
+    asio::awaitable<void> injectFaults();
+    asio::awaitable<void> applyFault(Fault fault);
+    asio::awaitable<void> stopAndRestart(std::size_t index, int signal, milliseconds pause);
+    asio::awaitable<void> freeze(std::size_t index, milliseconds duration);
+    asio::awaitable<void> injectLinkFault(FaultProxy& proxy, const std::string& component, Fault fault);
     asio::awaitable<void> control(std::string key, Fault fault);
     asio::awaitable<void> replace(std::size_t index);
     asio::awaitable<void> reclaim(std::size_t index, milliseconds notice);
-    asio::awaitable<void> sayLeaving(std::size_t index);
-    asio::awaitable<void> askPause(std::size_t index, milliseconds length, milliseconds pause);
+    asio::awaitable<void> reportLeaving(std::size_t index);
+    asio::awaitable<void> requestPause(std::size_t index, milliseconds duration, milliseconds pause);
     /// Starts the caller whose request crashes engines.
-    void crashEngines();
+    void startCrashingCaller();
     /// Replaces engines that crashed.
-    asio::awaitable<void> replaceCrashed();
+    asio::awaitable<void> replaceCrashedEngines();
     asio::awaitable<void> configure(std::int64_t versions);
     // What is watched, and what comes of it.
     asio::awaitable<void> monitor(std::size_t index);
     void checkVersion(std::size_t index, double version);
-    void collect();
+    void checkResults();
     bool report() const;
 
     SoakOptions options_;
@@ -90,14 +90,14 @@
     std::vector<Node> nodes_;
     std::unique_ptr<GatewayDeployment> deployment_;
     std::vector<std::unique_ptr<Server>> servers_;
-    Promises promises_ { {} };
+    InvariantChecker checker_ { {} };
     SteadyTime startedAt_ {};
-    SteadyTime calmFrom_ {};
+    SteadyTime recoveredAt_ {};
     bool isOver_ = false;
-    int serversMade_ = 0;
+    int lastServerNumber_ = 0;
     std::uint64_t version_ = 1;
 };
 
-asio::awaitable<void> sleepFor(milliseconds length);
+asio::awaitable<void> sleepFor(milliseconds duration);
 
 } // namespace pistachioloom::test
--- a/test/PlatformFleetTest.cpp
+++ b/test/PlatformFleetTest.cpp
@@ -60,9 +60,9 @@
     GatewayDeploymentOptions options;
     options.count_ = 6;
     options.dataCentres_ = 2;
-    options.moreSettings_ = [](const std::string&) { return "  gossip:\n    fanout: 1\n"; };
+    options.extraSettings_ = [](const std::string&) { return "  gossip:\n    fanout: 1\n"; };
     GatewayDeployment deployment(std::move(options));
-    deployment.standard();
+    deployment.startStandardServices();
     auto knowsOf = [&](std::size_t from, double nodes) {
         return waitUntil([&] {
             auto first = deployment.gateways().begin() + static_cast<std::ptrdiff_t>(from);
@@ -98,9 +98,9 @@
 TEST_CASE("kept connections are served through a stop, and closed only after saying so", "[gateway]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     auto& gateway = deployment.gateways()[0];
-    deployment.disturbAll({ { "delay_ms", 100 } });
+    deployment.setBackendFaults({ { "delay_ms", 100 } });
     // Callers that never stop asking, on connections from before the stop.
     std::atomic<bool> isStopping { false };
     std::atomic<int> answeredInStop { 0 };
@@ -134,7 +134,7 @@
 TEST_CASE("a holder of the duties that stops is succeeded while it still drains", "[gateway]")
 {
     GatewayDeployment deployment(3);
-    deployment.standard();
+    deployment.startStandardServices();
     auto& gateways = deployment.gateways();
     auto holderOf = [&]() -> std::size_t {
         for (std::size_t i = 0; i < gateways.size(); ++i) {
@@ -146,7 +146,7 @@
     REQUIRE(waitUntil([&] { return holderOf() < gateways.size(); }, patience));
     std::size_t first = holderOf();
     // A long stream holds the stopping node for all of its grace time of 3 s.
-    deployment.disturbAll({ { "events", 1000 } });
+    deployment.setBackendFaults({ { "events", 1000 } });
     std::thread caller([&] { (void)deployment.call(gateways[first], gatewayRequest("POST", "/ask/stream", "long")); });
     REQUIRE(waitUntil([&] { return deployment.metric(gateways[first], "requests_running") > 0; }, patience));
     gateways[first].process_->signal(SIGTERM);
--- a/test/PlatformGatewayTest.cpp
+++ b/test/PlatformGatewayTest.cpp
@@ -79,7 +79,7 @@
     GatewayDeployment deployment(2);
     CHECK_FALSE(deployment.isReady(deployment.gateways()[0]));
     CHECK(deployment.call(deployment.gateways()[0], gatewayRequest("GET", "/safe/x", "early")).status_ == 503);
-    deployment.standard();
+    deployment.startStandardServices();
     auto& gateway = deployment.gateways()[1];
     CHECK(deployment.isReady(gateway));
     deployment.backend("p-2", { { "full", 1 } });
@@ -109,7 +109,7 @@
 TEST_CASE("what the configuration does not allow is refused", "[gateway]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     auto& gateway = deployment.gateways()[0];
     struct Row {
         const char* path_;
@@ -139,9 +139,9 @@
 TEST_CASE("what may run once runs once, and is not called refused after it ran", "[gateway]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     auto& gateway = deployment.gateways()[0];
-    deployment.disturbAll({ { "lose_answers", 1 } });
+    deployment.setBackendFaults({ { "lose_answers", 1 } });
     HttpResponse once = deployment.call(gateway, gatewayRequest("POST", "/once/x", "once-1"));
     CHECK(once.status_ == 502);
     CHECK(runsOf(deployment, "once-1") == 1);
@@ -153,25 +153,25 @@
         std::string id = "safe-" + std::to_string(i);
         CHECK(deployment.call(gateway, gatewayRequest("GET", "/safe/x", id)).status_ == 200);
     }
-    deployment.disturbAll({ { "other_id", 0 }, { "full", 1 } });
+    deployment.setBackendFaults({ { "other_id", 0 }, { "full", 1 } });
     HttpResponse full = deployment.call(gateway, gatewayRequest("POST", "/once/x", "once-2"));
     CHECK(full.status_ == 503);
     CHECK(full.headers_.contains("retry-after"));
     CHECK(runsOf(deployment, "once-2") == 0);
-    deployment.disturbAll({ { "full", 0 }, { "no_seal", 1 } });
+    deployment.setBackendFaults({ { "full", 0 }, { "no_seal", 1 } });
     CHECK(deployment.call(gateway, gatewayRequest("POST", "/once/x", "once-3")).status_ == 502);
 }
 
 TEST_CASE("a slow backend server has all the time left when there is no other to try", "[gateway]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     // The first try is given up after 0.4 of 5,000 ms. The second needs 2,500 of the
     // 3,000 ms left, far beyond 0.4 of them: it answers only if it may use them all.
     // Either bound is 500 ms away, so that a slow machine does not decide.
     deployment.putConfiguration(2, R"(,{"name":"patient","hostname":"h.example","path_prefix":"/patient/","type":"safe","timeout_ms":5000,"goal_ms":100,"priority":2,"service":"plain","attempts":2})");
     REQUIRE(deployment.waitForVersion(2, milliseconds(5000)));
-    deployment.disturbAll({ { "delay_ms", 2500 } });
+    deployment.setBackendFaults({ { "delay_ms", 2500 } });
     HttpRequest request = gatewayRequest("GET", "/patient/x", "slow");
     request.headers_["X-Pistachioloom-Deadline-Ms"] = "5000";
     CHECK(deployment.call(deployment.gateways()[0], request).status_ == 200);
@@ -181,9 +181,9 @@
 TEST_CASE("a resumable stream goes on elsewhere without a gap, any other is cut", "[gateway]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     auto& gateway = deployment.gateways()[0];
-    deployment.disturbAll({ { "events", 12 } });
+    deployment.setBackendFaults({ { "events", 12 } });
     deployment.backend("e-1", { { "cut_at", 5 } });
     deployment.backend("e-2", { { "cut_at", 8 } });
     HttpResponse answer = deployment.call(gateway, gatewayRequest("POST", "/draft/stream", "d-1"));
@@ -196,7 +196,7 @@
         CHECK(answer.status_ == 200);
         CHECK(answer.body_ == eventsUpTo(12));
     }
-    deployment.disturbAll({ { "cut_at", 3 } });
+    deployment.setBackendFaults({ { "cut_at", 3 } });
     answer = deployment.call(gateway, gatewayRequest("POST", "/ask/stream", "a-1"));
     CHECK(answer.status_ == 0);
     CHECK(runsOf(deployment, "a-1") == 1);
@@ -219,7 +219,7 @@
     }));
     CAPTURE(row.name_);
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     deployment.startBackend("e-3", "engines");
     REQUIRE(deployment.waitForBackends(5));
     auto& gateway = deployment.gateways()[0];
@@ -257,8 +257,8 @@
 TEST_CASE("a caller who leaves ends the engine's work", "[gateway]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
-    deployment.disturbAll({ { "events", 1000 }, { "gap_ms", 20 } });
+    deployment.startStandardServices();
+    deployment.setBackendFaults({ { "events", 1000 }, { "gap_ms", 20 } });
     RawCaller raw(deployment.gateways()[0].callers_);
     raw.send("POST /draft/stream HTTP/1.1\r\nHost: h.example\r\nAuthorization: Bearer key-north\r\nX-Pistachioloom-Attempt-Id: left\r\nContent-Length: 0\r\n\r\n");
     CHECK(raw.readUntil("id: 3").find("200 OK") != std::string::npos);
@@ -269,7 +269,7 @@
 TEST_CASE("a leaving backend server gets no new work", "[gateway]")
 {
     GatewayDeployment deployment(2);
-    deployment.standard();
+    deployment.startStandardServices();
     json::object unused = deployment.backend("p-1");
     deployment.setLeaving("p-1", "plain", "127.0.0.1:1");
     // Both gateways know within two reads of the registry.
@@ -283,7 +283,7 @@
 TEST_CASE("a backend server that starts anew under its id is used again, and late word of before is not", "[gateway]")
 {
     GatewayDeployment deployment(2);
-    deployment.standard();
+    deployment.startStandardServices();
     json::object before = deployment.control({ { "born", "p-1" } });
     deployment.setLeaving("p-1", "plain", "127.0.0.1:1");
     deployment.setLeaving("p-2", "plain", "127.0.0.1:1");
@@ -305,7 +305,7 @@
 TEST_CASE("entries of other writers name no backend server, and the others hold", "[gateway]")
 {
     GatewayDeployment deployment(2);
-    deployment.standard();
+    deployment.startStandardServices();
     json::array entries;
     int number = 0;
     for (const char* value : { "no entry", "[1]", R"({"service":"plain","address":7})", R"({"service":"plain","address":"127.0.0.1:1","zone":"a","version":"v1","slot_count":8,"phase":"asleep","cold_left_ms":0,"call_seq":1})" })
@@ -331,7 +331,7 @@
 TEST_CASE("a new version is in force everywhere, also at a node that the platform does not serve", "[gateway]")
 {
     GatewayDeployment deployment(3);
-    deployment.standard();
+    deployment.startStandardServices();
     deployment.putConfiguration(2, R"(,{"name":"new","hostname":"h.example","path_prefix":"/new/","type":"safe","timeout_ms":2000,"goal_ms":100,"priority":2,"service":"plain","attempts":2})");
     CHECK(deployment.waitForVersion(2, milliseconds(2000)));
     for (auto& gateway : deployment.gateways())
@@ -349,7 +349,7 @@
 TEST_CASE("a node that starts long after the platform has gone learns all from its peers", "[gateway]")
 {
     GatewayDeployment deployment(3);
-    deployment.standard();
+    deployment.startStandardServices();
     deployment.control({ { "down", 1 } });
     // Every reader knows by now, and every list is older than what is used beside a
     // platform that answers.
@@ -363,9 +363,9 @@
 TEST_CASE("a stopping node serves what it has and ends by itself", "[gateway]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     auto& gateway = deployment.gateways()[0];
-    deployment.disturbAll({ { "events", 40 }, { "gap_ms", 20 } });
+    deployment.setBackendFaults({ { "events", 40 }, { "gap_ms", 20 } });
     std::string body;
     std::thread caller([&] { body = deployment.call(gateway, gatewayRequest("POST", "/draft/stream", "d")).body_; });
     REQUIRE(waitUntil([&] { return runsOf(deployment, "d") == 1; }, patience));
@@ -381,7 +381,7 @@
 TEST_CASE("changed settings are applied or refused, and the node runs on", "[gateway]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     auto& gateway = deployment.gateways()[0];
     gateway.process_->signal(SIGHUP);
     auto logHas = [&](const std::string& text) {
@@ -401,7 +401,7 @@
 TEST_CASE("one node at a time holds the duties, and tokens only rise", "[gateway]")
 {
     GatewayDeployment deployment(3);
-    deployment.standard();
+    deployment.startStandardServices();
     auto duties = [&] { return deployment.control().at("duties").as_array(); };
     auto callSome = [&] {
         for (auto& gateway : deployment.gateways()) {
@@ -448,9 +448,9 @@
 TEST_CASE("a stream that would wait beyond its objective is refused at once, and has not run", "[gateway]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     auto& gateway = deployment.gateways()[0];
-    deployment.disturbAll({ { "delay_ms", 1500 } });
+    deployment.setBackendFaults({ { "delay_ms", 1500 } });
     // 60,000 tokens are 1.2 s at 50 a millisecond; the objective is 0.5 s.
     auto request = [](const std::string& id) {
         HttpRequest request = gatewayRequest("POST", "/ask/stream", id);
@@ -472,19 +472,19 @@
     for (std::thread& thread : running)
         thread.join();
     CHECK(served == 2);
-    deployment.disturbAll({ { "delay_ms", 0 } });
+    deployment.setBackendFaults({ { "delay_ms", 0 } });
     CHECK(deployment.call(gateway, request("fourth")).status_ == 200);
 }
 
 TEST_CASE("a node opens no more connections than its share", "[gateway]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     auto& gateway = deployment.gateways()[0];
     // 24 for all of at least 12 nodes with two workers each: one for each worker.
     deployment.putConfiguration(2, {}, 24);
     REQUIRE(deployment.waitForVersion(2, patience));
-    deployment.disturbAll({ { "delay_ms", 1000 } });
+    deployment.setBackendFaults({ { "delay_ms", 1000 } });
     std::vector<std::thread> callers;
     std::atomic<int> served { 0 };
     std::atomic<int> refused { 0 };
--- a/test/RolloutsTest.cpp
+++ b/test/RolloutsTest.cpp
@@ -27,7 +27,7 @@
     GatewayDeploymentOptions options;
     options.count_ = count;
     options.dataCentres_ = 2;
-    options.moreSettings_ = [fanout](const std::string&) { return std::string("  gossip:\n    fanout: ") + fanout + "\n" + rolloutSettings; };
+    options.extraSettings_ = [fanout](const std::string&) { return std::string("  gossip:\n    fanout: ") + fanout + "\n" + rolloutSettings; };
     return options;
 }
 
@@ -125,7 +125,7 @@
 
 void start(GatewayDeployment& deployment)
 {
-    deployment.standard();
+    deployment.startStandardServices();
     for (const char* id : { "e-3", "e-4" })
         deployment.startBackend(id, "engines");
     if (!deployment.waitForBackends(2 + stable))
--- a/test/ServerSignalsTest.cpp
+++ b/test/ServerSignalsTest.cpp
@@ -49,7 +49,7 @@
     CAPTURE(path);
     const std::string leaving = std::string(path).find("stream") == std::string::npos ? "p-1" : "e-1";
     GatewayDeployment deployment(2);
-    deployment.standard();
+    deployment.startStandardServices();
     deployment.backend(leaving, { { "says_leaving", 1 } });
     deployment.control({ { "down", 1 } });
     HttpResponse told = callUntilAt(deployment, deployment.gateways()[0], path, leaving);
@@ -72,7 +72,7 @@
 TEST_CASE("an engine that turns a request away and says that it leaves gets new requests", "[gateway]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     deployment.backend("p-1", { { "says_leaving", 1 }, { "full", 1 } });
     deployment.backend("p-2", { { "full", 1 } });
     auto turnedAway = [&] { return numberField(deployment.backend("p-1"), "turned_away"); };
@@ -90,7 +90,7 @@
 TEST_CASE("an engine that asked for a pause gets requests in it", "[gateway]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     auto& gateway = deployment.gateways()[0];
     constexpr milliseconds pause { 3000 };
     for (const char* id : { "p-1", "p-2" })
