--- a/test/Platform/GatewayDeployment.cpp
+++ b/test/Platform/GatewayDeployment.cpp
@@ -1,8 +1,8 @@
-//===- test/Platform/GatewayDeployment.cpp - gateways before a stand-in ----===//
+//===- test/Platform/GatewayDeployment.cpp - gateways with a stand-in ---===//
 ///
 /// \file
-/// See GatewayDeployment.h. Each gateway has a loopback address of its own, so
-/// that all can use one port for datagrams.
+/// See GatewayDeployment.h. Each gateway has its own loopback address, so that all can
+/// use the same port for datagrams.
 //===----------------------------------------------------------------------===//
 #include "GatewayDeployment.h"
 
@@ -18,7 +18,7 @@
     constexpr milliseconds callTimeout { 8000 };
     constexpr milliseconds startTimeout { 20000 };
 
-    std::string address(const Endpoint& endpoint)
+    std::string quotedAddress(const Endpoint& endpoint)
     {
         return "\"" + endpoint.toString() + "\"";
     }
@@ -45,11 +45,11 @@
 {
     char name[] = "/tmp/gateways-XXXXXX";
     if (!mkdtemp(name))
-        throw std::runtime_error("no directory for logs");
+        throw std::runtime_error("cannot create a directory for settings and logs");
     directory_ = name;
     platform_ = std::make_unique<Process>(programPath("standin-fleet"), std::vector<std::string> {}, directory_ + "/platform.log");
     platformAddress_ = { "127.0.0.1", static_cast<std::uint16_t>(numberField(platform_->firstLine(), "port")) };
-    // Other tests of this machine draw other networks.
+    // A random network keeps this deployment apart from other tests on the machine.
     std::string network = "127." + std::to_string(1 + randomBits() % 250) + "." + std::to_string(randomBits() % 250) + ".";
     for (std::size_t i = 0; i < options_.count_; ++i) {
         std::string host = network + std::to_string(i + 1);
@@ -76,10 +76,10 @@
     const std::string& host = gateway.callers_.host_;
     Endpoint platform = options_.platformEndpointFor_ ? options_.platformEndpointFor_(gateway.vm_, platformAddress_) : platformAddress_;
     std::ofstream file(settingsFile(gateway));
-    file << "gateway:\n  vm: " << gateway.vm_ << "\n  data_centre: " << dataCentre << "\n  threads: 2\n  peer_credential: credential-of-tests\n  store: " << address(platform)
-         << "\n  seeds: [\"" << gateways_.front().callers_.host_ << ":7003\"]\n  listen:\n    callers: " << address(gateway.callers_) << "\n    readiness: " << address(gateway.readiness_)
-         << "\n    peers: " << address({ host, 7003 }) << "\n    gossip: " << address({ host, 7004 }) << "\n    metrics: " << address(gateway.metrics_)
-         << "\n  duties:\n    address: " << address(platform) << "\n    usage_window: 1s\n    usage_delay: 1s\n  stopping:\n    grace: 3s\n    balancer_grace: 500ms\n"
+    file << "gateway:\n  vm: " << gateway.vm_ << "\n  data_centre: " << dataCentre << "\n  threads: 2\n  peer_credential: credential-of-tests\n  store: " << quotedAddress(platform)
+         << "\n  seeds: [\"" << gateways_.front().callers_.host_ << ":7003\"]\n  listen:\n    callers: " << quotedAddress(gateway.callers_) << "\n    readiness: " << quotedAddress(gateway.readiness_)
+         << "\n    peers: " << quotedAddress({ host, 7003 }) << "\n    gossip: " << quotedAddress({ host, 7004 }) << "\n    metrics: " << quotedAddress(gateway.metrics_)
+         << "\n  duties:\n    address: " << quotedAddress(platform) << "\n    usage_window: 1s\n    usage_delay: 1s\n  stopping:\n    grace: 3s\n    balancer_grace: 500ms\n"
          << "  retries:\n    extra: 200\n"
          << (options_.extraSettings_ ? options_.extraSettings_(gateway.vm_) : "") << "logs:\n  level: info\n  json: true\n";
 }
@@ -153,7 +153,7 @@
     for (const char* id : { "e-1", "e-2" })
         startBackend(id, "engines");
     if (!waitForVersion(1, startTimeout) || !waitForBackends(4))
-        throw std::runtime_error("gateways did not learn the configuration; see " + directory_);
+        throw std::runtime_error("gateways did not receive the configuration and the backend servers in time; see " + directory_);
 }
 
 bool GatewayDeployment::waitForVersion(std::uint64_t version, milliseconds timeout) const
--- a/test/Platform/GatewayDeployment.h
+++ b/test/Platform/GatewayDeployment.h
@@ -1,7 +1,7 @@
-//===- test/Platform/GatewayDeployment.h - gateways before a stand-in ------===//
+//===- test/Platform/GatewayDeployment.h - gateways with a stand-in -----===//
 ///
 /// \file
-/// Starts gateways as processes before one stand-in of the users' platform.
+/// Starts gateways as processes that use one stand-in of the users' platform.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -12,14 +12,15 @@
 
 namespace pistachioloom::test {
 
-/// How gateways are set up.
+/// Number, placement and settings of the gateways.
 struct GatewayDeploymentOptions {
     std::size_t count_ = 1;
-    /// Data centres that the gateways are spread over in turn.
+    /// Number of data centres, to which the gateways are assigned in turn.
     std::size_t dataCentres_ = 1;
-    /// Where a gateway finds the platform, given where it is; for proxies between.
+    /// Endpoint at which the gateway of \p vm reaches \p platform; a test can put a
+    /// proxy in between.
     std::function<Endpoint(const std::string& vm, const Endpoint& platform)> platformEndpointFor_;
-    /// More lines of a gateway's settings, indented by two spaces.
+    /// Additional lines of a gateway's settings, indented by two spaces.
     std::function<std::string(const std::string& vm)> extraSettings_;
 };
 
@@ -33,38 +34,39 @@
         Endpoint metrics_;
     };
 
-    /// Starts the stand-in and \p count gateways; no configuration yet.
+    /// Starts the stand-in and \p count gateways, without a configuration.
     explicit GatewayDeployment(std::size_t count);
     explicit GatewayDeployment(GatewayDeploymentOptions options);
     ~GatewayDeployment();
 
     std::vector<Gateway>& gateways() { return gateways_; }
-    /// Starts a gateway that has stopped anew, with the same addresses.
+    /// Starts a stopped gateway again, with the same addresses.
     void restart(Gateway& gateway);
     std::string settingsFile(const Gateway& gateway) const;
     std::string logFile(const Gateway& gateway) const;
 
-    /// Sends \p body to the stand-in's control and returns what it tells.
+    /// Sends \p body to the control endpoint of the stand-in and returns its answer.
     boost::json::object control(const boost::json::object& body = {}) const;
-    /// Faults of one backend server, and what arrived there.
+    /// Sets faults of one backend server and returns what it received so far.
     boost::json::object backend(const std::string& id, boost::json::object faults = {}) const;
     /// Faults of all four backend servers of standard().
     void setBackendFaults(const boost::json::object& faults) const;
     void startBackend(const std::string& id, const std::string& service);
     void setLeaving(const std::string& id, const std::string& service, const std::string& address) const;
-    /// Registers the start of \p id that is there, at \p address, without its own word.
+    /// Registers the running start of \p id at \p address on behalf of the backend
+    /// server.
     void registerBackend(const std::string& id, const std::string& service, const std::string& address, const char* phase) const;
-    /// \p connections is what each backend server accepts from all nodes, \p idle how long
-    /// a caller's connection may be idle.
+    /// \p connections is the number of connections that each backend server accepts from
+    /// all nodes, \p idle the idle timeout of a caller's connection.
     void putConfiguration(std::uint64_t version, const std::string& extraRoutes = {}, std::uint64_t connections = 2000, milliseconds idle = milliseconds(5000)) const;
-    /// Puts version 1 and two backend servers of each service, and waits until
-    /// every gateway knows them.
+    /// Puts version 1 of the configuration, starts two backend servers of each service,
+    /// and waits until every gateway knows them. \throws std::runtime_error.
     void startStandardServices();
     bool waitForVersion(std::uint64_t version, milliseconds timeout) const;
-    /// Waits until every gateway counts \p count backend servers.
+    /// Waits until every gateway reports \p count backend servers.
     bool waitForBackends(std::size_t count) const;
 
-    /// One request on a connection of its own; status 0 if it broke.
+    /// Sends one request on a new connection. \returns status 0 if the connection fails.
     HttpResponse call(const Gateway& gateway, const HttpRequest& request) const;
     bool isReady(const Gateway& gateway) const;
     double metric(const Gateway& gateway, const std::string& name) const;
@@ -81,7 +83,8 @@
     std::vector<Gateway> gateways_;
 };
 
-/// A request as callers send it: host, credential of `north`, id and deadline.
+/// A request with the headers that callers send: host, credential of `north`, id and
+/// deadline.
 HttpRequest gatewayRequest(const std::string& method, const std::string& path, const std::string& id);
 
 } // namespace pistachioloom::test
--- a/test/Platform/Soak/FaultProxy.cpp
+++ b/test/Platform/Soak/FaultProxy.cpp
@@ -1,4 +1,4 @@
-//===- test/Platform/Soak/FaultProxy.cpp - connections that misbehave -----===//
+//===- test/Platform/Soak/FaultProxy.cpp - proxy that injects faults ----===//
 ///
 /// \file
 /// See FaultProxy.h.
@@ -12,7 +12,7 @@
 namespace {
 
     constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
-    // A connection whose bytes are held back looks this often whether they pass.
+    // Interval at which a stalled direction checks whether it may forward again.
     constexpr milliseconds stallPollPeriod { 10 };
     constexpr std::size_t bufferSize = 16UL * 1024;
 
@@ -28,11 +28,11 @@
     case LinkFault::Reset:
         return "reset";
     case LinkFault::Stalled:
-        return "silent";
+        return "stalled";
     case LinkFault::StalledToClient:
-        return "deaf_up";
+        return "stalled_to_client";
     case LinkFault::StalledToServer:
-        return "deaf_down";
+        return "stalled_to_server";
     case LinkFault::Refused:
         return "refused";
     }
@@ -46,7 +46,7 @@
     {
     }
 
-    /// A lingering time of zero makes the close a reset.
+    /// Closes both sockets. A linger time of zero makes the close a reset.
     void close(bool isReset)
     {
         boost::system::error_code ignored;
@@ -109,7 +109,8 @@
             link->close(true);
             if (connectCode != asio::error::connection_refused)
                 continue;
-            // Nobody listens where a process has ended, unlike behind a link that is cut.
+            // The server process has ended, so the proxy stops listening as well. With a
+            // mere link fault the server still listens.
             boost::system::error_code ignored;
             acceptor_.close(ignored);
             co_return;
@@ -147,7 +148,7 @@
     boost::system::error_code ignored;
     if (isCleanEnd)
         to.shutdown(tcp::socket::shutdown_send, ignored);
-    // The other direction may still have bytes after a half-close.
+    // After a half-close the other direction may still carry bytes.
     if (++link->endedDirections_ < 2 && isCleanEnd)
         co_return;
     link->close(!isCleanEnd);
--- a/test/Platform/Soak/FaultProxy.h
+++ b/test/Platform/Soak/FaultProxy.h
@@ -1,8 +1,8 @@
-//===- test/Platform/Soak/FaultProxy.h - connections that misbehave -------===//
+//===- test/Platform/Soak/FaultProxy.h - proxy that injects faults ------===//
 ///
 /// \file
-/// A loopback proxy between two of the programs. Its connections can be delayed,
-/// reset, silenced, or cut in one direction, while they are open or as they come.
+/// A loopback TCP proxy between two of the programs. It can delay, reset or stall
+/// connections, in both directions or in one, and both open and new ones.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -15,30 +15,30 @@
 
 enum class LinkFault {
     None,
-    /// Bytes come late, in both directions.
+    /// Bytes are delayed in both directions.
     Delayed,
     /// Open connections are reset once; new ones work.
     Reset,
-    /// Nothing passes in either direction, and nothing is closed.
+    /// Bytes are held back in both directions, and no connection is closed.
     Stalled,
-    /// What the server sends does not arrive.
+    /// Bytes from the server are held back.
     StalledToClient,
-    /// What the client sends does not arrive.
+    /// Bytes from the client are held back.
     StalledToServer,
-    /// New connections are refused.
+    /// Open connections are reset, and new ones are reset once they are accepted.
     Refused,
 };
 
 std::string_view toString(LinkFault fault);
 
-/// One listening address in front of one server. Runs on the io_context it is
-/// given; call everything from there.
+/// Listens on one address and forwards connections to one server. All functions must
+/// be called on the io_context that the constructor gets.
 class FaultProxy {
 public:
     FaultProxy(asio::io_context& io, Endpoint target);
 
     Endpoint endpoint() const;
-    /// Applies to open connections and to those that come.
+    /// Applies \p fault to open and new connections.
     void set(LinkFault fault, milliseconds delay = milliseconds(0));
     LinkFault fault() const { return fault_; }
 
--- a/test/Platform/Soak/InvariantChecker.cpp
+++ b/test/Platform/Soak/InvariantChecker.cpp
@@ -1,4 +1,4 @@
-//===- test/Platform/Soak/InvariantChecker.cpp - what must hold through every fault ===//
+//===- test/Platform/Soak/InvariantChecker.cpp - invariants under faults ---===//
 ///
 /// \file
 /// See InvariantChecker.h.
@@ -14,9 +14,9 @@
 
 namespace {
 
-    // The platform, as a thing that is disturbed.
+    // Name of the platform in FaultIntervals.
     const std::string platform = "platform";
-    // Backend servers that one request may run at, for the kinds that may repeat.
+    // Maximum number of backend servers at which a repeatable request may run.
     constexpr int maxAttempts = 2;
 
     bool mayRepeat(RequestKind kind)
@@ -24,7 +24,7 @@
         return kind == RequestKind::Safe || kind == RequestKind::Draft || kind == RequestKind::Limited;
     }
 
-    /// Statuses that say that a request has not run and never will.
+    /// Whether \p status states that the request has not run and never will.
     bool isRejection(int status)
     {
         return status == 408 || status == 421 || status == 429 || status == 503;
@@ -32,7 +32,7 @@
 
     std::string describe(const Call& call)
     {
-        return call.id_ + " at " + call.gateway_ + ", status " + std::to_string(call.status_) + (call.isComplete_ ? ", whole" : ", cut") + ", body '" + call.body_.substr(0, 80) + "'";
+        return call.id_ + " at " + call.gateway_ + ", status " + std::to_string(call.status_) + (call.isComplete_ ? ", complete" : ", incomplete") + ", body '" + call.body_.substr(0, 80) + "'";
     }
 
 } // namespace
@@ -57,7 +57,7 @@
 
 void InvariantChecker::addCall(Call call)
 {
-    // Each answer to it is a failure.
+    // Every answer to a crashing request is a failure.
     if (call.kind_ != RequestKind::Crashing)
         checkAnswer(call);
     calls_.push_back(std::move(call));
@@ -67,18 +67,18 @@
 {
     std::string expected = expectedBody(call, bounds_.eventsPerStream_);
     if (call.status_ == 200 && call.isComplete_ && call.body_ != expected)
-        reportViolation("a whole answer is the backend server's", describe(call));
+        reportViolation("a complete answer equals that of the backend server", describe(call));
     if (call.status_ == 200 && !call.isComplete_ && !expected.starts_with(call.body_))
-        reportViolation("events come in order, once each", describe(call));
+        reportViolation("events arrive in order and exactly once", describe(call));
     if (call.status_ >= 400 && call.status_ < 500 && !isRejection(call.status_))
-        reportViolation("allowed requests are not denied", describe(call));
+        reportViolation("permitted requests are not denied", describe(call));
     if (call.status_ == 429 && call.kind_ != RequestKind::Limited)
-        reportViolation("nobody is refused below his quota", describe(call));
+        reportViolation("no organisation is rejected below its quota", describe(call));
     if ((call.status_ == 429 || call.status_ == 503) && !call.hasRetryAfter_)
-        reportViolation("a refusal says when to return", describe(call));
+        reportViolation("a rejection has a Retry-After header", describe(call));
     auto elapsed = call.endedAt_ - call.sentAt_;
     if (!call.hasCallerLeft_ && elapsed > bounds_.maxAnswerTime_ && !faultIntervals_.overlaps(call.gateway_, call.sentAt_, call.endedAt_))
-        reportViolation("answers come in time", describe(call) + " after " + std::to_string(std::chrono::duration_cast<milliseconds>(elapsed).count()) + " ms");
+        reportViolation("answers end within the maximum time", describe(call) + " after " + std::to_string(std::chrono::duration_cast<milliseconds>(elapsed).count()) + " ms");
 }
 
 void InvariantChecker::addRuns(const json::array& ids, bool isRemoved)
@@ -95,13 +95,13 @@
     auto found = runs_.find(call.id_);
     int runs = found == runs_.end() ? 0 : found->second;
     if (!mayRepeat(call.kind_) && runs > 1)
-        reportViolation("what may run once runs once", describe(call) + " ran " + std::to_string(runs) + " times");
-    // Backend servers that were taken away do not count.
+        reportViolation("an unrepeatable request runs at most once", describe(call) + " ran " + std::to_string(runs) + " times");
+    // Runs at backend servers that have been taken away do not count.
     auto atRemoved = runsAtRemoved_.find(call.id_);
     if (mayRepeat(call.kind_) && runs - (atRemoved == runsAtRemoved_.end() ? 0 : atRemoved->second) > maxAttempts)
-        reportViolation("attempts are bounded", describe(call) + " ran " + std::to_string(runs) + " times");
+        reportViolation("the number of attempts is bounded", describe(call) + " ran " + std::to_string(runs) + " times");
     if (!mayRepeat(call.kind_) && isRejection(call.status_) && runs)
-        reportViolation("a refused request has not run", describe(call) + " ran");
+        reportViolation("a rejected request has not run", describe(call) + " ran");
     if (call.status_ == 200 && call.isComplete_ && !runs)
         reportViolation("a served request has run", describe(call));
 }
@@ -113,7 +113,7 @@
     std::string holder = textField(duty, "holder");
     SteadyTime from = at - bounds_.faultGrace_;
     if (token < newest && !faultIntervals_.overlaps(holder, from, at) && !faultIntervals_.overlaps(platform, from, at))
-        reportViolation("fencing tokens only rise", holder + " called with " + std::to_string(token) + " after " + std::to_string(newest));
+        reportViolation("fencing tokens never decrease", holder + " called with " + std::to_string(token) + " after " + std::to_string(newest));
     newest = std::max(newest, token);
 }
 
@@ -128,25 +128,26 @@
         auto token = static_cast<std::uint64_t>(numberField(duty, "token"));
         auto [holder, isNew] = holderOf.try_emplace(token, textField(duty, "holder"));
         if (holder->second != textField(duty, "holder"))
-            reportViolation("one holder at a time", "token " + std::to_string(token) + " of " + holder->second + " and " + textField(duty, "holder"));
+            reportViolation("each fencing token has one holder", "token " + std::to_string(token) + " of " + holder->second + " and " + textField(duty, "holder"));
         if (textField(duty, "call") != "/usage")
             continue;
         const json::object& body = duty.at("body").as_object();
         auto window = static_cast<std::int64_t>(numberField(body, "window_no"));
         auto [report, isFirst] = reports.try_emplace(window, body);
         if (!isFirst && report->second != value.at("body"))
-            reportViolation("one usage report for a window", json::serialize(report->second) + " and " + json::serialize(body));
+            reportViolation("each usage window has one report", json::serialize(report->second) + " and " + json::serialize(body));
     }
 }
 
-/// A gateway that was down or frozen, or a platform that was away when all had to begin
-/// anew, excuses what was sent within the contact time after it.
+/// A crash is excused within the contact time after a fault of its gateway, which was
+/// down or frozen, or of the platform, which was unavailable when all gateways had to
+/// start again.
 void InvariantChecker::checkCrashes(const json::array& crashes)
 {
     std::map<std::string, std::string> gatewayOf;
     for (const Call& call : calls_)
         gatewayOf[call.id_] = call.gateway_;
-    std::size_t late = 0;
+    std::size_t lateCrashes = 0;
     SteadyTime quarantinedAt {};
     for (std::size_t i = 0; i < crashes.size(); ++i) {
         const json::object& crash = crashes[i].as_object();
@@ -158,10 +159,10 @@
         const std::string& gateway = gatewayOf[textField(crash, "request")];
         SteadyTime from = at - bounds_.contactTime_;
         if (!faultIntervals_.overlaps(gateway, from, at) && !faultIntervals_.overlaps(platform, from, at))
-            ++late;
+            ++lateCrashes;
     }
-    if (late > bounds_.maxLateCrashes_)
-        reportViolation("a request that crashes engines is held", std::to_string(late) + " engines crashed later than the contact time, " + std::to_string(crashes.size()) + " in all");
+    if (lateCrashes > bounds_.maxLateCrashes_)
+        reportViolation("a request that crashes engines is quarantined", std::to_string(lateCrashes) + " engines crashed later than the contact time, " + std::to_string(crashes.size()) + " in all");
 }
 
 void InvariantChecker::addLateRuns(const std::string& id, const std::vector<std::string>& ids, SteadyTime announcedAt)
@@ -177,10 +178,11 @@
         callOf[call.id_] = &call;
     for (const LateRun& run : lateRuns_) {
         auto call = callOf.find(run.id_);
-        // A request may wait for long before it is sent on; a restart forgets the word.
+        // A request may wait long before it is forwarded, so only requests sent after the
+        // contact time count. A gateway that restarts forgets that the server is leaving.
         bool isExcused = call == callOf.end() || call->second->sentAt_ < run.announcedAt_ + bounds_.contactTime_ || faultIntervals_.overlaps(call->second->gateway_, run.announcedAt_, call->second->endedAt_);
         if (!isExcused)
-            reportViolation("a backend server that says that it leaves gets no new requests", run.server_ + " ran " + describe(*call->second));
+            reportViolation("a backend server that reports that it is leaving gets no new requests", run.server_ + " ran " + describe(*call->second));
     }
 }
 
@@ -188,7 +190,7 @@
 {
     std::set<std::string> sentIds;
     double limitedRuns = 0;
-    std::size_t late = 0;
+    std::size_t sentAfterRecovery = 0;
     std::size_t servedAfterRecovery = 0;
     for (const Call& call : calls_) {
         sentIds.insert(call.id_);
@@ -200,20 +202,20 @@
         bool mustBeServed = call.kind_ != RequestKind::Limited && call.kind_ != RequestKind::Crashing;
         if (call.sentAt_ < recoveredAt || call.hasCallerLeft_ || !mustBeServed)
             continue;
-        ++late;
+        ++sentAfterRecovery;
         servedAfterRecovery += call.status_ == 200 && call.isComplete_;
     }
     for (const auto& [id, runs] : runs_) {
         if (!sentIds.contains(id))
-            reportViolation("only what callers sent runs", id);
+            reportViolation("only requests that callers sent run", id);
     }
     checkLateRuns();
     double seconds = std::chrono::duration<double>(steadyNow() - startedAt).count();
     double allowed = bounds_.limitedRate_ * seconds + bounds_.limitedBurst_ + bounds_.limitedSlack_;
     if (limitedRuns > allowed)
-        reportViolation("a quota holds over all nodes", std::to_string(limitedRuns) + " of " + std::to_string(allowed));
-    if (!late || static_cast<double>(servedAfterRecovery) < bounds_.minServedShare_ * static_cast<double>(late))
-        reportViolation("all is served again after the faults", std::to_string(servedAfterRecovery) + " of " + std::to_string(late));
+        reportViolation("a quota holds across all nodes", std::to_string(limitedRuns) + " of " + std::to_string(allowed));
+    if (!sentAfterRecovery || static_cast<double>(servedAfterRecovery) < bounds_.minServedShare_ * static_cast<double>(sentAfterRecovery))
+        reportViolation("requests are served again after the recovery", std::to_string(servedAfterRecovery) + " of " + std::to_string(sentAfterRecovery));
 }
 
 } // namespace pistachioloom::test
--- a/test/Platform/Soak/InvariantChecker.h
+++ b/test/Platform/Soak/InvariantChecker.h
@@ -1,8 +1,8 @@
-//===- test/Platform/Soak/InvariantChecker.h - what must hold through every fault -===//
+//===- test/Platform/Soak/InvariantChecker.h - invariants under faults ---===//
 ///
 /// \file
-/// Checks what callers, backend servers and the platform saw against what the
-/// system promises. Each broken promise is noted with what shows it.
+/// Checks what callers, backend servers and the platform observed against the
+/// invariants of the system. Each violation is recorded with its evidence.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -13,7 +13,7 @@
 
 namespace pistachioloom::test {
 
-/// Times at which a process or link was not as usual.
+/// Times at which a process or link had an injected fault.
 class FaultIntervals {
 public:
     void add(const std::string& component, SteadyTime from, SteadyTime until) { intervals_[component].emplace_back(from, until); }
@@ -25,25 +25,27 @@
 };
 
 struct InvariantBounds {
-    /// Events of a whole stream.
+    /// Number of events in a complete stream.
     int eventsPerStream_ = 5;
-    /// Answers come so long after the request at the latest.
+    /// Maximum time from a request to the end of its answer.
     milliseconds maxAnswerTime_ { 4500 };
-    /// Calls of duties that a fault held back count as the fault's for so long.
+    /// A duty call that arrives within this time after a fault may have been delayed
+    /// by it.
     milliseconds faultGrace_ { 2000 };
     milliseconds lease_ { 3000 };
-    /// The small organisation's quota.
+    /// Quota of the small organisation, in requests per second and requests.
     double limitedRate_ = 0.5;
     double limitedBurst_ = 1;
-    /// Requests that all nodes may admit between two reports, over the quota.
+    /// Requests that all nodes together may admit above the quota between two reports.
     double limitedSlack_ = 8;
-    /// What one gateway has seen is known to all after it.
+    /// Time after which all gateways know what one of them has observed.
     milliseconds contactTime_ { 3000 };
-    /// Engines that a request crashes before it is held.
+    /// Engines that a request crashes before it is quarantined.
     std::size_t crashesBeforeQuarantine_ = 3;
-    /// Attempts at a held request that still reach engines later than the contact time.
+    /// Attempts at a quarantined request that may reach engines later than the contact
+    /// time.
     std::size_t maxLateCrashes_ = 3;
-    /// Share of requests served once all faults are over.
+    /// Minimum share of requests that are served after the recovery.
     double minServedShare_ = 0.95;
 };
 
@@ -55,14 +57,14 @@
     }
 
     FaultIntervals& faultIntervals() { return faultIntervals_; }
-    /// Takes a call, and checks what its caller saw.
+    /// Adds a finished call and checks its answer.
     void addCall(Call call);
-    /// Ids of requests in the order in which one backend server ran them; \p isRemoved
-    /// if it was taken away.
+    /// Adds the ids of requests that one backend server ran, in order of their runs.
+    /// \p isRemoved tells whether the backend server has been taken away.
     void addRuns(const boost::json::array& ids, bool isRemoved);
-    /// Calls of duties as they reached the platform.
+    /// Checks the duty calls that reached the platform, in order of arrival.
     void checkDuties(const boost::json::array& duties);
-    /// Engines that the crashing request ended, as the stand-in tells.
+    /// Checks the engine crashes that the stand-in reports for the crashing request.
     void checkCrashes(const boost::json::array& crashes);
     /// Runs at backend server \p id later than the contact time after \p announcedAt, when it
     /// had said in an answer that it leaves.
@@ -70,6 +72,7 @@
     /// Everything that needs the whole run; \p recoveredAt is when faults were over
     /// and the system had had time to recover.
     void checkEntireRun(SteadyTime startedAt, SteadyTime recoveredAt);
+    /// Records a violation of \p invariant.
     void reportViolation(const std::string& invariant, const std::string& detail);
 
     std::size_t calls() const { return calls_.size(); }
@@ -86,7 +89,7 @@
     FaultIntervals faultIntervals_;
     std::vector<Call> calls_;
     std::map<std::string, int> runs_;
-    /// Those of them at backend servers that were taken away.
+    /// The part of runs_ at backend servers that have been taken away.
     std::map<std::string, int> runsAtRemoved_;
     struct LateRun {
         std::string server_;
--- a/test/Platform/Soak/Schedule.cpp
+++ b/test/Platform/Soak/Schedule.cpp
@@ -1,4 +1,4 @@
-//===- test/Platform/Soak/Schedule.cpp - which faults come when -----------===//
+//===- test/Platform/Soak/Schedule.cpp - random fault schedule ----------===//
 ///
 /// \file
 /// See Schedule.h.
@@ -12,20 +12,21 @@
 
 namespace {
 
-    // Faults begin 0.05 to 0.9 s apart and last 0.1 to 3 s, so that two or three
-    // overlap; the contact time of the users' platform is 3 s.
+    // Milliseconds. Faults start 0.05 to 0.9 s apart and last 0.1 to 3 s, so that two or
+    // three overlap; the contact time of the users' platform is 3 s.
     constexpr std::int64_t minFaultGap = 50;
     constexpr std::int64_t maxFaultGap = 900;
     constexpr std::int64_t minDuration = 100;
     constexpr std::int64_t maxDuration = 3000;
     constexpr std::int64_t maxDelay = 300;
-    // Reclaims come this far apart, with a notice of 0.5 to 2.5 s; that of the users'
-    // platform is 1 to 3 s.
+    // Reclaims are 0.5 to 4 s apart, with a notice of 0.5 to 2.5 s; the notice of the
+    // users' platform is 1 to 3 s.
     constexpr std::int64_t minReclaimGap = 500;
     constexpr std::int64_t maxReclaimGap = 4000;
     constexpr std::int64_t minNotice = 500;
     constexpr std::int64_t maxNotice = 2500;
-    // They are drawn apart, so that seeds that are kept draw the same other faults.
+    // Reclaims and signals have their own random generators, so that the seeds in
+    // seeds.txt still generate the same other faults.
     constexpr std::uint64_t reclaimSeed = 0x5ec1a1;
     constexpr std::uint64_t signalSeed = 0x51610;
     constexpr std::int64_t minSignalGap = 700;
@@ -37,7 +38,7 @@
         double weight_;
     };
 
-    // Killing all at once is rare, or little else would be seen.
+    // KillAll is rare because it masks the effects of other faults.
     constexpr WeightedKind kinds[] = {
         { FaultKind::Kill, 2 },
         { FaultKind::Stop, 2 },
@@ -94,9 +95,9 @@
     case FaultKind::Configure:
         return "configure";
     case FaultKind::ReportLeaving:
-        return "say_leaving";
+        return "report_leaving";
     case FaultKind::RequestPause:
-        return "ask_pause";
+        return "request_pause";
     case FaultKind::CrashEngines:
         return "crash_engines";
     }
@@ -119,7 +120,8 @@
     return faults;
 }
 
-/// What backend servers say of themselves, and one request that crashes engines.
+/// Generates the faults in which backend servers report that they are leaving or request
+/// a pause, and the start of one request that crashes engines.
 static std::vector<Fault> generateSignals(std::uint64_t seed, milliseconds runDuration)
 {
     std::mt19937_64 random(seed ^ signalSeed);
--- a/test/Platform/Soak/Schedule.h
+++ b/test/Platform/Soak/Schedule.h
@@ -1,8 +1,8 @@
-//===- test/Platform/Soak/Schedule.h - which faults come when -------------===//
+//===- test/Platform/Soak/Schedule.h - random fault schedule ------------===//
 ///
 /// \file
-/// Draws a run's faults from a seed. They come in series and overlap; the same
-/// seed gives the same ones.
+/// Generates the faults of a run from a seed. Faults follow one another and overlap;
+/// the same seed generates the same faults.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -11,39 +11,40 @@
 namespace pistachioloom::test {
 
 enum class FaultKind {
-    /// A gateway is killed, and started again after a while.
+    /// A gateway is killed, and restarted after a while.
     Kill,
-    /// A gateway is told to stop, and started again after its end.
+    /// A gateway is stopped with a signal, and restarted after its end.
     Stop,
     /// A gateway is frozen for a while.
     Freeze,
-    /// A gateway is told to read its settings again.
+    /// A gateway is signalled to reload its settings.
     Reload,
-    /// All gateways are killed at one moment, and start again.
+    /// All gateways are killed simultaneously, and restarted.
     KillAll,
-    /// A gateway's link to the platform misbehaves.
+    /// The link from a gateway to the platform has a LinkFault.
     PlatformLink,
-    /// A backend server's link misbehaves.
+    /// The link to a backend server has a LinkFault.
     BackendLink,
     /// The platform fails every call.
     PlatformDown,
-    /// Records are written whose answers are lost.
+    /// The platform appends records but loses the answers.
     LoseAppends,
-    /// A backend server misbehaves: `controlKey_` says how.
+    /// A backend server has the fault named by `controlKey_`.
     BackendFault,
-    /// A backend server leaves, and another one comes.
+    /// A backend server drains, and another one replaces it.
     Replace,
-    /// A reclaimable engine says that it goes, and is gone after a notice; another
-    /// one comes.
+    /// A reclaimable engine drains and is removed after a notice period; another one
+    /// replaces it.
     Reclaim,
-    /// New versions of the configuration, one after the other.
+    /// Several new versions of the configuration are published in turn.
     Configure,
-    /// A backend server says in its answers that it leaves; another one comes.
+    /// A backend server reports in its answers that it is leaving; another one replaces
+    /// it.
     ReportLeaving,
-    /// A backend server turns requests away and asks for a pause.
+    /// A backend server rejects requests and requests a pause.
     RequestPause,
-    /// From now on a caller sends a request that crashes each engine that begins to
-    /// run it; another engine comes for each.
+    /// From now on a caller sends a request that crashes each engine that starts to run
+    /// it; each crashed engine is replaced.
     CrashEngines,
 };
 
@@ -52,12 +53,14 @@
 struct Fault {
     milliseconds at_ {};
     FaultKind kind_ = FaultKind::Kill;
-    /// Which gateway or backend server; taken modulo their number.
+    /// Index of the gateway or backend server, modulo their number.
     std::size_t target_ = 0;
     milliseconds duration_ {};
     LinkFault link_ = LinkFault::None;
-    /// The stand-in's name of a backend server's fault, and its strength.
+    /// Key in the stand-in's control that sets a fault of a backend server.
     std::string controlKey_;
+    /// Value for `controlKey_`, a delay or pause in milliseconds, or the number of
+    /// versions, depending on `kind_`.
     std::int64_t parameter_ = 0;
 };
 
--- a/test/Platform/Soak/Soak.cpp
+++ b/test/Platform/Soak/Soak.cpp
@@ -1,10 +1,9 @@
-//===- test/Platform/Soak/Soak.cpp - faults at random, promises checked ---===//
+//===- test/Platform/Soak/Soak.cpp - soak with random faults ------------===//
 ///
 /// \file
-/// Runs gateways as processes before a stand-in of the users' platform, with
-/// proxies between them, and callers that keep their connections. Faults come
-/// from outside, drawn from a seed. Prints what was found, and fails if any
-/// promise was broken.
+/// Runs gateways as processes that use a stand-in of the users' platform through
+/// proxies, and callers with persistent connections. Faults are injected from outside,
+/// generated from a seed. Prints the violated invariants and fails if there are any.
 //===----------------------------------------------------------------------===//
 #include "SoakRun.h"
 
@@ -16,7 +15,7 @@
 using namespace pistachioloom;
 using namespace pistachioloom::test;
 
-/// The seeds of a file: one a line, followed by its cause.
+/// Reads seeds from \p file: one per line, followed by the cause of its failure.
 static std::vector<std::uint64_t> readSeeds(const std::string& file)
 {
     std::vector<std::uint64_t> seeds;
@@ -30,17 +29,17 @@
 
 int main(int argc, char** argv)
 {
-    CLI::App app { "Plays random faults on gateways and checks what callers, backend servers and the platform see." };
+    CLI::App app { "Injects random faults into gateways and checks what callers, backend servers and the platform observe." };
     SoakOptions options;
     std::uint64_t runs = 1;
     std::string seedsFile;
     app.add_option("--seed", options.seed_, "Seed of the first run");
-    app.add_option("--runs", runs, "Runs, with seeds one after the other")->check(CLI::Range(1, 100000));
-    app.add_option("--seeds", seedsFile, "File of seeds that are run first")->check(CLI::ExistingFile);
-    app.add_option("--seconds", options.seconds_, "How long faults come in each run")->check(CLI::Range(1.0, 86400.0));
-    app.add_option("--gateways", options.gateways_, "Gateways")->check(CLI::Range(2, 60));
-    app.add_option("--callers", options.callers_, "Callers")->check(CLI::Range(1, 1000));
-    app.add_flag("--verbose", options.isVerbose_, "Print the faults as they come");
+    app.add_option("--runs", runs, "Number of runs, with consecutive seeds")->check(CLI::Range(1, 100000));
+    app.add_option("--seeds", seedsFile, "File with additional seeds to run")->check(CLI::ExistingFile);
+    app.add_option("--seconds", options.seconds_, "Seconds during which each run injects faults")->check(CLI::Range(1.0, 86400.0));
+    app.add_option("--gateways", options.gateways_, "Number of gateways")->check(CLI::Range(2, 60));
+    app.add_option("--callers", options.callers_, "Number of callers")->check(CLI::Range(1, 1000));
+    app.add_flag("--verbose", options.isVerbose_, "Print each fault when it is injected");
     CLI11_PARSE(app, argc, argv);
     signal(SIGPIPE, SIG_IGN);
     std::vector<std::uint64_t> seeds = readSeeds(seedsFile);
--- a/test/Platform/Soak/SoakCaller.cpp
+++ b/test/Platform/Soak/SoakCaller.cpp
@@ -1,4 +1,4 @@
-//===- test/Platform/Soak/SoakCaller.cpp - callers that keep their connections ===//
+//===- test/Platform/Soak/SoakCaller.cpp - callers of the soak ----------===//
 ///
 /// \file
 /// See SoakCaller.h.
@@ -17,12 +17,13 @@
 namespace {
 
     constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
-    // Longer than any route's timeout of 5 s; a frozen gateway answers later.
+    // Longer than the maximum timeout of a route, 5 s, because a frozen gateway answers
+    // later.
     constexpr milliseconds ioTimeout { 12000 };
     constexpr milliseconds maxPause { 60 };
     constexpr milliseconds pauseAfterFailure { 30 };
     constexpr milliseconds crashingRequestPause { 200 };
-    // One request in this many is given up by its caller midway.
+    // The caller abandons one request in this many before its end.
     constexpr int abandonOneIn = 25;
     constexpr int maxRequestsPerConnection = 60;
     constexpr const char* deadlineMs = "3000";
@@ -106,7 +107,7 @@
         call.hasCallerLeft_ = abandonAfter.count() > 0;
         http::request<http::string_body> request = requestFor(call);
         auto [code, count] = co_await http::async_write(connection->socket_, request, asTuple);
-        // An answer may be there although the request was not wholly taken.
+        // An answer may arrive although the request was not written completely.
         co_await readAnswer(connection, call);
         connection->timer_.cancel();
         call.endedAt_ = steadyNow();
--- a/test/Platform/Soak/SoakCaller.h
+++ b/test/Platform/Soak/SoakCaller.h
@@ -1,8 +1,8 @@
-//===- test/Platform/Soak/SoakCaller.h - callers that keep their connections ===//
+//===- test/Platform/Soak/SoakCaller.h - callers of the soak ------------===//
 ///
 /// \file
-/// A caller sends one request after the other on a kept connection, until the
-/// process at its other end is gone, and notes what came of each.
+/// A caller sends requests one after the other on a persistent connection, opens a new
+/// one when it closes, and records the outcome of each request.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -15,25 +15,25 @@
 namespace pistachioloom::test {
 
 enum class RequestKind {
-    /// May run once.
+    /// May run at most once.
     Unsafe,
     /// May be repeated.
     Safe,
     /// An event stream that may be resumed.
     Draft,
-    /// An event stream that may not.
+    /// An event stream that may not be resumed.
     Ask,
-    /// Safe, of an organisation with a small quota.
+    /// A safe request of an organisation with a small quota.
     Limited,
-    /// Crashes each engine that begins to run it. All calls of this kind are attempts at
+    /// Crashes each engine that starts to run it. All calls of this kind are attempts at
     /// the same request.
     Crashing,
 };
 
-/// Bodies with this text crash the engine that begins to run them.
+/// Requests with this text in the body crash the engine that starts to run them.
 inline constexpr const char* crashText = "crashes its engine";
 
-/// What came of one request.
+/// One request and its outcome.
 struct Call {
     std::string id_;
     RequestKind kind_ = RequestKind::Safe;
@@ -42,29 +42,29 @@
     SteadyTime endedAt_ {};
     /// 0 if the connection ended before a status line.
     int status_ = 0;
-    /// The whole answer came.
+    /// The answer arrived completely.
     bool isComplete_ = false;
-    /// The caller left before the answer.
+    /// The caller was set to close the connection before the end of the answer.
     bool hasCallerLeft_ = false;
     std::string body_;
     bool hasRetryAfter_ = false;
 };
 
-/// What a whole answer to \p call holds; streams have \p events events.
+/// The body of a complete answer to \p call; streams have \p events events.
 std::string expectedBody(const Call& call, int events);
 
 struct CallerHooks {
-    /// The gateway that a new connection goes to: its name and address.
+    /// Name and address of the gateway for a new connection.
     std::function<std::pair<std::string, Endpoint>(std::mt19937_64&)> pickGateway_;
     std::function<void(Call)> onCall_;
     std::function<bool()> isOver_;
 };
 
-/// Sends the request that crashes engines, at a gateway drawn each time, until the run is
-/// over.
+/// Sends the request that crashes engines, each time to a random gateway, until the run
+/// is over.
 boost::asio::awaitable<void> runCrashingCaller(std::uint64_t seed, CallerHooks hooks);
 
-/// Sends requests until it is told that the run is over.
+/// Sends requests until the run is over.
 boost::asio::awaitable<void> runCaller(std::size_t number, std::uint64_t seed, CallerHooks hooks);
 
 } // namespace pistachioloom::test
--- a/test/Platform/Soak/SoakFaults.cpp
+++ b/test/Platform/Soak/SoakFaults.cpp
@@ -1,7 +1,7 @@
-//===- test/Platform/Soak/SoakFaults.cpp - faults, brought about ------------===//
+//===- test/Platform/Soak/SoakFaults.cpp - fault injection of the soak ---===//
 ///
 /// \file
-/// Applies what the schedule drew to processes, links, the platform and backend servers.
+/// Applies the generated faults to processes, links, the platform and backend servers.
 //===----------------------------------------------------------------------===//
 #include "SoakRun.h"
 
@@ -12,13 +12,15 @@
 
 namespace pistachioloom::test {
 
-// After the last fault: the platform's contact time, and a holder's succession.
+// Time after the last fault: the contact time of the platform plus the takeover of a
+// duty by a new holder.
 static constexpr milliseconds recoveryTime { 6000 };
-// How long requests are counted after that.
+// Time after the recovery in which the share of served requests is measured.
 static constexpr milliseconds measuredTime { 3000 };
-// Grace of the gateways' settings, and what the machine may take beside.
+// The grace period in the gateways' settings plus a margin for a busy machine.
 static constexpr milliseconds maxStopTime { 3000 + 2500 };
-// When requests are counted that reach a backend server which says that it leaves.
+// Time after the first answer that reports leaving, after which requests that still reach
+// the backend server are counted.
 static constexpr milliseconds leavingPropagation { 2500 };
 
 asio::awaitable<void> SoakRun::stopAndRestart(std::size_t index, int signal, milliseconds pause)
@@ -34,7 +36,7 @@
     while (process.isRunning() && (steadyNow() < deadline || node.freezeCount_))
         co_await sleepFor(milliseconds(10));
     if (process.isRunning() && !checker_.faultIntervals().overlaps(gateway(index).vm_, at, steadyNow()))
-        checker_.reportViolation("a node stops within its grace time", gateway(index).vm_);
+        checker_.reportViolation("a node stops within its grace period", gateway(index).vm_);
     process.kill();
     (void)process.wait(gatewayTimeout);
     co_await sleepFor(pause);
@@ -99,7 +101,7 @@
     registerServer(server, "draining");
 }
 
-/// The first engine from \p index on that stays so far is taken away.
+/// Reclaims the first engine from \p index on that is not leaving yet.
 asio::awaitable<void> SoakRun::reclaim(std::size_t index, milliseconds notice)
 {
     for (std::size_t i = 0; i < servers_.size(); ++i) {
@@ -120,7 +122,7 @@
     }
 }
 
-/// It is registered as before: only its answers tell that it leaves.
+/// The registration stays as it is: only the answers report that the server is leaving.
 asio::awaitable<void> SoakRun::reportLeaving(std::size_t index)
 {
     Server& server = *servers_[index % servers_.size()];
@@ -128,9 +130,9 @@
         co_return;
     server.isLeaving_ = true;
     startServer(server.service_);
-    json::object runs = deployment_->backend(server.id_, { { "says_leaving", 1 } });
-    // Nobody knows before an answer tells.
-    std::size_t initialRunCount = runs.at("runs").as_array().size();
+    json::object initialState = deployment_->backend(server.id_, { { "says_leaving", 1 } });
+    // No gateway knows before it receives an answer.
+    std::size_t initialRunCount = initialState.at("runs").as_array().size();
     std::size_t runCount = initialRunCount;
     while (!isOver_ && runCount == initialRunCount) {
         co_await sleepFor(monitorPeriod);
@@ -143,9 +145,9 @@
         co_await sleepFor(monitorPeriod);
     std::vector<std::string> lateRuns;
     json::object state = deployment_->backend(server.id_);
-    const json::array& all = state.at("runs").as_array();
-    for (std::size_t i = firstLateRun; i < all.size(); ++i)
-        lateRuns.emplace_back(all[i].as_string());
+    const json::array& runs = state.at("runs").as_array();
+    for (std::size_t i = firstLateRun; i < runs.size(); ++i)
+        lateRuns.emplace_back(runs[i].as_string());
     checker_.addLateRuns(server.id_, lateRuns, announcedAt);
 }
 
@@ -160,15 +162,15 @@
     co_await sleepFor(duration);
     json::object state = deployment_->backend(id, { { "full", 0 }, { "retry_after_ms", 0 } });
     checker_.faultIntervals().add(id, at, steadyNow());
-    // In each pause a gateway may send two requests, and so may each start of one.
+    // Each start of each gateway may send two requests per pause.
     auto pauses = static_cast<std::uint64_t>(duration / pause + 1);
     std::uint64_t starts = 0;
     for (const Node& node : nodes_)
         starts += node.startCount_;
     std::uint64_t rejectedCount = numberField(state, "turned_away");
-    // Requests of the half second in which the first answers come are not counted.
+    // In the half second in which the first answers arrive, each caller may add one more.
     if (rejectedCount > 2 * pauses * starts + options_.callers_)
-        checker_.reportViolation("a pause that a backend server asks for is kept", id + " turned away " + std::to_string(rejectedCount) + " in " + std::to_string(duration.count()) + " ms");
+        checker_.reportViolation("a pause that a backend server requests is observed", id + " rejected " + std::to_string(rejectedCount) + " in " + std::to_string(duration.count()) + " ms");
 }
 
 void SoakRun::startCrashingCaller()
@@ -256,7 +258,7 @@
     }
 }
 
-/// Brings about the faults, lets the system recover, and ends the run.
+/// Injects the faults, lets the system recover, and ends the run.
 asio::awaitable<void> SoakRun::injectFaults()
 {
     milliseconds duration(static_cast<std::int64_t>(options_.seconds_ * 1000));
@@ -269,7 +271,7 @@
     }
     milliseconds rest = std::chrono::duration_cast<milliseconds>(startedAt_ + duration - steadyNow());
     co_await sleepFor(std::max(milliseconds(0), rest));
-    // Stops that began last may take their grace time.
+    // The last stops may take their full grace period.
     while (std::any_of(nodes_.begin(), nodes_.end(), [](const Node& node) { return node.isDown_ || node.freezeCount_; }))
         co_await sleepFor(monitorPeriod);
     co_await sleepFor(recoveryTime);
--- a/test/Platform/Soak/SoakMonitor.cpp
+++ b/test/Platform/Soak/SoakMonitor.cpp
@@ -1,13 +1,14 @@
-//===- test/Platform/Soak/SoakMonitor.cpp - gateways, watched during a run ===//
+//===- test/Platform/Soak/SoakMonitor.cpp - gateway monitor of the soak ---===//
 ///
 /// \file
-/// Reads the metrics of each gateway again and again.
+/// Polls the process state and the metrics of each gateway.
 //===----------------------------------------------------------------------===//
 #include "SoakRun.h"
 
 namespace pistachioloom::test {
 
-/// The version of the configuration in force, of a page of metrics; 0 if there is none.
+/// The active configuration version according to the metrics in \p page; 0 if there is
+/// none.
 static double versionIn(const std::string& page)
 {
     constexpr std::string_view key = "\npistachioloom_configuration_version ";
@@ -15,14 +16,15 @@
     return position == std::string::npos ? 0 : std::stod(page.substr(position + key.size()));
 }
 
-/// Watches one gateway: it runs on, and its configuration never goes back.
+/// Checks that one gateway keeps running and that its configuration version never
+/// decreases.
 asio::awaitable<void> SoakRun::monitor(std::size_t index)
 {
     Node& node = nodes_[index];
     while (!isOver_) {
         co_await sleepFor(monitorPeriod);
         if (!node.isDown_ && !gateway(index).process_->isRunning()) {
-            checker_.reportViolation("processes do not end by themselves", gateway(index).vm_);
+            checker_.reportViolation("processes do not exit on their own", gateway(index).vm_);
             isOver_ = true;
             co_return;
         }
@@ -39,11 +41,11 @@
 {
     Node& node = nodes_[index];
     if (version < node.version_)
-        checker_.reportViolation("configurations only go forward", gateway(index).vm_ + " went from " + std::to_string(node.version_) + " to " + std::to_string(version));
+        checker_.reportViolation("configuration versions never decrease", gateway(index).vm_ + " went from " + std::to_string(node.version_) + " to " + std::to_string(version));
     node.version_ = std::max(node.version_, version);
     bool shouldHaveNewest = recoveredAt_ != SteadyTime {} && steadyNow() > recoveredAt_;
     if (shouldHaveNewest && version != static_cast<double>(version_))
-        checker_.reportViolation("the newest configuration is in force after the faults", gateway(index).vm_ + " has " + std::to_string(version) + " of " + std::to_string(version_));
+        checker_.reportViolation("the newest configuration is active after the recovery", gateway(index).vm_ + " has " + std::to_string(version) + " of " + std::to_string(version_));
 }
 
 } // namespace pistachioloom::test
--- a/test/Platform/Soak/SoakRun.cpp
+++ b/test/Platform/Soak/SoakRun.cpp
@@ -1,7 +1,7 @@
-//===- test/Platform/Soak/SoakRun.cpp - one run of the soak ---------------===//
+//===- test/Platform/Soak/SoakRun.cpp - one run of the soak -------------===//
 ///
 /// \file
-/// Starts the deployment and its callers, waits for the end, and tells what was found.
+/// Starts the deployment and its callers, waits for the end, and reports violations.
 //===----------------------------------------------------------------------===//
 #include "SoakRun.h"
 
@@ -13,7 +13,7 @@
 namespace pistachioloom::test {
 
 static constexpr std::size_t serversPerService = 3;
-// The clock of one gateway is wrong by this much in every third run.
+// Clock offset of one gateway, in runs whose seed is a multiple of three.
 static constexpr const char* clockOffsetSetting = "  clock_offset: 7s\n";
 
 asio::awaitable<void> sleepFor(milliseconds duration)
@@ -38,7 +38,7 @@
         nodes_[*next].platformLink_ = std::make_unique<FaultProxy>(io_, platform);
         return nodes_[(*next)++].platformLink_->endpoint();
     };
-    // Odd seeds run with relays, as a large fleet does.
+    // A small fanout makes gateways use relays, as a large fleet does; odd seeds have it.
     bool hasRelays = options_.seed_ % 2;
     bool hasClockOffset = options_.seed_ % 3 == 0;
     options.extraSettings_ = [hasRelays, hasClockOffset](const std::string& vm) {
@@ -84,7 +84,7 @@
     }
 }
 
-/// Proxies work on this thread, so waiting means running them.
+/// The proxies run on this thread, so the wait runs the io_context.
 void SoakRun::waitUntilServing()
 {
     SteadyTime deadline = steadyNow() + milliseconds(20000);
@@ -92,7 +92,7 @@
     for (std::size_t i = 0; i < options_.gateways_; ++i) {
         while (!deployment_->isReady(gateway(i)) || deployment_->metric(gateway(i), "backend_servers") < 2 * serversPerService) {
             if (steadyNow() > deadline)
-                throw std::runtime_error("gateways do not become ready; see " + deployment_->directory());
+                throw std::runtime_error("gateways did not become ready in time; see " + deployment_->directory());
             io_.run_for(milliseconds(50));
         }
     }
@@ -120,7 +120,7 @@
     asio::co_spawn(io_, injectFaults(), asio::detached);
     while (!isOver_)
         io_.run_for(monitorPeriod);
-    // What callers still wait for; answers come within their time.
+    // Callers still wait for answers, which arrive within their deadline.
     io_.run_for(milliseconds(4000));
     checkResults();
     return report();
@@ -136,7 +136,7 @@
     checker_.checkEntireRun(startedAt_, recoveredAt_);
 }
 
-/// \returns whether every promise was kept.
+/// Prints a summary and the violations. \returns whether every invariant held.
 bool SoakRun::report() const
 {
     json::object summary { { "seed", options_.seed_ }, { "calls", checker_.calls() }, { "served", checker_.served() }, { "broken", checker_.violations().size() } };
--- a/test/Platform/Soak/SoakRun.h
+++ b/test/Platform/Soak/SoakRun.h
@@ -1,21 +1,21 @@
-//===- test/Platform/Soak/SoakRun.h - one run of the soak -----------------===//
+//===- test/Platform/Soak/SoakRun.h - one run of the soak ---------------===//
 ///
 /// \file
-/// Gateways as processes before a stand-in of the users' platform, with proxies
-/// between them, callers that keep their connections, and faults from outside.
-/// All of it but the processes is on one thread.
+/// Runs gateways as processes that use a stand-in of the users' platform through
+/// proxies, callers with persistent connections, and faults injected from outside.
+/// Everything except the processes runs on one thread.
 //===----------------------------------------------------------------------===//
 #pragma once
 
-#include "Platform/GatewayDeployment.h"
 #include "InvariantChecker.h"
+#include "Platform/GatewayDeployment.h"
 #include "Schedule.h"
 
 namespace pistachioloom::test {
 
-/// Between two looks at a gateway.
+/// Interval between two checks of a gateway, and of other polling.
 inline constexpr milliseconds monitorPeriod { 200 };
-/// How long a gateway may take to tell its metrics, or to be gone after a kill.
+/// Timeout for reading the metrics of a gateway, and for its end after a kill.
 inline constexpr milliseconds gatewayTimeout { 2000 };
 
 struct SoakOptions {
@@ -26,12 +26,12 @@
     bool isVerbose_ = false;
 };
 
-/// One run, with the faults of one seed.
+/// One run with the faults of one seed.
 class SoakRun {
 public:
     explicit SoakRun(SoakOptions options);
 
-    /// \returns whether every promise was kept.
+    /// \returns whether every invariant held.
     bool run();
 
 private:
@@ -40,21 +40,21 @@
         std::string service_;
         std::unique_ptr<FaultProxy> proxy_;
         bool isLeaving_ = false;
-        /// It was taken away.
+        /// It has been taken away, without a drain to the end.
         bool isRemoved_ = false;
         bool hasCrashed_ = false;
     };
     struct Node {
         std::unique_ptr<FaultProxy> platformLink_;
-        /// It was told to end, or is not started again yet.
+        /// It has been signalled to end and has not been restarted yet.
         bool isDown_ = false;
-        /// Freezes under way; they may overlap.
+        /// Number of current freezes, which may overlap.
         int freezeCount_ = 0;
         std::uint64_t startCount_ = 1;
         double version_ = 0;
     };
 
-    // The deployment, and what calls it.
+    // The deployment and its callers.
     GatewayDeploymentOptions deploymentOptions();
     void startDeployment();
     void startServer(const std::string& service);
@@ -74,12 +74,12 @@
     asio::awaitable<void> reclaim(std::size_t index, milliseconds notice);
     asio::awaitable<void> reportLeaving(std::size_t index);
     asio::awaitable<void> requestPause(std::size_t index, milliseconds duration, milliseconds pause);
-    /// Starts the caller whose request crashes engines.
+    /// Starts the caller that sends the request that crashes engines.
     void startCrashingCaller();
-    /// Replaces engines that crashed.
+    /// Replaces crashed engines until the run is over.
     asio::awaitable<void> replaceCrashedEngines();
     asio::awaitable<void> configure(std::int64_t versions);
-    // What is watched, and what comes of it.
+    // Monitoring and results.
     asio::awaitable<void> monitor(std::size_t index);
     void checkVersion(std::size_t index, double version);
     void checkResults();
