--- a/test/Platform/GatewayDeployment.h
+++ b/test/Platform/GatewayDeployment.h
@@ -49,7 +49,7 @@
     boost::json::object control(const boost::json::object& body = {}) const;
     /// Sets faults of one backend server and returns what it received so far.
     boost::json::object backend(const std::string& id, boost::json::object faults = {}) const;
-    /// Faults of all four backend servers of standard().
+    /// Sets faults of all four backend servers of startStandardServices().
     void setBackendFaults(const boost::json::object& faults) const;
     void startBackend(const std::string& id, const std::string& service);
     void setLeaving(const std::string& id, const std::string& service, const std::string& address) const;
--- a/test/Platform/Soak/InvariantChecker.cpp
+++ b/test/Platform/Soak/InvariantChecker.cpp
@@ -1,4 +1,4 @@
-//===- test/Platform/Soak/InvariantChecker.cpp - invariants under faults ---===//
+//===- test/Platform/Soak/InvariantChecker.cpp - invariant checks -------===//
 ///
 /// \file
 /// See InvariantChecker.h.
--- a/test/Platform/Soak/InvariantChecker.h
+++ b/test/Platform/Soak/InvariantChecker.h
@@ -1,4 +1,4 @@
-//===- test/Platform/Soak/InvariantChecker.h - invariants under faults ---===//
+//===- test/Platform/Soak/InvariantChecker.h - invariant checks ---------===//
 ///
 /// \file
 /// Checks what callers, backend servers and the platform observed against the
@@ -17,7 +17,7 @@
 class FaultIntervals {
 public:
     void add(const std::string& component, SteadyTime from, SteadyTime until) { intervals_[component].emplace_back(from, until); }
-    /// Whether \p component was disturbed at any time from \p from to \p until.
+    /// Whether \p component had a fault at any time from \p from to \p until.
     bool overlaps(const std::string& component, SteadyTime from, SteadyTime until) const;
 
 private:
@@ -66,11 +66,12 @@
     void checkDuties(const boost::json::array& duties);
     /// Checks the engine crashes that the stand-in reports for the crashing request.
     void checkCrashes(const boost::json::array& crashes);
-    /// Runs at backend server \p id later than the contact time after \p announcedAt, when it
-    /// had said in an answer that it leaves.
+    /// Adds late runs at backend server \p id, which had reported in an answer by
+    /// \p announcedAt that it is leaving. Requests sent within the contact time after that
+    /// are excused.
     void addLateRuns(const std::string& id, const std::vector<std::string>& ids, SteadyTime announcedAt);
-    /// Everything that needs the whole run; \p recoveredAt is when faults were over
-    /// and the system had had time to recover.
+    /// Checks the invariants that need the entire run. \p recoveredAt is when the faults
+    /// had ended and the system had had time to recover.
     void checkEntireRun(SteadyTime startedAt, SteadyTime recoveredAt);
     /// Records a violation of \p invariant.
     void reportViolation(const std::string& invariant, const std::string& detail);
--- a/test/Platform/Soak/Schedule.h
+++ b/test/Platform/Soak/Schedule.h
@@ -64,8 +64,8 @@
     std::int64_t parameter_ = 0;
 };
 
-/// The faults of one run, by time. They end so that each lasts no longer than
-/// \p runDuration.
+/// The faults of one run, ordered by time. Each starts within \p runDuration, and all but
+/// reclaims and signals of backend servers end within it.
 std::vector<Fault> generateFaults(std::uint64_t seed, milliseconds runDuration);
 
 std::string describe(const Fault& fault);
--- a/test/Platform/Soak/SoakCaller.cpp
+++ b/test/Platform/Soak/SoakCaller.cpp
@@ -73,7 +73,7 @@
         return request;
     }
 
-    /// Closes the connection after \p timeout unless it is disarmed before.
+    /// Closes the connection after \p timeout unless the timer is cancelled before.
     void armTimeout(const std::shared_ptr<Connection>& connection, milliseconds timeout)
     {
         connection->timer_.expires_after(timeout);
--- a/test/Platform/Soak/SoakCaller.h
+++ b/test/Platform/Soak/SoakCaller.h
@@ -44,7 +44,7 @@
     int status_ = 0;
     /// The answer arrived completely.
     bool isComplete_ = false;
-    /// The caller was set to close the connection before the end of the answer.
+    /// The caller was to close the connection early; the answer may still be complete.
     bool hasCallerLeft_ = false;
     std::string body_;
     bool hasRetryAfter_ = false;
--- a/test/Platform/Soak/SoakRun.h
+++ b/test/Platform/Soak/SoakRun.h
@@ -40,7 +40,7 @@
         std::string service_;
         std::unique_ptr<FaultProxy> proxy_;
         bool isLeaving_ = false;
-        /// It has been taken away, without a drain to the end.
+        /// It has been taken away by a reclaim or a crash.
         bool isRemoved_ = false;
         bool hasCrashed_ = false;
     };
