--- a/test/Platform/GatewayDeployment.cpp
+++ b/test/Platform/GatewayDeployment.cpp
@@ -1,4 +1,4 @@
-//===- test/Platform/GatewayDeployment.cpp - gateways with a stand-in ---===//
+//===- test/Platform/GatewayDeployment.cpp - gateways with a stand-in -----===//
 ///
 /// \file
 /// See GatewayDeployment.h. Each gateway has its own loopback address, so that all can
--- a/test/Platform/GatewayDeployment.h
+++ b/test/Platform/GatewayDeployment.h
@@ -1,4 +1,4 @@
-//===- test/Platform/GatewayDeployment.h - gateways with a stand-in -----===//
+//===- test/Platform/GatewayDeployment.h - gateways with a stand-in -------===//
 ///
 /// \file
 /// Starts gateways as processes that use one stand-in of the users' platform.
--- a/test/Platform/Soak/FaultProxy.cpp
+++ b/test/Platform/Soak/FaultProxy.cpp
@@ -1,4 +1,4 @@
-//===- test/Platform/Soak/FaultProxy.cpp - proxy that injects faults ----===//
+//===- test/Platform/Soak/FaultProxy.cpp - proxy that injects faults ------===//
 ///
 /// \file
 /// See FaultProxy.h.
--- a/test/Platform/Soak/FaultProxy.h
+++ b/test/Platform/Soak/FaultProxy.h
@@ -1,4 +1,4 @@
-//===- test/Platform/Soak/FaultProxy.h - proxy that injects faults ------===//
+//===- test/Platform/Soak/FaultProxy.h - proxy that injects faults --------===//
 ///
 /// \file
 /// A loopback TCP proxy between two of the programs. It can delay, reset or stall
--- a/test/Platform/Soak/InvariantChecker.cpp
+++ b/test/Platform/Soak/InvariantChecker.cpp
@@ -1,4 +1,4 @@
-//===- test/Platform/Soak/InvariantChecker.cpp - invariant checks -------===//
+//===- test/Platform/Soak/InvariantChecker.cpp - invariant checks ---------===//
 ///
 /// \file
 /// See InvariantChecker.h.
@@ -165,10 +165,10 @@
         reportViolation("a request that crashes engines is quarantined", std::to_string(lateCrashes) + " engines crashed later than the contact time, " + std::to_string(crashes.size()) + " in all");
 }
 
-void InvariantChecker::addLateRuns(const std::string& id, const std::vector<std::string>& ids, SteadyTime announcedAt)
+void InvariantChecker::addLateRuns(const std::string& id, const std::vector<std::string>& ids, SteadyTime reportedAt)
 {
     for (const std::string& run : ids)
-        lateRuns_.push_back({ id, run, announcedAt });
+        lateRuns_.push_back({ id, run, reportedAt });
 }
 
 void InvariantChecker::checkLateRuns()
@@ -180,7 +180,7 @@
         auto call = callOf.find(run.id_);
         // A request may wait long before it is forwarded, so only requests sent after the
         // contact time count. A gateway that restarts forgets that the server is leaving.
-        bool isExcused = call == callOf.end() || call->second->sentAt_ < run.announcedAt_ + bounds_.contactTime_ || faultIntervals_.overlaps(call->second->gateway_, run.announcedAt_, call->second->endedAt_);
+        bool isExcused = call == callOf.end() || call->second->sentAt_ < run.reportedAt_ + bounds_.contactTime_ || faultIntervals_.overlaps(call->second->gateway_, run.reportedAt_, call->second->endedAt_);
         if (!isExcused)
             reportViolation("a backend server that reports that it is leaving gets no new requests", run.server_ + " ran " + describe(*call->second));
     }
--- a/test/Platform/Soak/InvariantChecker.h
+++ b/test/Platform/Soak/InvariantChecker.h
@@ -1,4 +1,4 @@
-//===- test/Platform/Soak/InvariantChecker.h - invariant checks ---------===//
+//===- test/Platform/Soak/InvariantChecker.h - invariant checks -----------===//
 ///
 /// \file
 /// Checks what callers, backend servers and the platform observed against the
@@ -67,9 +67,9 @@
     /// Checks the engine crashes that the stand-in reports for the crashing request.
     void checkCrashes(const boost::json::array& crashes);
     /// Adds late runs at backend server \p id, which had reported in an answer by
-    /// \p announcedAt that it is leaving. Requests sent within the contact time after that
+    /// \p reportedAt that it is leaving. Requests sent within the contact time after that
     /// are excused.
-    void addLateRuns(const std::string& id, const std::vector<std::string>& ids, SteadyTime announcedAt);
+    void addLateRuns(const std::string& id, const std::vector<std::string>& ids, SteadyTime reportedAt);
     /// Checks the invariants that need the entire run. \p recoveredAt is when the faults
     /// had ended and the system had had time to recover.
     void checkEntireRun(SteadyTime startedAt, SteadyTime recoveredAt);
@@ -95,7 +95,7 @@
     struct LateRun {
         std::string server_;
         std::string id_;
-        SteadyTime announcedAt_ {};
+        SteadyTime reportedAt_ {};
     };
     std::vector<LateRun> lateRuns_;
     std::vector<std::string> violations_;
--- a/test/Platform/Soak/Schedule.cpp
+++ b/test/Platform/Soak/Schedule.cpp
@@ -1,4 +1,4 @@
-//===- test/Platform/Soak/Schedule.cpp - random fault schedule ----------===//
+//===- test/Platform/Soak/Schedule.cpp - random fault schedule ------------===//
 ///
 /// \file
 /// See Schedule.h.
--- a/test/Platform/Soak/Schedule.h
+++ b/test/Platform/Soak/Schedule.h
@@ -1,4 +1,4 @@
-//===- test/Platform/Soak/Schedule.h - random fault schedule ------------===//
+//===- test/Platform/Soak/Schedule.h - random fault schedule --------------===//
 ///
 /// \file
 /// Generates the faults of a run from a seed. Faults follow one another and overlap;
--- a/test/Platform/Soak/SoakFaults.cpp
+++ b/test/Platform/Soak/SoakFaults.cpp
@@ -1,4 +1,4 @@
-//===- test/Platform/Soak/SoakFaults.cpp - fault injection of the soak ---===//
+//===- test/Platform/Soak/SoakFaults.cpp - fault injection of the soak ----===//
 ///
 /// \file
 /// Applies the generated faults to processes, links, the platform and backend servers.
@@ -138,7 +138,7 @@
         co_await sleepFor(monitorPeriod);
         runCount = deployment_->backend(server.id_).at("runs").as_array().size();
     }
-    SteadyTime announcedAt = steadyNow();
+    SteadyTime reportedAt = steadyNow();
     co_await sleepFor(leavingPropagation);
     std::size_t firstLateRun = deployment_->backend(server.id_).at("runs").as_array().size();
     while (!isOver_)
@@ -148,7 +148,7 @@
     const json::array& runs = state.at("runs").as_array();
     for (std::size_t i = firstLateRun; i < runs.size(); ++i)
         lateRuns.emplace_back(runs[i].as_string());
-    checker_.addLateRuns(server.id_, lateRuns, announcedAt);
+    checker_.addLateRuns(server.id_, lateRuns, reportedAt);
 }
 
 asio::awaitable<void> SoakRun::requestPause(std::size_t index, milliseconds duration, milliseconds pause)
