--- a/test/Platform/Soak/Schedule.h
+++ b/test/Platform/Soak/Schedule.h
@@ -41,7 +41,7 @@
     /// A backend server reports in its answers that it is leaving; another one replaces
     /// it.
     ReportLeaving,
-    /// A backend server rejects requests and requests a pause.
+    /// A backend server rejects requests and asks for a pause with Retry-After.
     RequestPause,
     /// From now on a caller sends a request that crashes each engine that starts to run
     /// it; each crashed engine is replaced.
--- a/test/Platform/Soak/SoakRun.cpp
+++ b/test/Platform/Soak/SoakRun.cpp
@@ -141,8 +141,8 @@
 {
     json::object summary { { "seed", options_.seed_ }, { "calls", checker_.calls() }, { "served", checker_.served() }, { "broken", checker_.violations().size() } };
     std::cout << json::serialize(summary) << std::endl;
-    for (const std::string& finding : checker_.violations())
-        std::cout << "  " << finding << "\n";
+    for (const std::string& violation : checker_.violations())
+        std::cout << "  " << violation << "\n";
     if (checker_.violations().empty())
         std::filesystem::remove_all(deployment_->directory());
     else
