--- a/test/ConfigurationSpreadTest.cpp
+++ b/test/ConfigurationSpreadTest.cpp
@@ -183,7 +183,7 @@
 TEST_CASE("a gateway sends its configuration to few peers at a time, and to others when those transfers end", "[gateway]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     Endpoint gateway { deployment.gateways()[0].callers_.host_, 7003 };
     for (const TransferEnd& transferEnd : transferEnds) {
         INFO(transferEnd.name_);
@@ -213,7 +213,7 @@
 TEST_CASE("peers of older versions receive the configuration, or a rejection while other transfers run", "[gateway]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     ConfigurationFetcher oldPeer({ deployment.gateways()[0].callers_.host_, 7003 });
     std::size_t received = 0;
     std::size_t busy = 0;
@@ -233,7 +233,7 @@
     constexpr std::size_t routes = 4000;
     constexpr milliseconds maxSpreadTime { 3000 };
     GatewayDeployment deployment(count);
-    deployment.standard();
+    deployment.startStandardServices();
     std::string text = manyRoutes(routes);
     auto startedAt = steadyNow();
     deployment.putConfiguration(2, text);
--- a/test/IdleConnectionsTest.cpp
+++ b/test/IdleConnectionsTest.cpp
@@ -118,7 +118,7 @@
     }));
     CAPTURE(row.name_);
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     DelayProxy link(deployment.gateways()[0].callers_);
     KeepAliveCaller caller(link.endpoint());
     REQUIRE(caller.call(gatewayRequest("GET", "/safe/x", "first")).starts_with("HTTP/1.1 200"));
@@ -131,10 +131,10 @@
 TEST_CASE("a lower idle timeout applies only to connections whose callers have received it", "[idle]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     KeepAliveCaller caller(deployment.gateways()[0].callers_);
     // The request is admitted under the timeout of 5 s, which its answer announces.
-    deployment.disturbAll({ { "delay_ms", 1000 } });
+    deployment.setBackendFaults({ { "delay_ms", 1000 } });
     std::thread operators([&] {
         std::this_thread::sleep_for(milliseconds(300));
         deployment.putConfiguration(2, {}, 2000, milliseconds(1500));
@@ -142,7 +142,7 @@
     CHECK(caller.call(gatewayRequest("GET", "/safe/x", "first")).starts_with("HTTP/1.1 200"));
     operators.join();
     REQUIRE(deployment.waitForVersion(2, milliseconds(5000)));
-    deployment.disturbAll({ { "delay_ms", 0 } });
+    deployment.setBackendFaults({ { "delay_ms", 0 } });
     std::this_thread::sleep_for(milliseconds(3000));
     CHECK(caller.call(gatewayRequest("GET", "/safe/x", "second")).starts_with("HTTP/1.1 200"));
     CHECK(caller.connections() == 1);
@@ -154,7 +154,7 @@
 TEST_CASE("a request that arrives after the idle timeout is not read", "[idle]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     auto& gateway = deployment.gateways()[0];
     boost::asio::io_context io;
     tcp::socket socket(io);
@@ -174,7 +174,7 @@
 TEST_CASE("a request that arrived in time is answered by a node that was frozen at the idle timeout", "[idle]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     auto& gateway = deployment.gateways()[0];
     KeepAliveCaller caller(gateway.callers_);
     REQUIRE(caller.call(gatewayRequest("GET", "/safe/x", "first")).starts_with("HTTP/1.1 200"));
--- /dev/null
+++ b/test/Platform/Soak/InvariantChecker.h
@@ -0,0 +1,104 @@
+//===- test/Platform/Soak/InvariantChecker.h - invariant checks -----------===//
+///
+/// \file
+/// Checks what callers, backend servers and the platform observed against the
+/// invariants of the system. Each violation is recorded with its evidence.
+//===----------------------------------------------------------------------===//
+#pragma once
+
+#include "SoakCaller.h"
+#include "pistachioloom/Json.h"
+
+#include <map>
+
+namespace pistachioloom::test {
+
+/// Times at which a process or link had an injected fault.
+class FaultIntervals {
+public:
+    void add(const std::string& component, SteadyTime from, SteadyTime until) { intervals_[component].emplace_back(from, until); }
+    /// Whether \p component had a fault at any time from \p from to \p until.
+    bool overlaps(const std::string& component, SteadyTime from, SteadyTime until) const;
+
+private:
+    std::map<std::string, std::vector<std::pair<SteadyTime, SteadyTime>>> intervals_;
+};
+
+struct InvariantBounds {
+    /// Number of events in a complete stream.
+    int eventsPerStream_ = 5;
+    /// Maximum time from a request to the end of its answer.
+    milliseconds maxAnswerTime_ { 4500 };
+    /// A duty call that arrives within this time after a fault may have been delayed
+    /// by it.
+    milliseconds faultGrace_ { 2000 };
+    milliseconds lease_ { 3000 };
+    /// Quota of the small organisation, in requests per second and requests.
+    double limitedRate_ = 0.5;
+    double limitedBurst_ = 1;
+    /// Requests that all nodes together may admit above the quota between two reports.
+    double limitedSlack_ = 8;
+    /// Time after which all gateways know what one of them has observed.
+    milliseconds contactTime_ { 3000 };
+    /// Engines that a request crashes before it is quarantined.
+    std::size_t crashesBeforeQuarantine_ = 3;
+    /// Attempts at a quarantined request that may reach engines later than the contact
+    /// time.
+    std::size_t maxLateCrashes_ = 3;
+    /// Minimum share of requests that are served after the recovery.
+    double minServedShare_ = 0.95;
+};
+
+class InvariantChecker {
+public:
+    explicit InvariantChecker(InvariantBounds bounds)
+        : bounds_(bounds)
+    {
+    }
+
+    FaultIntervals& faultIntervals() { return faultIntervals_; }
+    /// Adds a finished call and checks its answer.
+    void addCall(Call call);
+    /// Adds the ids of requests that one backend server ran, in order of their runs.
+    /// \p isRemoved tells whether the backend server has been taken away.
+    void addRuns(const boost::json::array& ids, bool isRemoved);
+    /// Checks the duty calls that reached the platform, in order of arrival.
+    void checkDuties(const boost::json::array& duties);
+    /// Checks the engine crashes that the stand-in reports for the crashing request.
+    void checkCrashes(const boost::json::array& crashes);
+    /// Adds late runs at backend server \p id, which had reported in an answer by
+    /// \p reportedAt that it is leaving. Requests sent within the contact time after that
+    /// are excused.
+    void addLateRuns(const std::string& id, const std::vector<std::string>& ids, SteadyTime reportedAt);
+    /// Checks the invariants that need the entire run. \p recoveredAt is when the faults
+    /// had ended and the system had had time to recover.
+    void checkEntireRun(SteadyTime startedAt, SteadyTime recoveredAt);
+    /// Records a violation of \p invariant.
+    void reportViolation(const std::string& invariant, const std::string& detail);
+
+    std::size_t calls() const { return calls_.size(); }
+    std::size_t served() const;
+    const std::vector<std::string>& violations() const { return violations_; }
+
+private:
+    void checkAnswer(const Call& call);
+    void checkRuns(const Call& call);
+    void checkLateRuns();
+    void checkToken(const boost::json::object& duty, std::uint64_t& newest);
+
+    InvariantBounds bounds_;
+    FaultIntervals faultIntervals_;
+    std::vector<Call> calls_;
+    std::map<std::string, int> runs_;
+    /// The part of runs_ at backend servers that have been taken away.
+    std::map<std::string, int> runsAtRemoved_;
+    struct LateRun {
+        std::string server_;
+        std::string id_;
+        SteadyTime reportedAt_ {};
+    };
+    std::vector<LateRun> lateRuns_;
+    std::vector<std::string> violations_;
+};
+
+} // namespace pistachioloom::test
--- a/test/Platform/Soak/SoakRun.h
+++ b/test/Platform/Soak/SoakRun.h
@@ -1,22 +1,22 @@
 //===- test/Platform/Soak/SoakRun.h - one run of the soak -----------------===//
 ///
 /// \file
-/// Gateways as processes before a stand-in of the users' platform, with proxies
-/// between them, callers that keep their connections, and faults from outside.
-/// All of it but the processes is on one thread.
+/// Runs gateways as processes that use a stand-in of the users' platform through
+/// proxies, callers with persistent connections, and faults injected from outside.
+/// Everything except the processes runs on one thread.
 //===----------------------------------------------------------------------===//
 #pragma once
 
+#include "InvariantChecker.h"
 #include "Platform/GatewayDeployment.h"
-#include "Promises.h"
 #include "Schedule.h"
 
 namespace pistachioloom::test {
 
-/// Between two looks at a gateway.
+/// Interval between two checks of a gateway, and of other polling.
 inline constexpr milliseconds monitorPeriod { 200 };
-/// How long a gateway may take to tell its metrics, or to be gone after a kill.
-inline constexpr milliseconds metricPatience { 2000 };
+/// Timeout for reading the metrics of a gateway, and for its end after a kill.
+inline constexpr milliseconds gatewayTimeout { 2000 };
 
 struct SoakOptions {
     std::uint64_t seed_ = 1;
@@ -26,12 +26,12 @@
     bool isVerbose_ = false;
 };
 
-/// One run, with the faults of one seed.
+/// One run with the faults of one seed.
 class SoakRun {
 public:
     explicit SoakRun(SoakOptions options);
 
-    /// \returns whether every promise was kept.
+    /// \returns whether every invariant held.
     bool run();
 
 private:
@@ -40,49 +40,49 @@
         std::string service_;
         std::unique_ptr<FaultProxy> proxy_;
         bool isLeaving_ = false;
-        /// It was taken away.
-        bool isGone_ = false;
+        /// It has been taken away by a reclaim or a crash.
+        bool isRemoved_ = false;
         bool hasCrashed_ = false;
     };
     struct Node {
         std::unique_ptr<FaultProxy> platformLink_;
-        /// It was told to end, or is not started again yet.
+        /// It has been signalled to end and has not been restarted yet.
         bool isDown_ = false;
-        /// Freezes under way; they may overlap.
-        int frozen_ = 0;
-        std::uint64_t starts_ = 1;
+        /// Number of current freezes, which may overlap.
+        int freezeCount_ = 0;
+        std::uint64_t startCount_ = 1;
         double version_ = 0;
     };
 
-    // The deployment, and what calls it.
+    // The deployment and its callers.
     GatewayDeploymentOptions deploymentOptions();
     void startDeployment();
     void startServer(const std::string& service);
-    void announce(const Server& server, const char* phase, bool isReclaimed = false) const;
+    void registerServer(const Server& server, const char* phase, bool isReclaimed = false) const;
     void waitUntilServing();
     void startCallers();
     std::pair<std::string, Endpoint> pickGateway(std::mt19937_64& random);
     GatewayDeployment::Gateway& gateway(std::size_t index) { return deployment_->gateways()[index]; }
     // Faults.
-    asio::awaitable<void> inject();
-    asio::awaitable<void> apply(Fault fault);
-    asio::awaitable<void> bringDown(std::size_t index, int signal, milliseconds pause);
-    asio::awaitable<void> freeze(std::size_t index, milliseconds length);
-    asio::awaitable<void> disturbLink(FaultProxy& proxy, const std::string& what, Fault fault);
+    asio::awaitable<void> injectFaults();
+    asio::awaitable<void> applyFault(Fault fault);
+    asio::awaitable<void> stopAndRestart(std::size_t index, int signal, milliseconds pause);
+    asio::awaitable<void> freeze(std::size_t index, milliseconds duration);
+    asio::awaitable<void> injectLinkFault(FaultProxy& proxy, const std::string& component, Fault fault);
     asio::awaitable<void> control(std::string key, Fault fault);
     asio::awaitable<void> replace(std::size_t index);
     asio::awaitable<void> reclaim(std::size_t index, milliseconds notice);
-    asio::awaitable<void> sayLeaving(std::size_t index);
-    asio::awaitable<void> askPause(std::size_t index, milliseconds length, milliseconds pause);
-    /// Starts the caller whose request crashes engines.
-    void crashEngines();
-    /// Replaces engines that crashed.
-    asio::awaitable<void> replaceCrashed();
+    asio::awaitable<void> reportLeaving(std::size_t index);
+    asio::awaitable<void> requestPause(std::size_t index, milliseconds duration, milliseconds pause);
+    /// Starts the caller that sends the request that crashes engines.
+    void startCrashingCaller();
+    /// Replaces crashed engines until the run is over.
+    asio::awaitable<void> replaceCrashedEngines();
     asio::awaitable<void> configure(std::int64_t versions);
-    // What is watched, and what comes of it.
+    // Monitoring and results.
     asio::awaitable<void> monitor(std::size_t index);
     void checkVersion(std::size_t index, double version);
-    void collect();
+    void checkResults();
     bool report() const;
 
     SoakOptions options_;
@@ -90,14 +90,14 @@
     std::vector<Node> nodes_;
     std::unique_ptr<GatewayDeployment> deployment_;
     std::vector<std::unique_ptr<Server>> servers_;
-    Promises promises_ { {} };
+    InvariantChecker checker_ { {} };
     SteadyTime startedAt_ {};
-    SteadyTime calmFrom_ {};
+    SteadyTime recoveredAt_ {};
     bool isOver_ = false;
-    int serversMade_ = 0;
+    int lastServerNumber_ = 0;
     std::uint64_t version_ = 1;
 };
 
-asio::awaitable<void> sleepFor(milliseconds length);
+asio::awaitable<void> sleepFor(milliseconds duration);
 
 } // namespace pistachioloom::test
--- a/test/PlatformFleetTest.cpp
+++ b/test/PlatformFleetTest.cpp
@@ -60,9 +60,9 @@
     GatewayDeploymentOptions options;
     options.count_ = 6;
     options.dataCentres_ = 2;
-    options.moreSettings_ = [](const std::string&) { return "  gossip:\n    fanout: 1\n"; };
+    options.extraSettings_ = [](const std::string&) { return "  gossip:\n    fanout: 1\n"; };
     GatewayDeployment deployment(std::move(options));
-    deployment.standard();
+    deployment.startStandardServices();
     auto allKnow = [&](std::size_t from, double nodes) {
         return waitUntil([&] {
             auto first = deployment.gateways().begin() + static_cast<std::ptrdiff_t>(from);
@@ -98,9 +98,9 @@
 TEST_CASE("keep-alive connections are served during a stop, and closed only after an announcement", "[gateway]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     auto& gateway = deployment.gateways()[0];
-    deployment.disturbAll({ { "delay_ms", 100 } });
+    deployment.setBackendFaults({ { "delay_ms", 100 } });
     // Callers that send requests all the time, on connections from before the stop.
     std::atomic<bool> isStopping { false };
     std::atomic<int> answeredWhileStopping { 0 };
@@ -134,7 +134,7 @@
 TEST_CASE("a stopping holder of the duties gets a successor while it still drains", "[gateway]")
 {
     GatewayDeployment deployment(3);
-    deployment.standard();
+    deployment.startStandardServices();
     auto& gateways = deployment.gateways();
     auto holderOf = [&]() -> std::size_t {
         for (std::size_t i = 0; i < gateways.size(); ++i) {
@@ -146,7 +146,7 @@
     REQUIRE(waitUntil([&] { return holderOf() < gateways.size(); }, waitLimit));
     std::size_t first = holderOf();
     // A long stream keeps the stopping node running for its full grace time of 3 s.
-    deployment.disturbAll({ { "events", 1000 } });
+    deployment.setBackendFaults({ { "events", 1000 } });
     std::thread caller([&] { (void)deployment.call(gateways[first], gatewayRequest("POST", "/ask/stream", "long")); });
     REQUIRE(waitUntil([&] { return deployment.metric(gateways[first], "requests_running") > 0; }, waitLimit));
     gateways[first].process_->signal(SIGTERM);
--- a/test/PlatformGatewayTest.cpp
+++ b/test/PlatformGatewayTest.cpp
@@ -79,7 +79,7 @@
     GatewayDeployment deployment(2);
     CHECK_FALSE(deployment.isReady(deployment.gateways()[0]));
     CHECK(deployment.call(deployment.gateways()[0], gatewayRequest("GET", "/safe/x", "early")).status_ == 503);
-    deployment.standard();
+    deployment.startStandardServices();
     auto& gateway = deployment.gateways()[1];
     CHECK(deployment.isReady(gateway));
     deployment.backend("p-2", { { "full", 1 } });
@@ -109,7 +109,7 @@
 TEST_CASE("requests that the configuration does not allow are rejected", "[gateway]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     auto& gateway = deployment.gateways()[0];
     struct Row {
         const char* path_;
@@ -139,9 +139,9 @@
 TEST_CASE("a run-once request runs once, and is not reported as rejected after it ran", "[gateway]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     auto& gateway = deployment.gateways()[0];
-    deployment.disturbAll({ { "lose_answers", 1 } });
+    deployment.setBackendFaults({ { "lose_answers", 1 } });
     HttpResponse once = deployment.call(gateway, gatewayRequest("POST", "/once/x", "once-1"));
     CHECK(once.status_ == 502);
     CHECK(runsOf(deployment, "once-1") == 1);
@@ -153,25 +153,25 @@
         std::string id = "safe-" + std::to_string(i);
         CHECK(deployment.call(gateway, gatewayRequest("GET", "/safe/x", id)).status_ == 200);
     }
-    deployment.disturbAll({ { "other_id", 0 }, { "full", 1 } });
+    deployment.setBackendFaults({ { "other_id", 0 }, { "full", 1 } });
     HttpResponse full = deployment.call(gateway, gatewayRequest("POST", "/once/x", "once-2"));
     CHECK(full.status_ == 503);
     CHECK(full.headers_.contains("retry-after"));
     CHECK(runsOf(deployment, "once-2") == 0);
-    deployment.disturbAll({ { "full", 0 }, { "no_seal", 1 } });
+    deployment.setBackendFaults({ { "full", 0 }, { "no_seal", 1 } });
     CHECK(deployment.call(gateway, gatewayRequest("POST", "/once/x", "once-3")).status_ == 502);
 }
 
 TEST_CASE("the last attempt at a slow backend server may use all of the remaining time", "[gateway]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     // The first attempt is cancelled after 0.4 of 5,000 ms. The second needs 2,500 of the
     // remaining 3,000 ms, far more than 0.4 of them, so it answers only if it may use all
     // of them. Both bounds are 500 ms away, so that a slow machine does not affect the result.
     deployment.putConfiguration(2, R"(,{"name":"patient","hostname":"h.example","path_prefix":"/patient/","type":"safe","timeout_ms":5000,"goal_ms":100,"priority":2,"service":"plain","attempts":2})");
     REQUIRE(deployment.waitForVersion(2, milliseconds(5000)));
-    deployment.disturbAll({ { "delay_ms", 2500 } });
+    deployment.setBackendFaults({ { "delay_ms", 2500 } });
     HttpRequest request = gatewayRequest("GET", "/patient/x", "slow");
     request.headers_["X-Pistachioloom-Deadline-Ms"] = "5000";
     CHECK(deployment.call(deployment.gateways()[0], request).status_ == 200);
@@ -181,9 +181,9 @@
 TEST_CASE("a resumable stream continues at another engine without a gap, any other is aborted", "[gateway]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     auto& gateway = deployment.gateways()[0];
-    deployment.disturbAll({ { "events", 12 } });
+    deployment.setBackendFaults({ { "events", 12 } });
     deployment.backend("e-1", { { "cut_at", 5 } });
     deployment.backend("e-2", { { "cut_at", 8 } });
     HttpResponse answer = deployment.call(gateway, gatewayRequest("POST", "/draft/stream", "d-1"));
@@ -197,7 +197,7 @@
         CHECK(answer.status_ == 200);
         CHECK(answer.body_ == eventsUpTo(12));
     }
-    deployment.disturbAll({ { "cut_at", 3 } });
+    deployment.setBackendFaults({ { "cut_at", 3 } });
     answer = deployment.call(gateway, gatewayRequest("POST", "/ask/stream", "a-1"));
     CHECK(answer.status_ == 0);
     CHECK(runsOf(deployment, "a-1") == 1);
@@ -220,7 +220,7 @@
     }));
     CAPTURE(row.name_);
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     deployment.startBackend("e-3", "engines");
     REQUIRE(deployment.waitForBackends(5));
     auto& gateway = deployment.gateways()[0];
@@ -258,8 +258,8 @@
 TEST_CASE("an engine stops working when its caller disconnects", "[gateway]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
-    deployment.disturbAll({ { "events", 1000 }, { "gap_ms", 20 } });
+    deployment.startStandardServices();
+    deployment.setBackendFaults({ { "events", 1000 }, { "gap_ms", 20 } });
     RawConnection raw(deployment.gateways()[0].callers_);
     raw.send("POST /draft/stream HTTP/1.1\r\nHost: h.example\r\nAuthorization: Bearer key-north\r\nX-Pistachioloom-Attempt-Id: left\r\nContent-Length: 0\r\n\r\n");
     CHECK(raw.readUntil("id: 3").find("200 OK") != std::string::npos);
@@ -270,7 +270,7 @@
 TEST_CASE("a leaving backend server gets no new work", "[gateway]")
 {
     GatewayDeployment deployment(2);
-    deployment.standard();
+    deployment.startStandardServices();
     json::object unused = deployment.backend("p-1");
     deployment.setLeaving("p-1", "plain", "127.0.0.1:1");
     // Both gateways learn of it within two polls of the registry.
@@ -284,7 +284,7 @@
 TEST_CASE("a backend server that restarts under its id is used again, and delayed reports of its previous start are ignored", "[gateway]")
 {
     GatewayDeployment deployment(2);
-    deployment.standard();
+    deployment.startStandardServices();
     json::object before = deployment.control({ { "born", "p-1" } });
     deployment.setLeaving("p-1", "plain", "127.0.0.1:1");
     deployment.setLeaving("p-2", "plain", "127.0.0.1:1");
@@ -306,7 +306,7 @@
 TEST_CASE("invalid entries of other writers add no backend server, and the valid ones remain", "[gateway]")
 {
     GatewayDeployment deployment(2);
-    deployment.standard();
+    deployment.startStandardServices();
     json::array entries;
     int number = 0;
     for (const char* value : { "no entry", "[1]", R"({"service":"plain","address":7})", R"({"service":"plain","address":"127.0.0.1:1","zone":"a","version":"v1","slot_count":8,"phase":"asleep","cold_left_ms":0,"call_seq":1})" })
@@ -332,7 +332,7 @@
 TEST_CASE("a new configuration is in force everywhere, also at a node that cannot reach the platform", "[gateway]")
 {
     GatewayDeployment deployment(3);
-    deployment.standard();
+    deployment.startStandardServices();
     deployment.putConfiguration(2, R"(,{"name":"new","hostname":"h.example","path_prefix":"/new/","type":"safe","timeout_ms":2000,"goal_ms":100,"priority":2,"service":"plain","attempts":2})");
     CHECK(deployment.waitForVersion(2, milliseconds(2000)));
     for (auto& gateway : deployment.gateways())
@@ -350,7 +350,7 @@
 TEST_CASE("a node that starts long after a platform outage began gets everything from its peers", "[gateway]")
 {
     GatewayDeployment deployment(3);
-    deployment.standard();
+    deployment.startStandardServices();
     deployment.control({ { "down", 1 } });
     // By now every reader has detected the outage, and every list is older than nodes
     // accept while the platform answers.
@@ -364,9 +364,9 @@
 TEST_CASE("a stopping node completes its requests and then exits", "[gateway]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     auto& gateway = deployment.gateways()[0];
-    deployment.disturbAll({ { "events", 40 }, { "gap_ms", 20 } });
+    deployment.setBackendFaults({ { "events", 40 }, { "gap_ms", 20 } });
     std::string body;
     std::thread caller([&] { body = deployment.call(gateway, gatewayRequest("POST", "/draft/stream", "d")).body_; });
     REQUIRE(waitUntil([&] { return runsOf(deployment, "d") == 1; }, waitLimit));
@@ -382,7 +382,7 @@
 TEST_CASE("changed settings are applied or rejected, and the node keeps running", "[gateway]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     auto& gateway = deployment.gateways()[0];
     gateway.process_->signal(SIGHUP);
     auto logContains = [&](const std::string& text) {
@@ -402,7 +402,7 @@
 TEST_CASE("one node at a time holds the duties, and tokens only increase", "[gateway]")
 {
     GatewayDeployment deployment(3);
-    deployment.standard();
+    deployment.startStandardServices();
     auto duties = [&] { return deployment.control().at("duties").as_array(); };
     auto callRunningGateways = [&] {
         for (auto& gateway : deployment.gateways()) {
@@ -449,9 +449,9 @@
 TEST_CASE("a stream that would wait beyond its objective is rejected immediately, and has not run", "[gateway]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     auto& gateway = deployment.gateways()[0];
-    deployment.disturbAll({ { "delay_ms", 1500 } });
+    deployment.setBackendFaults({ { "delay_ms", 1500 } });
     // 60,000 tokens take 1.2 s at 50 tokens per millisecond; the objective is 0.5 s.
     auto request = [](const std::string& id) {
         HttpRequest request = gatewayRequest("POST", "/ask/stream", id);
@@ -473,20 +473,20 @@
     for (std::thread& thread : running)
         thread.join();
     CHECK(served == 2);
-    deployment.disturbAll({ { "delay_ms", 0 } });
+    deployment.setBackendFaults({ { "delay_ms", 0 } });
     CHECK(deployment.call(gateway, request("fourth")).status_ == 200);
 }
 
 TEST_CASE("a node opens at most its share of the connections", "[gateway]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     auto& gateway = deployment.gateways()[0];
     // A limit of 24 connections is shared by at least 12 nodes with two workers each, so
     // each worker may open one.
     deployment.putConfiguration(2, {}, 24);
     REQUIRE(deployment.waitForVersion(2, waitLimit));
-    deployment.disturbAll({ { "delay_ms", 1000 } });
+    deployment.setBackendFaults({ { "delay_ms", 1000 } });
     std::vector<std::thread> callers;
     std::atomic<int> served { 0 };
     std::atomic<int> rejected { 0 };
--- a/test/ServerSignalsTest.cpp
+++ b/test/ServerSignalsTest.cpp
@@ -49,7 +49,7 @@
     CAPTURE(path);
     const std::string leaving = std::string(path).find("stream") == std::string::npos ? "p-1" : "e-1";
     GatewayDeployment deployment(2);
-    deployment.standard();
+    deployment.startStandardServices();
     deployment.backend(leaving, { { "says_leaving", 1 } });
     deployment.control({ { "down", 1 } });
     HttpResponse response = callUntilServedBy(deployment, deployment.gateways()[0], path, leaving);
@@ -72,7 +72,7 @@
 TEST_CASE("an engine that rejects a request and announces that it is leaving gets no new requests", "[gateway]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     deployment.backend("p-1", { { "says_leaving", 1 }, { "full", 1 } });
     deployment.backend("p-2", { { "full", 1 } });
     auto rejectedCount = [&] { return numberField(deployment.backend("p-1"), "turned_away"); };
@@ -90,7 +90,7 @@
 TEST_CASE("an engine that asked for a pause gets no requests during it", "[gateway]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     auto& gateway = deployment.gateways()[0];
     constexpr milliseconds pause { 3000 };
     for (const char* id : { "p-1", "p-2" })
