--- a/lib/Ledger/RunOnceCall.cpp
+++ b/lib/Ledger/RunOnceCall.cpp
@@ -82,7 +82,7 @@
     const CallState* state = shard.find(key_);
     if (!state) {
         // The intent was trimmed before it was read.
-        release({ Errc::Unavailable, "read ledger", {}, "the intent was trimmed from the log before it was read", Ran::No, {} });
+        release({ Errc::Unavailable, "read ledger", {}, "the log no longer keeps the intent", Ran::No, {} });
         return;
     }
     if (state->holder_ == attempt_) {
@@ -104,7 +104,7 @@
 void RunOnceCall::intentExpired()
 {
     assert(step_ == Step::Dispatch && "only a call that is ready for dispatch can expire");
-    release({ Errc::Timeout, "dispatch", {}, "the intent is too old to be dispatched", Ran::No, {} });
+    release({ Errc::Timeout, "dispatch", {}, "too long between intent and dispatch", Ran::No, {} });
 }
 
 void RunOnceCall::dispatched(CallOutcome outcome)
--- a/lib/Node/BackendDispatcher.cpp
+++ b/lib/Node/BackendDispatcher.cpp
@@ -207,7 +207,7 @@
                 end.set_kv_handle(event.value().text_);
             }
             if (event.value().type_ == EngineEvent::Type::Superseded)
-                *end.mutable_failure() = toWire({ Errc::Conflict, "read engine stream", running->engine_.value_, "a newer attempt took over the stream", Ran::Unknown, {} });
+                *end.mutable_failure() = toWire({ Errc::Conflict, "read engine stream", running->engine_.value_, "a newer attempt took the stream", Ran::Unknown, {} });
             break;
         }
         running->generated_ = event.value().position_ + 1;
@@ -288,7 +288,7 @@
     bool isRejected = response.value().status_ == statusUnavailable && response.value().headers_.contains("x-leaving");
     if (isRejected) {
         control_.markLeaving({ { backend, std::nullopt } });
-        co_return failureFrame({ Errc::Leaving, "dispatch", backend.value_, "the backend server rejected the request because it is leaving", Ran::No, {} });
+        co_return failureFrame({ Errc::Leaving, "dispatch", backend.value_, "the backend server refused: it is leaving", Ran::No, {} });
     }
     wire::Frame frame;
     wire::ServiceAnswer& answer = *frame.mutable_answer();
@@ -304,7 +304,7 @@
     if (context_.membership()->isLeaving(engine))
         return Error { Errc::Leaving, "dispatch", engine.value_, "the engine is leaving", Ran::No, {} };
     if (isAdmissionClosed(engine))
-        return Error { Errc::Unavailable, "dispatch", engine.value_, "the engine is being reconfigured", Ran::No, closedRetryAfter };
+        return Error { Errc::Unavailable, "dispatch", engine.value_, "the engine is being changed", Ran::No, closedRetryAfter };
     return std::nullopt;
 }
 
--- a/lib/Node/CallerApi.cpp
+++ b/lib/Node/CallerApi.cpp
@@ -37,7 +37,7 @@
             std::string role = textField(value.as_object(), "role");
             std::string content = textField(value.as_object(), "content");
             if (role.empty() || content.empty())
-                return invalidInput("messages: expected a non-empty role and content in each message");
+                return invalidInput("messages: expected a role and a content in each");
             prompt.append(role).append(": ").append(content).append("\n");
         }
         return prompt;
@@ -86,7 +86,7 @@
         return Error { Errc::Unauthorised, "authenticate", {}, "expected 'Authorization: Bearer KEY'", Ran::No, {} };
     auto catalogue = context_.catalogue();
     if (!catalogue->nextOffset_.value_)
-        return Error { Errc::Unavailable, "authenticate", context_.self().value_, "this node has not received the catalogue yet", Ran::No, notReadyRetryAfter };
+        return Error { Errc::Unavailable, "authenticate", context_.self().value_, "the catalogue is not known here yet", Ran::No, notReadyRetryAfter };
     auto entry = catalogue->findByApiKey(std::string_view(authorization).substr(scheme.size()));
     if (!entry)
         return Error { Errc::Unauthorised, "authenticate", {}, "unknown API key", Ran::No, {} };
@@ -104,7 +104,7 @@
         bool isReady = !context_.isDraining_ && context_.catalogue()->nextOffset_.value_;
         if (isReady)
             co_return co_await exchange.respond(jsonResponse(200, "{\"status\":\"ready\"}"));
-        co_return Error { context_.isDraining_ ? Errc::Leaving : Errc::Unavailable, "readiness", context_.self().value_, "the node accepts no new callers", Ran::No, notReadyRetryAfter };
+        co_return Error { context_.isDraining_ ? Errc::Leaving : Errc::Unavailable, "readiness", context_.self().value_, "takes no new callers", Ran::No, notReadyRetryAfter };
     }
     if (path == "/metrics" && isGet) {
         HttpResponse response { 200, { { "content-type", "text/plain; version=0.0.4" } }, context_.metrics_.render(gauges_()) };
@@ -115,9 +115,9 @@
     bool isFetch = path.starts_with(requestsPath);
     bool isService = path.starts_with(servicesPath);
     if (!isCompletion && !isFetch && !isService && path != "/v1/models")
-        co_return Error { Errc::NotFound, "route", {}, "unknown resource", Ran::No, {} };
+        co_return Error { Errc::NotFound, "route", {}, "no such resource", Ran::No, {} };
     if (isCompletion ? request.method_ != "POST" : !isService && !isGet)
-        co_return Error { Errc::MethodNotAllowed, "route", {}, "method not allowed for this resource", Ran::No, {} };
+        co_return Error { Errc::MethodNotAllowed, "route", {}, "wrong method for this resource", Ran::No, {} };
     auto entry = authenticate(request);
     if (!entry)
         co_return entry.error();
--- a/lib/Node/ControlPlane.cpp
+++ b/lib/Node/ControlPlane.cpp
@@ -303,7 +303,7 @@
         if (!read || !appended)
             co_await sleepFor(platformRetryDelay);
     } while (steadyNow() < until);
-    co_return Error { Errc::OutcomeUnknown, "read back edit", context_.settings_.log_.toString(), "edit " + edit.id_.value_ + " was sent, but its outcome is unknown; retry with the same edit id", Ran::Unknown, platformRetryDelay };
+    co_return Error { Errc::OutcomeUnknown, "read back edit", context_.settings_.log_.toString(), "edit " + edit.id_.value_ + " was sent; ask again with the same edit id", Ran::Unknown, platformRetryDelay };
 }
 
 std::vector<CatalogueChange> ControlPlane::history() const
--- a/lib/Node/GenerationOwner.cpp
+++ b/lib/Node/GenerationOwner.cpp
@@ -299,7 +299,7 @@
             }
             bool isAbandoned = !generation->hasEnded() && !generation->hasReaders() && steadyNow() - generation->lastRead() > settings.reconnectGrace_;
             if (isAbandoned && generation->isAccepted())
-                generation->fail({ Errc::Cancelled, "wait for caller", {}, "the caller disconnected and did not reconnect in time", Ran::Unknown, {} });
+                generation->fail({ Errc::Cancelled, "wait for caller", {}, "the caller went away and did not come back", Ran::Unknown, {} });
         }
         co_await sleepFor(reapPeriod);
     }
--- a/lib/Node/LimitClient.cpp
+++ b/lib/Node/LimitClient.cpp
@@ -60,7 +60,7 @@
 {
     bool isForTokens = decision == Admission::Decision::NeedsTokens;
     milliseconds wait = isForTokens ? std::max(admission_.tokenWait(entry.name_), limitRetryAfter) : limitRetryAfter;
-    std::string reason = isForTokens ? "the limit of tokens per second is used up" : "the limit of requests in progress is reached";
+    std::string reason = isForTokens ? "tokens a second are used up" : "requests in progress are at the limit";
     return { Errc::LimitReached, "admit", entry.name_.value_, std::move(reason), Ran::No, jitter(wait, randomBits()) };
 }
 
--- a/lib/Node/Node.cpp
+++ b/lib/Node/Node.cpp
@@ -116,7 +116,7 @@
     bool isWork = frame.has_generate() || frame.has_call() || frame.has_run_once() || frame.has_record_copy() || frame.has_record_handover();
     if (isWork && context_.isDraining_) {
         wire::Frame rejection;
-        *rejection.mutable_failure() = toWire({ Errc::Leaving, "accept work", context_.self().value_, "this node is leaving", Ran::No, {} });
+        *rejection.mutable_failure() = toWire({ Errc::Leaving, "take work", context_.self().value_, "this node is leaving", Ran::No, {} });
         (void)co_await stream.send(rejection);
         co_return;
     }
--- a/lib/Node/OperatorApi.cpp
+++ b/lib/Node/OperatorApi.cpp
@@ -75,7 +75,7 @@
     if (path.starts_with(cataloguePath) && request.method_ == "PUT")
         co_return co_await editEntry(request, path.substr(cataloguePath.size()));
     if (!isGet)
-        co_return Error { Errc::MethodNotAllowed, "route", {}, "method not allowed for this resource", Ran::No, {} };
+        co_return Error { Errc::MethodNotAllowed, "route", {}, "wrong method for this resource", Ran::No, {} };
     if (path == "/catalogue")
         co_return listCatalogue();
     if (path == "/history")
@@ -99,14 +99,14 @@
         if (!explanation.empty())
             co_return jsonResponse(200, explanation);
     }
-    co_return Error { Errc::NotFound, "route", {}, "unknown resource", Ran::No, {} };
+    co_return Error { Errc::NotFound, "route", {}, "no such resource here", Ran::No, {} };
 }
 
 asio::awaitable<Result<HttpResponse>> OperatorApi::editEntry(const HttpRequest& request, const std::string& name)
 {
     auto body = parseJsonObject(request.body_);
     if (!body || textField(*body, "edit").empty())
-        co_return Error { Errc::InvalidInput, "read edit", {}, "expected a JSON object with edit, base and body", Ran::No, {} };
+        co_return Error { Errc::InvalidInput, "read edit", {}, "expected edit, base and body", Ran::No, {} };
     CatalogueEdit edit { { textField(*body, "edit") }, { name }, { numberField(*body, "base") }, textField(*body, "body") };
     InputErrors errors;
     if (!edit.body_.empty()) {
--- a/lib/Node/ReplicaStore.cpp
+++ b/lib/Node/ReplicaStore.cpp
@@ -186,7 +186,7 @@
     }
     if (!generation) {
         wire::Frame frame;
-        *frame.mutable_failure() = toWire({ Errc::NotFound, "find request", context_.self().value_, "this node does not have the request", Ran::Unknown, {} });
+        *frame.mutable_failure() = toWire({ Errc::NotFound, "find request", context_.self().value_, "not known here", Ran::Unknown, {} });
         (void)co_await stream->send(frame);
         co_return;
     }
--- a/lib/Node/RunOnceCoordinator.cpp
+++ b/lib/Node/RunOnceCoordinator.cpp
@@ -155,7 +155,7 @@
             co_return read.error();
         shard.apply(read.value());
         if (read.value().records_.empty() && shard.nextOffset() <= offset)
-            co_return unavailable("read ledger", context_.settings_.log_.toString(), "the log does not return the appended record");
+            co_return unavailable("read ledger", context_.settings_.log_.toString(), "the log does not show our record");
     }
 }
 
@@ -292,16 +292,16 @@
         break;
     }
     case RunOnceCall::Answer::StartedElsewhere:
-        fail(Errc::OutcomeUnknown, "the call was started before; its outcome is unknown and it is not repeated", Ran::Unknown, startedRetryAfter);
+        fail(Errc::OutcomeUnknown, "started before, outcome unknown, not repeated", Ran::Unknown, startedRetryAfter);
         break;
     case RunOnceCall::Answer::KeyReused:
-        fail(Errc::KeyReused, "the idempotency key was already used with a different request body", Ran::No, {});
+        fail(Errc::KeyReused, "the idempotency key was used with another body", Ran::No, {});
         break;
     case RunOnceCall::Answer::NotRun:
         fail(Errc::Unavailable, describe(run.failure()), Ran::No, jitter(std::max(unavailableRetryAfter, run.failure().retryAfter_), randomBits()));
         break;
     case RunOnceCall::Answer::OutcomeUnknown:
-        fail(Errc::OutcomeUnknown, "the call was started, but its response was lost: " + describe(run.failure()), Ran::Unknown, startedRetryAfter);
+        fail(Errc::OutcomeUnknown, "started, answer lost: " + describe(run.failure()), Ran::Unknown, startedRetryAfter);
         break;
     case RunOnceCall::Answer::None:
         fail(Errc::Internal, "no answer", Ran::Unknown, {});
--- a/lib/Node/ServiceRouter.cpp
+++ b/lib/Node/ServiceRouter.cpp
@@ -74,7 +74,7 @@
 asio::awaitable<wire::Frame> ServiceRouter::dispatch(wire::ServiceCall call)
 {
     auto backends = backendsOf(call.service(), call.request_id());
-    wire::Frame last = failureFrame({ Errc::Unavailable, "choose service", call.service(), "no backend server of this service is known", Ran::No, serviceRetryAfter });
+    wire::Frame last = failureFrame({ Errc::Unavailable, "choose service", call.service(), "no backend server serves it", Ran::No, serviceRetryAfter });
     for (std::size_t i = 0; i < std::min(backends.size(), maxBackendsTried); ++i) {
         if (i && !tryRetry())
             break;
@@ -105,7 +105,7 @@
     auto coordinators = rankByRendezvous("run/" + std::to_string(shard), context_.membership()->localNodes_);
     wire::Frame request;
     *request.mutable_run_once() = call;
-    wire::Frame last = failureFrame(unavailable("choose coordinator", {}, "no live node is known"));
+    wire::Frame last = failureFrame(unavailable("choose keeper", {}, "no node takes the role"));
     bool mayHaveRun = false;
     for (std::size_t i = 0; i < std::min(coordinators.size(), maxCoordinatorsTried); ++i) {
         auto reply = co_await context_.call(coordinators[i], request, std::max(coordinatorTimeout, milliseconds(call.deadline_ms()) + 2 * hopMargin));
--- a/lib/Node/SlotTable.cpp
+++ b/lib/Node/SlotTable.cpp
@@ -117,7 +117,7 @@
         bool isAdmitted = hasCapacity(server, request.class_) && !server.queue_.ahead(request.class_);
         milliseconds wait = estimateWait(server, request.capacity_, request.class_);
         if (!isAdmitted && isRejected(server, request, wait))
-            co_return Error { Errc::Overloaded, "admit at dispatcher", request.server_.value_, "the backend server is full", Ran::No, std::max(minRetryAfter, wait) };
+            co_return Error { Errc::Overloaded, "admit at home", request.server_.value_, "the backend server is full", Ran::No, std::max(minRetryAfter, wait) };
         if (isAdmitted) {
             occupySlot(server, request.class_);
         } else {
@@ -144,7 +144,7 @@
     Server& server = servers_[request.server_];
     server.pending_.erase(pending->id_);
     server.queue_.remove(pending->id_);
-    co_return Error { Errc::Overloaded, "wait for slot", request.server_.value_, "no slot became free in time", Ran::No, std::max(minRetryAfter, server.meanHoldTime_) };
+    co_return Error { Errc::Overloaded, "wait at home", request.server_.value_, "no slot became free in time", Ran::No, std::max(minRetryAfter, server.meanHoldTime_) };
 }
 
 void SlotTable::release(const VmId& serverId, ServiceClass serviceClass, milliseconds holdTime)
--- a/lib/Rollout/RolloutController.cpp
+++ b/lib/Rollout/RolloutController.cpp
@@ -104,15 +104,15 @@
 void RolloutController::adjustTrial(const RolloutView& view, SteadyTime now)
 {
     if (now >= at(settings_.decisionFraction_))
-        return revert("not decided within the period");
+        return revert("no verdict within the period");
     // Half of the constant allowance is kept for counts that are still to be reported.
     double allowed = settings_.exposedShare_ * static_cast<double>(view.tally_.requests_) + settings_.exposedExtra_ / 2;
     bool isWithinExposure = static_cast<double>(view.tally_.exposed_) < allowed;
     if (!view.targetServers_ || !isWithinExposure)
-        return set(RolloutPhase::Trial, 0, view.targetServers_ ? "exposure limit is reached" : "no backend server of the target");
+        return set(RolloutPhase::Trial, 0, view.targetServers_ ? "exposure is used up" : "no backend server of the target");
     if (now >= at(settings_.trialFraction_) && hasEvidence(view.tally_)) {
         shiftedAt_ = now;
-        return set(RolloutPhase::Shifting, 2 * settings_.trialShare_, "not worse during the trial");
+        return set(RolloutPhase::Shifting, 2 * settings_.trialShare_, "not worse for the time of the trial");
     }
     set(RolloutPhase::Trial, settings_.trialShare_, "on trial");
 }
@@ -121,7 +121,7 @@
 {
     if (state_.share_ < 1 && now - shiftedAt_ >= at(settings_.shiftStepFraction_) - startedAt_) {
         shiftedAt_ = now;
-        return set(RolloutPhase::Shifting, std::min(1.0, 2 * state_.share_), "remaining requests are shifted");
+        return set(RolloutPhase::Shifting, std::min(1.0, 2 * state_.share_), "the rest follows");
     }
     if (state_.share_ < 1 || now - shiftedAt_ < sharePropagation)
         return;
