--- a/include/pistachioloom/Admission.h
+++ b/include/pistachioloom/Admission.h
@@ -33,7 +33,7 @@
 
 struct AdmissionSettings {
     /// Requests are admitted up to this multiple of AdmissionView::maxQueueWait_.
-    double admittedShare_ = 1;
+    double queueWaitFactor_ = 1;
     /// Lower bound of the retry delay. Full engines have capacity again after a few
     /// answers.
     milliseconds minRetryAfter_ { 150 };
--- a/include/pistachioloom/Backends.h
+++ b/include/pistachioloom/Backends.h
@@ -192,7 +192,7 @@
     /// before the data centre counts as unreachable. Otherwise a node whose data centre is
     /// partitioned would try the engines of other data centres one by one for as long as
     /// the partition lasts.
-    std::size_t failuresToCutOff_ = 3;
+    std::size_t unreachableThreshold_ = 3;
     /// Time for which a backend server that reported that it is full is not chosen.
     milliseconds fullBackoff_ { 100 };
     /// Upper bound of the pause that a backend server may ask for.
--- a/lib/Admission/Admission.cpp
+++ b/lib/Admission/Admission.cpp
@@ -16,7 +16,7 @@
     // A started stream is not rejected, since its engine's work would be lost.
     if (!view.isEngineStream_ || view.hasStarted_)
         return std::nullopt;
-    if (std::chrono::duration<double, std::milli>(view.queueWait_) <= view.maxQueueWait_ * settings.admittedShare_)
+    if (std::chrono::duration<double, std::milli>(view.queueWait_) <= view.maxQueueWait_ * settings.queueWaitFactor_)
         return std::nullopt;
     // The wait falls to half of its bound by then, so that the engine has capacity for
     // several retries and not only for the first one.
--- a/lib/Backends/Backends.cpp
+++ b/lib/Backends/Backends.cpp
@@ -77,10 +77,10 @@
 std::map<ServiceName, BackendTable::ServiceStatistics> BackendTable::services() const
 {
     std::lock_guard lock(mutex_);
-    std::map<ServiceName, ServiceStatistics> views;
-    for (const auto& [service, rate] : estimators_)
-        views[service] = { rate.tokensRequested_, prefillRateOf(service), rate.observations_ };
-    return views;
+    std::map<ServiceName, ServiceStatistics> statistics;
+    for (const auto& [service, estimator] : estimators_)
+        statistics[service] = { estimator.tokensRequested_, prefillRateOf(service), estimator.observations_ };
+    return statistics;
 }
 
 void BackendTable::noteAdmitted(const BackendChoice& choice)
@@ -185,7 +185,7 @@
 bool BackendTable::isReachableLocked(const DataCentreId& dataCentre) const
 {
     auto failed = failedByDataCentre_.find(dataCentre);
-    return failed == failedByDataCentre_.end() || failed->second.size() < settings_.failuresToCutOff_;
+    return failed == failedByDataCentre_.end() || failed->second.size() < settings_.unreachableThreshold_;
 }
 
 std::vector<BackendRecord> BackendTable::unreachableSample() const
--- a/lib/Backends/Choice.cpp
+++ b/lib/Backends/Choice.cpp
@@ -109,9 +109,9 @@
     std::uint64_t running = backend.own_.running_ + backend.peers_.running_;
     if (running < slots)
         return 0;
-    auto rate = estimators_.find(backend.record_.service_);
+    auto estimator = estimators_.find(backend.record_.service_);
     auto fallback = static_cast<double>(settings_.slotHoldTime_.count());
-    double held = rate == estimators_.end() ? fallback : rate->second.meanSlotHoldMs_.value_or(fallback);
+    double held = estimator == estimators_.end() ? fallback : estimator->second.meanSlotHoldMs_.value_or(fallback);
     return static_cast<double>(running + 1 - slots) * held / static_cast<double>(slots);
 }
 
@@ -156,11 +156,11 @@
     std::size_t others = 0;
     for (const auto& [id, backend] : backends_)
         others += backend.record_.service_ == service && !backend.record_.isLeaving_ && !rule.isTarget(backend.record_);
-    std::size_t maxTargets = std::max(minTrialBackends, static_cast<std::size_t>(std::ceil(rule.share_ * static_cast<double>(others))));
-    if (candidates.size() <= maxTargets)
+    std::size_t maxTrialBackends = std::max(minTrialBackends, static_cast<std::size_t>(std::ceil(rule.share_ * static_cast<double>(others))));
+    if (candidates.size() <= maxTrialBackends)
         return;
     std::sort(candidates.begin(), candidates.end(), [](const Backend* left, const Backend* right) { return mixBits(left->hash_) < mixBits(right->hash_); });
-    candidates.resize(maxTargets);
+    candidates.resize(maxTrialBackends);
 }
 
 std::optional<BackendChoice> BackendTable::choose(const RequestShape& shape, const std::set<BackendId>& excluded, SteadyTime now)
--- a/lib/Forward/RequestForwarder.cpp
+++ b/lib/Forward/RequestForwarder.cpp
@@ -169,10 +169,10 @@
 std::optional<RequestForwarder::HeldAnswer> RequestForwarder::rejectLongWait(const BackendChoice& choice) const
 {
     AdmissionView view { shape_.isForEngine_ && route_->isStream_, sendCount_ || events_.last(), choice.queueWait_, route_->maxQueueWait_ };
-    auto returnIn = retryAfterIfRejected(view, context_.settings_.admission_);
-    if (!returnIn)
+    auto retryAfter = retryAfterIfRejected(view, context_.settings_.admission_);
+    if (!retryAfter)
         return std::nullopt;
-    return rejection(503, "engines are busy for " + std::to_string(choice.queueWait_.count()) + " ms", *returnIn);
+    return rejection(503, "engines are busy for " + std::to_string(choice.queueWait_.count()) + " ms", *retryAfter);
 }
 
 /// Checks every send: first sends, retries and moved streams.
@@ -371,10 +371,10 @@
     if (known && known->isLeaving_)
         return;
     CutOff cutOff { fingerprint(), organisation_ ? organisation_->name_ : OrganisationId {}, { keyOf(backend.id_) } };
-    CrashDetector::CutOffResult verdict = context_.crashes_.noteCutOff(cutOff, steadyNow());
-    if (verdict.counted_)
-        logCrash(context_, backend.id_, *verdict.counted_);
-    if (verdict.needsProbe_)
+    CrashDetector::CutOffResult result = context_.crashes_.noteCutOff(cutOff, steadyNow());
+    if (result.counted_)
+        logCrash(context_, backend.id_, *result.counted_);
+    if (result.needsProbe_)
         asio::co_spawn(pool_.executor(), probeLiveness(context_, backend), asio::detached);
 }
 
--- a/lib/Forward/Sending.cpp
+++ b/lib/Forward/Sending.cpp
@@ -117,8 +117,8 @@
         co_return SendOutcome::Held;
     }
     attempt.detail_ = stopReason_ == StopReason::WaitLimitExceeded ? "connect_timeout" : "connect:" + code.message();
-    bool isOver = stopReason_ == StopReason::CallerDisconnected || stopReason_ == StopReason::DeadlineExceeded;
-    co_return isOver ? SendOutcome::Stopped : SendOutcome::Unreachable;
+    bool isStopped = stopReason_ == StopReason::CallerDisconnected || stopReason_ == StopReason::DeadlineExceeded;
+    co_return isStopped ? SendOutcome::Stopped : SendOutcome::Unreachable;
 }
 
 void RequestForwarder::startWriting(Attempt& attempt)
--- a/lib/Forward/Worker.cpp
+++ b/lib/Forward/Worker.cpp
@@ -88,8 +88,8 @@
             co_return true;
         }
         CountGuard running(context_.running_);
-        auto forwarding = std::make_shared<RequestForwarder>(context_, pool_, caller, std::move(request->value()));
-        if (!co_await forwarding->run())
+        auto forwarder = std::make_shared<RequestForwarder>(context_, pool_, caller, std::move(request->value()));
+        if (!co_await forwarder->run())
             co_return true;
     }
 }
--- a/lib/Gateway/GatewaySettings.cpp
+++ b/lib/Gateway/GatewaySettings.cpp
@@ -79,7 +79,7 @@
     {
         settings.connectTimeout_ = map.duration("connect_timeout", milliseconds(10), oneMinute, settings.connectTimeout_);
         settings.streamStallTimeout_ = map.duration("stream_silence", milliseconds(50), oneDay, settings.streamStallTimeout_);
-        settings.admission_.admittedShare_ = map.number("admitted_share", 0.01, 100, settings.admission_.admittedShare_);
+        settings.admission_.queueWaitFactor_ = map.number("admitted_share", 0.01, 100, settings.admission_.queueWaitFactor_);
         settings.waitLimitShare_ = map.number("patience_share", 0.01, 1, settings.waitLimitShare_);
         settings.defaultIdle_ = map.duration("default_idle", milliseconds(0), oneDay, settings.defaultIdle_);
         map.reportUnknownKeys();
--- a/unittests/Admission/AdmissionTest.cpp
+++ b/unittests/Admission/AdmissionTest.cpp
@@ -50,7 +50,7 @@
         return count;
     };
     AdmissionSettings admitAll;
-    admitAll.admittedShare_ = 1000;
+    admitAll.queueWaitFactor_ = 1000;
     CHECK(countOnTime({}) >= 95);
     CHECK(countOnTime(admitAll) <= 10);
 }
