--- a/include/pistachioloom/Admission.h
+++ b/include/pistachioloom/Admission.h
@@ -27,12 +27,13 @@
     bool hasStarted_ = false;
     /// Estimated wait for the requests ahead of it at the chosen engine.
     milliseconds queueWait_ {};
-    /// Longest wait with which its route admits a request; see Route::maxQueueWait_.
+    /// Upper bound of that wait for its route; see Route::maxQueueWait_.
     milliseconds maxQueueWait_ {};
 };
 
 struct AdmissionSettings {
-    /// Requests are admitted up to this multiple of AdmissionView::maxQueueWait_.
+    /// Requests are admitted if their wait is at most this multiple of
+    /// AdmissionView::maxQueueWait_.
     double queueWaitFactor_ = 1;
     /// Lower bound of the retry delay. Full engines have capacity again after a few
     /// answers.
--- a/include/pistachioloom/Backends.h
+++ b/include/pistachioloom/Backends.h
@@ -92,7 +92,8 @@
 };
 
 /// A backend server's id, hashed to 32 bits for messages. Among 2,100 servers the
-/// probability of a collision is 0.05%; colliding servers count each other's load.
+/// probability of a collision is 0.05%. Servers with equal keys are both counted with the
+/// load of either.
 using BackendKey = std::uint32_t;
 
 BackendKey keyOf(const BackendId& id);
@@ -100,7 +101,7 @@
 /// Load that a node has in progress at one backend server.
 struct BackendLoad {
     std::uint32_t running_ = 0;
-    /// Prompt tokens of requests whose first byte has not arrived.
+    /// Prompt tokens of requests whose answer has not started to arrive.
     std::uint64_t queuedTokens_ = 0;
 };
 
@@ -117,13 +118,14 @@
     Unreachable,
     /// The answer was cut off, malformed or stalled.
     Broken,
-    /// The caller disconnected. This has no bearing on the state of the backend server.
+    /// The caller disconnected, which does not indicate a fault of the backend server.
     Abandoned,
 };
 
 std::string_view toString(BackendOutcome outcome);
 
-/// The chosen backend server with the figures behind the choice, for accounting and logs.
+/// The chosen backend server with the estimates that the choice is based on, for
+/// accounting and logs.
 struct BackendChoice {
     BackendRecord backend_;
     /// Estimated wait for the first byte.
@@ -188,10 +190,11 @@
     std::size_t samplingThreshold_ = 24;
     /// Number of servers in the random sample.
     std::size_t sampleSize_ = 4;
-    /// Backend servers of a data centre that have to fail, while none of it answers,
-    /// before the data centre counts as unreachable. Otherwise a node whose data centre is
-    /// partitioned would try the engines of other data centres one by one for as long as
-    /// the partition lasts.
+    /// Number of different backend servers of a data centre that must fail, with no
+    /// connection to or answer from any of its servers in between, before the data centre
+    /// counts as unreachable. Without this rule a node whose data centre is partitioned
+    /// would try the engines of other data centres one by one for as long as the partition
+    /// lasts.
     std::size_t unreachableThreshold_ = 3;
     /// Time for which a backend server that reported that it is full is not chosen.
     milliseconds fullBackoff_ { 100 };
@@ -225,7 +228,7 @@
     /// No later record of this incarnation reverts that, not even after a removal.
     /// \returns whether the server was known and not marked before.
     bool setLeaving(const BackendId& id, SteadyTime now);
-    /// Notes that \p id has terminated. It is ejected as after consecutive failures.
+    /// Notes that \p id has terminated, and ejects it for ChoiceSettings::maxEjection_.
     void setEnded(const BackendId& id, SteadyTime now);
     /// Notes that \p id asked for no requests for \p pause. It is not chosen before then,
     /// even if there is no other server.
@@ -271,7 +274,7 @@
     /// succeeded. Servers of such a data centre are chosen only if there are no others,
     /// until noteReachable().
     std::vector<BackendRecord> unreachableSample() const;
-    /// Whether \p dataCentre does not count as unreachable from this node.
+    /// Whether \p dataCentre counts as reachable from this node.
     bool isReachable(const DataCentreId& dataCentre) const;
     /// Ends a request at \p id and applies its outcome.
     void end(const BackendId& id, const SendResult& result, SteadyTime now);
@@ -319,10 +322,12 @@
         BackendKey key_ = 0;
         BackendLoad own_;
         BackendLoad peers_;
+        /// Consecutive failures.
         unsigned failures_ = 0;
         SteadyTime ejectedUntil_ {};
         /// End of the pause that the server asked for.
         SteadyTime pausedUntil_ {};
+        /// Duration of the last ejection; 0 after a successful request.
         milliseconds ejection_ {};
         /// Moving average of observed waits as multiples of their estimates.
         double slowness_ = 1;
--- a/include/pistachioloom/Forward.h
+++ b/include/pistachioloom/Forward.h
@@ -3,7 +3,7 @@
 /// \file
 /// Forwards a caller's HTTP/1.1 request to one backend server and returns its
 /// answer unchanged. The names of the headers that carry ids, deadlines and seals
-/// are configurable; the tables in ForwardContext make the decisions.
+/// are configurable. Decisions are based on the tables in ForwardContext.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -60,8 +60,8 @@
     /// an answer is sent to another backend server.
     double waitLimitShare_ = 0.4;
     AdmissionSettings admission_;
-    /// The minimum part of its idle time during which a kept connection is no longer
-    /// used. For long idle times this part is a fifth.
+    /// A kept connection is not used in the last part of its idle time. That part is a
+    /// fifth, and at least this long.
     milliseconds idleMargin_ { 300 };
     /// The idle time of a kept connection whose server does not state one.
     milliseconds defaultIdle_ { 2000 };
@@ -87,7 +87,7 @@
     std::function<void(const OrganisationId& organisation)> onStarted_;
     /// Called when an answer is the first to report that its backend server is leaving.
     std::function<void(const BackendId& backend)> onLeaving_;
-    /// Called when a probe shows that a backend server has ended without notice.
+    /// Called when a probe shows that a backend server has terminated without notice.
     std::function<void(const BackendId& backend)> onEnded_;
     /// \returns the current configuration, or nullptr before the first.
     std::function<std::shared_ptr<const RouteTable>()> table_;
@@ -127,8 +127,8 @@
     std::uint64_t workers_ = 1;
 };
 
-/// Counts the end of a backend server, which was learned from its record, as a crash of
-/// the requests that it cut off.
+/// Counts the termination of \p backend, which its record or a probe has shown, as a crash
+/// against the requests that it cut off.
 void noteBackendEnded(ForwardContext& context, const BackendId& backend);
 
 /// Serves callers on a single-threaded io_context. Workers share an address, and the
--- a/include/pistachioloom/Routes.h
+++ b/include/pistachioloom/Routes.h
@@ -70,7 +70,8 @@
     bool canMoveKvCache_ = false;
 };
 
-/// Bounds and prices by which engines of a service are ordered in each data centre.
+/// Bounds on the number of engines that are requested for a service in each data centre,
+/// and their prices.
 struct FleetBounds {
     std::uint64_t minEngines_ = 0;
     std::uint64_t maxEngines_ = 0;
@@ -98,7 +99,7 @@
     std::optional<unsigned> priority_;
     /// The quota counts tokens instead of requests.
     bool countsTokens_ = false;
-    /// Number of tokens that a request without a token count counts as.
+    /// Number of tokens charged for a request that does not state its token count.
     std::uint64_t defaultTokens_ = 1;
     /// 0 for no limit.
     double ratePerSecond_ = 0;
--- a/include/pistachioloom/Routing.h
+++ b/include/pistachioloom/Routing.h
@@ -28,7 +28,7 @@
     bool isLocal_ = true;
     milliseconds network_ {};
     std::uint64_t pricePerHour_ = 0;
-    /// Set by chooseEngine().
+    /// Estimated time to first token; set by rankEngines().
     milliseconds estimate_ {};
 };
 
--- a/lib/Backends/Backends.cpp
+++ b/lib/Backends/Backends.cpp
@@ -12,7 +12,7 @@
 
 // Weight of one observation in a moving average.
 static constexpr double learningRate = 0.15;
-// The prefill rate of a service is learnt from some hundred requests.
+// The prefill rate of a service is learnt from a few hundred requests.
 static constexpr double prefillLearningRate = 0.005;
 // Slot hold times differ by a factor of a hundred between requests.
 static constexpr double slotHoldLearningRate = 0.02;
@@ -20,7 +20,7 @@
 // A learnt rate differs from the configured one by at most this factor.
 static constexpr double maxFallbackRatio = 8;
 // Upper bound in ms of the time to the first event without prefill, which is 15 ms and
-// some batch steps.
+// the time of a few batch steps.
 static constexpr double maxFirstEventOverheadMs = 150;
 static constexpr double minSlowness = 0.5;
 static constexpr double maxSlowness = 8;
--- a/lib/Backends/Registration.cpp
+++ b/lib/Backends/Registration.cpp
@@ -11,10 +11,10 @@
 
 namespace pistachioloom {
 
-// Number of names whose newest start time is kept after their removal. They take 100 bytes
-// each and cover some minutes with 2,100 backend servers.
+// Number of removed backend servers whose newest start time is kept. With 2,100 backend
+// servers it is enough for the removals of some minutes. Each takes 100 bytes.
 static constexpr std::size_t maxRemovedNames = 1024;
-// A leaving backend server has terminated within a minute.
+// A leaving backend server terminates within a minute.
 static constexpr milliseconds leavingRetention { 60000 };
 
 BackendTable::PutResult BackendTable::put(const BackendRecord& record)
--- a/lib/Forward/ConnectionPool.h
+++ b/lib/Forward/ConnectionPool.h
@@ -40,8 +40,8 @@
     asio::ip::tcp::socket socket_;
     boost::beast::flat_buffer buffer_;
     BackendId backend_;
-    /// The completion of the last read that had to wait. The last bytes of an answer
-    /// arrived no earlier, even if a slow caller delayed reading them.
+    /// The time at which the last read that had to wait completed. The last bytes of an
+    /// answer arrived then or later, even if a slow caller delayed reading them.
     SteadyTime arrivedAt_ {};
     /// The time after which the connection is not used, as the server may be closing it.
     SteadyTime usableUntil_ {};
--- a/lib/Forward/Headers.h
+++ b/lib/Forward/Headers.h
@@ -33,7 +33,7 @@
 std::optional<std::uint64_t> parseNumber(std::string_view text);
 
 /// Parses a number of seconds, with or without a fraction, and rounds it up to
-/// milliseconds. The maximum is one year. \returns nullopt for any other text.
+/// milliseconds. Longer times are reduced to one year. \returns nullopt for any other text.
 std::optional<milliseconds> parseRetryAfter(std::string_view text);
 
 /// Parses the value "PROMPT,OUTPUT" of a token-count header.
@@ -45,8 +45,9 @@
 /// Appends "Name: value\r\n".
 void appendField(std::string& head, std::string_view name, std::string_view value);
 
-/// Renders the header fields that tell the caller for how long it may use the connection:
-/// for a part of \p idle, in full seconds, or without \p idle not again.
+/// Renders the fields Connection and Keep-Alive. They announce a part of \p idle, in full
+/// seconds, as the time for which the caller may keep the connection idle before it is
+/// used again. Without \p idle they announce that the connection closes.
 std::string connectionFields(std::optional<milliseconds> idle);
 
 } // namespace pistachioloom
--- a/lib/Forward/LivenessProbe.cpp
+++ b/lib/Forward/LivenessProbe.cpp
@@ -1,4 +1,4 @@
-//===- lib/Forward/LivenessProbe.cpp - detects ended backend servers ------===//
+//===- lib/Forward/LivenessProbe.cpp - detects terminated backend servers -===//
 ///
 /// \file
 /// See LivenessProbe.h.
@@ -9,7 +9,7 @@
 
 namespace pistachioloom {
 
-// A process that ends closes its sockets one after the other, its listening socket possibly
+// A terminating process closes its sockets one after the other, its listening socket possibly
 // last. A connection may therefore still be accepted after the first one breaks, so a second
 // probe follows after this delay.
 static constexpr milliseconds reprobeDelay { 150 };
--- a/lib/Forward/LivenessProbe.h
+++ b/lib/Forward/LivenessProbe.h
@@ -1,4 +1,4 @@
-//===- lib/Forward/LivenessProbe.h - detects ended backend servers --------===//
+//===- lib/Forward/LivenessProbe.h - detects terminated backend servers ---===//
 ///
 /// \file
 /// A backend server that cuts an answer off has either crashed or lost only that
@@ -12,7 +12,7 @@
 namespace pistachioloom {
 
 /// Connects to \p backend. If the connection is refused, records that the backend server
-/// has ended.
+/// has terminated.
 asio::awaitable<void> probeLiveness(ForwardContext& context, BackendRecord backend);
 
 /// Logs that a crash of \p backend was counted against a request.
--- a/lib/Forward/RequestForwarder.cpp
+++ b/lib/Forward/RequestForwarder.cpp
@@ -367,7 +367,7 @@
 {
     const BackendRecord& backend = attempt.choice_.backend_;
     auto known = context_.backends_.find(backend.id_);
-    // The end of a leaving backend server was announced and is not a crash.
+    // The termination of a leaving backend server was announced and is not a crash.
     if (known && known->isLeaving_)
         return;
     CutOff cutOff { fingerprint(), organisation_ ? organisation_->name_ : OrganisationId {}, { keyOf(backend.id_) } };
--- a/lib/Forward/RequestForwarder.h
+++ b/lib/Forward/RequestForwarder.h
@@ -115,7 +115,7 @@
     void cancelMove();
     void finishAttempt(Attempt& attempt, SendOutcome end);
     /// Reports that the backend server cut the request off, and probes in the background
-    /// whether it has ended.
+    /// whether it has terminated.
     void noteCutOff(const Attempt& attempt);
     /// Reports the outcome of an attempt to the roll-out of its backend server's version.
     void noteVersionOutcome(const Attempt& attempt, BackendOutcome outcome);
@@ -181,7 +181,7 @@
     bool isFinished_ = false;
     bool keepsConnection_ = false;
     EventSplitter events_ { std::nullopt };
-    /// A move of the running stream to another engine.
+    /// The latest move of the running stream to another engine.
     struct Move {
         explicit Move(const asio::any_io_executor& executor)
             : done_(executor)
--- a/lib/Forward/RequestReader.cpp
+++ b/lib/Forward/RequestReader.cpp
@@ -82,7 +82,8 @@
     , startedAt_(now)
 {
     parser_.eager(true);
-    // This class checks the limit on the head itself, as it has a status of its own.
+    // The parser's limit is off, because this class checks the size of the head itself and
+    // rejects a larger one with status 431.
     parser_.header_limit(std::numeric_limits<std::uint32_t>::max());
     parser_.body_limit(bounds.body_.value_);
 }
--- a/lib/Forward/StreamMove.cpp
+++ b/lib/Forward/StreamMove.cpp
@@ -1,4 +1,4 @@
-//===- lib/Forward/StreamMove.cpp - moves streams off departing engines ---===//
+//===- lib/Forward/StreamMove.cpp - moves streams off reclaimed engines ---===//
 ///
 /// \file
 /// A running stream whose engine will terminate within seconds resumes on another
@@ -12,7 +12,8 @@
 
 namespace {
 
-    // The time for which a broken stream waits for the end of its move: two copies.
+    // The time for which a broken stream waits for its move to complete. It is enough for two
+    // copies of a KV cache.
     constexpr milliseconds moveWaitLimit { 1000 };
 
     const Logger& logger()
--- a/lib/Forward/Worker.cpp
+++ b/lib/Forward/Worker.cpp
@@ -96,7 +96,7 @@
 
 /// After an answer the caller's bytes are read until the caller closes, because a reset could
 /// overtake the answer. After idle time they are not read: a request that crosses the close in
-/// flight must stay unread, which tells its caller that it has not run.
+/// flight must stay unread, so that a reset tells its caller that it has not run.
 asio::awaitable<void> ForwardWorker::State::serveConnection(std::shared_ptr<CallerConnection> caller)
 {
     CountGuard counted(context_.connections_);
--- a/unittests/Backends/BackendsTest.cpp
+++ b/unittests/Backends/BackendsTest.cpp
@@ -118,8 +118,8 @@
     CHECK(choice->backend_.id_.value_ == "x");
     CHECK(choice->running_ == 3);
     table.remove({ "x" }, start);
-    // Nine requests are ahead of it, and each of four slots is held for 500 ms until the
-    // mean is learnt.
+    // Nine requests are ahead of it. Until the mean is learnt, each request is assumed to
+    // hold one of the four slots for 500 ms.
     choice = table.choose(engineRequest(1000), {}, start);
     REQUIRE(choice);
     CHECK(choice->queueWait_ >= milliseconds(9 * 500 / 4));
@@ -236,7 +236,7 @@
     CHECK(atIdle <= 12);
 }
 
-TEST_CASE("an estimate separates the queueing delay from the time for the own prompt", "[backends]")
+TEST_CASE("an estimate separates the queueing delay from the time for the request's own prompt", "[backends]")
 {
     BackendTable table({ "a" }, ChoiceSettings {});
     table.put(record("x"));
--- a/unittests/Forward/ConnectionPoolTest.cpp
+++ b/unittests/Forward/ConnectionPoolTest.cpp
@@ -93,7 +93,7 @@
     CHECK(connection->isReceiveBufferEmpty());
 }
 
-TEST_CASE("an aborted connection is reset, a closed one ends in order", "[forward]")
+TEST_CASE("an aborted connection is reset, so that none of its data arrives later, and a closed one ends with EOF", "[forward]")
 {
     using tcp = asio::ip::tcp;
     asio::io_context io;
