--- a/include/pistachioloom/Forward.h
+++ b/include/pistachioloom/Forward.h
@@ -65,8 +65,8 @@
     milliseconds idleMargin_ { 300 };
     /// The idle time of a kept connection whose server does not state one.
     milliseconds defaultIdle_ { 2000 };
-    /// The maximum size of an answer that is buffered, which is any answer that is not
-    /// an event stream.
+    /// The maximum size of a buffered answer. All answers except event streams are
+    /// buffered.
     ByteCount maxAnswerSize_ { 8UL * 1024 * 1024 };
 };
 
@@ -74,7 +74,7 @@
 struct StreamCopy {
     Endpoint from_;
     Endpoint to_;
-    /// The id of the attempt, by which the engine knows the run.
+    /// The id of the attempt, which identifies the run at the engine.
     std::string attemptId_;
     /// Whether the copy stops the run. Its stream then closes without an end marker.
     bool stopsRun_ = false;
