--- a/lib/Backends/Backends.cpp
+++ b/lib/Backends/Backends.cpp
@@ -12,7 +12,7 @@
 
 // Weight of one observation in a moving average.
 static constexpr double learningRate = 0.15;
-// The prefill rate of a service is learnt from some hundred requests.
+// The prefill rate of a service is learnt from a few hundred requests.
 static constexpr double prefillLearningRate = 0.005;
 // Slot hold times differ by a factor of a hundred between requests.
 static constexpr double slotHoldLearningRate = 0.02;
@@ -20,7 +20,7 @@
 // A learnt rate differs from the configured one by at most this factor.
 static constexpr double maxFallbackRatio = 8;
 // Upper bound in ms of the time to the first event without prefill, which is 15 ms and
-// some batch steps.
+// the time of a few batch steps.
 static constexpr double maxFirstEventOverheadMs = 150;
 static constexpr double minSlowness = 0.5;
 static constexpr double maxSlowness = 8;
@@ -77,10 +77,10 @@
 std::map<ServiceName, BackendTable::ServiceStatistics> BackendTable::services() const
 {
     std::lock_guard lock(mutex_);
-    std::map<ServiceName, ServiceStatistics> views;
-    for (const auto& [service, rate] : estimators_)
-        views[service] = { rate.tokensRequested_, prefillRateOf(service), rate.observations_ };
-    return views;
+    std::map<ServiceName, ServiceStatistics> statistics;
+    for (const auto& [service, estimator] : estimators_)
+        statistics[service] = { estimator.tokensRequested_, prefillRateOf(service), estimator.observations_ };
+    return statistics;
 }
 
 void BackendTable::noteAdmitted(const BackendChoice& choice)
@@ -185,7 +185,7 @@
 bool BackendTable::isReachableLocked(const DataCentreId& dataCentre) const
 {
     auto failed = failedByDataCentre_.find(dataCentre);
-    return failed == failedByDataCentre_.end() || failed->second.size() < settings_.failuresToCutOff_;
+    return failed == failedByDataCentre_.end() || failed->second.size() < settings_.unreachableThreshold_;
 }
 
 std::vector<BackendRecord> BackendTable::unreachableSample() const
