--- a/include/pistachioloom/Quarantine.h
+++ b/include/pistachioloom/Quarantine.h
@@ -45,7 +45,7 @@
 std::optional<RequestFingerprint> parseFingerprint(std::string_view text);
 
 /// Hash of one start of a backend server, the same as in messages; see keyOf().
-using BackendInstanceKey = Quantity<struct CrashSiteTag, std::uint32_t>;
+using BackendInstanceKey = Quantity<struct BackendInstanceKeyTag, std::uint32_t>;
 
 /// A backend server crashed while it ran the request.
 struct Crash {
@@ -111,7 +111,7 @@
     /// \returns the suspects to report to peers: those that changed recently, and some of
     /// the others for peers that missed earlier reports. \p draw, uniform over 64 bits,
     /// selects these.
-    std::vector<Suspect> told(SteadyTime now, std::uint64_t draw) const;
+    std::vector<Suspect> suspectsToReport(SteadyTime now, std::uint64_t draw) const;
     /// Merges the suspects that a peer reported; their times are on this node's clock.
     void take(const std::vector<Suspect>& reported, SteadyTime now);
     /// \returns all suspects, those with the most active crashes first.
@@ -145,8 +145,8 @@
 /// with enough active crashes for a quarantine are recorded. Not thread-safe.
 class QuarantineRecordTracker {
 public:
-    explicit QuarantineRecordTracker(std::uint64_t crashesToHold)
-        : crashesToHold_(crashesToHold)
+    explicit QuarantineRecordTracker(std::uint64_t crashesToQuarantine)
+        : crashesToQuarantine_(crashesToQuarantine)
     {
     }
 
@@ -163,7 +163,7 @@
     void noteRecorded(const Change& change);
 
 private:
-    const std::uint64_t crashesToHold_;
+    const std::uint64_t crashesToQuarantine_;
     /// Number of active crashes in the record of each request.
     std::map<RequestFingerprint, std::size_t> recorded_;
 };
--- a/include/pistachioloom/Rollout.h
+++ b/include/pistachioloom/Rollout.h
@@ -189,7 +189,7 @@
     bool isFailure_ = false;
     /// The connection was closed before the answer was complete.
     bool isCutOff_ = false;
-    bool hasBegun_ = false;
+    bool hasFirstByte_ = false;
     /// Time to the first byte, or until the attempt was abandoned; the same as a multiple
     /// of the estimate for a backend server of usual speed; and that estimate.
     milliseconds waited_ {};
--- a/lib/Forward/RequestForwarder.cpp
+++ b/lib/Forward/RequestForwarder.cpp
@@ -343,7 +343,7 @@
     observed.outcome_ = outcome;
     observed.isFailure_ = finalStatus_ >= 500;
     observed.isCutOff_ = attempt.isCutOff_;
-    observed.hasBegun_ = attempt.hasFirstByte_;
+    observed.hasFirstByte_ = attempt.hasFirstByte_;
     observed.waitRatio_ = attempt.waitRatio_;
     observed.waited_ = std::chrono::duration_cast<milliseconds>((attempt.hasFirstByte_ ? attempt.firstByteAt_ : now) - attempt.startedAt_);
     observed.estimate_ = attempt.choice_.estimate_;
--- a/lib/Gateway/PeerReports.cpp
+++ b/lib/Gateway/PeerReports.cpp
@@ -250,7 +250,7 @@
     report.set_is_digest(true);
     composeMembers(*report.mutable_members(), discovery_.membersToAdvertise(now), now);
     ReportTotals totals = aggregator_.totals(now);
-    std::vector<Suspect> suspects = context_.quarantine_.told(now, randomBits());
+    std::vector<Suspect> suspects = context_.quarantine_.suspectsToReport(now, randomBits());
     for (const VmId& vm : receivers) {
         *report.mutable_sums() = aggregator_.digestFor(vm, totals, now);
         putSuspects(suspects, *report.mutable_sums()->mutable_suspects(), now);
--- a/lib/Gateway/ReportMessages.cpp
+++ b/lib/Gateway/ReportMessages.cpp
@@ -56,7 +56,7 @@
         for (const auto& [at, id] : ended_)
             report.add_ended(id.value_);
     }
-    putSuspects(context_.quarantine_.told(now, randomBits()), *report.mutable_suspects(), now);
+    putSuspects(context_.quarantine_.suspectsToReport(now, randomBits()), *report.mutable_suspects(), now);
     putRollouts(context_.rollouts_.states(), *report.mutable_rollouts(), now);
     for (const auto& [vm, peer] : discovery_.peersToAdvertise(amount, sequence_, now)) {
         wire::KnownNode& entry = *report.add_nodes();
--- a/lib/Quarantine/Quarantine.cpp
+++ b/lib/Quarantine/Quarantine.cpp
@@ -172,7 +172,7 @@
     return found == entries_.end() ? 0 : countActive(found->second.crashes_);
 }
 
-std::vector<Suspect> QuarantineTable::told(SteadyTime now, std::uint64_t draw) const
+std::vector<Suspect> QuarantineTable::suspectsToReport(SteadyTime now, std::uint64_t draw) const
 {
     if (isEmpty())
         return {};
--- a/lib/Quarantine/QuarantineRecordTracker.cpp
+++ b/lib/Quarantine/QuarantineRecordTracker.cpp
@@ -12,7 +12,7 @@
     std::vector<Change> changes;
     std::set<RequestFingerprint> toRecord;
     for (const Suspect& suspect : suspects) {
-        if (suspect.activeCrashes() < crashesToHold_)
+        if (suspect.activeCrashes() < crashesToQuarantine_)
             continue;
         toRecord.insert(suspect.request_);
         auto recorded = recorded_.find(suspect.request_);
--- a/lib/Rollout/Answers.cpp
+++ b/lib/Rollout/Answers.cpp
@@ -15,7 +15,7 @@
 
 static bool isSlow(const AttemptOutcome& outcome)
 {
-    double ratio = outcome.hasBegun_ ? outcome.waitRatio_ : static_cast<double>(outcome.waited_.count()) / static_cast<double>(std::max<std::int64_t>(1, outcome.estimate_.count()));
+    double ratio = outcome.hasFirstByte_ ? outcome.waitRatio_ : static_cast<double>(outcome.waited_.count()) / static_cast<double>(std::max<std::int64_t>(1, outcome.estimate_.count()));
     return ratio > slowRatio && outcome.waited_ > outcome.estimate_ + minDelay;
 }
 
--- a/unittests/Duties/DutiesTest.cpp
+++ b/unittests/Duties/DutiesTest.cpp
@@ -233,9 +233,9 @@
     DemandEstimator demand(DemandTiming { milliseconds(4000), milliseconds(5000), milliseconds(3000) });
     const ServiceName service { "s" };
     SteadyTime now = start;
-    auto step = [&](std::uint64_t asked, double reportedRate) {
+    auto step = [&](std::uint64_t totalTokens, double reportedRate) {
         now += milliseconds(250);
-        demand.recordLocalTokens(service, { asked }, now);
+        demand.recordLocalTokens(service, { totalTokens }, now);
         demand.setSource({ "b" }, service, { reportedRate, 50, 100 }, now);
         demand.sample(now);
     };
--- a/unittests/Fuzz/FuzzTest.cpp
+++ b/unittests/Fuzz/FuzzTest.cpp
@@ -203,7 +203,7 @@
         if (datagram.has_report()) {
             aggregator.applyReport(datagram.report(), now);
             quarantine.take(suspectsOf(datagram.report().suspects(), now), now);
-            REQUIRE(quarantine.told(now, run).size() <= 24);
+            REQUIRE(quarantine.suspectsToReport(now, run).size() <= 24);
         }
         if (datagram.has_relayed())
             aggregator.applySummary(datagram.relayed(), now);
--- a/unittests/Limits/LimitsTest.cpp
+++ b/unittests/Limits/LimitsTest.cpp
@@ -231,7 +231,7 @@
     void borrow(std::size_t from, std::size_t lender)
     {
         std::uint64_t wanted = random_() % (limit_ + 1);
-        sites_[from].loans_.promise({ std::to_string(lender) }, wanted);
+        sites_[from].loans_.capBorrowed({ std::to_string(lender) }, wanted);
         bool isRequestLost = isPartitioned_ || random_() % 10 == 0;
         bool isReplyLost = random_() % 10 == 0;
         if (isRequestLost)
--- a/unittests/Quarantine/QuarantineTest.cpp
+++ b/unittests/Quarantine/QuarantineTest.cpp
@@ -108,13 +108,13 @@
             table.clear(of, after(at));
         // Half of the reports are lost.
         QuarantineTable& from = *tables[random() % tables.size()];
-        tables[random() % tables.size()]->take(from.told(after(at), random()), after(at));
+        tables[random() % tables.size()]->take(from.suspectsToReport(after(at), random()), after(at));
     }
     // All nodes receive the reports of all others for four seconds.
     for (std::int64_t at = 4000; at < 8000; at += 200) {
         for (auto& to : tables) {
             for (auto& from : tables)
-                to->take(from->told(after(at), random()), after(at));
+                to->take(from->suspectsToReport(after(at), random()), after(at));
         }
     }
     for (std::uint64_t of = 1; of <= 6; ++of) {
@@ -134,7 +134,7 @@
     QuarantineTable started({});
     // The reports that a new node receives within the platform's contact time.
     for (std::uint64_t report = 0; report < 15; ++report)
-        started.take(table.told(after(60'000), report * 7919), after(60'000));
+        started.take(table.suspectsToReport(after(60'000), report * 7919), after(60'000));
     CHECK(started.quarantined(after(60'000)) == 20);
 }
 
@@ -156,12 +156,12 @@
     for (std::uint64_t of = 1; of <= 200; ++of)
         crash(table, { of }, 1, start);
     crash(table, { 500 }, 2, start);
-    auto reported = table.told(after(100), 0);
+    auto reported = table.suspectsToReport(after(100), 0);
     CHECK(reported.size() <= 24);
     REQUIRE_FALSE(reported.empty());
     CHECK(reported.front().request_.value_ == 500);
     // Requests with a single crash are reported only while they are new.
-    CHECK(table.told(after(5000), 0).size() == 1);
+    CHECK(table.suspectsToReport(after(5000), 0).size() == 1);
 }
 
 TEST_CASE("an expired suspect is not restored by a node that keeps it longer", "[quarantine]")
--- a/unittests/Quota/QuotaTest.cpp
+++ b/unittests/Quota/QuotaTest.cpp
@@ -20,13 +20,13 @@
     CAPTURE(count, lag, excess);
     const QuotaLimit tokens { 700000, 2600000 };
     constexpr double cost = 12000;
-    double calm = tokens.ratePerSecond_ / cost;
+    double requestsAtQuota = tokens.ratePerSecond_ / cost;
     DelayedNodes nodes(count, milliseconds(lag));
-    nodes.run(start + milliseconds(10000), milliseconds(8000), calm * 0.8, tokens, cost);
-    SteadyTime hot = start + milliseconds(18000);
-    nodes.run(hot, milliseconds(12000), calm * excess, tokens, cost);
+    nodes.run(start + milliseconds(10000), milliseconds(8000), requestsAtQuota * 0.8, tokens, cost);
+    SteadyTime overloadedFrom = start + milliseconds(18000);
+    nodes.run(overloadedFrom, milliseconds(12000), requestsAtQuota * excess, tokens, cost);
     CHECK(nodes.maxAdmitted(milliseconds(8000)) <= (8 * tokens.ratePerSecond_ + tokens.burst_) * 1.1 + 140000);
-    CHECK(nodes.sumSince(hot) >= 0.9 * 12 * tokens.ratePerSecond_);
+    CHECK(nodes.sumSince(overloadedFrom) >= 0.9 * 12 * tokens.ratePerSecond_);
 }
 
 TEST_CASE("an organisation whose callers stay with one node gets its quota there", "[quota]")
--- a/unittests/Quota/QuotaUnresponsiveTest.cpp
+++ b/unittests/Quota/QuotaUnresponsiveTest.cpp
@@ -62,12 +62,12 @@
     SteadyTime reportedAt = start + milliseconds(100);
     for (const char* peer : { "1", "2", "3" })
         limiter.setPeer({ peer }, 1, { { north, 5000 } }, { { north, 1000 } }, reportedAt);
-    SteadyTime thawed = reportedAt + milliseconds(frozen);
-    CHECK_FALSE(limiter.take(north, limit, 1, thawed));
+    SteadyTime resumedAt = reportedAt + milliseconds(frozen);
+    CHECK_FALSE(limiter.take(north, limit, 1, resumedAt));
     // What the peers used in that time counts, and so does the rate of that time.
     for (const char* peer : { "1", "2", "3" })
-        limiter.setPeer({ peer }, 1, { { north, 5000 + 0.25 * frozen } }, {}, thawed);
-    CHECK_FALSE(limiter.take(north, limit, 1, thawed));
+        limiter.setPeer({ peer }, 1, { { north, 5000 + 0.25 * frozen } }, {}, resumedAt);
+    CHECK_FALSE(limiter.take(north, limit, 1, resumedAt));
 }
 
 TEST_CASE("levels reported before a node's first request are not admitted twice", "[quota]")
--- a/unittests/Rollout/EvaluatorsTest.cpp
+++ b/unittests/Rollout/EvaluatorsTest.cpp
@@ -32,7 +32,7 @@
 constexpr double exposedShare = 0.1;
 constexpr double exposedExtra = 50;
 constexpr std::uint64_t badTolerated = 50;
-constexpr double rollback = 5;
+constexpr double maxRollbackTime = 5;
 
 enum class Fault {
     None,
@@ -180,7 +180,7 @@
         double share = shares.size() > delay ? shares[shares.size() - 1 - delay] : 0;
         std::uint64_t exposedBefore = tally.exposed_;
         simulation.step(now, share, tally);
-        if (now > fiftiethAt + rollback)
+        if (now > fiftiethAt + maxRollbackTime)
             outcome.afterRollback_ += tally.exposed_ - exposedBefore;
         if (simulation.badAnswers() >= badTolerated)
             fiftiethAt = std::min(fiftiethAt, now);
--- a/unittests/Rollout/RolloutTest.cpp
+++ b/unittests/Rollout/RolloutTest.cpp
@@ -28,7 +28,7 @@
 AttemptOutcome served(std::int64_t waitedMs, std::int64_t estimateMs)
 {
     AttemptOutcome outcome;
-    outcome.hasBegun_ = true;
+    outcome.hasFirstByte_ = true;
     outcome.waited_ = milliseconds(waitedMs);
     outcome.estimate_ = milliseconds(estimateMs);
     outcome.waitRatio_ = static_cast<double>(waitedMs) / static_cast<double>(estimateMs);
@@ -163,7 +163,7 @@
         { "another server at its address", with(BackendOutcome::WrongInstance, nothing), std::nullopt },
         { "no connection", with(BackendOutcome::Unreachable, nothing), std::nullopt },
         { "a caller that left", with(BackendOutcome::Abandoned, nothing), std::nullopt },
-        { "a caller that left after a long wait", with(BackendOutcome::Abandoned, [](AttemptOutcome& o) { o.hasBegun_ = false; o.waited_ = milliseconds(2000); }), true },
+        { "a caller that left after a long wait", with(BackendOutcome::Abandoned, [](AttemptOutcome& o) { o.hasFirstByte_ = false; o.waited_ = milliseconds(2000); }), true },
         { "slow events", with(BackendOutcome::Served, [](AttemptOutcome& o) { o.eventGapMs_ = 200; }), true },
         { "usual events", with(BackendOutcome::Served, [](AttemptOutcome& o) { o.eventGapMs_ = 55; }), false },
     };
