--- a/include/pistachioloom/Duties.h
+++ b/include/pistachioloom/Duties.h
@@ -63,8 +63,8 @@
     bool shouldClaim(std::size_t rank, SteadyTime now) const;
     /// Makes this node the holder, after its claim was appended to the log.
     void becomeHolder(DutyToken token, SteadyTime now);
-    /// Ends this node's term as the holder or its attempt to claim, because another record
-    /// was appended first or the outcome of its claim is unknown.
+    /// Ends this node's term as the holder, or its attempt to claim the duties, because
+    /// another node's record was appended first or the outcome of its claim is unknown.
     void stepDown(SteadyTime now);
     bool isHolder() const { return isHolder_; }
     DutyToken token() const { return token_; }
@@ -124,8 +124,9 @@
 /// Delays after which a window's usage is reported, counted from the window's end.
 struct UsageTiming {
     /// Used if all nodes have reported their counts since the window's end. It covers
-    /// three reports in a row through relays, one each 200 ms, and clocks that differ by
-    /// a few hundred ms. Counts that wait longer are lost if all nodes are terminated.
+    /// three successive reports through relays, at intervals of 200 ms, and clocks that
+    /// differ by a few hundred ms. Counts that wait longer are lost if all nodes are
+    /// terminated.
     milliseconds settled_ { 1500 };
     /// Used otherwise, so that partitioned nodes may reconnect in the meantime.
     milliseconds longest_ { 5000 };
@@ -140,7 +141,7 @@
 /// Thread-safe.
 class ClockOffsetEstimator {
 public:
-    /// A peer's clock was ahead of this node's clock by \p offsetMs.
+    /// Records that the clock of \p vm was ahead of this node's clock by \p offsetMs.
     void setPeer(const VmId& vm, std::int64_t offsetMs, SteadyTime now);
     /// The correction to add to this node's time of day, in ms: the median of all offsets.
     std::int64_t correctionMs(SteadyTime now) const;
@@ -156,9 +157,9 @@
 };
 
 struct DemandTiming {
-    /// A node's request rate is averaged over this time.
+    /// A node's token rate is averaged over this time.
     milliseconds window_ { 4000 };
-    /// The peak rate is the highest rate of this time. Engines take seconds to boot, and
+    /// The peak rate is the highest rate within this time. Engines take seconds to boot, and
     /// demand that has dropped may recover.
     milliseconds peakWindow_ { 5000 };
     /// A report is ignored after this time: its node has failed, and its callers have moved
@@ -166,11 +167,11 @@
     milliseconds validity_ { 3000 };
 };
 
-/// Demand for a service's engines as one node, or several, report it.
+/// Demand for a service's engines, as one node or a group of nodes reports it.
 struct ServiceDemand {
     double tokensPerSecond_ = 0;
-    /// Prompt tokens that an engine reads in a millisecond, and the number of answers that
-    /// this rate was observed from.
+    /// Prompt tokens that an engine reads in a millisecond, and the number of answers from
+    /// which this rate was observed.
     double prefillPerMs_ = 0;
     std::uint64_t observations_ = 0;
 };
@@ -187,9 +188,10 @@
     {
     }
 
-    /// This node received requests for \p totalTokens tokens since its start.
+    /// Records that this node has received requests for \p totalTokens prompt tokens
+    /// since its start.
     void recordLocalTokens(const ServiceName& service, TokenCount totalTokens, SteadyTime now);
-    /// This node's own rate, in tokens a second.
+    /// The rate of the requests to this node, in tokens a second.
     double localRate(const ServiceName& service) const;
     /// Sets the demand that \p vm reports. It counts until the next report, or until its
     /// validity has passed.
@@ -206,6 +208,7 @@
     std::optional<double> peakRate(const ServiceName& service, SteadyTime now) const;
 
 private:
+    /// A cumulative number of tokens, or a number of tokens a second, at one time.
     struct Reading {
         SteadyTime at_ {};
         double tokens_ = 0;
@@ -220,7 +223,7 @@
         std::map<VmId, Source> sources_;
         /// Tokens a second, summed over all nodes.
         std::deque<Reading> rates_;
-        /// When the first request to any node was observed.
+        /// When demand at any node was first observed.
         std::optional<SteadyTime> firstAt_;
     };
 
--- a/include/pistachioloom/Fleet.h
+++ b/include/pistachioloom/Fleet.h
@@ -52,9 +52,9 @@
     /// fraction of on-demand ones, and they are the capacity that remains when those of
     /// other data centres are reclaimed.
     milliseconds reclaimableStabilisationWindow_ { 15000 };
-    /// No order is sent until no engine has registered for this time, which covers a
-    /// heartbeat of 1.2 s and its latency: an order dismisses engines that have not
-    /// registered yet.
+    /// Only additional reclaimable engines are ordered until this time has passed since
+    /// the last growth in registered on-demand engines. It covers a heartbeat of 1.2 s and
+    /// its latency: an order dismisses engines that have not registered yet.
     milliseconds settleTime_ { 1500 };
     /// On-demand engines are not dismissed for this time after reclaimable ones were
     /// reclaimed: more of those may follow, and an engine that was dismissed takes its
@@ -70,7 +70,7 @@
 /// Engines of one service in one data centre.
 struct DataCentreFleet {
     DataCentreId dataCentre_;
-    /// Cost of an on-demand engine for a second.
+    /// Cost of an on-demand engine per second.
     double cost_ = 1;
     /// Engines that accept new work.
     std::uint64_t onDemand_ = 0;
@@ -162,10 +162,14 @@
     };
     /// Registrations of a service's engines as this node has observed them.
     struct Registrations {
+        /// The highest number of on-demand engines observed at one time.
         std::uint64_t maxOnDemand_ = 0;
         /// Engines of either kind have been observed.
         bool hasAny_ = false;
+        /// When `maxOnDemand_` last increased.
         SteadyTime grewAt_ {};
+        /// All engines that are running are assumed to have registered; see
+        /// FleetSettings::settleTime_.
         bool isSettled_ = false;
         /// Reclaimable engines of each data centre at the last observation.
         std::map<DataCentreId, std::uint64_t> reclaimable_;
--- a/include/pistachioloom/Limits.h
+++ b/include/pistachioloom/Limits.h
@@ -94,7 +94,7 @@
         SteadyTime expires_;
     };
 
-    /// \returns the slots that the lender must not use because of \p lent.
+    /// \returns the slots that the lender must not use because of the loan \p lent.
     static std::uint64_t reservedSlots(const OutgoingLoan& lent, SteadyTime now);
 
     std::map<DataCentreId, OutgoingLoan> lent_;
@@ -117,7 +117,8 @@
     /// the first request, even if the level becomes negative.
     /// \returns the tokens taken.
     std::uint64_t takeForRequests(std::uint64_t first, std::uint64_t wanted, SteadyTime now);
-    /// Returns unused tokens to the bucket, or adds tokens of another bucket.
+    /// Returns unused tokens to the bucket, or adds tokens that were taken from
+    /// another bucket.
     void giveBack(std::uint64_t tokens);
     /// \returns the time until tryTake() may succeed.
     milliseconds wait(SteadyTime now) const;
@@ -178,6 +179,7 @@
     Demand makeDemand(const CatalogueEntry& entry, std::uint64_t slotsAhead);
     void applyGrant(const EntryName& entry, const Grant& grant);
     std::uint64_t inProgress(const EntryName& entry) const;
+    /// \returns the slots that the node holds, used or not.
     std::uint64_t held(const EntryName& entry, SteadyTime now) const;
     milliseconds tokenWait(const EntryName& entry) const;
     /// Entries with requests in progress or tokens to return.
@@ -218,8 +220,8 @@
     std::optional<Waiter> pop();
     bool remove(std::uint64_t id);
     std::size_t size() const { return waiting_.size(); }
-    /// \returns the number of waiting requests that would start before a new one
-    /// of class \p serviceClass.
+    /// \returns the number of waiting requests that would start before a new
+    /// request of class \p serviceClass.
     std::size_t ahead(ServiceClass serviceClass) const;
 
 private:
@@ -238,8 +240,8 @@
 /// multiply the load.
 class RetryBudget {
 public:
-    /// \p ratio is the number of retries per request; \p reserve bounds the
-    /// retries that can be saved up.
+    /// \p ratio is the number of retries per request; \p reserve is the number of
+    /// retries available at the start, and the most that can be saved up.
     RetryBudget(double ratio, double reserve);
     void countRequest();
     bool tryRetry();
--- a/include/pistachioloom/Orders.h
+++ b/include/pistachioloom/Orders.h
@@ -6,8 +6,8 @@
 /// fencing token follows from the claim's offset, so an engine that compares
 /// tokens rejects a dispatcher that was replaced without knowing it. For engines
 /// that ignore tokens, a dispatcher waits until its predecessor can no longer
-/// send orders. Claims also queue the loads of one data centre, so that its
-/// engines are never all unavailable simultaneously.
+/// send orders. Claims also order the model loads of one data centre in a queue,
+/// so that its engines are never all unavailable simultaneously.
 ///
 /// The code is pure: the caller passes the time in, and the age of a claim
 /// counts from when it was read.
@@ -97,6 +97,8 @@
     /// The open claim on the engine, from a claim table that was read up to the
     /// log's end; nullptr if there is none.
     const ClaimTable::Holder* holder_ = nullptr;
+    /// Open claims that precede this node's claim in its queue, and how many
+    /// engines of one queue may load simultaneously.
     std::size_t ahead_ = 0;
     std::size_t maxLoading_ = 1;
     /// When the append of this node's claim began.
@@ -105,6 +107,7 @@
     std::optional<SteadyTime> orderedAt_;
     /// Requests in progress on the engine.
     std::uint64_t active_ = 0;
+    /// Whether the engine rejects orders with stale fencing tokens.
     bool honoursFencing_ = false;
 };
 
--- a/include/pistachioloom/Quarantine.h
+++ b/include/pistachioloom/Quarantine.h
@@ -90,18 +90,19 @@
 };
 
 /// Crashes by request. Nodes that exchange reports converge to the same state in any
-/// order of the reports, since crashes are only added and only cleared. Thread-safe.
+/// order of the reports, since crashes are only added, and a cleared crash stays
+/// cleared. Thread-safe.
 class QuarantineTable {
 public:
     explicit QuarantineTable(QuarantineSettings settings);
 
-    /// Whether no request is suspected, so that no fingerprint must be computed.
+    /// Whether no request is suspected, so that no fingerprint needs to be computed.
     bool isEmpty() const { return !count_; }
     /// Records a crash of \p backend during \p request.
-    /// \returns the active crashes of \p request.
+    /// \returns the number of active crashes of \p request.
     std::size_t noteCrash(RequestFingerprint request, const OrganisationId& organisation, BackendInstanceKey backend, SteadyTime now);
-    /// Clears the crashes of \p request, which did not cause them. \returns whether any of
-    /// them was active.
+    /// Clears the crashes of \p request, since the request did not cause them. \returns
+    /// whether any of them was active.
     bool clear(RequestFingerprint request, SteadyTime now);
     /// \returns nullopt if \p request may be sent.
     std::optional<Quarantine> check(RequestFingerprint request, SteadyTime now) const;
@@ -110,7 +111,7 @@
 
     /// \returns the suspects to report to peers: those that changed recently, and some of
     /// the others for peers that missed earlier reports. \p draw, uniform over 64 bits,
-    /// selects these.
+    /// selects the latter.
     std::vector<Suspect> suspectsToReport(SteadyTime now, std::uint64_t draw) const;
     /// Merges the suspects that a peer reported; their times are on this node's clock.
     void take(const std::vector<Suspect>& reported, SteadyTime now);
@@ -176,8 +177,8 @@
 };
 
 /// Distinguishes crashes from connections that were lost for other reasons. An attempt
-/// that was cut off counts as a crash of its request when its backend server is known to
-/// have ended, up to 10 s later. Thread-safe.
+/// that was cut off counts as a crash of its request if the node learns within 10 s,
+/// before or afterwards, that the backend server has ended. Thread-safe.
 class CrashDetector {
 public:
     explicit CrashDetector(QuarantineTable& table)
@@ -215,6 +216,7 @@
     bool clear(RequestFingerprint request, SteadyTime now);
 
 private:
+    /// An attempt whose backend server is not known to have ended.
     struct Pending {
         CutOff cutOff_;
         SteadyTime at_ {};
@@ -226,6 +228,7 @@
     std::mutex mutex_;
     std::vector<Pending> pending_;
     std::atomic<std::size_t> pendingCount_ { 0 };
+    /// Backend servers that a probe is running for.
     std::set<BackendInstanceKey> probed_;
     std::map<BackendInstanceKey, SteadyTime> ended_;
 };
--- a/include/pistachioloom/Quota.h
+++ b/include/pistachioloom/Quota.h
@@ -46,7 +46,7 @@
     milliseconds startCredit_ { 400 };
     /// Requests that cost less than this ratio of their organisation's mean cost may
     /// drive the level below zero. Requests that cost more wait until it has recovered:
-    /// rejecting one of 12,000 tokens leaves capacity for 60 of 200 tokens.
+    /// rejecting a request of 12,000 tokens leaves capacity for 60 requests of 200 tokens.
     double smallCostRatio_ = 0.125;
     /// How far small requests may drive the level below zero, as time at the rate.
     milliseconds maxSmallDebt_ { 100 };
@@ -60,10 +60,10 @@
 
 /// Token buckets shared by all nodes. Thread-safe.
 ///
-/// While the level is above what all nodes may have admitted without a report yet, any
-/// node admits requests. Below that, each node admits its share of the rate, so that
-/// nodes with delayed reports do not all use the same remainder. A negative level must
-/// refill before more requests are admitted.
+/// While the level of a bucket exceeds what other nodes may have admitted but not yet
+/// reported, each node admits all requests. Below that, each node admits its share of the
+/// rate, so that nodes with delayed reports do not all use the same remainder. A negative
+/// level must refill before more requests are admitted.
 class QuotaLimiter {
 public:
     /// \p startedAt is when this node started. Buckets start without their burst, so
@@ -139,7 +139,8 @@
     double nodes() const;
     /// Whether this node has just started and the others may have, too.
     bool isStarting(const Bucket& bucket, SteadyTime now) const;
-    /// Whether nearly all nodes report, so that their counts show what is left.
+    /// Whether nearly all nodes report, so that their counts show how much of each quota
+    /// is left.
     bool hasReportsFromMost(SteadyTime now) const;
     void initialise(Bucket& bucket, const OrganisationId& organisation) const;
     /// \returns this node's share of an organisation's requests: the mean of an equal
--- a/include/pistachioloom/Reclaim.h
+++ b/include/pistachioloom/Reclaim.h
@@ -46,7 +46,7 @@
 struct ReclaimStep {
     RequestId request_;
     ReclaimAction action_ = ReclaimAction::Recompute;
-    /// Tokens that are recomputed because of this step.
+    /// Tokens that another engine recomputes because of this step.
     std::uint64_t recomputedTokens_ = 0;
 };
 
--- a/include/pistachioloom/Rollout.h
+++ b/include/pistachioloom/Rollout.h
@@ -108,7 +108,7 @@
     /// remaining requests. A version may degrade late, so the trial takes as long as the
     /// period allows.
     double trialFraction_ = 0.7;
-    /// Fraction of the period by whose end the order is decided.
+    /// The order is decided by the end of this fraction of the period.
     double decisionFraction_ = 0.9;
     /// While requests are shifted, the share doubles after each such fraction of the period.
     double shiftStepFraction_ = 0.035;
@@ -160,7 +160,7 @@
     /// Reverts the order unless it is final, for example on an operator's request.
     void revert(std::string why);
     const RolloutState& state() const { return state_; }
-    /// The reason of the last decision.
+    /// The reason for the last decision.
     const std::string& reason() const { return reason_; }
     SteadyTime startedAt() const { return startedAt_; }
 
@@ -176,6 +176,7 @@
     const SteadyTime startedAt_;
     RolloutEvaluator evaluator_;
     std::string reason_;
+    /// When the share of the target last increased.
     SteadyTime shiftedAt_ {};
     SteadyTime targetOnlySince_ {};
     SteadyTime targetOnlySeenAt_ {};
@@ -190,10 +191,12 @@
     /// The connection was closed before the answer was complete.
     bool isCutOff_ = false;
     bool hasFirstByte_ = false;
-    /// Time to the first byte, or until the attempt was abandoned; the same as a multiple
-    /// of the estimate for a backend server of usual speed; and that estimate.
+    /// Time to the first byte, or until the attempt was abandoned without one.
     milliseconds waited_ {};
+    /// `waited_` as a multiple of the estimate for a backend server of usual speed; not
+    /// set without a first byte.
     double waitRatio_ = 1;
+    /// Estimate of `waited_` for this backend server when it was chosen.
     milliseconds estimate_ {};
     /// Mean time between the events of a stream; 0 if there were fewer than two.
     double eventGapMs_ = 0;
--- a/lib/Duties/Usage.cpp
+++ b/lib/Duties/Usage.cpp
@@ -16,8 +16,8 @@
 static constexpr milliseconds clockValidity { 5000 };
 static const VmId ownSource {};
 // Windows kept for each source, which is two minutes at 5 s a window. Usage is reported
-// within four windows; without the bound a node that never reports usage would keep
-// all windows forever.
+// from the last four windows; without the bound a node that never reports usage would
+// keep all windows forever.
 static constexpr std::size_t maxWindowsPerSource = 24;
 
 static void dropOldWindows(std::map<WindowNumber, UsageCounts>& windows)
--- a/lib/Quarantine/CrashDetector.cpp
+++ b/lib/Quarantine/CrashDetector.cpp
@@ -8,7 +8,7 @@
 namespace pistachioloom {
 
 // The registry removes a crashed backend server after three missed heartbeats, and the
-// nodes receive this a second later.
+// nodes learn of the removal a second later.
 static constexpr milliseconds maxEndDelay { 10000 };
 
 void CrashDetector::removeExpired(SteadyTime now)
--- a/lib/Quarantine/Quarantine.cpp
+++ b/lib/Quarantine/Quarantine.cpp
@@ -73,8 +73,9 @@
     count_ = entries_.size();
 }
 
-/// Evicts the weakest suspect if the table is full, or the weakest one of \p organisation
-/// if that has reached its share.
+/// Evicts a suspect of \p organisation if the organisation has reached its share, or any
+/// suspect if the table is full: the one with the fewest active crashes, and among equal
+/// ones the one that has not changed for longest.
 void QuarantineTable::evictWeakest(std::uint32_t organisation)
 {
     auto isOwn = [&](const auto& item) { return item.second.organisation_ == organisation; };
@@ -108,7 +109,7 @@
     return entry;
 }
 
-/// \returns whether \p crash changed \p entry other than in the time of a crash.
+/// \returns whether \p crash changed \p entry, apart from the time of a known crash.
 bool QuarantineTable::merge(Entry& entry, const Crash& crash)
 {
     auto known = std::find_if(entry.crashes_.begin(), entry.crashes_.end(), [&](const Crash& other) { return other.backend_ == crash.backend_; });
--- a/lib/Quota/Quota.cpp
+++ b/lib/Quota/Quota.cpp
@@ -17,12 +17,12 @@
 static constexpr double longSeconds = 10;
 // Weight of one request in the mean cost, given some dozens of requests per second.
 static constexpr double meanCostWeight = 0.02;
-// How much of its share of the rate a node may save up, in seconds.
+// How much of its share of the rate a node may save up, as seconds of that share.
 static constexpr double maxSavedShareSeconds = 0.5;
 // Tolerance for the rounding of a bucket that was filled in steps since the start.
 static constexpr double startTolerance = 1.01;
-// Share of the nodes whose reports a starting node needs to know what is left. The
-// others are within the tenth by which a quota may be exceeded.
+// Share of the nodes whose reports a starting node needs to know how much of a quota is
+// left. The other nodes admit no more than the tenth by which a quota may be exceeded.
 static constexpr double minReportingShare = 0.9;
 // Steps of the golden ratio distribute phases evenly for any number of steps.
 static constexpr double phaseStep = 0.6180339887;
@@ -159,8 +159,8 @@
     return milliseconds(static_cast<std::int64_t>(wait * 1000) + 1);
 }
 
-/// Initialises a bucket with the level that a peer reported, or as empty when this
-/// node's start credit begins.
+/// Initialises a bucket with the level that a peer reported, or else as empty at the time
+/// from which this node's start credit counts.
 void QuotaLimiter::initialise(Bucket& bucket, const OrganisationId& organisation) const
 {
     auto received = receivedLevels_.find(organisation);
--- a/lib/Rollout/Evaluators.cpp
+++ b/lib/Rollout/Evaluators.cpp
@@ -14,6 +14,7 @@
 
 namespace {
 
+    // Time constants of the exponential decay of the stable version's rates, in ms.
     constexpr double longDecayMs = 1000;
     constexpr double shortDecayMs = 20;
 
@@ -96,8 +97,8 @@
         // A rate of bad answers that exceeds the baseline by this much counts as worse.
         static constexpr double degradation = 0.15;
         static constexpr double maxRate = 0.97;
-        // Limit of one backend server's score, since a single server is no evidence against
-        // the version.
+        // Limit of one backend server's score: a single server is no evidence against the
+        // version.
         static constexpr double maxScore = 6;
         // One bad answer in a dozen raises a score by about 2.
         static constexpr double degradedScore = 1.5;
@@ -158,7 +159,7 @@
             }
             auto needed = std::max<std::size_t>(std::min<std::size_t>(2, evaluated), static_cast<std::size_t>(std::ceil(fractionToRevert * static_cast<double>(evaluated))));
             bool hasEnoughServers = evaluated && evaluated >= std::min(minServers, servers());
-            // Few backend servers cannot reach the full sum.
+            // A few backend servers cannot reach the full sum, since each score is limited.
             double neededSum = std::min(scoreToRevert, 0.9 * maxScore * static_cast<double>(evaluated));
             if (!hasEnoughServers || degraded < needed || sum < neededSum)
                 return std::nullopt;
--- a/lib/Rollout/RolloutController.cpp
+++ b/lib/Rollout/RolloutController.cpp
@@ -12,9 +12,11 @@
 
 namespace {
 
-    // All nodes receive a share within this time, which covers three reports through relays.
+    // All nodes receive a new share within this time, which covers three reports through
+    // relays.
     constexpr milliseconds sharePropagation { 800 };
-    // Backend servers that do not run the target may be about to register.
+    // If only servers of the target are registered, the order is complete after this time:
+    // backend servers that do not run the target may be about to register.
     constexpr milliseconds minTargetOnlyTime { 3000 };
     // A route on which the other versions have fewer answers has too little traffic to
     // require evidence on it.
@@ -83,7 +85,7 @@
         revert(*degradation);
         return state_;
     }
-    // The order is for the version that already runs alone.
+    // An order for the version that already runs alone needs no trial.
     bool isTargetOnly = !view.stableServers_ && view.targetServers_;
     if (!isTargetOnly)
         targetOnlySince_ = SteadyTime {};
--- a/unittests/Duties/DutiesTest.cpp
+++ b/unittests/Duties/DutiesTest.cpp
@@ -1,8 +1,8 @@
 //===- unittests/Duties/DutiesTest.cpp - duty lease, usage and demand -----===//
 ///
 /// \file
-/// Races of claims with frozen nodes and lost reports, usage by window, clock offsets,
-/// and demand.
+/// Tests claims of nodes that freeze or lose each other's reports, usage by window, clock
+/// offsets, and demand.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Duties.h"
 
@@ -84,7 +84,8 @@
                 node.lease_.noteHolder({ std::to_string(other) }, peer.lease_.token(), now);
         }
         if (node.lease_.shouldClaim(index, now)) {
-            // The node reads the log, and another node may append in between.
+            // Another node may append a record after this node has read the log and before
+            // it appends its claim.
             node.knownEnd_ = logEnd_;
             if (chance(0.2))
                 ++logEnd_;
@@ -126,7 +127,8 @@
             REQUIRE((acts[i].token_ == acts[i - 1].token_) <= isSameHolder);
             changes += !isSameHolder;
             lastOf[acts[i - 1].node_] = acts[i - 1].at_;
-            // Acts of A, then B, then A again take longer than one lease.
+            // A node acts again after another node's act only if more than a lease has passed
+            // since its own last act.
             if (!isSameHolder && lastOf.contains(acts[i].node_))
                 REQUIRE(acts[i].at_ - lastOf[acts[i].node_] > lease);
         }
@@ -247,7 +249,7 @@
     step(4000, 500);
     CHECK(demand.localRate(service) == Approx(1000));
     CHECK(demand.peakRate(service, now) == Approx(1500));
-    // Both rates drop, and the peak is kept for 5 s.
+    // The rates of both nodes drop, and the peak is kept for 5 s.
     for (int i = 0; i < 16; ++i)
         step(4000, 100);
     CHECK(demand.localRate(service) == Approx(0));
--- a/unittests/Fleet/FleetTest.cpp
+++ b/unittests/Fleet/FleetTest.cpp
@@ -1,7 +1,7 @@
 //===- unittests/Fleet/FleetTest.cpp - plans and orders of engines --------===//
 ///
 /// \file
-/// Plans for a given state, and orders over time as engines register and leave.
+/// Tests plans for a given state, and orders over time as engines register and leave.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Fleet.h"
 
@@ -15,8 +15,8 @@
 const ServiceName service { "s" };
 const SteadyTime start { milliseconds(1000000) };
 
-/// A view with engines in up to three data centres, as pairs of on-demand and reclaimable
-/// ones.
+/// Makes a view of up to three data centres from the numbers of on-demand and reclaimable
+/// engines in each.
 FleetView viewOf(std::vector<std::pair<std::uint64_t, std::uint64_t>> engines, std::optional<double> tokensPerSecond)
 {
     FleetView view { service, { 1, 20, milliseconds(4000), 0.2, {} }, {}, tokensPerSecond, 50, 0, 0, true, false };
@@ -85,7 +85,7 @@
     CHECK(enginesFor(50000, 50, 0) == 1);
     CHECK(enginesFor(50001, 50, 0) == 2);
     CHECK(enginesFor(200000, 50, 1) == 6);
-    // A hundred busy engines need a tenth of spare engines, whereas four need a half.
+    // With 100 busy engines, a tenth as many spare ones suffice; with 4, half as many.
     CHECK(enginesFor(5000000, 50, 1) == 110);
 }
 
@@ -286,7 +286,8 @@
     view.bounds_.maxEngines_ = 60;
     view.isComplete_ = row.isComplete_;
     SteadyTime now = settle(tracker, view);
-    // This need corresponds to the engines that are present in each data centre.
+    // For this need, the plan orders as many reclaimable engines in each data centre as are
+    // present.
     constexpr std::uint64_t inherited = 25;
     tracker.inheritNeed(service, inherited, now);
     bool isDismissed = false;
--- a/unittests/Limits/LimitsTest.cpp
+++ b/unittests/Limits/LimitsTest.cpp
@@ -187,7 +187,8 @@
     {
     }
 
-    /// \returns the maximum of slots granted simultaneously in all data centres.
+    /// \returns the highest number of slots that all data centres together granted
+    /// at one time.
     std::uint64_t run()
     {
         std::uint64_t maxGranted = 0;
--- a/unittests/Orders/OrdersTest.cpp
+++ b/unittests/Orders/OrdersTest.cpp
@@ -1,8 +1,8 @@
 //===- unittests/Orders/OrdersTest.cpp - claims and steps ------------------===//
 ///
 /// \file
-/// Tests the steps of a dispatcher with a table, the queue of loads, and a random
-/// race of two dispatchers for an engine that ignores fencing tokens. The
+/// Tests the steps of a dispatcher by a table of cases, the queue of loads, and
+/// random races of two dispatchers for an engine that ignores fencing tokens. The
 /// dispatchers freeze at times.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Orders.h"
@@ -135,7 +135,7 @@
         { "to be configured", "", 0, false, false, 0, 0, OrderStep::Claim },
         { "another node claimed just now", "b", 10, false, false, 0, 0, OrderStep::Wait },
         { "another node's claim is old", "b", 150, false, false, 0, 0, OrderStep::Claim },
-        { "others load first", "a", 10, false, false, 1, 0, OrderStep::Wait },
+        { "another engine loads first", "a", 10, false, false, 1, 0, OrderStep::Wait },
         { "requests in progress", "a", 10, false, false, 0, 3, OrderStep::Drain },
         { "ready", "a", 10, false, false, 0, 0, OrderStep::Order },
         { "ready, but the claim expired", "a", 150, false, false, 0, 0, OrderStep::Claim },
@@ -174,8 +174,8 @@
     CHECK(context.holder_->token_.value_ == 3);
     CHECK(nextOrderStep(context, timing, at(160)) == (honoursFencing ? OrderStep::Order : OrderStep::Drain));
     CHECK(nextOrderStep(context, timing, at(299)) == (honoursFencing ? OrderStep::Claim : OrderStep::Drain));
-    // The validity of the other claim and the longest freeze have passed, and the
-    // own claim has expired. A new own claim waits for no other node.
+    // The validity of the other node's claim and the longest freeze have passed, and
+    // this node's claim has expired. A new claim of this node waits for no other node.
     CHECK(nextOrderStep(context, timing, at(301)) == OrderStep::Claim);
     table.apply({ 3 }, encodeClaim(claimOf("a")), at(310));
     context.holder_ = table.find({ "e" });
--- a/unittests/Quarantine/QuarantineTest.cpp
+++ b/unittests/Quarantine/QuarantineTest.cpp
@@ -52,7 +52,7 @@
     CHECK(table.quarantined(after(600)) == 1);
 }
 
-TEST_CASE("a quarantine ends, and doubles with each crash after it", "[quarantine]")
+TEST_CASE("a quarantine ends, and each further crash doubles its duration", "[quarantine]")
 {
     struct Row {
         std::uint32_t crashes_;
@@ -132,7 +132,8 @@
     for (std::uint64_t of = 1; of <= 20; ++of)
         crash(table, { of }, 3, start);
     QuarantineTable started({});
-    // The reports that a new node receives within the platform's contact time.
+    // The reports that a new node receives within the platform's contact time, in which
+    // all nodes must learn what one has observed.
     for (std::uint64_t report = 0; report < 15; ++report)
         started.take(table.suspectsToReport(after(60'000), report * 7919), after(60'000));
     CHECK(started.quarantined(after(60'000)) == 20);
@@ -160,7 +161,7 @@
     CHECK(reported.size() <= 24);
     REQUIRE_FALSE(reported.empty());
     CHECK(reported.front().request_.value_ == 500);
-    // Requests with a single crash are reported only while they are new.
+    // Requests with a single crash are reported only shortly after they changed.
     CHECK(table.suspectsToReport(after(5000), 0).size() == 1);
 }
 
--- a/unittests/Quota/QuotaRestartTest.cpp
+++ b/unittests/Quota/QuotaRestartTest.cpp
@@ -55,8 +55,8 @@
     nodes.run(start + milliseconds(20100), milliseconds(800), excess * tokens.ratePerSecond_ / cost, tokens, cost);
     // Each node may admit one request beyond its share, in addition to the start credit.
     CHECK(nodes.maxAdmitted(milliseconds(8000)) <= (0.9 + 0.4 + 0.3) * tokens.ratePerSecond_);
-    // In the next seconds, the nodes receive each other's reports: a tenth of 8 s and of a
-    // second is tolerated.
+    // In the next seconds, the nodes receive each other's reports: an excess of a tenth of
+    // the rate of 8 s and of one second is tolerated.
     nodes.run(start + milliseconds(20900), milliseconds(3100), excess * tokens.ratePerSecond_ / cost, tokens, cost);
     CHECK(nodes.maxAdmitted(milliseconds(8000)) <= (4 + 0.9) * tokens.ratePerSecond_ + 140000);
     // If each of 63 nodes receives one request, a third of them have saved up the share
--- a/unittests/Quota/QuotaTest.cpp
+++ b/unittests/Quota/QuotaTest.cpp
@@ -55,8 +55,8 @@
     auto count = GENERATE(1U, 3U, 9U);
     Nodes nodes(count, milliseconds(200));
     double admitted = nodes.flood(start + milliseconds(5000), milliseconds(8000), 1);
-    // The burst, eight seconds of the rate, and one report interval in which all nodes
-    // may exceed the rate.
+    // The bound is the burst, the rate of 8 s, and one report interval of 200 ms in which
+    // each node may use the complete rate.
     CHECK(admitted >= 8000);
     CHECK(admitted <= 9000 + 200.0 * count);
 }
--- a/unittests/Reclaim/ReclaimTest.cpp
+++ b/unittests/Reclaim/ReclaimTest.cpp
@@ -1,8 +1,8 @@
 //===- unittests/Reclaim/ReclaimTest.cpp - plans for leaving engines -------===//
 ///
 /// \file
-/// Tests plans with a table, and compares the greedy plan with the optimum of an
-/// exhaustive search.
+/// Tests plans by a table of cases, and compares the greedy plan with the optimum
+/// of an exhaustive search.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Reclaim.h"
 
@@ -39,7 +39,8 @@
     return result;
 }
 
-/// \returns the minimum of recomputed tokens over all choices of streams to export.
+/// \returns the lowest number of recomputed tokens over all choices of streams to
+/// export.
 std::uint64_t bestRecomputed(const std::vector<LeavingStream>& streams, const ReclaimCost& cost)
 {
     std::uint64_t best = std::numeric_limits<std::uint64_t>::max();
--- a/unittests/Rollout/EvaluatorsTest.cpp
+++ b/unittests/Rollout/EvaluatorsTest.cpp
@@ -19,16 +19,19 @@
 
 namespace {
 
+// The period of an order, and the interval of the controller's decisions, in seconds.
 constexpr double period = 14;
 constexpr double tick = 0.15;
-// Delay in seconds until the nodes' counts reach the holder, and its share the nodes.
+// Delay in seconds until the counts of the nodes reach the holder and its new share
+// reaches the nodes.
 constexpr double reportDelay = 0.6;
 constexpr double requestsPerSecond = 600;
 // Share of the requests on the first of two routes.
 constexpr double firstRouteShare = 0.86;
 constexpr std::size_t targetServers = 5;
 constexpr std::size_t stableServerCount = 60;
-// The bounds that the contract sets on a bad version.
+// The bounds that the contract sets on a bad version. After `badTolerated` bad answers,
+// requests may reach it for `maxRollbackTime` seconds.
 constexpr double exposedShare = 0.1;
 constexpr double exposedExtra = 50;
 constexpr std::uint64_t badTolerated = 50;
@@ -51,7 +54,8 @@
 
 constexpr FaultRow faults[] = { { Fault::Immediate, "immediate" }, { Fault::Later, "later" }, { Fault::UnderLoad, "under load" }, { Fault::OneRoute, "one route" }, { Fault::Slow, "slow" }, { Fault::WrongBytes, "wrong bytes" } };
 
-/// One order, and the faults that occur in addition.
+/// Simulates the requests during one order, a fault of the target, and faults that affect
+/// all versions.
 class Simulation {
 public:
     Simulation(Fault fault, std::uint64_t seed)
@@ -157,8 +161,7 @@
     bool isReverted_ = false;
     double at_ = 0;
     double exposedOverBound_ = 0;
-    /// Requests to the target that come later after the 50th bad answer than the roll-back
-    /// time allows.
+    /// Requests to the target more than `maxRollbackTime` after the 50th bad answer.
     std::uint64_t afterRollback_ = 0;
 };
 
--- a/unittests/Rollout/RolloutTest.cpp
+++ b/unittests/Rollout/RolloutTest.cpp
@@ -1,7 +1,7 @@
 //===- unittests/Rollout/RolloutTest.cpp - shares, states and decisions ---===//
 ///
 /// \file
-/// How a node assigns requests and merges states, and how an order is decided.
+/// Tests how a node assigns requests and merges states, and how an order is decided.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Rollout.h"
 
@@ -35,7 +35,7 @@
     return outcome;
 }
 
-/// Requests to the target out of 100.
+/// Assigns 100 requests. \returns how many of them go to the target.
 int toTarget(RolloutTracker& tracker, SteadyTime now, RolloutTracker::SendKind send = RolloutTracker::SendKind::First)
 {
     int count = 0;
