--- a/lib/Rollout/Evaluators.cpp
+++ b/lib/Rollout/Evaluators.cpp
@@ -71,9 +71,9 @@
     public:
         std::optional<std::string> operator()(const RolloutTally& tally, SteadyTime now)
         {
-            RolloutTally counted = tally.since(before_);
+            RolloutTally counted = tally.since(previousTally_);
             double passed = evaluatedAt_ == SteadyTime {} ? 0 : passedMs(evaluatedAt_, now);
-            before_ = tally;
+            previousTally_ = tally;
             evaluatedAt_ = now;
             for (const auto& [cell, answers] : counted.cells_) {
                 if (cell.first == stableBackendKey)
@@ -175,7 +175,7 @@
             return all.size();
         }
 
-        RolloutTally before_;
+        RolloutTally previousTally_;
         SteadyTime evaluatedAt_ {};
         std::map<RouteKey, StableRates> stable_;
         std::map<std::pair<BackendKey, RouteKey>, Score> scores_;
