--- a/lib/Limits/Grants.cpp
+++ b/lib/Limits/Grants.cpp
@@ -82,8 +82,8 @@
     // Grants made before this request may stay valid for their full validity.
     lent.outstandingSlots_ = before;
     lent.outstandingUntil_ = now + grantValidity;
-    // If the reply is lost, the borrower still assumes its previous loan, capped
-    // to what it requested.
+    // If the reply is lost, the borrower still assumes its previous loan, capped at
+    // what it requested.
     std::uint64_t known = std::max(lent.expires_ > now ? lent.slots_ : 0, lent.assumedUntil_ > now ? lent.assumedSlots_ : 0);
     lent.assumedSlots_ = std::min(known, std::max(request.wanted_, request.inUse_));
     lent.assumedUntil_ = std::max(lent.expires_, lent.assumedUntil_);
--- a/lib/Rollout/Evaluators.cpp
+++ b/lib/Rollout/Evaluators.cpp
@@ -106,6 +106,8 @@
         static constexpr double fractionToRevert = 0.8;
         static constexpr std::uint64_t minAnswers = 4;
         static constexpr std::size_t minServers = 3;
+        // Without this many answers of the stable version per answer of the target at the same
+        // time, the target's answers are no evidence about its version.
         static constexpr double minStablePerTarget = 3;
 
         struct StableRates {
@@ -117,8 +119,8 @@
                 longTerm_.observe(counted, passed);
                 shortTerm_.observe(counted, passed);
             }
-            /// Whether the stable version has enough answers at the same time to compare with
-            /// \p ofTarget answers of the target.
+            /// Whether the stable version has enough recent answers to compare with \p ofTarget
+            /// answers of the target.
             bool outnumbers(std::uint64_t ofTarget) const
             {
                 double required = minStablePerTarget * static_cast<double>(ofTarget);
--- a/unittests/Fleet/FleetTest.cpp
+++ b/unittests/Fleet/FleetTest.cpp
@@ -180,7 +180,7 @@
         CHECK(order.wanted_ == 20 - 12);
         tracker.noteOrdered(order, true, start);
     }
-    // Engines that were just ordered do not count as engines that were present before.
+    // Reclaimable engines that register because of this node's orders do not raise the need.
     view.dataCentres_[0].reclaimable_ = 8;
     SteadyTime now = start + milliseconds(1500);
     tracker.observe(view, now);
@@ -348,9 +348,9 @@
         std::uint64_t onDemand_;
     };
     const Row rows[] = {
-        { "on trial, reclaimable ones suffice", true, { { 3, 6 }, { 3, 6 }, { 3, 6 } }, 200000, 0 },
-        { "on trial, reclaimable ones were lost", true, { { 0, 0 }, { 0, 0 }, { 0, 0 } }, 300000, 10 },
-        { "removed", false, { { 3, 6 }, { 3, 6 }, { 3, 6 } }, 200000, 0 },
+        { "on trial, reclaimable engines suffice", true, { { 3, 6 }, { 3, 6 }, { 3, 6 } }, 200000, 0 },
+        { "on trial, all reclaimable engines were lost", true, { { 0, 0 }, { 0, 0 }, { 0, 0 } }, 300000, 10 },
+        { "the new version is being removed", false, { { 3, 6 }, { 3, 6 }, { 3, 6 } }, 200000, 0 },
     };
     for (const Row& row : rows) {
         CAPTURE(row.what_);
--- a/unittests/Orders/OrdersTest.cpp
+++ b/unittests/Orders/OrdersTest.cpp
@@ -129,16 +129,16 @@
         OrderStep expected_;
     };
     auto stepCase = GENERATE(values<StepCase>({
-        { "configured", "", 0, true, false, 0, 0, OrderStep::Settled },
-        { "configured, own claim open", "a", 10, true, true, 0, 0, OrderStep::End },
-        { "configured, a stopped node's claim open", "b", 150, true, false, 0, 0, OrderStep::Claim },
-        { "to be configured", "", 0, false, false, 0, 0, OrderStep::Claim },
+        { "configured, and no claim is open", "", 0, true, false, 0, 0, OrderStep::Settled },
+        { "configured, and this node's claim is open", "a", 10, true, true, 0, 0, OrderStep::End },
+        { "configured, but a stopped node's claim is open", "b", 150, true, false, 0, 0, OrderStep::Claim },
+        { "not configured, and no claim is open", "", 0, false, false, 0, 0, OrderStep::Claim },
         { "another node claimed just now", "b", 10, false, false, 0, 0, OrderStep::Wait },
         { "another node's claim is old", "b", 150, false, false, 0, 0, OrderStep::Claim },
         { "another engine loads first", "a", 10, false, false, 1, 0, OrderStep::Wait },
-        { "requests in progress", "a", 10, false, false, 0, 3, OrderStep::Drain },
-        { "ready", "a", 10, false, false, 0, 0, OrderStep::Order },
-        { "ready, but the claim expired", "a", 150, false, false, 0, 0, OrderStep::Claim },
+        { "requests are in progress on the engine", "a", 10, false, false, 0, 3, OrderStep::Drain },
+        { "nothing delays the order", "a", 10, false, false, 0, 0, OrderStep::Order },
+        { "nothing delays the order, but the claim has expired", "a", 150, false, false, 0, 0, OrderStep::Claim },
         { "just ordered", "a", 50, false, true, 0, 0, OrderStep::Wait },
         { "ordered without effect", "a", 150, false, true, 0, 0, OrderStep::Claim },
     }));
