--- a/lib/Quota/Quota.cpp
+++ b/lib/Quota/Quota.cpp
@@ -283,7 +283,7 @@
 
 void QuotaLimiter::setUnresponsiveNodes(std::uint64_t nodes, std::uint64_t live, SteadyTime now)
 {
-    static const VmId unresponsiveNodes { "(silent nodes)" };
+    static const VmId unresponsiveNodes { "(unresponsive nodes)" };
     std::lock_guard lock(mutex_);
     auto [found, isNew] = peers_.try_emplace(unresponsiveNodes);
     Peer& peer = found->second;
--- a/unittests/Orders/OrdersTest.cpp
+++ b/unittests/Orders/OrdersTest.cpp
@@ -197,7 +197,8 @@
     CHECK(table.ahead({ "e1" }, isPresent) == 0);
     CHECK(table.ahead({ "e2" }, isPresent) == 1);
     CHECK(table.ahead({ "e3" }, isPresent) == 0);
-    // A new claim of the same node or of a new dispatcher keeps its position.
+    // A new claim on an engine, by the same node or a new dispatcher, keeps the engine's
+    // position.
     table.apply({ 5 }, encodeClaim(claimOf("a", "e1")), at(0));
     CHECK(table.ahead({ "e1" }, isPresent) == 0);
     table.apply({ 6 }, encodeClaim(claimOf("b", "e1")), at(0));
