--- a/lib/Rollout/Evaluators.cpp
+++ b/lib/Rollout/Evaluators.cpp
@@ -14,6 +14,7 @@
 
 namespace {
 
+    // Time constants of the exponential decay of the stable version's rates, in ms.
     constexpr double longDecayMs = 1000;
     constexpr double shortDecayMs = 20;
 
@@ -70,9 +71,9 @@
     public:
         std::optional<std::string> operator()(const RolloutTally& tally, SteadyTime now)
         {
-            RolloutTally counted = tally.since(before_);
+            RolloutTally counted = tally.since(previousTally_);
             double passed = evaluatedAt_ == SteadyTime {} ? 0 : passedMs(evaluatedAt_, now);
-            before_ = tally;
+            previousTally_ = tally;
             evaluatedAt_ = now;
             for (const auto& [cell, answers] : counted.cells_) {
                 if (cell.first == stableBackendKey)
@@ -96,8 +97,8 @@
         // A rate of bad answers that exceeds the baseline by this much counts as worse.
         static constexpr double degradation = 0.15;
         static constexpr double maxRate = 0.97;
-        // Limit of one backend server's score, since a single server is no evidence against
-        // the version.
+        // Limit of one backend server's score: a single server is no evidence against the
+        // version.
         static constexpr double maxScore = 6;
         // One bad answer in a dozen raises a score by about 2.
         static constexpr double degradedScore = 1.5;
@@ -105,6 +106,8 @@
         static constexpr double fractionToRevert = 0.8;
         static constexpr std::uint64_t minAnswers = 4;
         static constexpr std::size_t minServers = 3;
+        // Without this many answers of the stable version per answer of the target at the same
+        // time, the target's answers are no evidence about its version.
         static constexpr double minStablePerTarget = 3;
 
         struct StableRates {
@@ -116,8 +119,8 @@
                 longTerm_.observe(counted, passed);
                 shortTerm_.observe(counted, passed);
             }
-            /// Whether the stable version has enough answers at the same time to compare with
-            /// \p ofTarget answers of the target.
+            /// Whether the stable version has enough recent answers to compare with \p ofTarget
+            /// answers of the target.
             bool outnumbers(std::uint64_t ofTarget) const
             {
                 double required = minStablePerTarget * static_cast<double>(ofTarget);
@@ -158,7 +161,7 @@
             }
             auto needed = std::max<std::size_t>(std::min<std::size_t>(2, evaluated), static_cast<std::size_t>(std::ceil(fractionToRevert * static_cast<double>(evaluated))));
             bool hasEnoughServers = evaluated && evaluated >= std::min(minServers, servers());
-            // Few backend servers cannot reach the full sum.
+            // A few backend servers cannot reach the full sum, since each score is limited.
             double neededSum = std::min(scoreToRevert, 0.9 * maxScore * static_cast<double>(evaluated));
             if (!hasEnoughServers || degraded < needed || sum < neededSum)
                 return std::nullopt;
@@ -174,7 +177,7 @@
             return all.size();
         }
 
-        RolloutTally before_;
+        RolloutTally previousTally_;
         SteadyTime evaluatedAt_ {};
         std::map<RouteKey, StableRates> stable_;
         std::map<std::pair<BackendKey, RouteKey>, Score> scores_;
--- a/unittests/Orders/OrdersTest.cpp
+++ b/unittests/Orders/OrdersTest.cpp
@@ -1,8 +1,8 @@
 //===- unittests/Orders/OrdersTest.cpp - claims and steps ------------------===//
 ///
 /// \file
-/// Tests the steps of a dispatcher with a table, the queue of loads, and a random
-/// race of two dispatchers for an engine that ignores fencing tokens. The
+/// Tests the steps of a dispatcher by a table of cases, the queue of loads, and
+/// random races of two dispatchers for an engine that ignores fencing tokens. The
 /// dispatchers freeze at times.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Orders.h"
@@ -129,16 +129,16 @@
         OrderStep expected_;
     };
     auto stepCase = GENERATE(values<StepCase>({
-        { "configured", "", 0, true, false, 0, 0, OrderStep::Settled },
-        { "configured, own claim open", "a", 10, true, true, 0, 0, OrderStep::End },
-        { "configured, a stopped node's claim open", "b", 150, true, false, 0, 0, OrderStep::Claim },
-        { "to be configured", "", 0, false, false, 0, 0, OrderStep::Claim },
+        { "configured, and no claim is open", "", 0, true, false, 0, 0, OrderStep::Settled },
+        { "configured, and this node's claim is open", "a", 10, true, true, 0, 0, OrderStep::End },
+        { "configured, but a stopped node's claim is open", "b", 150, true, false, 0, 0, OrderStep::Claim },
+        { "not configured, and no claim is open", "", 0, false, false, 0, 0, OrderStep::Claim },
         { "another node claimed just now", "b", 10, false, false, 0, 0, OrderStep::Wait },
         { "another node's claim is old", "b", 150, false, false, 0, 0, OrderStep::Claim },
-        { "others load first", "a", 10, false, false, 1, 0, OrderStep::Wait },
-        { "requests in progress", "a", 10, false, false, 0, 3, OrderStep::Drain },
-        { "ready", "a", 10, false, false, 0, 0, OrderStep::Order },
-        { "ready, but the claim expired", "a", 150, false, false, 0, 0, OrderStep::Claim },
+        { "another engine loads first", "a", 10, false, false, 1, 0, OrderStep::Wait },
+        { "requests are in progress on the engine", "a", 10, false, false, 0, 3, OrderStep::Drain },
+        { "nothing delays the order", "a", 10, false, false, 0, 0, OrderStep::Order },
+        { "nothing delays the order, but the claim has expired", "a", 150, false, false, 0, 0, OrderStep::Claim },
         { "just ordered", "a", 50, false, true, 0, 0, OrderStep::Wait },
         { "ordered without effect", "a", 150, false, true, 0, 0, OrderStep::Claim },
     }));
@@ -174,8 +174,8 @@
     CHECK(context.holder_->token_.value_ == 3);
     CHECK(nextOrderStep(context, timing, at(160)) == (honoursFencing ? OrderStep::Order : OrderStep::Drain));
     CHECK(nextOrderStep(context, timing, at(299)) == (honoursFencing ? OrderStep::Claim : OrderStep::Drain));
-    // The validity of the other claim and the longest freeze have passed, and the
-    // own claim has expired. A new own claim waits for no other node.
+    // The validity of the other node's claim and the longest freeze have passed, and
+    // this node's claim has expired. A new claim of this node waits for no other node.
     CHECK(nextOrderStep(context, timing, at(301)) == OrderStep::Claim);
     table.apply({ 3 }, encodeClaim(claimOf("a")), at(310));
     context.holder_ = table.find({ "e" });
@@ -197,7 +197,8 @@
     CHECK(table.ahead({ "e1" }, isPresent) == 0);
     CHECK(table.ahead({ "e2" }, isPresent) == 1);
     CHECK(table.ahead({ "e3" }, isPresent) == 0);
-    // A new claim of the same node or of a new dispatcher keeps its position.
+    // A new claim on an engine, by the same node or a new dispatcher, keeps the engine's
+    // position.
     table.apply({ 5 }, encodeClaim(claimOf("a", "e1")), at(0));
     CHECK(table.ahead({ "e1" }, isPresent) == 0);
     table.apply({ 6 }, encodeClaim(claimOf("b", "e1")), at(0));
--- a/unittests/Quota/QuotaTest.cpp
+++ b/unittests/Quota/QuotaTest.cpp
@@ -20,13 +20,13 @@
     CAPTURE(count, lag, excess);
     const QuotaLimit tokens { 700000, 2600000 };
     constexpr double cost = 12000;
-    double calm = tokens.ratePerSecond_ / cost;
+    double requestsAtQuota = tokens.ratePerSecond_ / cost;
     DelayedNodes nodes(count, milliseconds(lag));
-    nodes.run(start + milliseconds(10000), milliseconds(8000), calm * 0.8, tokens, cost);
-    SteadyTime hot = start + milliseconds(18000);
-    nodes.run(hot, milliseconds(12000), calm * excess, tokens, cost);
+    nodes.run(start + milliseconds(10000), milliseconds(8000), requestsAtQuota * 0.8, tokens, cost);
+    SteadyTime overloadedFrom = start + milliseconds(18000);
+    nodes.run(overloadedFrom, milliseconds(12000), requestsAtQuota * excess, tokens, cost);
     CHECK(nodes.maxAdmitted(milliseconds(8000)) <= (8 * tokens.ratePerSecond_ + tokens.burst_) * 1.1 + 140000);
-    CHECK(nodes.sumSince(hot) >= 0.9 * 12 * tokens.ratePerSecond_);
+    CHECK(nodes.sumSince(overloadedFrom) >= 0.9 * 12 * tokens.ratePerSecond_);
 }
 
 TEST_CASE("an organisation whose callers stay with one node gets its quota there", "[quota]")
@@ -55,8 +55,8 @@
     auto count = GENERATE(1U, 3U, 9U);
     Nodes nodes(count, milliseconds(200));
     double admitted = nodes.flood(start + milliseconds(5000), milliseconds(8000), 1);
-    // The burst, eight seconds of the rate, and one report interval in which all nodes
-    // may exceed the rate.
+    // The bound is the burst, the rate of 8 s, and one report interval of 200 ms in which
+    // each node may use the complete rate.
     CHECK(admitted >= 8000);
     CHECK(admitted <= 9000 + 200.0 * count);
 }
--- a/unittests/Rollout/RolloutTest.cpp
+++ b/unittests/Rollout/RolloutTest.cpp
@@ -1,7 +1,7 @@
 //===- unittests/Rollout/RolloutTest.cpp - shares, states and decisions ---===//
 ///
 /// \file
-/// How a node assigns requests and merges states, and how an order is decided.
+/// Tests how a node assigns requests and merges states, and how an order is decided.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Rollout.h"
 
@@ -28,14 +28,14 @@
 AttemptOutcome served(std::int64_t waitedMs, std::int64_t estimateMs)
 {
     AttemptOutcome outcome;
-    outcome.hasBegun_ = true;
+    outcome.hasFirstByte_ = true;
     outcome.waited_ = milliseconds(waitedMs);
     outcome.estimate_ = milliseconds(estimateMs);
     outcome.waitRatio_ = static_cast<double>(waitedMs) / static_cast<double>(estimateMs);
     return outcome;
 }
 
-/// Requests to the target out of 100.
+/// Assigns 100 requests. \returns how many of them go to the target.
 int toTarget(RolloutTracker& tracker, SteadyTime now, RolloutTracker::SendKind send = RolloutTracker::SendKind::First)
 {
     int count = 0;
@@ -163,7 +163,7 @@
         { "another server at its address", with(BackendOutcome::WrongInstance, nothing), std::nullopt },
         { "no connection", with(BackendOutcome::Unreachable, nothing), std::nullopt },
         { "a caller that left", with(BackendOutcome::Abandoned, nothing), std::nullopt },
-        { "a caller that left after a long wait", with(BackendOutcome::Abandoned, [](AttemptOutcome& o) { o.hasBegun_ = false; o.waited_ = milliseconds(2000); }), true },
+        { "a caller that left after a long wait", with(BackendOutcome::Abandoned, [](AttemptOutcome& o) { o.hasFirstByte_ = false; o.waited_ = milliseconds(2000); }), true },
         { "slow events", with(BackendOutcome::Served, [](AttemptOutcome& o) { o.eventGapMs_ = 200; }), true },
         { "usual events", with(BackendOutcome::Served, [](AttemptOutcome& o) { o.eventGapMs_ = 55; }), false },
     };
