--- a/lib/Gateway/PeerReports.cpp
+++ b/lib/Gateway/PeerReports.cpp
@@ -380,8 +380,8 @@
         discovery_.queueAnswer(vm);
     // In a large fleet a node introduces itself to every other node in rotation, once in
     // some seconds, so that a gap between its reports is normal.
-    bool isUpdate = kind != PeerTable::ReportKind::Regular && !(usesRelays_ && kind == PeerTable::ReportKind::Resumed);
-    if (isUpdate)
+    bool shouldLog = kind != PeerTable::ReportKind::Regular && !(usesRelays_ && kind == PeerTable::ReportKind::Resumed);
+    if (shouldLog)
         logger_.info(LogLine(kind == PeerTable::ReportKind::Resumed ? "Peer sends reports again." : "Peer sent its first report.").add("peer", vm.value_).add("address", report.address()).add("configuration", static_cast<std::int64_t>(report.configuration_version())));
     applyMembers(report.relays(), now);
     for (const wire::KnownNode& known : report.nodes()) {
--- a/unittests/Gateway/DiscoveryTest.cpp
+++ b/unittests/Gateway/DiscoveryTest.cpp
@@ -47,7 +47,7 @@
         , address_(std::move(address))
         , table_(vm_, dataCentre_, cores_, GossipSettings {})
         , discovery_(table_, vm_, dataCentre_, GossipSettings {})
-        , relays_(milliseconds(5000))
+        , aggregator_(milliseconds(5000))
     {
     }
 
@@ -57,7 +57,7 @@
     Endpoint address_;
     PeerTable table_;
     Discovery discovery_;
-    ReportAggregator relays_;
+    ReportAggregator aggregator_;
     NodeGroupSums others_;
     std::uint64_t sequence_ = 0;
     bool isRelay_ = false;
@@ -174,7 +174,7 @@
         for (const VmId& relay : chosen) {
             if (relay == node.vm_) {
                 node.isRelay_ = true;
-                node.relays_.applyReport(report.report(), now);
+                node.aggregator_.applyReport(report.report(), now);
             } else
                 messages.push_back({ node.address_, *node.table_.gossipEndpointOf(relay), report, {} });
         }
@@ -183,7 +183,7 @@
 
     void sendSums(Node& node, std::vector<Message>& messages, SteadyTime now)
     {
-        std::vector<VmId> receivers = node.relays_.receivers(now);
+        std::vector<VmId> receivers = node.aggregator_.receivers(now);
         if (receivers.empty())
             return;
         wire::Datagram datagram;
@@ -193,9 +193,9 @@
         relayed.set_incarnation(1);
         relayed.set_is_digest(true);
         std::vector<KnownPeer> members = node.discovery_.membersToAdvertise(now);
-        ReportTotals totals = node.relays_.totals(now);
+        ReportTotals totals = node.aggregator_.totals(now);
         for (const VmId& vm : receivers) {
-            *relayed.mutable_sums() = node.relays_.digestFor(vm, totals, now);
+            *relayed.mutable_sums() = node.aggregator_.digestFor(vm, totals, now);
             if (vm == node.vm_)
                 (void)node.others_.applySums(vm, 1, relayed.sums(), now);
             else if (auto address = node.table_.gossipEndpointOf(vm))
@@ -205,8 +205,8 @@
             return;
         relayed.set_is_digest(false);
         for (const DataCentreId& dataCentre : node.table_.otherDataCentres()) {
-            *relayed.mutable_sums() = node.relays_.summaryFor(dataCentre, now);
-            for (const VmId& vm : node.discovery_.summaryReceivers(dataCentre, node.relays_.relaysOf(dataCentre, now), now)) {
+            *relayed.mutable_sums() = node.aggregator_.summaryFor(dataCentre, now);
+            for (const VmId& vm : node.discovery_.summaryReceivers(dataCentre, node.aggregator_.relaysOf(dataCentre, now), now)) {
                 if (auto address = node.table_.gossipEndpointOf(vm))
                     messages.push_back({ node.address_, *address, datagram, members });
             }
@@ -224,7 +224,7 @@
         if (!relayed.is_digest()) {
             if (!node.isRelay_)
                 node.discovery_.queueAnswer({ relayed.vm() });
-            return node.relays_.applySummary(relayed, now);
+            return node.aggregator_.applySummary(relayed, now);
         }
         node.table_.noteDigest({ relayed.vm() }, now);
         (void)node.others_.applySums({ relayed.vm() }, 1, relayed.sums(), now);
@@ -247,7 +247,7 @@
         for (const wire::KnownNode& known : report.nodes())
             node.table_.addKnown({ known.vm() }, *parseEndpoint(known.address()));
         if (report.wants_digest())
-            node.relays_.applyReport(report, now);
+            node.aggregator_.applyReport(report, now);
     }
 
     Shape shape_;
--- a/unittests/Gateway/LoopLagTest.cpp
+++ b/unittests/Gateway/LoopLagTest.cpp
@@ -26,12 +26,12 @@
 {
     asio::io_context io(1);
     Metrics metrics;
-    constexpr milliseconds held { 400 };
+    constexpr milliseconds blockedTime { 400 };
     asio::co_spawn(io, watchLoopLag(metrics), asio::detached);
-    asio::post(io, [&] { std::this_thread::sleep_for(held); });
-    io.run_for(held + 3 * loopLagPeriod);
+    asio::post(io, [&] { std::this_thread::sleep_for(blockedTime); });
+    io.run_for(blockedTime + 3 * loopLagPeriod);
     CHECK(valueOf(metrics, "loop_lag_seconds_count") >= 1);
-    CHECK(valueOf(metrics, "loop_lag_seconds_sum") >= std::chrono::duration<double>(held - loopLagPeriod).count());
+    CHECK(valueOf(metrics, "loop_lag_seconds_sum") >= std::chrono::duration<double>(blockedTime - loopLagPeriod).count());
 }
 
 TEST_CASE("lag is logged above the threshold only, and once per period at most", "[looplag]")
--- a/unittests/Gateway/PeerTableTest.cpp
+++ b/unittests/Gateway/PeerTableTest.cpp
@@ -23,7 +23,7 @@
     return { "vm-" + std::to_string(index) };
 }
 
-Peer peerAt(const DataCentreId& dataCentre, double cores, SteadyTime heardAt, std::uint64_t sequence)
+Peer peerAt(const DataCentreId& dataCentre, double cores, SteadyTime receivedAt, std::uint64_t sequence)
 {
     Peer peer;
     peer.gossip_ = { "10.0.0.1", 7500 };
@@ -31,7 +31,7 @@
     peer.incarnation_ = 1;
     peer.sequence_ = sequence;
     peer.cores_ = cores;
-    peer.receivedAt_ = heardAt;
+    peer.receivedAt_ = receivedAt;
     return peer;
 }
 
