--- a/include/pistachioloom/Gateway.h
+++ b/include/pistachioloom/Gateway.h
@@ -107,7 +107,8 @@
     std::uint64_t relays_ = 2;
     /// A node from which no report was received for this time counts as not alive.
     milliseconds unresponsiveAfter_ { 1500 };
-    /// A node from which no report was received for this time is forgotten.
+    /// A node from which no report was received for this time is removed, and its counts
+    /// are forgotten.
     milliseconds forgetAfter_ { 30000 };
 };
 
@@ -123,8 +124,8 @@
     /// Registrations that are missing after an outage of the platform are kept for this
     /// time, in which their owners write them again.
     milliseconds registrationGrace_ { 2200 };
-    /// Number of readers in addition to one in each data centre. All other nodes get what
-    /// they read from them.
+    /// Number of readers in addition to one in each data centre. All other nodes fetch
+    /// from readers what the readers read.
     std::uint64_t readers_ = 3;
     /// A reader from which no report was received for this time, which is four reporting
     /// intervals, is replaced by another node.
@@ -137,7 +138,8 @@
     VmId vm_;
     DataCentreId dataCentre_;
     std::uint64_t threads_ = 1;
-    /// Processor cores of this VM. The nodes with the most cores become relays.
+    /// CPU cores of this VM. Nodes with more cores are preferred as relays and as
+    /// readers.
     double cores_ = 1;
     Endpoint callers_;
     Endpoint readiness_;
@@ -175,7 +177,8 @@
     LogSettings logs_;
 };
 
-/// Whether \p file contains the settings of a gateway; false if it cannot be read.
+/// Returns whether \p file contains the settings of a gateway; false if it cannot be
+/// read.
 bool isGatewayFile(const std::string& file);
 
 /// Parses the settings in \p text. \returns nullopt if there were errors, which are added
--- a/lib/Gateway/DutyRunner.cpp
+++ b/lib/Gateway/DutyRunner.cpp
@@ -15,7 +15,8 @@
     // Bound on attempts of an append whose outcome is unknown. All attempts have the same
     // condition, so that the record is appended at most once.
     constexpr int maxAppendAttempts = 4;
-    // Number of windows to keep; older ones are past their due time.
+    // Number of usage windows that are kept. Older windows are past the time at which
+    // their usage is due for the report to the platform.
     constexpr std::uint64_t retainedWindows = 8;
 
     DutyTiming timingFor(milliseconds lease)
@@ -37,8 +38,8 @@
         return { { { record.usage().number() }, counts } };
     }
 
-    /// Whether engines of \p version may serve the service's requests, apart from requests
-    /// of a trial.
+    /// Returns whether engines of \p version may serve the service's requests, apart from
+    /// requests of a trial.
     bool mayServe(const RolloutState& rollout, const BackendVersion& version)
     {
         bool isTarget = version == rollout.order_.target_;
@@ -253,8 +254,8 @@
     Claim before = newestClaim_;
     if (!co_await readLog())
         co_return;
-    // Another node has claimed the duties, and its report has not arrived yet. Without
-    // this check many nodes would claim one after the other after a start.
+    // The log may contain a claim of another node whose report has not arrived yet.
+    // Without this check many nodes would claim one after the other after a start.
     bool isNewClaim = newestClaim_.token_ > before.token_ && newestClaim_.vm_ != context_.settings_.vm_;
     // A node that is already stopping does not report that it holds the duties.
     isNewClaim &= !reports_->isStopping(newestClaim_.vm_);
@@ -274,7 +275,7 @@
     for (const auto& [service, engines] : recordedNeeds_)
         fleet_.inheritNeed(service, engines, steadyNow());
     std::lock_guard lock(mutex_);
-    // The token is the claim's offset plus one, which is now the end of the log.
+    // The token is the claim's offset plus one. record() has advanced end_ to this value.
     lease_.becomeHolder({ end_.value_ }, steadyNow());
     logger_.info(LogLine("This node holds the duties.").add("token", static_cast<std::int64_t>(end_.value_)));
 }
@@ -335,7 +336,7 @@
     recorded_.erase(recorded_.begin(), recorded_.lower_bound({ due.value_ - std::min(due.value_, retainedWindows) }));
 }
 
-/// The engines and the demand of \p service, as this node knows them.
+/// Returns the engines and the demand of \p service, as this node knows them.
 FleetView DutyRunner::viewOf(const ServicePolicy& service, SteadyTime now) const
 {
     auto rollout = context_.rollouts_.find(service.name_);
--- a/lib/Gateway/DutyRunner.h
+++ b/lib/Gateway/DutyRunner.h
@@ -23,17 +23,19 @@
 
     /// Starts the coroutines, unless no duties are configured.
     void start(const PeerReports& reports);
-    /// The token under which this node holds the duties, or 0.
+    /// Returns the token under which this node holds the duties, or 0.
     DutyToken heldToken() const;
-    /// The token to report to peers: heldToken(), or 0 while this node is stopping.
+    /// Returns the token to report to peers: heldToken(), or 0 while this node is
+    /// stopping.
     DutyToken reportedToken() const;
     /// Records that \p peer is stopping.
     void noteStopping(const VmId& peer);
-    /// The last token under which this node held the duties and released them, or 0.
+    /// Returns the last token under which this node held the duties and released them, or
+    /// 0.
     DutyToken releasedToken() const;
     /// Records that \p holder reported at \p reportedAt that it holds the duties.
     void noteHolder(const VmId& holder, DutyToken token, SteadyTime reportedAt);
-    /// Records that the holder by \p token released the duties.
+    /// Records that the holder under \p token released the duties.
     void noteReleased(DutyToken token);
     const RolloutRunner& rollouts() const { return rollouts_; }
 
@@ -53,7 +55,7 @@
     asio::awaitable<void> reportUsage();
     asio::awaitable<void> orderFleet();
     asio::awaitable<bool> readLog();
-    /// The token under which this node may act now, or 0.
+    /// Returns the token under which this node may act now, or 0.
     DutyToken actingToken() const;
     /// \returns whether \p record was appended. If it was not, this node has released the
     /// duties.
--- a/lib/Gateway/GatewayContext.cpp
+++ b/lib/Gateway/GatewayContext.cpp
@@ -95,7 +95,8 @@
         auto decoded = decode(*source, from);
         if (!decoded)
             continue;
-        // A node that has to read the newest state again reads a version it already has.
+        // The source is compressed only if it will be published: a node that reads the
+        // newest state again receives the version that it already has.
         if (isNewer(decoded->configuration_))
             decoded->configuration_.compressedSource_ = compress(*source);
         return publish(std::move(*decoded));
--- a/lib/Gateway/GatewayContext.h
+++ b/lib/Gateway/GatewayContext.h
@@ -2,7 +2,7 @@
 ///
 /// \file
 /// State that the parts of a gateway share, and the configuration in force, which only
-/// this code publishes.
+/// GatewayContext publishes.
 //===----------------------------------------------------------------------===//
 #pragma once
 
--- a/lib/Gateway/GatewaySettings.cpp
+++ b/lib/Gateway/GatewaySettings.cpp
@@ -114,8 +114,8 @@
         settings.shiftStepFraction_ = map.number("shift_step", 0, 1, settings.shiftStepFraction_);
         settings.validity_ = map.duration("validity", milliseconds(200), oneMinute, settings.validity_);
         settings.minAnswers_ = map.integer("least_answers", 1, 1'000'000, settings.minAnswers_);
-        // A version on trial may be bad, so it must not get more requests than a bad one
-        // may get.
+        // A version on trial may be bad, so the share of a trial must not exceed the
+        // share of the requests to which a bad version may be exposed.
         settings.trialShare_ = std::min(settings.trialShare_, settings.exposedShare_);
         if (settings.trialFraction_ >= settings.decisionFraction_)
             map.addError("trial_part", "expected less than verdict_part");
--- a/lib/Gateway/NodeGroupSums.cpp
+++ b/lib/Gateway/NodeGroupSums.cpp
@@ -14,8 +14,8 @@
     // Five reports in a row are missing: a lost datagram or a slow VM causes one or two
     // missing reports.
     constexpr milliseconds sourceTimeout { 1000 };
-    // Other nodes receive the reports of a node within this time after its start, which is
-    // also the maximum time for which quotas are divided after a start.
+    // Other nodes receive the reports of a node within this time after its start, which
+    // is also the maximum time for which quotas are divided equally after a start.
     constexpr milliseconds maxFreshCountAge { 3000 };
     // A group that is unresponsive for longer has stopped, rather than being cut off.
     constexpr milliseconds unresponsiveRetention { 10000 };
--- a/lib/Gateway/PeerReports.cpp
+++ b/lib/Gateway/PeerReports.cpp
@@ -23,7 +23,7 @@
     // node that it receives no reports from may hold.
     constexpr std::size_t rankPenalty = 8;
 
-    /// Identifies the peer that stands for all other nodes in the tables of a large
+    /// Identifies the peer that represents all other nodes in the tables of a large
     /// fleet.
     const VmId& allOthers()
     {
@@ -78,8 +78,9 @@
 Coverage PeerReports::coverage(SteadyTime now) const
 {
     PeerTable::Census census = table_.census();
-    // Nodes that were advertised and never reported may have stopped long ago, but they
-    // count for a while after a start.
+    // Nodes that were advertised and have never reported may have stopped long ago. They
+    // count as known only for a while after the start of this node, in which their first
+    // reports may still arrive.
     bool hasJustStarted = now - startedAt_ < context_.settings_.gossiping_.forgetAfter_;
     std::uint64_t known = census.reported_ + (hasJustStarted ? census.advertised_ : 0);
     const wire::NodeSums* sums = others_.current(now);
@@ -116,11 +117,13 @@
 
 void PeerReports::setNodeCount(std::uint64_t known, SteadyTime now)
 {
-    // All known nodes share, including those that are cut off.
+    // Retry budgets and quotas are divided among all known nodes, including those that
+    // are cut off.
     std::uint64_t assumed = std::max(minNodesAssumed, known);
     context_.retries_.setNodes(assumed);
     context_.forward_.nodes_ = assumed;
-    // A platform that does not answer must not restrict quotas for longer than this.
+    // If the platform does not answer, the number of nodes assumed at the start restricts
+    // the quotas for the startup time at most.
     bool isWaiting = !isFleetKnown_ && now - startedAt_ < QuotaSettings {}.startup_;
     context_.quotas_.setNodes(isWaiting ? std::max(nodesAssumedAtStart, known) : known);
 }
--- a/lib/Gateway/PeerReports.h
+++ b/lib/Gateway/PeerReports.h
@@ -23,14 +23,14 @@
     /// Callbacks into other parts, which supply what is reported and receive what peers
     /// report. Set before start().
     struct Hooks {
-        /// Returns the token by which this node holds the duties, or 0.
+        /// Returns the token under which this node holds the duties, or 0.
         std::function<DutyToken()> ownToken_;
-        /// Returns the token by which this node held the duties before it released them,
-        /// or 0.
+        /// Returns the token under which this node held the duties before it released
+        /// them, or 0.
         std::function<DutyToken()> releasedToken_;
         /// A peer held the duties at the given time.
         std::function<void(const VmId&, DutyToken, SteadyTime)> onHolder_;
-        /// The holder by this token released the duties.
+        /// The holder under this token released the duties.
         std::function<void(DutyToken)> onReleased_;
         /// A peer started to stop.
         std::function<void(const VmId&)> onStopping_;
@@ -42,12 +42,13 @@
     PeerReports(asio::io_context& io, GatewayContext& context, Hooks hooks);
 
     Result<void> start();
-    /// Returns the peers that reported within the settings' bound on silence.
+    /// Returns the peers that reported within GossipSettings::unresponsiveAfter_.
     std::vector<KnownPeer> live() const;
     /// Returns the peers that reported within \p maxAge.
     std::vector<KnownPeer> reportedWithin(milliseconds maxAge) const { return table_.reportedWithin(maxAge, steadyNow()); }
     /// Returns whether all other nodes that reported within \p maxAge reported their
-    /// counts within \p time; in a large fleet, whether the relays' sums lack none.
+    /// counts within \p time. In a large fleet, returns whether the relays' sums cover
+    /// nearly all known nodes and no node became unresponsive recently.
     bool haveAllReportedWithin(milliseconds time, milliseconds maxAge) const;
     /// Returns the number of other nodes whose work is reported here.
     std::uint64_t nodesCovered() const;
@@ -59,7 +60,8 @@
     /// Adds a node that was announced elsewhere. This node introduces itself to it from
     /// now on.
     void addKnown(const VmId& vm, const Endpoint& gossip);
-    /// Called once all announced nodes were added.
+    /// Notes that all announced nodes were added, so that quotas are divided among the
+    /// known nodes only.
     void noteFleetKnown();
     /// Reports to peers for some seconds that a backend server is leaving.
     void noteLeaving(const BackendId& id);
@@ -114,7 +116,7 @@
     NodeGroupSums others_;
     VmId activeRelay_;
     std::atomic<std::uint64_t> relayedNodes_ { 0 };
-    /// Nodes that became unresponsive recently, as relays report them.
+    /// Number of nodes that became unresponsive recently, as relays report it.
     std::atomic<std::uint64_t> unresponsiveNodes_ { 0 };
     std::mutex leavingMutex_;
     std::deque<std::pair<SteadyTime, BackendId>> leaving_;
--- a/lib/Gateway/PeerTable.h
+++ b/lib/Gateway/PeerTable.h
@@ -24,7 +24,7 @@
     bool isPlatformUnavailable_ = false;
     bool isReader_ = false;
     std::uint64_t registryFingerprint_ = 0;
-    /// Processor cores of its VM.
+    /// CPU cores of its VM.
     double cores_ = 0;
     SteadyTime receivedAt_ {};
 };
--- a/lib/Gateway/QuarantineEndpoint.h
+++ b/lib/Gateway/QuarantineEndpoint.h
@@ -10,7 +10,7 @@
 
 namespace pistachioloom {
 
-/// Whether quarantineEndpoint() answers \p request.
+/// Returns whether quarantineEndpoint() answers \p request.
 bool isForQuarantineEndpoint(const HttpRequest& request);
 
 /// `GET /quarantine` lists all suspected requests. `DELETE /quarantine/REQUEST` lifts a
--- a/lib/Gateway/QuarantineStore.h
+++ b/lib/Gateway/QuarantineStore.h
@@ -19,9 +19,9 @@
 class QuarantineStore {
 public:
     struct Hooks {
-        /// Whether this node reads from the platform for the others.
+        /// Returns whether this node reads from the platform for the others.
         std::function<bool()> isReader_;
-        /// Whether this node is the one among all live nodes that writes.
+        /// Returns whether this node is the one among all live nodes that writes.
         std::function<bool()> isWriter_;
     };
 
--- a/lib/Gateway/Readers.h
+++ b/lib/Gateway/Readers.h
@@ -2,8 +2,8 @@
 ///
 /// \file
 /// Reads from the platform are charged and limited, so that few nodes read and the others
-/// learn from them. Every node decides for itself, from the reports of its peers. The
-/// functions do no I/O.
+/// fetch from them what they read. Every node decides for itself whether it reads, from
+/// the reports of its peers. The functions do no I/O.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -19,7 +19,7 @@
     /// Its last read from the platform failed.
     bool isPlatformUnavailable_ = false;
     bool isReader_ = false;
-    /// Processor cores of its VM.
+    /// CPU cores of its VM.
     double cores_ = 0;
 };
 
--- a/lib/Gateway/RolloutEndpoint.h
+++ b/lib/Gateway/RolloutEndpoint.h
@@ -10,7 +10,7 @@
 
 namespace pistachioloom {
 
-/// Whether rolloutEndpoint() answers \p request.
+/// Returns whether rolloutEndpoint() answers \p request.
 bool isForRolloutEndpoint(const HttpRequest& request);
 
 /// `GET /rollouts` lists all orders. `DELETE /rollouts/SERVICE` reverts the order of a
--- a/lib/Gateway/RolloutMessages.h
+++ b/lib/Gateway/RolloutMessages.h
@@ -20,8 +20,8 @@
 
 /// Adds \p tallies to \p message.
 void putTallies(const RolloutTallies& tallies, google::protobuf::RepeatedPtrField<wire::RolloutCounts>& message);
-/// The tallies in \p message. If the arrays of an entry differ in length, all are cut to
-/// the shortest.
+/// Returns the tallies in \p message. If the arrays of an entry differ in length, all are
+/// cut to the shortest.
 RolloutTallies talliesOf(const google::protobuf::RepeatedPtrField<wire::RolloutCounts>& message);
 
 } // namespace pistachioloom
--- a/lib/Gateway/RolloutRunner.cpp
+++ b/lib/Gateway/RolloutRunner.cpp
@@ -46,7 +46,7 @@
     }
 }
 
-/// Reads the decisions that were stored before all nodes stopped, if they did.
+/// Reads the stored final decisions. If all nodes stopped, no peer reports them.
 asio::awaitable<void> RolloutRunner::readNotes()
 {
     auto notes = co_await context_.platform_.readNotes_();
--- a/lib/Gateway/RolloutRunner.h
+++ b/lib/Gateway/RolloutRunner.h
@@ -20,9 +20,10 @@
 class RolloutRunner {
 public:
     struct Hooks {
-        /// The token under which this node holds the duties and may act, or 0.
+        /// Returns the token under which this node holds the duties and may act, or 0.
         std::function<DutyToken()> token_;
-        /// Appends to the log of duties. \returns whether this node still holds the duties.
+        /// Appends a record to the log of duties. \returns whether this node still holds
+        /// the duties.
         std::function<asio::awaitable<bool>(wire::DutyRecord)> record_;
     };
 
--- a/lib/Gateway/SuspectMessages.h
+++ b/lib/Gateway/SuspectMessages.h
@@ -13,8 +13,8 @@
 /// Adds \p suspects to \p message, with their times converted to ages.
 void putSuspects(const std::vector<Suspect>& suspects, google::protobuf::RepeatedPtrField<wire::SuspectReport>& message, SteadyTime now);
 
-/// The suspects in \p message. If the arrays of an entry differ in length, all are cut to
-/// the shortest.
+/// Returns the suspects in \p message. If the arrays of an entry differ in length, all
+/// are cut to the shortest.
 std::vector<Suspect> suspectsOf(const google::protobuf::RepeatedPtrField<wire::SuspectReport>& message, SteadyTime now);
 
 } // namespace pistachioloom
--- a/unittests/Gateway/DiscoveryTest.cpp
+++ b/unittests/Gateway/DiscoveryTest.cpp
@@ -1,9 +1,9 @@
 //===- unittests/Gateway/DiscoveryTest.cpp - a fleet that starts at once --===//
 ///
 /// \file
-/// All nodes start at the same time, as after a power failure, and find the relays of
-/// their data centre. Until a node receives the sums of all others, it takes the work of
-/// a few nodes for that of all: it orders engines for them, and claims duties that
+/// All nodes start at the same time, as after a power failure, and must find the relays
+/// of their data centre. Until a node receives the sums of all others, it takes the work
+/// of a few nodes for that of all: it orders engines for them, and claims duties that
 /// another node holds.
 //===----------------------------------------------------------------------===//
 #include "Discovery.h"
--- a/unittests/Gateway/GatewaySettingsTest.cpp
+++ b/unittests/Gateway/GatewaySettingsTest.cpp
@@ -1,7 +1,8 @@
 //===- unittests/Gateway/GatewaySettingsTest.cpp - settings of a gateway --===//
 ///
 /// \file
-/// Valid settings are read completely; errors in others name the line and the key.
+/// Valid settings are read completely. Errors in invalid settings name the line and the
+/// key.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Gateway.h"
 
--- a/unittests/Gateway/LoopLagTest.cpp
+++ b/unittests/Gateway/LoopLagTest.cpp
@@ -22,7 +22,7 @@
     return std::stod(page.substr(at + key.size()));
 }
 
-TEST_CASE("the measured lag of a blocked loop is the blocked time less one period at least", "[looplag]")
+TEST_CASE("the measured lag of a blocked loop is at least the blocked time less one period", "[looplag]")
 {
     asio::io_context io(1);
     Metrics metrics;
--- a/unittests/Gateway/ReadersTest.cpp
+++ b/unittests/Gateway/ReadersTest.cpp
@@ -92,7 +92,7 @@
     // The last two nodes of data centre `a`, and one of `b`.
     for (std::size_t large : { count - 3, count - 6, count - 2 })
         all[large].cores_ = 4;
-    // As the nodes report it, once the selected readers read.
+    // The selected nodes read now, and report that they are readers.
     std::vector<bool> willRead;
     for (std::size_t i = 0; i < count; ++i)
         willRead.push_back(reads(all, i));
@@ -163,8 +163,9 @@
 /// round.
 std::size_t simulateRounds(std::vector<ReaderState>& all, const std::function<bool(std::size_t)>& isServed)
 {
-    // In each round one node of a data centre finds out. There are more rounds than nodes
-    // that may be rejected.
+    // In each round at least one more node of a data centre may learn that the platform
+    // rejects it. There are more rounds than nodes of a data centre that may be rejected
+    // before no other node of it tries.
     constexpr int rounds = 16;
     std::size_t maxReading = 0;
     for (int round = 0; round < rounds; ++round) {
--- a/unittests/Gateway/ReportAggregatorTest.cpp
+++ b/unittests/Gateway/ReportAggregatorTest.cpp
@@ -95,7 +95,7 @@
     ReportTotals totals = aggregator.totals(now);
     wire::NodeSums digest = aggregator.digestFor({ "a" }, totals, now);
     CHECK(digest.nodes() == 2);
-    // Counts that were made since the first report.
+    // What b and c have admitted since their first reports: 40 and 80.
     CHECK(admittedIn(digest) == 120);
     CHECK(loadsOf(digest.loads()).at(7).running_ == 5);
     CHECK(loadsOf(digest.loads()).at(7).queuedTokens_ == 2000);
@@ -228,8 +228,8 @@
     wire::NodeSums digest = far.digestFor({ "b1" }, far.totals(later), later);
     CHECK(digest.duty_token() == 5);
     CHECK(digest.holder_age_ms() == 1500);
-    // The holder released the duties. That is reported together with what others still
-    // report of it.
+    // The holder released the duties. The released token is reported in a field of its
+    // own, since other nodes may still report the holder.
     holder.set_duty_token(0);
     holder.set_released_token(5);
     near.applyReport(holder, reportedAt);
--- a/unittests/Gateway/RolloutMessagesTest.cpp
+++ b/unittests/Gateway/RolloutMessagesTest.cpp
@@ -86,7 +86,7 @@
     CHECK(toOther.rollout_counts().empty());
     REQUIRE(toOther.rollouts_size() == 1);
     CHECK(fromWire(toOther.rollouts(0)) == state);
-    // The age counts from the holder's report.
+    // The age is the time since the holder's report, also in a relay's digest.
     CHECK(toOther.rollouts(0).age_ms() >= 300);
     CHECK(aggregator.summaryFor({ "elsewhere" }, now).rollout_counts().empty());
 }
