--- a/lib/Gateway/DutyRunner.cpp
+++ b/lib/Gateway/DutyRunner.cpp
@@ -22,8 +22,8 @@
     DutyTiming timingFor(milliseconds lease)
     {
         DutyTiming timing;
-        // Together these exceed the lease, so that a holder that reappears later never acts
-        // within one lease of its earlier acts.
+        // The timeout and the wait after a claim together exceed the lease, so that a
+        // holder that reappears later never acts within one lease of its earlier acts.
         timing.holderTimeout_ = lease * 85 / 100;
         timing.actAfterClaim_ = lease / 2 + milliseconds(100);
         timing.recordValidity_ = lease / 3;
--- a/lib/Gateway/PlatformFeed.h
+++ b/lib/Gateway/PlatformFeed.h
@@ -27,7 +27,7 @@
     void start();
     /// Returns whether this node reads from the platform now: it is the first of its data
     /// centre, or one of the first of all data centres, among the nodes that the platform
-    /// serves.
+    /// serves. A node whose reads fail continues to try.
     bool isReader() const;
     bool isPlatformUnavailable() const { return isRegistryUnavailable_ || isConfigurationUnavailable_; }
     /// Answers a peer that fetches what this node has read from the platform. A peer that
--- a/lib/Gateway/RolloutRunner.h
+++ b/lib/Gateway/RolloutRunner.h
@@ -68,7 +68,7 @@
     /// Orders that this node controls under `token_`; cleared when the token changes.
     std::map<ServiceName, Order> orders_;
     DutyToken token_ {};
-    /// Reports under `token_` that the platform accepted.
+    /// Number of reports under `token_` that the platform accepted.
     std::uint64_t reportCount_ = 0;
     bool hasReadNotes_ = false;
     /// Orders whose final decision the operator knows.
