--- a/lib/Gateway/DutyRunner.h
+++ b/lib/Gateway/DutyRunner.h
@@ -86,7 +86,7 @@
     std::map<WindowNumber, UsageCounts> recorded_;
     /// Windows that this node has reported.
     std::set<WindowNumber> reported_;
-    /// Engines that each service needs, by the newest record of any holder.
+    /// Number of engines that each service needs, by the newest record of any holder.
     std::map<ServiceName, std::uint64_t> recordedNeeds_;
     FleetTracker fleet_;
     RolloutRunner rollouts_;
--- a/lib/Gateway/PeerTable.h
+++ b/lib/Gateway/PeerTable.h
@@ -33,9 +33,9 @@
 
 /// The part of the fleet, including this node, that a node's knowledge covers.
 struct Coverage {
-    /// Nodes whose work is reported here now.
+    /// Number of nodes whose work is reported here now.
     std::uint64_t reported_ = 1;
-    /// Nodes that exist as far as this node knows.
+    /// Number of nodes that exist as far as this node knows.
     std::uint64_t known_ = 1;
 
     /// Returns whether nearly all nodes report. The others may be starting or stopped.
@@ -73,7 +73,7 @@
     /// Returns whether the fleet is too large for every node to report to every other.
     bool isLarge() const;
     std::size_t size() const;
-    /// Nodes that have reported, and nodes that were only advertised.
+    /// Numbers of nodes that have reported, and of nodes that were only advertised.
     struct Census {
         std::size_t reported_ = 0;
         std::size_t advertised_ = 0;
--- a/unittests/Gateway/DiscoveryTest.cpp
+++ b/unittests/Gateway/DiscoveryTest.cpp
@@ -23,7 +23,7 @@
 
 constexpr SteadyTime start { std::chrono::hours(1) };
 constexpr milliseconds period { 200 };
-/// Nodes of each data centre with more CPU cores than the others.
+/// Number of nodes of each data centre with more CPU cores than the others.
 constexpr std::size_t largeVms = 3;
 /// Minimum share of the other nodes whose sums an informed node receives.
 constexpr double informedShare = 0.9;
