--- a/lib/Gateway/RolloutRunner.h
+++ b/lib/Gateway/RolloutRunner.h
@@ -20,9 +20,10 @@
 class RolloutRunner {
 public:
     struct Hooks {
-        /// The token under which this node holds the duties and may act, or 0.
+        /// Returns the token under which this node holds the duties and may act, or 0.
         std::function<DutyToken()> token_;
-        /// Appends to the log of duties. \returns whether this node still holds the duties.
+        /// Appends a record to the log of duties. \returns whether this node still holds
+        /// the duties.
         std::function<asio::awaitable<bool>(wire::DutyRecord)> record_;
     };
 
@@ -67,7 +68,7 @@
     /// Orders that this node controls under `token_`; cleared when the token changes.
     std::map<ServiceName, Order> orders_;
     DutyToken token_ {};
-    /// Reports under `token_` that the platform accepted.
+    /// Number of reports under `token_` that the platform accepted.
     std::uint64_t reportCount_ = 0;
     bool hasReadNotes_ = false;
     /// Orders whose final decision the operator knows.
