--- a/lib/Node/ReplicaStore.cpp
+++ b/lib/Node/ReplicaStore.cpp
@@ -134,10 +134,10 @@
     co_await sleepFor(jitter(context_.settings_.replica_.takeoverGrace_, randomBits()));
     // This node does not take over if a newer copy replaced this one or the owner
     // replies that it has the record.
-    bool hasOwner = co_await ownerHasRecord(owner, requestId);
+    bool isStillOwned = co_await ownerHasRecord(owner, requestId);
     if (find(requestId) != replica)
         co_return;
-    if (hasOwner) {
+    if (isStillOwned) {
         std::lock_guard lock(replica->mutex_);
         replica->changedAt_ = steadyNow();
         replica->isCheckingOwner_ = false;
--- a/unittests/Membership/MembershipTest.cpp
+++ b/unittests/Membership/MembershipTest.cpp
@@ -182,7 +182,7 @@
 
 namespace {
 
-std::string line(int vm, int price)
+std::string vmJson(int vm, int price)
 {
     return R"({"id":"vm-)" + std::to_string(vm) + R"(","kind":"engine","data_centre":"a","host":"10.0.0.1","port":80,"serves":["m"],"price_per_hour":)" + std::to_string(price) + "}";
 }
@@ -221,7 +221,7 @@
                 continue;
             std::string text;
             for (const auto& [vm, price] : platform)
-                text += (text.empty() ? "" : ",") + line(vm, price);
+                text += (text.empty() ? "" : ",") + vmJson(vm, price);
             REQUIRE(relay.adoptList("{\"version\":" + std::to_string(version) + ",\"vms\":[" + text + "]}"));
             for (VmListStore& peer : peers) {
                 VmListStore& source = generator() % 2 ? relay : peers[generator() % peers.size()];
@@ -247,8 +247,8 @@
 TEST_CASE("changes that are not newer or have another base version are rejected")
 {
     VmListStore store;
-    CHECK_FALSE(store.adoptChanges({ 5, 3, { line(1, 1) }, {}, 0 }));
-    CHECK(store.adoptChanges({ 5, 0, { line(1, 1), line(2, 2), "not a VM" }, {}, 0 }));
+    CHECK_FALSE(store.adoptChanges({ 5, 3, { vmJson(1, 1) }, {}, 0 }));
+    CHECK(store.adoptChanges({ 5, 0, { vmJson(1, 1), vmJson(2, 2), "not a VM" }, {}, 0 }));
     CHECK_FALSE(store.adoptChanges({ 5, 0, {}, {}, 0 }));
     CHECK_FALSE(store.adoptChanges({ 9, 6, {}, {}, 0 }));
     CHECK(store.adoptChanges({ 6, 5, {}, { { "vm-1" } }, 0 }));
@@ -294,8 +294,8 @@
 {
     VmListStore relay;
     VmListStore peer;
-    CHECK(relay.adoptChanges({ 5, 0, { line(1, 1), line(2, 2) }, {}, 0 }));
-    CHECK(peer.adoptChanges({ 5, 0, { line(1, 1) }, {}, 0 }));
+    CHECK(relay.adoptChanges({ 5, 0, { vmJson(1, 1), vmJson(2, 2) }, {}, 0 }));
+    CHECK(peer.adoptChanges({ 5, 0, { vmJson(1, 1) }, {}, 0 }));
     CHECK(relay.adoptChanges({ 6, 5, {}, {}, 0 }));
     CHECK(peer.adoptChanges(relay.changesSince(5)));
     CHECK(peer.version() == 0);
