--- a/include/pistachioloom/Catalogue.h
+++ b/include/pistachioloom/Catalogue.h
@@ -160,7 +160,8 @@
     /// The next offset to read from the log, which is past all pending records.
     LogOffset nextReadOffset() const;
     const CatalogueView& view() const { return view_; }
-    /// Whether records are pending because of a gap.
+    /// Whether records are pending because earlier ones were trimmed from the
+    /// log before they were read.
     bool hasGap() const { return !pending_.empty(); }
     /// Offset of the newest snapshot record in the log.
     LogOffset lastSnapshot() const { return lastSnapshot_; }
--- a/include/pistachioloom/Ledger.h
+++ b/include/pistachioloom/Ledger.h
@@ -133,7 +133,8 @@
     /// \p shard must have been read past intentOffset().
     void logRead(const LedgerShard& shard);
     void logReadFailed(Error error);
-    /// Too much time has passed since the intent to dispatch the call.
+    /// Too much time has passed since the intent was appended, so the call is
+    /// not dispatched.
     void intentExpired();
     void dispatched(CallOutcome outcome);
     /// `ran_` of \p error states whether the call may have been executed.
--- a/include/pistachioloom/Membership.h
+++ b/include/pistachioloom/Membership.h
@@ -162,15 +162,16 @@
     /// Merges the digests of another node. \returns whether any of them was
     /// newer.
     bool merge(const std::vector<NodeDigest>& digests, SteadyTime now);
-    /// \returns this node's digest and those of its peers, to be sent to
-    /// another node.
+    /// \returns this node's digest and those of the peers that were updated
+    /// recently, to be sent to another node.
     std::vector<NodeDigest> digests(SteadyTime now) const;
     /// \returns the digests of the peers that are not suspected, including
     /// those that are leaving.
     std::vector<NodeDigest> live(SteadyTime now) const;
     /// Whether \p node is known but its heartbeat has not advanced in time.
     bool isSuspected(const VmId& node, SteadyTime now) const;
-    /// Removes nodes that have been unresponsive for long.
+    /// Removes nodes that have been unresponsive for a multiple of the suspicion
+    /// time.
     void forgetOld(SteadyTime now);
 
 private:
@@ -194,8 +195,8 @@
         SteadyTime markedAt_;
     };
 
-    /// \returns whether \p vm was not yet known to be leaving, or its stop time
-    /// was not yet known.
+    /// \returns whether the table changed: \p vm was not marked before, or
+    /// \p stopsAt is the first stop time stated for it.
     bool markLeaving(const VmId& vm, std::optional<SteadyTime> stopsAt, SteadyTime now);
     bool isLeaving(const VmId& vm) const { return leaving_.contains(vm); }
     std::optional<SteadyTime> stopsAt(const VmId& vm) const;
--- a/lib/Membership/VmList.cpp
+++ b/lib/Membership/VmList.cpp
@@ -14,7 +14,8 @@
 
 namespace {
 
-    // Peers at any of this many recent versions can be sent differences.
+    // Number of recent versions that are kept. A peer at one of them is sent only
+    // the differences; a peer at an older one is sent the full list.
     constexpr std::size_t maxSeenVersions = 1024;
 
     std::optional<Vm::Kind> kindFrom(const std::string& name)
--- a/lib/Node/BackendDispatcher.cpp
+++ b/lib/Node/BackendDispatcher.cpp
@@ -37,8 +37,8 @@
         return engineRequest;
     }
 
-    // A trial that has yielded maxYields times is scheduled as paid, so that every
-    // accepted trial completes.
+    // A trial request that has yielded maxYields times is scheduled as paid, so that
+    // every accepted trial request completes.
     ServiceClass schedulingClassOf(const wire::GenerationRecord& record)
     {
         return record.is_paid() || record.yields() >= maxYields ? ServiceClass::Paid : ServiceClass::Trial;
@@ -151,8 +151,8 @@
     // nothing would read the stream.
     if (owner->isClosed())
         co_return;
-    // Checked after the wait, so that requests queued for an engine that no longer
-    // admits any retry on another one.
+    // Checked after the wait, so that requests that were queued when the engine's
+    // admission closed retry on another engine.
     if (auto rejection = checkAdmission(engine)) {
         scope.span().outcome_ = describe(*rejection);
         (void)co_await owner->send(failureFrame(*rejection));
--- a/lib/Node/BackendDispatcher.h
+++ b/lib/Node/BackendDispatcher.h
@@ -2,10 +2,10 @@
 ///
 /// \file
 /// Rendezvous hashing assigns each backend server to one node, its dispatcher.
-/// Only the dispatcher sends requests to the server, so the server's concurrency
-/// is exact, and it moves streams off a server that is leaving. Two nodes that both
-/// consider themselves the dispatcher may together exceed the concurrency; the
-/// server's own queue then holds the excess.
+/// Only the dispatcher sends requests to the server, so it enforces the server's
+/// concurrency limit exactly. It also moves streams off a server that is leaving. Two
+/// nodes that both consider themselves the dispatcher may together exceed the limit;
+/// the server's own queue then holds the excess.
 //===----------------------------------------------------------------------===//
 #pragma once
 
--- a/lib/Node/EngineReclaim.cpp
+++ b/lib/Node/EngineReclaim.cpp
@@ -2,7 +2,7 @@
 ///
 /// \file
 /// Carries out the plans of the Reclaim library for this dispatcher's engines, and
-/// preempts trials for paid requests.
+/// preempts trial requests for paid ones.
 //===----------------------------------------------------------------------===//
 #include "BackendDispatcher.h"
 
@@ -122,8 +122,8 @@
 
 void BackendDispatcher::preemptTrial(const VmId& engine)
 {
-    // Prefers the trial that has yielded least often, so that none starves, and then
-    // the one that loses the fewest tokens.
+    // Prefers the trial request that has yielded least often, so that none starves,
+    // and then the one that loses the fewest tokens.
     auto shouldYieldBefore = [](const RunningStream& left, const RunningStream& right) {
         return std::pair(left.yields_, left.generated_.load()) < std::pair(right.yields_, right.generated_.load());
     };
--- a/lib/Node/EngineRouter.cpp
+++ b/lib/Node/EngineRouter.cpp
@@ -11,6 +11,8 @@
 
 namespace {
 
+    // Numbers of engines that sampleEngines() picks by their rank for the prefix, and
+    // at random among the others.
     constexpr std::size_t topRanked = 2;
     constexpr std::size_t others = 2;
     constexpr std::size_t maxExplanations = 512;
--- a/lib/Node/EngineRouter.h
+++ b/lib/Node/EngineRouter.h
@@ -44,6 +44,7 @@
     VmId dispatcherOf(const MembershipView& view, const VmId& server, const std::set<VmId>& excluded) const;
 
 private:
+    /// Number of requests sent to a dispatcher since its digest with this heartbeat.
     struct SentCount {
         std::uint64_t heartbeat_ = 0;
         std::uint32_t count_ = 0;
--- a/lib/Node/EventStream.cpp
+++ b/lib/Node/EventStream.cpp
@@ -95,8 +95,8 @@
     resume_.reset();
     if (skipped_.empty())
         return {};
-    // The caller has another text. It has to discard that text and read this one
-    // from the start.
+    // The caller has a different text, which it has to discard to read this one from
+    // the start.
     std::string events = event("restart", "0-0", "{}");
     EventId id;
     for (const std::string& text : skipped_) {
@@ -109,7 +109,8 @@
 
 std::string EventWriter::done()
 {
-    // An answer with fewer tokens than the caller states to have is another text.
+    // An answer with fewer tokens than the caller's event id states is a different
+    // text.
     bool callerHasNothing = resume_ && !resume_->tokens_;
     std::string events = resume_ && !callerHasNothing ? flushSkipped() : std::string();
     return events + event({}, {}, "[DONE]");
--- a/lib/Node/Generation.h
+++ b/lib/Node/Generation.h
@@ -184,6 +184,7 @@
         VmId engine_;
         std::string kvHandle_;
         bool attachesToStream_ = false;
+        /// Engines and dispatchers that failed the request.
         std::set<VmId> excluded_;
     };
 
--- a/lib/Node/GenerationOwner.cpp
+++ b/lib/Node/GenerationOwner.cpp
@@ -249,7 +249,7 @@
         bool isFirst = !generation->tokenCount();
         auto added = generation->append(frame.value().tokens());
         if (!added) {
-            logger_.warn("Request " + generation->id() + " rejected tokens: " + describe(added.error()) + ".");
+            logger_.warn("Request " + generation->id() + " received tokens that were rejected: " + describe(added.error()) + ".");
             co_return AttemptOutcome::RetryNow;
         }
         context_.metrics_.add(Counter::TokensDelivered, added.value());
--- a/lib/Node/RecordCopying.cpp
+++ b/lib/Node/RecordCopying.cpp
@@ -94,8 +94,8 @@
     for (;;) {
         auto progress = generation->progressSince(copied);
         if (progress.isMoved_) {
-            // The new owner makes its own replica. The replica's node removes this one
-            // when the stream ends.
+            // The new owner makes a replica of its own. The node that holds this
+            // replica removes it when the stream ends.
             stream->finish();
             co_return true;
         }
--- a/lib/Node/ReplicaStore.cpp
+++ b/lib/Node/ReplicaStore.cpp
@@ -27,7 +27,8 @@
     std::mutex mutex_;
     wire::GenerationRecord record_;
     bool hasEnded_ = false;
-    /// Whether the owner is being checked, or this node has taken over the record.
+    /// Set while this node checks whether the owner still has the record; stays set
+    /// after a takeover.
     std::atomic<bool> isCheckingOwner_ { false };
     std::atomic<bool> isTakenOver_ { false };
     SteadyTime changedAt_ = steadyNow();
--- a/lib/Node/ReplicaStore.h
+++ b/lib/Node/ReplicaStore.h
@@ -3,8 +3,8 @@
 /// \file
 /// Holds replicas of generations that other nodes own, and takes one over when its
 /// owner is unresponsive. If the owner is still running behind a network partition,
-/// the takeover costs a second computation, but each caller still reads the tokens
-/// of a single line of attempts.
+/// the takeover costs a second computation, but no caller reads a mixture of the
+/// tokens of both owners.
 //===----------------------------------------------------------------------===//
 #pragma once
 
--- a/lib/Node/SlotTable.cpp
+++ b/lib/Node/SlotTable.cpp
@@ -97,7 +97,7 @@
 bool SlotTable::isRejected(const Server& server, const SlotRequest& request, milliseconds wait)
 {
     std::size_t ahead = server.queue_.ahead(request.class_);
-    // One trial yields to each waiting paid request.
+    // One trial request yields to each waiting paid request.
     bool canPreempt = request.class_ == ServiceClass::Paid && server.trialActive_ > ahead;
     if (canPreempt)
         return false;
--- a/lib/Node/SlotTable.h
+++ b/lib/Node/SlotTable.h
@@ -2,8 +2,8 @@
 ///
 /// \file
 /// The dispatcher of a backend server counts the requests that run on it and queues
-/// the others. Paid requests precede trials, and entries share the slots fairly. A
-/// request is rejected early if its estimated wait exceeds its wait limit.
+/// the others. Paid requests precede trial requests, and entries share the slots
+/// fairly. A request is rejected early if its estimated wait exceeds its wait limit.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -38,8 +38,8 @@
 struct SlotRequest {
     VmId server_;
     std::uint64_t capacity_ = 1;
-    /// Slots that trials leave free, so that paid requests need not wait until a trial
-    /// has yielded.
+    /// Slots that trial requests leave free, so that paid requests need not wait until
+    /// a trial request has yielded.
     std::uint64_t paidReserve_ = 0;
     EntryName entry_;
     ServiceClass class_ = ServiceClass::Paid;
@@ -53,7 +53,7 @@
 /// Grants the slots of backend servers.
 class SlotTable {
 public:
-    /// Called to make a trial on \p server yield its slot to a paid request.
+    /// Called to make a trial request on \p server yield its slot to a paid one.
     using PreemptHook = std::function<void(const VmId& server)>;
 
     explicit SlotTable(PreemptHook preempt);
@@ -84,8 +84,8 @@
     static bool hasCapacity(const Server& server, ServiceClass serviceClass);
     static void occupySlot(Server& server, ServiceClass serviceClass);
     static void grantNext(Server& server);
-    /// \returns whether a trial should yield to restore the paid reserve, so that the
-    /// next paid request finds a free slot.
+    /// \returns whether a trial request should yield to restore the paid reserve, so
+    /// that the next paid request finds a free slot.
     static bool needsPreemption(const Server& server);
     static bool isRejected(const Server& server, const SlotRequest& request, milliseconds wait);
     static milliseconds estimateWait(const Server& server, std::uint64_t capacity, ServiceClass serviceClass);
--- a/unittests/Catalogue/CatalogueTest.cpp
+++ b/unittests/Catalogue/CatalogueTest.cpp
@@ -44,7 +44,7 @@
     CHECK(entry->workload_->class_ == ServiceClass::Paid);
 }
 
-TEST_CASE("an invalid entry is rejected with its line and field")
+TEST_CASE("an invalid entry is rejected with an error that states the line and field")
 {
     auto bad = GENERATE(values<BadEntry>({
         { "class", "class: paid", "class: gold", "file:4: class: expected one of paid trial, found 'gold'" },
--- a/unittests/Membership/MembershipTest.cpp
+++ b/unittests/Membership/MembershipTest.cpp
@@ -135,18 +135,18 @@
 
 TEST_CASE("the view excludes suspected and leaving VMs but includes remote ones")
 {
-    VmList list { 7, { entryVm("self", "a"), entryVm("peer", "a"), entryVm("dead", "a"), entryVm("goes", "a"), entryVm("far", "b"), engineVm("e1", "a"), engineVm("e2", "a"), engineVm("e3", "b") } };
+    VmList list { 7, { entryVm("self", "a"), entryVm("peer", "a"), entryVm("suspected", "a"), entryVm("leaving", "a"), entryVm("remote", "b"), engineVm("e1", "a"), engineVm("e2", "a"), engineVm("e3", "b") } };
     list.vms_[6].state_ = Vm::State::Leaving;
     GossipTable gossip({ "self" }, 1, suspectAfter);
-    gossip.merge({ digest("dead", 1, 1) }, start);
+    gossip.merge({ digest("suspected", 1, 1) }, start);
     SteadyTime now = start + milliseconds(5000);
-    NodeDigest leavingNode = digest("goes", 1, 9);
+    NodeDigest leavingNode = digest("leaving", 1, 9);
     leavingNode.isLeaving_ = true;
     gossip.merge({ digest("peer", 1, 9), leavingNode }, now);
     LeavingTable leaving;
     auto view = buildView(indexVmList(list), gossip, leaving, { "a" }, now);
     CHECK(view.localNodes_ == std::vector<VmId> { { "peer" }, { "self" } });
-    CHECK(view.nodesOf({ "b" }) == std::vector<VmId> { { "far" } });
+    CHECK(view.nodesOf({ "b" }) == std::vector<VmId> { { "remote" } });
     CHECK(view.serversOf("m", { "a" }) == std::vector<VmId> { { "e1" } });
     CHECK(view.serversOf("m", {}) == std::vector<VmId> { { "e1" }, { "e3" } });
     leaving.markLeaving({ "e1" }, std::nullopt, now);
@@ -156,7 +156,7 @@
     CHECK(view.localNodes_ == std::vector<VmId> { { "peer" } });
 }
 
-TEST_CASE("the first notice counts, and a known stop time is kept")
+TEST_CASE("a VM is marked as leaving once, and its first stop time is kept")
 {
     LeavingTable leaving;
     CHECK(leaving.markLeaving({ "a" }, std::nullopt, start));
--- a/unittests/Node/GenerationTest.cpp
+++ b/unittests/Node/GenerationTest.cpp
@@ -74,7 +74,7 @@
     CHECK(generation.read(0).tokens_.size() == 2);
 }
 
-TEST_CASE("late, duplicate, missing and foreign tokens never enter the answer")
+TEST_CASE("duplicate tokens, tokens after a gap and tokens of another attempt or request never enter the answer")
 {
     struct ChunkCase {
         std::string name_;
--- a/unittests/Node/SlotTableTest.cpp
+++ b/unittests/Node/SlotTableTest.cpp
@@ -1,8 +1,8 @@
 //===- unittests/Node/SlotTableTest.cpp - slots of a backend server -------===//
 ///
 /// \file
-/// Tests which requests get a slot, wait or are rejected, and when a trial has to
-/// yield.
+/// Tests which requests get a slot, wait or are rejected, and when a trial request
+/// has to yield.
 //===----------------------------------------------------------------------===//
 #include "SlotTable.h"
 
@@ -61,7 +61,7 @@
 
 } // namespace
 
-TEST_CASE("paid requests preempt running trials and precede waiting ones")
+TEST_CASE("paid requests preempt running trial requests and precede waiting ones")
 {
     Fixture fixture;
     for (const char* name : { "t1", "t2", "t3" })
@@ -69,7 +69,7 @@
     CHECK(fixture.slots_.size() == 3);
     CHECK(fixture.table_.load(server, 3).trialSlots_ == 3);
     fixture.startAcquire("t4", ServiceClass::Trial, true);
-    // A paid request that may not queue is admitted, since a trial yields to it.
+    // A paid request that may not queue is admitted, since a trial request yields to it.
     fixture.startAcquire("p1", ServiceClass::Paid, false);
     CHECK(fixture.yields_ == 1);
     CHECK_FALSE(fixture.rejected_.contains("p1"));
@@ -78,7 +78,8 @@
     CHECK_FALSE(fixture.slots_.contains("t4"));
     fixture.startAcquire("p2", ServiceClass::Paid, false);
     fixture.startAcquire("p3", ServiceClass::Paid, false);
-    // A paid request already waits for each trial, so another one has to queue.
+    // A paid request already waits for each running trial request, so a further paid
+    // request would have to queue.
     fixture.startAcquire("p4", ServiceClass::Paid, false);
     CHECK(fixture.rejected_.contains("p4"));
     fixture.release("t1");
@@ -89,7 +90,7 @@
     CHECK(fixture.slots_.contains("t4"));
 }
 
-TEST_CASE("trials leave the reserve free and yield to restore it")
+TEST_CASE("trial requests leave the paid reserve free and yield to restore it")
 {
     Fixture fixture;
     fixture.reserve_ = 1;
@@ -98,7 +99,7 @@
     CHECK(fixture.slots_.size() == 2);
     fixture.startAcquire("p1", ServiceClass::Paid, false);
     CHECK(fixture.slots_.contains("p1"));
-    // The reserve is used up, so a trial has to yield to restore it.
+    // The reserve is used up, so a trial request has to yield to restore it.
     CHECK(fixture.yields_ == 1);
     fixture.release("t1");
     CHECK_FALSE(fixture.slots_.contains("t3"));
@@ -110,7 +111,7 @@
     CHECK(fixture.table_.active(server) == 2);
 }
 
-TEST_CASE("queued trials do not count against the queue bound of paid requests")
+TEST_CASE("queued trial requests do not count against the queue bound of paid requests")
 {
     Fixture fixture;
     for (const char* name : { "p1", "p2", "p3" })
