--- a/lib/Node/BackendDispatcher.h
+++ b/lib/Node/BackendDispatcher.h
@@ -36,7 +36,8 @@
     /// answer or a failure.
     asio::awaitable<wire::Frame> callService(const wire::ServiceCall& call);
 
-    /// \returns the total load of this node's engines by model.
+    /// \returns the load of this node's engines by model: the sums of their slots and
+    /// queue lengths, and the shortest wait.
     std::map<std::string, ModelLoad> loads() const;
     /// \returns the number of generations that run through this dispatcher.
     std::size_t running() const;
--- a/lib/Node/ReplicaStore.h
+++ b/lib/Node/ReplicaStore.h
@@ -24,7 +24,8 @@
     ReplicaStore(NodeContext& context, GenerationOwner& owner);
 
     void start();
-    /// Stores \p copy and applies its progress until the owner ends the stream.
+    /// Stores \p copy and applies its progress until the owner ends the stream. If the
+    /// stream breaks, checks whether this node has to take over the record.
     asio::awaitable<void> serveCopy(std::shared_ptr<PeerStream> stream, const wire::RecordCopy& copy);
     /// Sends the answer of a record that this node owns or of which it has a finished
     /// replica; otherwise sends NotFound.
--- a/lib/Node/SlotTable.h
+++ b/lib/Node/SlotTable.h
@@ -58,8 +58,8 @@
 
     explicit SlotTable(PreemptHook preempt);
 
-    /// Waits for a slot. Errors: Overloaded, with the estimated wait as its retry delay
-    /// and `ran_` No.
+    /// Waits for a slot. Errors: Overloaded, with `ran_` No. The retry delay is the
+    /// estimated wait, or the mean hold time of a slot if the wait limit has passed.
     asio::awaitable<Result<Slot>> acquire(SlotRequest request);
     /// \returns the load of \p server for digests.
     ModelLoad load(const VmId& server, std::uint64_t capacity) const;
