--- a/lib/Node/AnswerFinder.h
+++ b/lib/Node/AnswerFinder.h
@@ -32,8 +32,8 @@
     AnswerFinder(NodeContext& context, GenerationOwner& owner);
 
     /// Finds the answer of \p requestId. Errors: NotFound if all nodes that were
-    /// queried replied that they do not have it; Unavailable if a
-    /// query failed in another way.
+    /// queried replied that they do not have it; Unavailable if a query failed in
+    /// another way.
     asio::awaitable<Result<AnswerSource>> find(std::string requestId);
 
 private:
