--- a/lib/Node/ReplicaStore.h
+++ b/lib/Node/ReplicaStore.h
@@ -3,8 +3,8 @@
 /// \file
 /// Holds replicas of generations that other nodes own, and takes one over when its
 /// owner is unresponsive. If the owner is still running behind a network partition,
-/// the takeover costs a second computation, but each caller still reads the tokens
-/// of a single line of attempts.
+/// the takeover costs a second computation, but no caller reads a mixture of the
+/// tokens of both owners.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -24,7 +24,8 @@
     ReplicaStore(NodeContext& context, GenerationOwner& owner);
 
     void start();
-    /// Stores \p copy and applies its progress until the owner ends the stream.
+    /// Stores \p copy and applies its progress until the owner ends the stream. If the
+    /// stream breaks, checks whether this node has to take over the record.
     asio::awaitable<void> serveCopy(std::shared_ptr<PeerStream> stream, const wire::RecordCopy& copy);
     /// Sends the answer of a record that this node owns or of which it has a finished
     /// replica; otherwise sends NotFound.
