--- a/lib/Gateway/Gateway.cpp
+++ b/lib/Gateway/Gateway.cpp
@@ -81,7 +81,7 @@
     , quarantineStore_(context_, { [this] { return feed_.isReader(); }, [this] { return reports_.rankFor("quarantines") == 0; } })
     , peerServer_(
           ios_[0]->get_executor(), context_.settings_.peerCredential_, [this](std::shared_ptr<PeerStream> stream) { return servePeer(std::move(stream)); },
-          [this](const Error& error) { logger_.warn("Peer connection was rejected: " + describe(error)); })
+          [this](const Error& error) { logger_.warn("Peer connection failed: " + describe(error)); })
     , readinessServer_(
           ios_[0]->get_executor(), HttpBounds {}, [this](HttpExchange& exchange) -> asio::awaitable<void> { (void)co_await exchange.respond(readiness()); }, errorResponse)
     , metricsServer_(
--- a/lib/Node/ControlPlane.cpp
+++ b/lib/Node/ControlPlane.cpp
@@ -113,7 +113,7 @@
     if (!isUpdate)
         return;
     publishMembership();
-    gossipEverywhere();
+    broadcastGossip();
 }
 
 std::optional<milliseconds> ControlPlane::remainingNotice(const VmId& vm) const
@@ -134,7 +134,7 @@
         gossip_.advanceHeartbeat();
     }
     publishMembership();
-    gossipEverywhere();
+    broadcastGossip();
 }
 
 void ControlPlane::adoptVmList(const std::function<bool(VmListStore&)>& adopt)
@@ -209,7 +209,7 @@
     publishCatalogue();
     // Only the relay gossips a new offset, since other nodes would repeat it.
     if (isRelay())
-        gossipEverywhere();
+        broadcastGossip();
 }
 
 asio::awaitable<Result<void>> ControlPlane::readCatalogue(milliseconds wait)
--- a/lib/Node/ControlPlane.h
+++ b/lib/Node/ControlPlane.h
@@ -77,7 +77,7 @@
     asio::awaitable<Result<LogOffset>> appendEdit(const CatalogueEdit& edit, SteadyTime until);
 
     void gossipTo(const std::vector<VmId>& peers);
-    void gossipEverywhere();
+    void broadcastGossip();
     std::vector<VmId> localPeers() const;
     /// One node of each other data centre.
     std::vector<VmId> remoteContacts() const;
--- a/lib/Node/Gossiping.cpp
+++ b/lib/Node/Gossiping.cpp
@@ -109,7 +109,7 @@
         context_.spawn(exchangeGossip(peer));
 }
 
-void ControlPlane::gossipEverywhere()
+void ControlPlane::broadcastGossip()
 {
     gossipTo(localPeers());
     if (isRelay())
--- a/lib/Node/Lending.cpp
+++ b/lib/Node/Lending.cpp
@@ -154,8 +154,8 @@
     wire::LoanReply& reply = *frame.mutable_loan_reply();
     reply.set_valid_ms(static_cast<std::uint64_t>(loanValidity().count()));
     auto entry = context_.catalogue()->findEntry({ request.entry() });
-    bool isKeeper = coordinatorOf({ request.entry() }) == context_.self();
-    if (!entry || !entry->workload_ || !isKeeper)
+    bool isCoordinator = coordinatorOf({ request.entry() }) == context_.self();
+    if (!entry || !entry->workload_ || !isCoordinator)
         return frame;
     DataCentreId borrower { request.data_centre() };
     SteadyTime now = steadyNow();
--- a/lib/Wire/PeerLink.cpp
+++ b/lib/Wire/PeerLink.cpp
@@ -332,7 +332,7 @@
 void PeerLink::handleRequestHeaders(std::int32_t streamId)
 {
     auto found = streams_.find(streamId);
-    if (found == streams_.end() || found->second->isHandled_)
+    if (found == streams_.end() || found->second->isHandlerStarted_)
         return;
     auto stream = found->second;
     if (!stream->isPathKnown_) {
@@ -347,7 +347,7 @@
         nghttp2_submit_rst_stream(session_, NGHTTP2_FLAG_NONE, streamId, NGHTTP2_REFUSED_STREAM);
         return;
     }
-    stream->isHandled_ = true;
+    stream->isHandlerStarted_ = true;
     submitAnswer(*stream);
     auto strand = asio::make_strand(executor());
     asio::co_spawn(
--- a/lib/Wire/PeerLink.h
+++ b/lib/Wire/PeerLink.h
@@ -66,7 +66,7 @@
     std::int32_t id_ = -1;
     bool isAuthorised_ = false;
     bool isPathKnown_ = false;
-    bool isHandled_ = false;
+    bool isHandlerStarted_ = false;
     std::string input_;
     // Bytes returned to the flow control window before their frame was received.
     std::size_t earlyConsumed_ = 0;
--- a/lib/Yaml/Yaml.cpp
+++ b/lib/Yaml/Yaml.cpp
@@ -16,7 +16,7 @@
 struct YamlMap::State {
     YAML::Node node_;
     std::string file_;
-    std::string path_;
+    std::string keyPrefix_;
     InputErrors* errors_ = nullptr;
     std::set<std::string> readKeys_;
     int line_ = 0;
@@ -147,7 +147,7 @@
 {
     YAML::Node value = std::as_const(state_->node_)[key];
     int line = value ? lineOf(value) : state_->line_;
-    state_->errors_->push_back({ state_->file_, line, state_->path_ + key, message });
+    state_->errors_->push_back({ state_->file_, line, state_->keyPrefix_ + key, message });
 }
 
 template <typename T, typename Convert>
@@ -275,7 +275,7 @@
     auto state = std::make_unique<State>();
     state->node_ = value;
     state->file_ = state_->file_;
-    state->path_ = state_->path_ + key + ".";
+    state->keyPrefix_ = state_->keyPrefix_ + key + ".";
     state->errors_ = state_->errors_;
     state->line_ = lineOf(value);
     return YamlMap(std::move(state));
@@ -306,7 +306,7 @@
     for (const auto& item : state_->node_) {
         if (!item.first.IsScalar() || state_->readKeys_.contains(item.first.Scalar()))
             continue;
-        state_->errors_->push_back({ state_->file_, lineOf(item.first), state_->path_ + item.first.Scalar(), "unknown key" });
+        state_->errors_->push_back({ state_->file_, lineOf(item.first), state_->keyPrefix_ + item.first.Scalar(), "unknown key" });
     }
 }
 
