--- a/include/pistachioloom/Http.h
+++ b/include/pistachioloom/Http.h
@@ -146,7 +146,7 @@
 /// Connects, sends \p request and reads the status line and headers of the response.
 /// The calling coroutine must run on a strand (or a single thread); the connection uses
 /// the same executor. The error's `ran_` is No if no connection was made, and Unknown
-/// from the start of the write on.
+/// once writing has started.
 asio::awaitable<Result<std::shared_ptr<HttpBodyReader>>> openHttp(Endpoint endpoint, HttpRequest request, milliseconds timeout);
 
 /// Combines openHttp() and readAll().
--- a/include/pistachioloom/Json.h
+++ b/include/pistachioloom/Json.h
@@ -19,18 +19,19 @@
 /// are allocated from \p memory, which may be a monotonic resource for a large text whose
 /// values are all released together.
 std::optional<boost::json::object> parseJsonObject(const std::string& text, boost::json::storage_ptr memory = {});
-/// Returns string \p key, or an empty string.
+/// Returns the string in field \p key, or an empty string.
 std::string textField(const boost::json::object& object, const char* key);
-/// Returns number \p key, or 0 if it is not an unsigned integer.
+/// Returns the number in field \p key, or 0 if it is not an unsigned integer.
 std::uint64_t numberField(const boost::json::object& object, const char* key);
-/// Returns Boolean \p key, or false.
+/// Returns the Boolean in field \p key, or false.
 bool flagField(const boost::json::object& object, const char* key);
-/// Returns array \p key, or nullptr.
+/// Returns the array in field \p key, or nullptr.
 const boost::json::array* arrayField(const boost::json::object& object, const char* key);
-/// Returns copies of the objects in array \p key; other elements are skipped.
+/// Returns copies of the objects in the array in field \p key; other elements are
+/// skipped.
 std::vector<boost::json::object> objectsField(const boost::json::object& object, const char* key);
-/// Returns pointers to the objects in array \p key, which are valid while \p object
-/// exists; other elements are skipped.
+/// Returns pointers to the objects in the array in field \p key; other elements are
+/// skipped. The pointers are valid while \p object exists.
 std::vector<const boost::json::object*> objectPointersField(const boost::json::object& object, const char* key);
 
 } // namespace pistachioloom
--- a/include/pistachioloom/Node.h
+++ b/include/pistachioloom/Node.h
@@ -12,7 +12,8 @@
 
 namespace pistachioloom {
 
-/// The ports to which a node's listeners are bound.
+/// The ports to which a node's listeners for callers, peers and operators are
+/// bound.
 struct NodePorts {
     std::uint16_t callers_ = 0;
     std::uint16_t peers_ = 0;
--- a/include/pistachioloom/Telemetry.h
+++ b/include/pistachioloom/Telemetry.h
@@ -38,12 +38,12 @@
 };
 
 /// Configures log4cplus. Must be called before the first log line, and again to apply
-/// changed settings. If the reader of the output stalls, lines are dropped and no
-/// thread waits.
+/// changed settings. If the process that reads the output stalls, lines are dropped and
+/// no thread waits.
 void initialiseLogging(const LogSettings& settings, const std::string& node);
 
-/// Returns the number of lines dropped since the start, because the reader stalled or
-/// the rate limit was exceeded.
+/// Returns the number of lines dropped since the start, because the output was not
+/// writable or the rate limit was exceeded.
 std::uint64_t droppedLogLines();
 
 /// A log message with named values, which become separate fields in JSON.
--- a/include/pistachioloom/Wire.h
+++ b/include/pistachioloom/Wire.h
@@ -3,7 +3,7 @@
 /// \file
 /// A peer connection is one nghttp2 session; each exchange is one stream that
 /// carries length-prefixed protobuf Frames in both directions. The error of a
-/// failed stream tells whether the peer may have processed it, since only a stream
+/// failed stream states whether the peer may have processed it, since only a stream
 /// that the peer has not processed may be retried.
 //===----------------------------------------------------------------------===//
 #pragma once
--- a/include/pistachioloom/Yaml.h
+++ b/include/pistachioloom/Yaml.h
@@ -1,9 +1,9 @@
 //===- pistachioloom/Yaml.h - validated access to YAML and JSON maps -------===//
 ///
 /// \file
-/// The reader of settings and catalogue entries. It collects all input errors with
+/// The parser of settings and catalogue entries. It collects all input errors with
 /// file, line and key, so that one run reports all of them. Since JSON is a subset
-/// of YAML, the same reader parses records of the log.
+/// of YAML, the same parser reads records of the log.
 //===----------------------------------------------------------------------===//
 #pragma once
 
--- a/lib/Http/Probe.cpp
+++ b/lib/Http/Probe.cpp
@@ -1,4 +1,4 @@
-//===- lib/Http/Probe.cpp - trial TCP connections --------------------------===//
+//===- lib/Http/Probe.cpp - probe of a TCP endpoint ------------------------===//
 ///
 /// \file
 /// Implements tryConnection().
--- a/lib/Node/ControlPlane.cpp
+++ b/lib/Node/ControlPlane.cpp
@@ -1,7 +1,8 @@
 //===- lib/Node/ControlPlane.cpp - membership and catalogue of a node -----===//
 ///
 /// \file
-/// The relay's part: reads the platform and publishes the results.
+/// Reads the platform on the relay, publishes membership and catalogue, marks
+/// leaving VMs and appends catalogue edits.
 //===----------------------------------------------------------------------===//
 #include "ControlPlane.h"
 
@@ -251,8 +252,9 @@
     std::string snapshot;
     {
         std::lock_guard lock(mutex_);
-        // The relays of other data centres append snapshots too. Jitter lets
-        // one relay append first; the others then read its snapshot.
+        // The relays of other data centres append snapshots too. With jitter,
+        // one relay usually appends first, and the others read its snapshot
+        // before their own is due.
         auto interval = context_.settings_.catalogue_.snapshotInterval_;
         bool isDue = steadyNow() - snapshotSeenAt_ > jitter(interval, randomBits()) + interval / 2;
         if (!isDue || catalogue_.hasGap() || !catalogue_.nextOffset().value_)
--- a/lib/Node/ControlPlane.h
+++ b/lib/Node/ControlPlane.h
@@ -51,7 +51,7 @@
     /// notice counted from the time at which the VM was marked. nullopt for a
     /// VM that is not leaving.
     std::optional<milliseconds> remainingNotice(const VmId& vm) const;
-    /// Gossips to all peers that this node is leaving.
+    /// Gossips that this node is leaving, to the peers of broadcastGossip().
     void announceLeaving();
 
     /// Appends an edit and reads the log up to it. Errors: OutcomeUnknown if
@@ -77,15 +77,18 @@
     asio::awaitable<Result<LogOffset>> appendEdit(const CatalogueEdit& edit, SteadyTime until);
 
     void gossipTo(const std::vector<VmId>& peers);
+    /// Gossips to all nodes of this data centre and, on the relay, to one node
+    /// of each other data centre.
     void broadcastGossip();
     std::vector<VmId> localPeers() const;
     /// One node of each other data centre.
     std::vector<VmId> remoteContacts() const;
-    /// Up to the relay fan-out of remote contacts, round-robin over data
-    /// centres.
+    /// Picks at most as many of remoteContacts() as the relay fan-out, in turn
+    /// over the data centres.
     std::vector<VmId> nextContacts();
     wire::Frame makeGossip() const;
-    /// \returns whether a VM is leaving that was not known to leave before.
+    /// Merges \p gossip into this node's state. \returns whether this marked any
+    /// VM as leaving that was not marked before.
     bool mergeGossip(const wire::Gossip& gossip);
     /// Pulls catalogue and VM list from the sender if its versions are newer.
     void pullUpdates(const wire::Gossip& gossip);
--- a/lib/Node/Lending.cpp
+++ b/lib/Node/Lending.cpp
@@ -14,13 +14,15 @@
 namespace {
 
     constexpr milliseconds loanTimeout { 400 };
-    // No loan is requested for this time from a data centre that did not reply.
+    // Time for which no loan is requested from a data centre that did not reply.
     constexpr milliseconds unreachableBackoff { 5000 };
-    // Limits requests after no data centre lent anything, and spaces out
-    // transfers of tokens.
+    // Minimum time between two rounds of loan requests for an entry. It limits
+    // the requests when no data centre lends anything, and the transfers of
+    // tokens.
     constexpr milliseconds minBorrowInterval { 50 };
     constexpr std::size_t maxLendersAsked = 4;
-    // A data centre that uses its share does not lend one part in this many.
+    // A data centre that uses its share keeps one part in this many of its slots
+    // and of its token burst, and lends only the rest.
     constexpr std::uint64_t reserveDivisor = 4;
 
     std::uint64_t slotReserve(std::uint64_t share, std::uint64_t granted)
--- a/lib/Node/LimitClient.h
+++ b/lib/Node/LimitClient.h
@@ -35,7 +35,7 @@
         std::uint64_t share_ = 0;
         VmId coordinator_;
     };
-    /// The use of the limits by this node, for each workload entry.
+    /// Returns this node's use of the limits of each workload entry.
     std::vector<EntryUse> uses() const;
 
 private:
--- a/lib/Node/LimitCoordinator.cpp
+++ b/lib/Node/LimitCoordinator.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-    // Validity of a loan in grant validities, so that grants can be made on a
-    // loan while it is renewed.
+    // Validity of a loan as a multiple of the grant validity. A loan lasts
+    // longer than a grant, so that grants can be made on it while it is renewed.
     constexpr int grantsPerLoan = 3;
 
 } // namespace
@@ -147,8 +147,8 @@
     std::uint64_t taken = wanted ? table.tokens_->takeForRequests(first, wanted, now) : 0;
     grant.set_tokens(before + taken);
     grant.set_token_wait_ms(taken < first ? static_cast<std::uint64_t>(table.tokens_->wait(now).count()) : 0);
-    // Requests at least the tokens for a short time, not only the missing
-    // tokens, so that requests can continue.
+    // Requests at least the tokens of a quarter of a second, not only the
+    // missing tokens, so that requests can continue meanwhile.
     constexpr std::uint64_t transfersPerSecond = 4;
     if (taken < wanted)
         shortage.tokens_ = std::max(wanted - taken, entry.workload_->limits_.tokensPerSecond_ / transfersPerSecond);
--- a/lib/Node/LimitCoordinator.h
+++ b/lib/Node/LimitCoordinator.h
@@ -82,7 +82,8 @@
     /// are.
     bool beginBorrowing(LimitTable& table);
     void endBorrowing(LimitTable& table);
-    /// Up to the maximum number of reachable data centres, in random order.
+    /// The other data centres to request loans from, in random order: at most
+    /// maxLendersAsked, without those that recently did not reply.
     std::vector<DataCentreId> lendersFor(const LimitTable& table) const;
     /// \returns the index of this data centre and the number of data centres.
     std::pair<std::size_t, std::size_t> rankOfDataCentre() const;
--- a/lib/Node/Node.cpp
+++ b/lib/Node/Node.cpp
@@ -212,7 +212,7 @@
     logger_.info("Draining.");
     context_.isDraining_ = true;
     control_.announceLeaving();
-    // The load balancer continues to send callers for a while; they are served.
+    // The load balancer continues to send requests for a while; they are served.
     co_await sleepFor(std::min(settings.balancerGrace_, std::chrono::duration_cast<milliseconds>(std::max(SteadyTime::duration {}, handoverAt - steadyNow()))));
     callerServer_.stopAccepting();
     co_await waitUntilIdle(handoverAt);
--- a/lib/Node/RunOnceCoordinator.cpp
+++ b/lib/Node/RunOnceCoordinator.cpp
@@ -19,10 +19,10 @@
     constexpr milliseconds unavailableRetryAfter { 2000 };
     constexpr milliseconds startedRetryAfter { 1000 };
     constexpr std::uint64_t appendBurst = 8;
-    // Maximum delay of the caller's answer by an outcome or release that cannot
-    // be appended.
+    // Maximum time for which the caller's answer waits until its outcome or
+    // release has been appended to the log.
     constexpr milliseconds finalRecordWaitLimit { 1500 };
-    // Of a larger answer, status and content type are stored but not the body.
+    // The body of a larger answer is not stored, only status and content type.
     constexpr std::size_t maxStoredBodySize = 64UL * 1024;
 
     std::string streamOf(std::uint32_t shard)
@@ -137,8 +137,8 @@
         }
         if (steadyNow() >= until)
             co_return appended;
-        // Items are identified by key and attempt, so a record that is appended
-        // twice counts once.
+        // A retry is safe: items are identified by key and attempt, so a record
+        // that is appended twice counts once.
         co_await sleepFor(jitter(appendRetryDelay, randomBits()));
     }
 }
--- a/lib/Node/RunOnceCoordinator.h
+++ b/lib/Node/RunOnceCoordinator.h
@@ -19,13 +19,15 @@
 
 namespace pistachioloom {
 
-/// The step of failures that a coordinator itself reports.
+/// The `step_` of errors that a coordinator itself reports. After such an error
+/// no other coordinator is tried.
 inline constexpr std::string_view runOnceStep = "run once";
 
 /// Coordinates calls that run at most once.
 class RunOnceCoordinator {
 public:
-    /// Sends a call to a backend server. The reply is an answer or a failure.
+    /// Sends a call to a backend server. The returned frame holds an answer or a
+    /// failure.
     using DispatchHook = std::function<asio::awaitable<wire::Frame>(wire::ServiceCall call)>;
 
     RunOnceCoordinator(NodeContext& context, DispatchHook dispatch);
--- a/lib/Node/ServiceRouter.cpp
+++ b/lib/Node/ServiceRouter.cpp
@@ -16,8 +16,8 @@
     // One retry for every five calls, with a burst of ten.
     constexpr double retryRatio = 0.2;
     constexpr double retryReserve = 10;
-    // After this time without a reply, another coordinator gets the call; the
-    // log makes this safe.
+    // After at least this time without a reply, another coordinator gets the
+    // call. This is safe because the log decides which attempt may run.
     constexpr milliseconds coordinatorTimeout { 8000 };
     constexpr milliseconds hopMargin { 500 };
     constexpr milliseconds serviceRetryAfter { 1000 };
--- a/lib/Telemetry/LogOutput.h
+++ b/lib/Telemetry/LogOutput.h
@@ -1,7 +1,8 @@
 //===- lib/Telemetry/LogOutput.h - layouts and output of log lines ---------===//
 ///
 /// \file
-/// Formats log lines as JSON or text, and writes them without blocking on the reader.
+/// Formats log lines as JSON or text, and writes them without blocking when the process
+/// that reads the output stalls.
 //===----------------------------------------------------------------------===//
 #pragma once
 
--- a/lib/Wire/PeerLink.cpp
+++ b/lib/Wire/PeerLink.cpp
@@ -17,7 +17,8 @@
     constexpr std::size_t readBufferSize = 64UL * 1024;
     constexpr std::size_t writeBatchSize = 64UL * 1024;
     constexpr std::size_t frameHeaderSize = 4;
-    // Frames may be larger than the window: decodeFrames() returns bytes early.
+    // Frames may be larger than the window, because decodeFrames() returns bytes to the
+    // window before their frame is complete.
     constexpr std::int32_t streamWindow = 256 * 1024;
     constexpr std::int32_t connectionWindow = 16 * 1024 * 1024;
     constexpr std::uint32_t maxConcurrentStreams = 4096;
--- a/lib/Wire/PeerLink.h
+++ b/lib/Wire/PeerLink.h
@@ -117,6 +117,8 @@
     bool submit(const std::shared_ptr<LinkStream>& stream);
     void resumeOutput(LinkStream& stream);
     void resetStream(LinkStream& stream, std::uint32_t errorCode);
+    /// Returns \p bytes of a received frame to the stream's flow control window, less
+    /// those that were returned before the frame was complete.
     void consumed(LinkStream& stream, std::size_t bytes);
     void refuseNewStreams();
     void close(std::string_view reason);
--- a/unittests/Wire/PeerStreamTest.cpp
+++ b/unittests/Wire/PeerStreamTest.cpp
@@ -150,7 +150,7 @@
     CHECK(reply.error().ran_ == Ran::No);
 }
 
-TEST_CASE("a peer can tell a cancelled stream from a released one")
+TEST_CASE("a peer can distinguish a cancelled stream from a released one")
 {
     auto isCancelled = GENERATE(true, false);
     EchoServer echo;
