--- a/lib/Http/Server.cpp
+++ b/lib/Http/Server.cpp
@@ -149,8 +149,8 @@
 
     Error readError(const beast::error_code& code)
     {
-        bool tooLarge = code == http::error::body_limit || code == http::error::header_limit;
-        return { tooLarge ? Errc::TooLarge : Errc::InvalidInput, "read request", {}, code.message(), Ran::No, {} };
+        bool isTooLarge = code == http::error::body_limit || code == http::error::header_limit;
+        return { isTooLarge ? Errc::TooLarge : Errc::InvalidInput, "read request", {}, code.message(), Ran::No, {} };
     }
 
 } // namespace
