--- a/include/pistachioloom/Wire.h
+++ b/include/pistachioloom/Wire.h
@@ -70,7 +70,7 @@
     int maxIdleIntervals_ = 3;
 };
 
-/// Accepts connections of peers and the streams that carry the right credential.
+/// Accepts connections of peers, and on them the streams with the right credential.
 class PeerServer {
 public:
     struct State;
--- a/lib/Node/Gossiping.cpp
+++ b/lib/Node/Gossiping.cpp
@@ -182,7 +182,8 @@
     if (mergeGossip(reply.value().gossip()))
         publishMembership();
     pullUpdates(reply.value().gossip());
-    // A peer's old list may not contain this node, so the peer cannot pull.
+    // A peer with an old VM list may not find this node's address in it and then
+    // cannot pull the newer list, so this node pushes it.
     std::uint64_t peerVersion = reply.value().gossip().vm_list_version();
     bool isSameDataCentre = reply.value().gossip().data_centre() == context_.settings_.dataCentre_.value_;
     if (isSameDataCentre && peerVersion < context_.membership()->index_->version_)
