--- a/lib/Node/Lending.cpp
+++ b/lib/Node/Lending.cpp
@@ -14,13 +14,15 @@
 namespace {
 
     constexpr milliseconds loanTimeout { 400 };
-    // No loan is requested for this time from a data centre that did not reply.
+    // Time for which no loan is requested from a data centre that did not reply.
     constexpr milliseconds unreachableBackoff { 5000 };
-    // Limits requests after no data centre lent anything, and spaces out
-    // transfers of tokens.
+    // Minimum time between two rounds of loan requests for an entry. It limits
+    // the requests when no data centre lends anything, and the transfers of
+    // tokens.
     constexpr milliseconds minBorrowInterval { 50 };
     constexpr std::size_t maxLendersAsked = 4;
-    // A data centre that uses its share does not lend one part in this many.
+    // A data centre that uses its share keeps one part in this many of its slots
+    // and of its token burst, and lends only the rest.
     constexpr std::uint64_t reserveDivisor = 4;
 
     std::uint64_t slotReserve(std::uint64_t share, std::uint64_t granted)
@@ -154,8 +156,8 @@
     wire::LoanReply& reply = *frame.mutable_loan_reply();
     reply.set_valid_ms(static_cast<std::uint64_t>(loanValidity().count()));
     auto entry = context_.catalogue()->findEntry({ request.entry() });
-    bool isKeeper = coordinatorOf({ request.entry() }) == context_.self();
-    if (!entry || !entry->workload_ || !isKeeper)
+    bool isCoordinator = coordinatorOf({ request.entry() }) == context_.self();
+    if (!entry || !entry->workload_ || !isCoordinator)
         return frame;
     DataCentreId borrower { request.data_centre() };
     SteadyTime now = steadyNow();
--- a/lib/Wire/PeerLink.cpp
+++ b/lib/Wire/PeerLink.cpp
@@ -17,7 +17,8 @@
     constexpr std::size_t readBufferSize = 64UL * 1024;
     constexpr std::size_t writeBatchSize = 64UL * 1024;
     constexpr std::size_t frameHeaderSize = 4;
-    // Frames may be larger than the window: decodeFrames() returns bytes early.
+    // Frames may be larger than the window, because decodeFrames() returns bytes to the
+    // window before their frame is complete.
     constexpr std::int32_t streamWindow = 256 * 1024;
     constexpr std::int32_t connectionWindow = 16 * 1024 * 1024;
     constexpr std::uint32_t maxConcurrentStreams = 4096;
@@ -332,7 +333,7 @@
 void PeerLink::handleRequestHeaders(std::int32_t streamId)
 {
     auto found = streams_.find(streamId);
-    if (found == streams_.end() || found->second->isHandled_)
+    if (found == streams_.end() || found->second->isHandlerStarted_)
         return;
     auto stream = found->second;
     if (!stream->isPathKnown_) {
@@ -347,7 +348,7 @@
         nghttp2_submit_rst_stream(session_, NGHTTP2_FLAG_NONE, streamId, NGHTTP2_REFUSED_STREAM);
         return;
     }
-    stream->isHandled_ = true;
+    stream->isHandlerStarted_ = true;
     submitAnswer(*stream);
     auto strand = asio::make_strand(executor());
     asio::co_spawn(
