--- a/tools/standins/EngineGenerate.cpp
+++ b/tools/standins/EngineGenerate.cpp
@@ -150,8 +150,8 @@
             (void)co_await exchange.endStream();
             co_return;
         }
-        bool isNewer = from < stream->tokens_.size() || stream->state_ != Stream::State::Running || stream->writerId_ != writerId;
-        if (sent && !isNewer)
+        bool hasUpdate = from < stream->tokens_.size() || stream->state_ != Stream::State::Running || stream->writerId_ != writerId;
+        if (sent && !hasUpdate)
             co_await stream->changeTimer_.async_wait(asio::as_tuple(asio::use_awaitable));
     }
     if (stream->writerId_ == writerId)
