--- a/benchmarks/ConfigurationBenchmark.cpp
+++ b/benchmarks/ConfigurationBenchmark.cpp
@@ -55,7 +55,7 @@
 }
 
 /// Prints the minimum and the median processor time of \p step in milliseconds.
-/// \p prepare makes its argument, and its time is not counted.
+/// \p prepare returns its argument, and its time is not counted.
 template <typename Prepare, typename Step>
 void report(const char* name, Prepare prepare, Step step)
 {
@@ -134,7 +134,7 @@
         return 1;
     }
     std::printf("%d routes, %zu bytes, %zu compressed; processor time in ms of %d runs, on a machine that may be shared\n", routeCount, text.size(), compressed.size(), runs);
-    std::printf("step          least   median\n");
+    std::printf("step        minimum   median\n");
     report(
         "decode", [&]() -> const std::string& { return text; }, platform::decodeConfiguration);
     report(
@@ -144,8 +144,8 @@
     report(
         "decompress", [&]() -> const std::string& { return compressed; }, [](const std::string& bytes) { return decompress(bytes, maxTextSize); });
     // Under `taskset -c` with one core, the loop and the thread share that core.
-    std::printf("how late the event loop runs at most meanwhile, in ms\n");
+    std::printf("maximum delay of the event loop meanwhile, in ms\n");
     reportLag("on loop", ExecutionPlace::OnLoop, text);
-    reportLag("beside loop", ExecutionPlace::OnThread, text);
+    reportLag("on thread", ExecutionPlace::OnThread, text);
     return 0;
 }
--- a/benchmarks/ControlBenchmark.cpp
+++ b/benchmarks/ControlBenchmark.cpp
@@ -184,11 +184,11 @@
     double seconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - startedAt).count();
     auto nodes = static_cast<double>(deployment.nodes().size());
     double perChange = ((totalBytesSent(deployment) - before) / nodes - idlePerSecond * seconds) / changes;
-    std::printf("       a changed VM of %zu listed: %.0f B sent a node, known to all after p50 %.0f ms, p99 %.0f ms\n", listedVms, perChange, percentile(times, 0.5), percentile(times, 0.99));
+    std::printf("       a changed VM of %zu listed: %.0f B sent per node, seen by all after p50 %.0f ms, p99 %.0f ms\n", listedVms, perChange, percentile(times, 0.5), percentile(times, 0.99));
 }
 
 /// Kills or freezes a node and returns the milliseconds until every other node of its
-/// data centre lists it as out.
+/// data centre lists it in state "out".
 double measureDetection(Deployment& deployment, bool shouldFreeze)
 {
     auto& victim = deployment.nodes().front();
@@ -234,7 +234,7 @@
     app.add_option("--entries", entries, "Number of entries with a request in progress at every node");
     app.add_option("--listed", listedVms, "Number of VMs on the list when one changes");
     CLI11_PARSE(app, argc, argv);
-    std::printf("%6s %4s | %9s %9s | %9s %9s %9s | %8s %8s | %9s %9s | %9s\n", "nodes", "dcs", "cpu %", "most", "sent B/s", "recv B/s", "most sent", "MiB", "most", "force p50", "force p99", "dead ms");
+    std::printf("%6s %4s | %9s %9s | %9s %9s %9s | %8s %8s | %9s %9s | %9s\n", "nodes", "dcs", "cpu %", "max", "sent B/s", "recv B/s", "max sent", "MiB", "max", "force p50", "force p99", "detect ms");
     for (std::size_t size : sizes) {
         DeploymentOptions options;
         options.dataCentres_.clear();
--- a/benchmarks/DecisionBenchmark.cpp
+++ b/benchmarks/DecisionBenchmark.cpp
@@ -228,7 +228,7 @@
 
 void benchLimits()
 {
-    std::printf("\nlimits: one grant at its keeper, by nodes of the data centre\n");
+    std::printf("\nlimits: one grant at its coordinator, by nodes of the data centre\n");
     std::printf("%8s %14s\n", "nodes", "grant us");
     for (std::size_t count : { std::size_t { 3 }, std::size_t { 9 }, std::size_t { 26 }, std::size_t { 52 } }) {
         GrantTable table;
--- a/benchmarks/FloodBenchmark.cpp
+++ b/benchmarks/FloodBenchmark.cpp
@@ -137,15 +137,15 @@
     (void)run(deployment, false, warmUp);
     RunResult baseline = run(deployment, false, duration);
     RunResult flooded = run(deployment, true, duration);
-    std::printf("%-28s | %8s %8s %6s | %8s %8s %8s | %8s\n", "", "answered", "refused", "failed", "first50", "first95", "first99", "whole50");
+    std::printf("%-28s | %8s %8s %6s | %8s %8s %8s | %8s\n", "", "answered", "rejected", "failed", "ttft p50", "ttft p95", "ttft p99", "all p50");
     print("paid alone", baseline.paid_);
-    print("paid beside the flood", flooded.paid_);
+    print("paid under trial load", flooded.paid_);
     print("trials", flooded.trial_);
     std::printf("capacity %.0f answers/s, paid %.0f/s, trials %.0f/s\n", capacity, paidLoad * capacity, trialLoad * capacity);
     std::printf("trials yielded %.0f times, %.0f tokens were computed again\n", deployment.metricOfAll("trials_yielded_total"), deployment.metricOfAll("tokens_recomputed_total"));
     double baselineP99 = percentile(baseline.paid_.timeToFirstToken_, 0.99);
     double floodedP99 = percentile(flooded.paid_.timeToFirstToken_, 0.99);
     bool isWithin = floodedP99 <= baselineP99 * maxGrowth + noiseMs && !flooded.paid_.rejected_ && !flooded.paid_.failed_;
-    std::printf("paid first token p99: %.0f ms alone, %.0f ms beside the flood: %s\n", baselineP99, floodedP99, isWithin ? "within its bound" : "past its bound");
+    std::printf("paid time to first token p99: %.0f ms alone, %.0f ms under trial load: %s\n", baselineP99, floodedP99, isWithin ? "within its bound" : "past its bound");
     return isWithin ? 0 : 1;
 }
--- a/benchmarks/RelayBenchmark.cpp
+++ b/benchmarks/RelayBenchmark.cpp
@@ -3,7 +3,7 @@
 /// \file
 /// Measures the size and time of reports, digests and summaries at 9, 63 and 364 nodes,
 /// and the time to choose among 21, 112 and 2,100 engines. Checks bounds on how the
-/// share of each node may grow.
+/// cost to each node may grow.
 //===----------------------------------------------------------------------===//
 #include "ReportAggregator.h"
 #include "pistachioloom/Backends.h"
@@ -134,7 +134,7 @@
 int main()
 {
     constexpr Size sizes[] = { { 3, 3, 21, 5 }, { 3, 21, 112, 16 }, { 14, 26, 2100, 16 } };
-    std::printf("nodes engines | report B digest B summary B | take report us, digest us, choose us\n");
+    std::printf("nodes engines | report B digest B summary B | apply report us, digest us, choose us\n");
     std::vector<Measurements> measured;
     for (const Size& size : sizes) {
         Measurements measurements = measure(size);
@@ -143,8 +143,8 @@
     }
     // The report that a node sends must not grow with the fleet. The digest that it
     // receives grows by 8 to 10 bytes per engine.
-    checkBound("report at 370 nodes against 63", static_cast<double>(measured[2].reportBytes_) / static_cast<double>(measured[1].reportBytes_), 1.1);
+    checkBound("report at 364 nodes against 63", static_cast<double>(measured[2].reportBytes_) / static_cast<double>(measured[1].reportBytes_), 1.1);
     checkBound("bytes of a digest for each engine", static_cast<double>(measured[2].digestBytes_) / sizes[2].engines_, 11);
-    checkBound("digest fits a datagram, parts of 64 KiB", static_cast<double>(measured[2].digestBytes_) / 65536, 0.5);
+    checkBound("digest as a fraction of a datagram of 64 KiB", static_cast<double>(measured[2].digestBytes_) / 65536, 0.5);
     return isWithinBounds ? 0 : 1;
 }
--- a/include/pistachioloom/Platform.h
+++ b/include/pistachioloom/Platform.h
@@ -1,7 +1,7 @@
-//===- pistachioloom/Platform.h - hooks of the outside services -----------===//
+//===- pistachioloom/Platform.h - hooks of external services --------------===//
 ///
 /// \file
-/// Declares one struct of hooks for each outside service, and one adapter that
+/// Declares one struct of hooks for each external service, and one adapter that
 /// implements it over HTTP. Another test environment needs only its own adapters.
 //===----------------------------------------------------------------------===//
 #pragma once
@@ -31,6 +31,7 @@
 /// A notice that a VM will be reclaimed.
 struct ReclaimNotice {
     std::string vm_;
+    /// The time until the VM stops.
     milliseconds remaining_ {};
 };
 
@@ -86,8 +87,9 @@
     std::uint64_t recomputedTokens_ = 0;
 };
 
-/// A stream that is being read.
+/// The open answer to a request to generate.
 struct EngineStream {
+    /// Waits for the next event and returns it.
     std::function<asio::awaitable<Result<EngineEvent>>()> next_;
     /// Closes the connection. This does not cancel the request at the engine.
     std::function<void()> close_;
@@ -102,8 +104,8 @@
     std::function<asio::awaitable<Result<std::string>>(Endpoint engine, std::string requestId)> exportCache_;
     /// Imports the KV cache that exportCache_ returned \p handle for.
     std::function<asio::awaitable<Result<void>>(Endpoint engine, std::string handle)> importCache_;
-    /// Orders the engine to change to \p wanted. Errc::Conflict: the engine has already
-    /// obeyed an order with a newer token.
+    /// Orders the engine to load the configuration \p wanted. Errc::Conflict: the engine
+    /// has already accepted an order with a newer fencing token.
     std::function<asio::awaitable<Result<void>>(Endpoint engine, FencingToken token, EngineConfiguration wanted)> order_;
     /// Reads the configuration that the engine reports, and whether it is loading.
     std::function<asio::awaitable<Result<EngineState>>(Endpoint engine)> state_;
--- a/include/pistachioloom/Settings.h
+++ b/include/pistachioloom/Settings.h
@@ -80,7 +80,7 @@
 
 /// Settings of the replicas of generations.
 struct ReplicaSettings {
-    /// Time limit of copying a record to a replica.
+    /// Time limit of sending a generation's record to a replica.
     milliseconds copyTimeout_ { 500 };
     /// The time after a break of the owner's connection before its replica checks the
     /// owner and takes over.
@@ -97,7 +97,7 @@
     std::uint64_t grantAhead_ = 4;
 };
 
-/// Settings of the orders to model engines.
+/// Settings of the orders by which nodes change the configuration of model engines.
 struct OrderSettings {
     /// Time between two checks of an engine whose configuration is to change.
     milliseconds period_ { 500 };
--- a/tools/pistachioloomctl/main.cpp
+++ b/tools/pistachioloomctl/main.cpp
@@ -153,10 +153,10 @@
     return 0;
 }
 
-/// Collects the rows of a listing from one node, or from every node that it lists. The
-/// rows are the response itself if that is an array, else its \p field; then each row
-/// gets the \p sourceField of the response unless that name is empty. Prints a warning
-/// for each node that fails, and skips it.
+/// Collects the rows of a listing from one node, or from every node that it lists. A
+/// response is an array of rows, or an object whose \p field holds them. In an object, the
+/// value of \p sourceField is added to each row, unless \p sourceField is empty. Prints a
+/// warning for each node that fails, and skips it.
 Result<std::vector<json::object>> collectRows(const OperatorClient& client, const std::string& target, const std::string& field, const std::string& sourceField, bool queriesAllNodes)
 {
     std::vector<OperatorClient> nodes { client };
@@ -249,7 +249,7 @@
         std::cout << renderTable(rows, { "engine", "home", "estimate_ms", "free_slots", "queued", "sent_since", "prefix_rank", "local", "price_per_hour" });
         return 0;
     }
-    std::cerr << "error: no node remembers request " << options.request_ << '\n';
+    std::cerr << "error: no node has a record of request " << options.request_ << '\n';
     return exitRejected;
 }
 
--- a/tools/pistachioloomd/main.cpp
+++ b/tools/pistachioloomd/main.cpp
@@ -46,8 +46,9 @@
     std::cout << "{\"callers\":" << ports.value().callers_ << ",\"peers\":" << ports.value().peers_
               << ",\"operators\":" << ports.value().operators_ << "}" << std::endl;
     node.run();
-    // Coroutines that are still suspended hold references to one another, so destructors
-    // don't run. A drained node has no state that a destructor would have to save.
+    // The process exits without running destructors, because coroutines that are still
+    // suspended hold references to one another in all directions. A drained node has no
+    // state that a destructor would have to save.
     std::cout.flush();
     std::_Exit(0);
 }
--- a/tools/standins/Engine.h
+++ b/tools/standins/Engine.h
@@ -38,7 +38,7 @@
     // KV cache transfer between engines.
     asio::awaitable<void> exportCache(HttpExchange& exchange, std::string requestId);
     asio::awaitable<void> importCache(HttpExchange& exchange, std::string handle);
-    // Orders, configurations and controls.
+    // Configuration orders, state and test controls.
     asio::awaitable<void> order(HttpExchange& exchange, boost::json::object body);
     asio::awaitable<void> load(boost::json::object configuration);
     asio::awaitable<void> state(HttpExchange& exchange);
--- a/tools/standins/EngineStream.h
+++ b/tools/standins/EngineStream.h
@@ -40,7 +40,7 @@
     std::uint64_t promptTokens_ = 0;
     /// Prefill tokens that were computed again to resume an answer.
     std::uint64_t recomputedTokens_ = 0;
-    /// The newest writer; older ones end their answers as superseded.
+    /// The number of the newest writer. Older writers end their answers as superseded.
     std::uint64_t writerId_ = 0;
     bool hasWriter_ = false;
     State state_ = State::Running;
@@ -71,7 +71,7 @@
 /// Returns the line of an answer for the token \p text at \p position.
 std::string tokenLine(std::size_t position, const std::string& text);
 
-/// Returns the line that ends an answer, by the state of \p stream.
+/// Returns the line that ends an answer. The state of \p stream determines its type.
 std::string finalLine(const Stream& stream);
 
 /// A prefix cache of complete prompts with a capacity in tokens. It evicts the oldest
--- a/tools/standins/FleetStandin.cpp
+++ b/tools/standins/FleetStandin.cpp
@@ -2,8 +2,8 @@
 ///
 /// \file
 /// Simulates in one process a store that is a log of topics, the interface for duties,
-/// and backend servers on their own ports. `POST /control` sets faults and returns what
-/// arrived. The stand-in records only what the tests query.
+/// and backend servers on their own ports. `POST /control` sets faults and returns
+/// the calls and records that arrived. The stand-in records only what the tests query.
 //===----------------------------------------------------------------------===//
 #include "Standin.h"
 
@@ -29,7 +29,8 @@
     std::uint64_t offset_ = 0;
 };
 
-/// Topics of records. Of keyed topics the newest value of each key is stored as well.
+/// A log of records for each topic. For keyed topics it also stores the newest value of
+/// each key.
 class Log {
 public:
     std::uint64_t append(const std::string& topic, std::string record)
@@ -181,7 +182,7 @@
         (void)co_await exchange.respond(std::move(answer));
     }
 
-    /// Returns whether the current request is one of those that fail by `fails_one_in`.
+    /// Returns whether the current request fails, as every `fails_one_in`-th one does.
     bool shouldFail() { return controls_["fails_one_in"] && runAttemptIds_.size() % static_cast<std::size_t>(controls_["fails_one_in"]) == 0; }
 
     void recordRun(const HttpRequest& request)
@@ -192,7 +193,7 @@
             headers_[name] = value;
     }
 
-    /// Copies the KV cache of a run, and stops the run if the call is the last copy.
+    /// Copies the KV cache of a run, and stops the run if the body sets `last`.
     asio::awaitable<void> move(HttpExchange& exchange)
     {
         json::object body = parseJsonObject(exchange.request().body_).value_or(json::object {});
@@ -273,15 +274,15 @@
     json::array runAttemptIds_;
     /// Number of requests answered 503 without execution.
     std::int64_t rejected_ = 0;
-    /// Event streams whose caller disconnected.
+    /// Attempt ids of event streams whose caller disconnected.
     json::array abandonedRuns_;
     json::object headers_;
     std::map<std::string, Stream> streams_;
-    /// Runs that were stopped to resume on another backend server.
+    /// Attempt ids of runs that were stopped to resume on another backend server.
     json::array movedRuns_;
     /// Sources of the KV caches from which requests resumed.
     json::array resumeSources_;
-    /// Released copies of KV caches, from which no request resumes.
+    /// Paths of the calls that released a KV cache copy from which no request will resume.
     json::array releasedHandles_;
 };
 
@@ -312,7 +313,7 @@
     }
 
 private:
-    /// Applies the keys of the body and returns what arrived.
+    /// Applies the keys of the body, and returns the duty calls, crashes and statuses so far.
     /// `backends`: starts backend servers. They are not registered in the store if they
     /// have `unregistered`. With `idle_s`, they close idle connections after that many
     /// seconds and advertise it.
@@ -355,8 +356,8 @@
         co_await reply(exchange, 200, answer);
     }
 
-    /// Returns the newest backend server of \p id, which may have crashed, or nullptr if
-    /// there was none.
+    /// Returns the running backend server of \p id, else the one of this id that crashed
+    /// last, else nullptr.
     Backend* find(const std::string& id)
     {
         auto running = backends_.find(id);
@@ -508,7 +509,7 @@
     std::map<std::string, std::unique_ptr<Backend>> backends_;
     /// Crashed backend servers, oldest first.
     std::vector<std::unique_ptr<Backend>> crashed_;
-    /// The registration of each backend server.
+    /// The registration of each backend server, by id.
     std::map<std::string, json::object> entries_;
     json::array dutyCalls_;
     std::string crashText_;
--- a/tools/standins/PlatformStandin.cpp
+++ b/tools/standins/PlatformStandin.cpp
@@ -43,9 +43,9 @@
         { "log_down", 0 },
         { "list_down", 0 },
         { "log_delay_ms", 0 },
-        // The number of next appends that take effect but are not answered.
+        // How many of the next appends take effect but are not answered.
         { "lose_append_answers", 0 },
-        // The number of next appends that fail without taking effect.
+        // How many of the next appends fail without taking effect.
         { "fail_appends", 0 },
         { "list_lag_ms", 0 },
     } };
@@ -54,7 +54,7 @@
     std::uint64_t version_ = 1;
     std::vector<json::object> notices_;
     std::set<std::string> cutDataCentres_;
-    // Peer ports as seen from one data centre, keyed by "from/vm".
+    // Peer ports as each data centre sees them, keyed by "data centre/VM".
     std::map<std::string, std::uint64_t> portViews_;
     std::uint64_t appends_ = 0;
     std::uint64_t reads_ = 0;
--- a/unittests/CatchMain.cpp
+++ b/unittests/CatchMain.cpp
@@ -1,4 +1,4 @@
-//===- unittests/CatchMain.cpp - Catch2's main, compiled once --------------===//
+//===- unittests/CatchMain.cpp - Catch2's main, compiled once -------------===//
 ///
 /// \file
 /// Defines the entry point of every unit test program.
--- a/unittests/Settings/SettingsTest.cpp
+++ b/unittests/Settings/SettingsTest.cpp
@@ -2,7 +2,7 @@
 ///
 /// \file
 /// Checks that the documented example is valid, and that each kind of mistake is
-/// reported as one error with its line.
+/// reported with its line, its key and the expected value.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Settings.h"
 
