--- a/benchmarks/DecisionBenchmark.cpp
+++ b/benchmarks/DecisionBenchmark.cpp
@@ -87,8 +87,8 @@
 {
     std::printf("\nmembership: nodes of a data centre, engines and data centres of the deployment\n");
     std::printf("%8s %8s %8s %14s %14s %14s %14s %14s\n", "nodes", "engines", "dcs", "merge us", "view us", "index us", "index KiB", "gossip B");
-    double smallView = 0;
-    double largeView = 0;
+    double smallViewUs = 0;
+    double largeViewUs = 0;
     struct Size {
         std::size_t dataCentres_;
         std::size_t nodes_;
@@ -133,11 +133,11 @@
         }
         std::printf("%8zu %8zu %8zu %14.1f %14.1f %14.1f %14.1f %14zu\n", size.nodes_, size.engines_ * size.dataCentres_, size.dataCentres_, merge, view, indexing, static_cast<double>(memory) / 1024, frame.ByteSizeLong());
         if (size.nodes_ == 3)
-            smallView = view / static_cast<double>(list.vms_.size());
+            smallViewUs = view / static_cast<double>(list.vms_.size());
         if (size.nodes_ == 52)
-            largeView = view / static_cast<double>(list.vms_.size());
+            largeViewUs = view / static_cast<double>(list.vms_.size());
     }
-    checkBound("view time per VM, largest against smallest", largeView / smallView, 3);
+    checkBound("view time per VM, largest against smallest", largeViewUs / smallViewUs, 3);
 }
 
 void benchRouting()
