--- a/include/pistachioloom/Settings.h
+++ b/include/pistachioloom/Settings.h
@@ -36,8 +36,8 @@
 struct LedgerSettings {
     /// The number of shards, which must be the same on every node of a deployment.
     std::uint64_t shards_ = 8;
-    /// The maximum time from the start of a call, which appends the intent, to its
-    /// dispatch. After this time the call is not dispatched.
+    /// The maximum time from the receipt of a call to its dispatch, which includes appending
+    /// the intent. After this time the call is not dispatched.
     milliseconds dispatchGuard_ { 5000 };
     /// The maximum number of appends per second of the whole system, divided among the
     /// run-once coordinators.
@@ -89,7 +89,7 @@
     milliseconds ownerUpdateTimeout_ { 2000 };
 };
 
-/// Settings of the grants of limited slots.
+/// Settings of the grants by which nodes share limited slots.
 struct LimitSettings {
     /// The time for which a grant is valid.
     milliseconds grantValidity_ { 4000 };
--- a/unittests/Fuzz/Mutator.h
+++ b/unittests/Fuzz/Mutator.h
@@ -14,8 +14,8 @@
 namespace pistachioloom::test {
 
 /// \returns the number in environment variable \p name, or \p fallback if it is not set.
-/// PISTACHIOLOOM_FUZZ_RUNS and PISTACHIOLOOM_FUZZ_SEED set the number of runs and the
-/// seed to others than those of CI.
+/// PISTACHIOLOOM_FUZZ_RUNS and PISTACHIOLOOM_FUZZ_SEED override the number of runs and the
+/// seed that CI uses.
 inline std::uint64_t fuzzSetting(const char* name, std::uint64_t fallback)
 {
     const char* text = std::getenv(name);
