--- a/test/CatalogueTest.cpp
+++ b/test/CatalogueTest.cpp
@@ -17,7 +17,7 @@
 
 constexpr milliseconds inForceTimeout { 7000 };
 
-DeploymentOptions smallOptions()
+DeploymentOptions catalogueOptions()
 {
     DeploymentOptions options;
     options.enginesPerDataCentre_ = {};
@@ -83,7 +83,7 @@
 
 TEST_CASE("of twenty concurrent edits exactly one wins each version")
 {
-    Deployment deployment(smallOptions());
+    Deployment deployment(catalogueOptions());
     REQUIRE(applyEntry(deployment, deployment.nodes()[0], "s.yaml", service("s", 1)).first == 0);
     std::string base = "1";
     for (int round = 0; round < 3; ++round) {
@@ -117,7 +117,7 @@
 
 TEST_CASE("an edit is resolved by its id when the answer of its append is lost")
 {
-    Deployment deployment(smallOptions());
+    Deployment deployment(catalogueOptions());
     deployment.controlPlatform({ { "lose_append_answers", 1 } });
     auto [code, output] = applyEntry(deployment, deployment.nodes()[0], "s.yaml", service("s", 7));
     CHECK(code == 0);
@@ -128,7 +128,7 @@
 
 TEST_CASE("an accepted change survives a trim and a restart of every node")
 {
-    auto options = smallOptions();
+    auto options = catalogueOptions();
     options.settings_ = "catalogue:\n  snapshot_interval: 200ms\n";
     Deployment deployment(options);
     REQUIRE(applyEntry(deployment, deployment.nodes()[0], "s.yaml", service("s", 1)).first == 0);
@@ -150,7 +150,7 @@
 
 TEST_CASE("a node that starts while the log is down gets the catalogue from its peers")
 {
-    Deployment deployment(smallOptions());
+    Deployment deployment(catalogueOptions());
     REQUIRE(applyEntry(deployment, deployment.nodes()[0], "s.yaml", service("s", 5)).first == 0);
     REQUIRE(isInForceEverywhere(deployment, "s", service("s", 5)));
     deployment.controlPlatform({ { "log_down", 1 } });
@@ -164,7 +164,7 @@
 
 TEST_CASE("a data centre that is partitioned from the platform gets changes from its peers")
 {
-    Deployment deployment(smallOptions());
+    Deployment deployment(catalogueOptions());
     REQUIRE(applyEntry(deployment, deployment.node("caxias-a-1"), "s.yaml", service("s", 1)).first == 0);
     REQUIRE(isInForceEverywhere(deployment, "s", service("s", 1)));
     deployment.controlPlatform({ { "cut_data_centres", boost::json::array { "bento-c" } } });
@@ -178,7 +178,7 @@
 
 TEST_CASE("the tool rejects an invalid entry and names the field")
 {
-    Deployment deployment(smallOptions());
+    Deployment deployment(catalogueOptions());
     auto [code, output] = applyEntry(deployment, deployment.nodes()[0], "bad.yaml", "name: s\nkind: service\nconcurrency: none\nrepeatable: true\n");
     CHECK(code == 2);
     CHECK(output.find("bad.yaml:3: concurrency: expected a whole number") != std::string::npos);
--- a/test/CrashingRequestsTest.cpp
+++ b/test/CrashingRequestsTest.cpp
@@ -78,7 +78,7 @@
     std::size_t served = 0;
     std::size_t others = 0;
     HttpResponse last;
-    milliseconds lastTook {};
+    milliseconds lastDuration {};
     for (std::size_t i = 0; nowMs() - startedAt < maxSeriesTime.count(); ++i) {
         auto times = crashTimes(deployment);
         if (times.size() >= crashThreshold && nowMs() > times[crashThreshold - 1] + 2 * propagationTime.count())
@@ -86,7 +86,7 @@
         auto& gateway = deployment.gateways()[i % 4];
         SteadyTime sentAt = steadyNow();
         last = deployment.call(gateway, crashingRequest("crash-" + std::to_string(i)));
-        lastTook = std::chrono::duration_cast<milliseconds>(steadyNow() - sentAt);
+        lastDuration = std::chrono::duration_cast<milliseconds>(steadyNow() - sentAt);
         HttpRequest other = gatewayRequest("POST", "/draft/stream/other", "other-" + std::to_string(i));
         served += deployment.call(gateway, other).status_ == 200;
         ++others;
@@ -98,7 +98,7 @@
     CHECK(static_cast<std::size_t>(std::count_if(times.begin(), times.end(), isLate)) <= maxLateCrashes);
     // The rejection is final and immediate, and does not state that the request has not run.
     CHECK(last.status_ == 502);
-    CHECK(lastTook < maxRejectionTime);
+    CHECK(lastDuration < maxRejectionTime);
     CHECK(served == others);
 }
 
--- a/test/Harness/DelayProxy.cpp
+++ b/test/Harness/DelayProxy.cpp
@@ -59,12 +59,12 @@
         auto [connectCode] = co_await link->server_.async_connect(address, asTuple);
         if (connectCode)
             continue;
-        asio::co_spawn(io_, pumpToServer(link), asio::detached);
-        asio::co_spawn(io_, pumpToCaller(link), asio::detached);
+        asio::co_spawn(io_, forwardToServer(link), asio::detached);
+        asio::co_spawn(io_, forwardToCaller(link), asio::detached);
     }
 }
 
-asio::awaitable<void> DelayProxy::pumpToServer(std::shared_ptr<Link> link)
+asio::awaitable<void> DelayProxy::forwardToServer(std::shared_ptr<Link> link)
 {
     std::array<char, bufferSize> buffer {};
     for (;;) {
@@ -80,7 +80,7 @@
 }
 
 /// Delays the end of the server's stream as much as its bytes.
-asio::awaitable<void> DelayProxy::pumpToCaller(std::shared_ptr<Link> link)
+asio::awaitable<void> DelayProxy::forwardToCaller(std::shared_ptr<Link> link)
 {
     std::array<char, bufferSize> buffer {};
     SteadyTimer timer(io_);
--- a/test/Harness/DelayProxy.h
+++ b/test/Harness/DelayProxy.h
@@ -29,8 +29,8 @@
 private:
     struct Link;
     asio::awaitable<void> accept();
-    static asio::awaitable<void> pumpToServer(std::shared_ptr<Link> link);
-    asio::awaitable<void> pumpToCaller(std::shared_ptr<Link> link);
+    static asio::awaitable<void> forwardToServer(std::shared_ptr<Link> link);
+    asio::awaitable<void> forwardToCaller(std::shared_ptr<Link> link);
 
     asio::io_context io_;
     asio::ip::tcp::acceptor acceptor_;
--- a/test/Harness/TcpProxySet.cpp
+++ b/test/Harness/TcpProxySet.cpp
@@ -88,12 +88,12 @@
             continue;
         }
         links_.insert(link);
-        asio::co_spawn(io_, pump(link, true), asio::detached);
-        asio::co_spawn(io_, pump(link, false), asio::detached);
+        asio::co_spawn(io_, forwardBytes(link, true), asio::detached);
+        asio::co_spawn(io_, forwardBytes(link, false), asio::detached);
     }
 }
 
-asio::awaitable<void> TcpProxySet::pump(std::shared_ptr<Link> link, bool isToTarget)
+asio::awaitable<void> TcpProxySet::forwardBytes(std::shared_ptr<Link> link, bool isToTarget)
 {
     tcp::socket& from = isToTarget ? link->caller_ : link->target_;
     tcp::socket& to = isToTarget ? link->target_ : link->caller_;
--- a/test/Harness/TcpProxySet.h
+++ b/test/Harness/TcpProxySet.h
@@ -34,7 +34,7 @@
 private:
     struct Link;
     asio::awaitable<void> accept(std::shared_ptr<asio::ip::tcp::acceptor> acceptor, Endpoint target);
-    asio::awaitable<void> pump(std::shared_ptr<Link> link, bool isToTarget);
+    asio::awaitable<void> forwardBytes(std::shared_ptr<Link> link, bool isToTarget);
 
     asio::io_context io_;
     asio::executor_work_guard<asio::io_context::executor_type> work_;
--- a/test/LimitsTest.cpp
+++ b/test/LimitsTest.cpp
@@ -47,7 +47,7 @@
     struct Outcome {
         std::size_t answered_ = 0;
         std::size_t rejected_ = 0;
-        std::size_t broken_ = 0;
+        std::size_t failed_ = 0;
         std::uint64_t tokens_ = 0;
     };
 
@@ -74,7 +74,7 @@
                 ++outcome.answered_;
                 continue;
             }
-            ++(answer.status_ == 429 ? outcome.rejected_ : outcome.broken_);
+            ++(answer.status_ == 429 ? outcome.rejected_ : outcome.failed_);
             timer.expires_after(milliseconds(50));
             co_await timer.async_wait(asio::use_awaitable);
         }
@@ -125,7 +125,7 @@
         isOver = true;
         watcher.join();
         WARN((usesOneDataCentre ? "from one: " : "from all: ") << peak << " concurrent of " << maxInProgress << ", " << outcome.answered_ << " answered, " << outcome.rejected_ << " rejected");
-        CHECK(outcome.broken_ == 0);
+        CHECK(outcome.failed_ == 0);
     }
     CHECK(peak <= maxInProgress);
     CHECK(peak >= maxInProgress * 9 / 10);
@@ -149,7 +149,7 @@
         double elapsed = std::chrono::duration<double>(steadyNow() - startedAt).count();
         rate = static_cast<double>(outcome.tokens_ - std::min(outcome.tokens_, tokensPerSecond)) / elapsed;
         WARN((usesOneDataCentre ? "from one: " : "from all: ") << rate << " tokens per second beyond the burst, of " << tokensPerSecond);
-        CHECK(outcome.broken_ == 0);
+        CHECK(outcome.failed_ == 0);
         // Requests are admitted as a unit, so slightly more tokens may be pending at the end.
         CHECK(rate <= 1.1 * tokensPerSecond);
     }
@@ -193,7 +193,7 @@
     auto outcome = load.run();
     isOver = true;
     watcher.join();
-    WARN(peak << " concurrent of " << maxInProgress << ", " << outcome.answered_ << " answered, " << outcome.broken_ << " broken");
+    WARN(peak << " concurrent of " << maxInProgress << ", " << outcome.answered_ << " answered, " << outcome.failed_ << " broken");
     CHECK(peak <= maxInProgress + maxInProgress / 3);
     CHECK(peak >= maxInProgress * 9 / 10);
     CHECK(outcome.answered_ > 200);
--- a/test/Platform/Soak/SoakMonitor.cpp
+++ b/test/Platform/Soak/SoakMonitor.cpp
@@ -7,13 +7,13 @@
 
 namespace pistachioloom::test {
 
-/// The active configuration version according to the metrics in \p page; 0 if there is
+/// The active configuration version according to the metrics in \p metricsText; 0 if there is
 /// none.
-static double versionIn(const std::string& page)
+static double versionIn(const std::string& metricsText)
 {
     constexpr std::string_view key = "\npistachioloom_configuration_version ";
-    std::size_t position = page.find(key);
-    return position == std::string::npos ? 0 : std::stod(page.substr(position + key.size()));
+    std::size_t position = metricsText.find(key);
+    return position == std::string::npos ? 0 : std::stod(metricsText.substr(position + key.size()));
 }
 
 /// Checks that one gateway keeps running and that its configuration version never
--- a/test/RolloutsTest.cpp
+++ b/test/RolloutsTest.cpp
@@ -20,7 +20,7 @@
 constexpr double periodSeconds = 8;
 // Shares with which the few callers of a test produce enough answers.
 constexpr const char* rolloutSettings = "  rollout:\n    trial_share: 0.2\n    exposed_share: 0.25\n    exposed_extra: 20\n";
-constexpr std::size_t stableCount = 4;
+constexpr std::size_t oldServerCount = 4;
 
 GatewayDeploymentOptions fleetOptions(std::size_t count, const char* fanout)
 {
@@ -128,7 +128,7 @@
     deployment.startStandardServices();
     for (const char* id : { "e-3", "e-4" })
         deployment.startBackend(id, "engines");
-    if (!deployment.waitForBackends(2 + stableCount))
+    if (!deployment.waitForBackends(2 + oldServerCount))
         throw std::runtime_error("gateways do not know all backend servers");
     bool hasHolder = waitUntil([&] {
         auto& all = deployment.gateways();
@@ -159,7 +159,7 @@
     BackgroundCallers callers(deployment);
     orderRollout(deployment);
     startNewServers(deployment, {});
-    REQUIRE(deployment.waitForBackends(2 + stableCount + newServers.size()));
+    REQUIRE(deployment.waitForBackends(2 + oldServerCount + newServers.size()));
     std::this_thread::sleep_for(milliseconds(3500));
     auto newRuns = static_cast<double>(runsOf(deployment, newServers));
     auto oldRuns = static_cast<double>(runsOf(deployment, oldServers));
@@ -212,10 +212,10 @@
     orderRollout(deployment);
     startNewServers(deployment, {});
     REQUIRE(waitForPhase(deployment, "active"));
-    auto& leader = holder(deployment);
-    leader.process_->kill();
-    (void)leader.process_->wait(waitLimit);
-    deployment.restart(leader);
+    auto& dutyHolder = holder(deployment);
+    dutyHolder.process_->kill();
+    (void)dutyHolder.process_->wait(waitLimit);
+    deployment.restart(dutyHolder);
     if (!isGood) {
         for (const std::string& id : newServers)
             deployment.backend(id, { { "fails_one_in", 2 } });
