--- a/test/AtMostOnceTest.cpp
+++ b/test/AtMostOnceTest.cpp
@@ -1,7 +1,7 @@
 //===- test/AtMostOnceTest.cpp - calls that must run at most once ---------===//
 ///
 /// \file
-/// Runs whole processes; the stand-in service counts the executions of each key.
+/// Runs nodes as processes; the stand-in service counts the executions of each key.
 //===----------------------------------------------------------------------===//
 #include "Harness/Deployment.h"
 #include "pistachioloom/Ledger.h"
@@ -53,7 +53,8 @@
         Deployment::control(service.endpoint_, values);
 }
 
-/// The nodes of \p dataCentre: first the coordinator of \p key, then the other one.
+/// The two nodes of \p dataCentre: first the coordinator of the calls with \p key, then
+/// the other one.
 std::vector<VmId> coordinatorsOf(Deployment& deployment, const std::string& dataCentre, const std::string& key)
 {
     std::vector<VmId> nodes;
--- a/test/CatalogueTest.cpp
+++ b/test/CatalogueTest.cpp
@@ -1,8 +1,8 @@
 //===- test/CatalogueTest.cpp - accepted changes take effect and persist --===//
 ///
 /// \file
-/// Concurrent operators, lost answers, trims, outages and partitions, with whole
-/// processes.
+/// Runs nodes as processes. Accepted changes survive concurrent operators, lost
+/// answers, log trims, outages and partitions.
 //===----------------------------------------------------------------------===//
 #include "Harness/Deployment.h"
 
@@ -155,7 +155,8 @@
     REQUIRE(isInForceEverywhere(deployment, "s", service("s", 5)));
     deployment.controlPlatform({ { "log_down", 1 } });
     auto [code, output] = applyEntry(deployment, deployment.nodes()[0], "s.yaml", service("s", 6));
-    // The log's rejection does not show whether the record was stored.
+    // A log that is down does not state whether it stored the record, so the tool reports
+    // that the outcome is unknown.
     constexpr int unknownOutcome = 4;
     CHECK(code == unknownOutcome);
     auto& newNode = deployment.startNode("caxias-a-9", "caxias-a");
--- a/test/ConfigurationSpreadTest.cpp
+++ b/test/ConfigurationSpreadTest.cpp
@@ -1,7 +1,7 @@
 //===- test/ConfigurationSpreadTest.cpp - spread of a large configuration -===//
 ///
 /// \file
-/// Runs whole gateways. A configuration of thousands of routes reaches all of them
+/// Runs gateways as processes. A configuration of thousands of routes reaches all of them
 /// quickly although each sends it to only a few peers at a time.
 //===----------------------------------------------------------------------===//
 #include "Platform/GatewayDeployment.h"
@@ -20,10 +20,11 @@
 
 namespace {
 
-// Concurrent transfers that a gateway allows, and the time limit of one.
+// Maximum number of concurrent transfers from one gateway, and the timeout of each.
 constexpr std::size_t maxTransfers = 2;
 constexpr milliseconds transferTimeout { 2000 };
-// A lost connection or a reset stream is detected within this time.
+// Tolerance of the time bounds. A gateway detects a lost connection or a reset stream
+// within it.
 constexpr milliseconds slack { 1000 };
 constexpr milliseconds replyTimeout { 1500 };
 
@@ -78,8 +79,8 @@
     ConfigurationFetcher(const ConfigurationFetcher&) = delete;
     ConfigurationFetcher& operator=(const ConfigurationFetcher&) = delete;
 
-    /// Fetches the configuration and keeps the stream of a received one open without an
-    /// acknowledgement until one of the functions below ends it.
+    /// Fetches the configuration. When it is received, the stream stays open and is not
+    /// acknowledged until acknowledgeAll(), cancelAll() or dropLink() is called.
     FetchResult fetch()
     {
         return run([this]() -> asio::awaitable<FetchResult> {
--- a/test/CrashingRequestsTest.cpp
+++ b/test/CrashingRequestsTest.cpp
@@ -1,8 +1,8 @@
 //===- test/CrashingRequestsTest.cpp - requests that crash their servers --===//
 ///
 /// \file
-/// One request crashes each backend server that starts to run it and is repeated at
-/// every gateway; other requests are still served.
+/// One request crashes each backend server that starts to run it, and the caller repeats
+/// it at every gateway; other requests are still served.
 //===----------------------------------------------------------------------===//
 #include "Platform/GatewayDeployment.h"
 
@@ -44,7 +44,7 @@
         throw std::runtime_error("gateways do not know all backend servers");
 }
 
-/// A request that is the same each time except for its attempt id.
+/// The request that crashes engines. Only its attempt id, \p id, differs between calls.
 HttpRequest crashingRequest(const std::string& id)
 {
     HttpRequest request = gatewayRequest("POST", "/ask/stream/crash", id);
--- a/test/CutsTest.cpp
+++ b/test/CutsTest.cpp
@@ -63,7 +63,8 @@
     auto& inside = deployment.node("bento-c-1");
     auto& outside = deployment.node("caxias-a-1");
 
-    // Drafts that run during the partition, owned inside and outside of it.
+    // Drafts that run during the partition, owned by nodes inside and outside the
+    // partitioned data centre.
     std::vector<Completion> completions;
     std::vector<std::future<Answer>> drafts;
     for (int i = 0; i < 6; ++i) {
--- a/test/Harness/CallerClient.h
+++ b/test/Harness/CallerClient.h
@@ -64,8 +64,9 @@
 ServiceCallResult callService(const Endpoint& entry, const std::string& apiKey, const std::string& path, const std::string& key, const std::string& body, milliseconds timeout = milliseconds(20000));
 
 /// Checks that \p answer is exactly the engine's sequence for \p completion: each
-/// position occurs once, each token belongs to this prompt, and no sampling run
-/// recurs after another one. \returns an empty string, or the first mismatch.
+/// position occurs once, each token belongs to this prompt, and the tokens of each
+/// sampling run, which every token names, are consecutive. \returns an empty string, or
+/// the first mismatch.
 std::string checkAnswer(const Answer& answer, const Completion& completion);
 
 } // namespace pistachioloom::test
--- a/test/Harness/Deployment.h
+++ b/test/Harness/Deployment.h
@@ -2,8 +2,8 @@
 ///
 /// \file
 /// Starts the stand-ins and a few daemons as processes with kernel-chosen
-/// ports. It simulates nothing itself: the stand-ins cause partitions, outages
-/// and leaving, and signals kill or freeze the processes.
+/// ports. Stand-ins and proxies simulate partitions, outages and leaving VMs;
+/// signals kill or freeze the processes.
 //===----------------------------------------------------------------------===//
 #pragma once
 
--- a/test/Harness/Process.h
+++ b/test/Harness/Process.h
@@ -18,7 +18,7 @@
 class Process {
 public:
     /// Starts \p program with its output appended to \p logFile, and waits until it
-    /// reports its ports there. \throws std::runtime_error if it ends before.
+    /// reports its ports there. \throws std::runtime_error if it exits earlier.
     Process(const std::string& program, const std::vector<std::string>& arguments, const std::string& logFile);
     ~Process();
     Process(const Process&) = delete;
--- a/test/Harness/TcpProxySet.h
+++ b/test/Harness/TcpProxySet.h
@@ -15,7 +15,8 @@
 
 namespace pistachioloom::test {
 
-/// Proxies from one data centre to nodes of another, all on one thread.
+/// A set of proxies on one thread, such as those from one data centre to the nodes of
+/// another.
 class TcpProxySet {
 public:
     TcpProxySet();
--- a/test/IdleConnectionsTest.cpp
+++ b/test/IdleConnectionsTest.cpp
@@ -97,11 +97,12 @@
 
 } // namespace
 
-// Guards against lost requests on idle connections. A node that closes them without an
-// announced timeout sends its close behind other bytes of a saturated link. The caller still
-// sees an open connection and sends its next request, which the node reads and discards; the
-// connection ends without an answer. Observed with a configuration of 4,240 routes: the node
-// logged "Closed by this node" (reason idle, idle_ms 15000, held 2242) 0.5 s after its close.
+// Guards against lost requests on idle connections. If a node closes one without having
+// announced the timeout, the close can be queued behind other bytes on a saturated link. The
+// caller still sees an open connection and sends its next request, which the node reads and
+// discards; the connection ends without an answer. Observed with a configuration of 4,240
+// routes: the node logged "Closed by this node" (reason idle, idle_ms 15000, held 2242) 0.5 s
+// after it sent the close.
 TEST_CASE("a caller's next request is answered while its link is delayed", "[idle]")
 {
     struct Row {
--- a/test/KeptConnectionsTest.cpp
+++ b/test/KeptConnectionsTest.cpp
@@ -69,7 +69,7 @@
 
 } // namespace
 
-TEST_CASE("a request near the idle timeout of a backend server is not lost to its close", "[gateway]")
+TEST_CASE("a request near the idle timeout of a backend server is not lost when the server closes the connection", "[gateway]")
 {
     constexpr std::chrono::seconds idleTimeout { 4 };
     constexpr milliseconds delay { 500 };
--- a/test/LeavingTest.cpp
+++ b/test/LeavingTest.cpp
@@ -1,8 +1,8 @@
 //===- test/LeavingTest.cpp - leaving backend servers, graceful stops -----===//
 ///
 /// \file
-/// A leaving backend server gets no new work from two seconds after the first notice
-/// of any source. A planned stop of an entry VM interrupts no request.
+/// A leaving backend server gets no new work once two seconds have passed since the
+/// first notice from any source. A planned stop of an entry VM interrupts no request.
 //===----------------------------------------------------------------------===//
 #include "Harness/Deployment.h"
 
@@ -83,7 +83,7 @@
 
 } // namespace
 
-TEST_CASE("a leaving engine gets no new work from two seconds after the first notice")
+TEST_CASE("a leaving engine gets no new work once two seconds have passed since the first notice")
 {
     auto source = GENERATE(NoticeSource::CloudNotice, NoticeSource::VmList, NoticeSource::OwnRejection, NoticeSource::CloudNoticeWhilePartitioned);
     INFO("source " << static_cast<int>(source));
@@ -154,7 +154,8 @@
         CHECK(deployment.runTool(leaving, { "drain" }).first == 0);
     else
         leaving.process_->signal(SIGTERM);
-    // Readiness ends first; callers that the load balancer still sends are served.
+    // The node first reports that it is not ready, and still serves callers that the load
+    // balancer sends to it.
     HttpRequest ready { "GET", "/readyz", {}, {} };
     CHECK(waitUntil([&] {
         auto response = callHttpBlocking(leaving.callers_, ready, milliseconds(1000));
--- a/test/LimitsTest.cpp
+++ b/test/LimitsTest.cpp
@@ -17,8 +17,8 @@
 
 constexpr std::uint64_t maxInProgress = 30;
 constexpr std::uint64_t tokensPerSecond = 2000;
-// Only one round of load must reach the full limit, since a busy machine may need
-// more than one for it. The limit must hold in every round.
+// A busy machine may need several rounds of load to reach the full limit, so it is
+// enough that one round reaches it. The limit must hold in every round.
 constexpr int maxRounds = 4;
 
 std::string limitedCatalogue(const std::string& limits)
@@ -89,8 +89,8 @@
     return sum;
 }
 
-/// Requests that all nodes except \p excluded count as in progress. Engines may
-/// temporarily work on more: on streams whose dispatcher is frozen.
+/// Number of requests that all nodes except \p excluded count as in progress. Engines
+/// may temporarily work on more, namely on streams whose dispatcher is frozen.
 std::uint64_t admitted(Deployment& deployment, const std::string& excluded)
 {
     std::uint64_t sum = 0;
@@ -150,7 +150,8 @@
         rate = static_cast<double>(outcome.tokens_ - std::min(outcome.tokens_, tokensPerSecond)) / elapsed;
         WARN((usesOneDataCentre ? "from one: " : "from all: ") << rate << " tokens per second beyond the burst, of " << tokensPerSecond);
         CHECK(outcome.failed_ == 0);
-        // Requests are admitted as a unit, so slightly more tokens may be pending at the end.
+        // Only entire requests are admitted, so at the end slightly more tokens than the
+        // limit allows may be in progress.
         CHECK(rate <= 1.1 * tokensPerSecond);
     }
     CHECK(rate >= 0.85 * tokensPerSecond);
@@ -193,7 +194,7 @@
     auto outcome = load.run();
     isOver = true;
     watcher.join();
-    WARN(peak << " concurrent of " << maxInProgress << ", " << outcome.answered_ << " answered, " << outcome.failed_ << " broken");
+    WARN(peak << " concurrent of " << maxInProgress << ", " << outcome.answered_ << " answered, " << outcome.failed_ << " failed");
     CHECK(peak <= maxInProgress + maxInProgress / 3);
     CHECK(peak >= maxInProgress * 9 / 10);
     CHECK(outcome.answered_ > 200);
--- a/test/Platform/GatewayDeployment.cpp
+++ b/test/Platform/GatewayDeployment.cpp
@@ -49,7 +49,7 @@
     directory_ = name;
     platform_ = std::make_unique<Process>(programPath("standin-fleet"), std::vector<std::string> {}, directory_ + "/platform.log");
     platformAddress_ = { "127.0.0.1", static_cast<std::uint16_t>(numberField(platform_->boundPorts(), "port")) };
-    // A random network keeps this deployment apart from other tests on the machine.
+    // A random loopback network keeps this deployment apart from other tests on the machine.
     std::string network = "127." + std::to_string(1 + randomBits() % 250) + "." + std::to_string(randomBits() % 250) + ".";
     for (std::size_t i = 0; i < options_.count_; ++i) {
         std::string host = network + std::to_string(i + 1);
--- a/test/Platform/GatewayDeployment.h
+++ b/test/Platform/GatewayDeployment.h
@@ -53,8 +53,8 @@
     void setBackendFaults(const boost::json::object& faults) const;
     void startBackend(const std::string& id, const std::string& service);
     void setLeaving(const std::string& id, const std::string& service, const std::string& address) const;
-    /// Registers the running start of \p id at \p address on behalf of the backend
-    /// server.
+    /// Registers \p id at \p address on behalf of the backend server, with the start time
+    /// of its running process if there is one.
     void registerBackend(const std::string& id, const std::string& service, const std::string& address, const char* phase) const;
     /// \p connections is the number of connections that each backend server accepts from
     /// all nodes, \p idle the idle timeout of a caller's connection.
--- a/test/Platform/Soak/FaultProxy.h
+++ b/test/Platform/Soak/FaultProxy.h
@@ -1,7 +1,7 @@
 //===- test/Platform/Soak/FaultProxy.h - proxy that injects faults --------===//
 ///
 /// \file
-/// A loopback TCP proxy between two of the programs. It can delay, reset or stall
+/// A loopback TCP proxy between two processes. It can delay, reset or stall
 /// connections, in both directions or in one, and both open and new ones.
 //===----------------------------------------------------------------------===//
 #pragma once
@@ -32,7 +32,7 @@
 std::string_view toString(LinkFault fault);
 
 /// Listens on one address and forwards connections to one server. All functions must
-/// be called on the io_context that the constructor gets.
+/// be called on the thread that runs the io_context passed to the constructor.
 class FaultProxy {
 public:
     FaultProxy(asio::io_context& io, Endpoint target);
--- a/test/Platform/Soak/InvariantChecker.cpp
+++ b/test/Platform/Soak/InvariantChecker.cpp
@@ -57,7 +57,7 @@
 
 void InvariantChecker::addCall(Call call)
 {
-    // Every answer to a crashing request is a failure.
+    // Answers to crashing requests are not checked, since each is a failure.
     if (call.kind_ != RequestKind::Crashing)
         checkAnswer(call);
     calls_.push_back(std::move(call));
@@ -139,9 +139,8 @@
     }
 }
 
-/// A crash is excused within the contact time after a fault of its gateway, which was
-/// down or frozen, or of the platform, which was unavailable when all gateways had to
-/// start again.
+/// Excuses each crash within the contact time after a fault: its gateway was down or
+/// frozen, or the platform was unavailable while all gateways had to restart.
 void InvariantChecker::checkCrashes(const json::array& crashes)
 {
     std::map<std::string, std::string> gatewayOf;
--- a/test/Platform/Soak/SoakFaults.cpp
+++ b/test/Platform/Soak/SoakFaults.cpp
@@ -1,4 +1,4 @@
-//===- test/Platform/Soak/SoakFaults.cpp - fault injection of the soak ----===//
+//===- test/Platform/Soak/SoakFaults.cpp - faults of the soak test ------===//
 ///
 /// \file
 /// Applies the generated faults to processes, links, the platform and backend servers.
@@ -19,8 +19,8 @@
 static constexpr milliseconds measuredTime { 3000 };
 // The grace period in the gateways' settings plus a margin for a busy machine.
 static constexpr milliseconds maxStopTime { 3000 + 2500 };
-// Time after the first answer that reports leaving, after which requests that still reach
-// the backend server are counted.
+// Requests that reach a leaving backend server count as late runs once this time has
+// passed since the first answer that reported it.
 static constexpr milliseconds leavingPropagation { 2500 };
 
 asio::awaitable<void> SoakRun::stopAndRestart(std::size_t index, int signal, milliseconds pause)
@@ -131,7 +131,7 @@
     server.isLeaving_ = true;
     startServer(server.service_);
     json::object initialState = deployment_->backend(server.id_, { { "says_leaving", 1 } });
-    // No gateway knows before it receives an answer.
+    // No gateway knows that the server is leaving before it receives an answer from it.
     std::size_t initialRunCount = initialState.at("runs").as_array().size();
     std::size_t runCount = initialRunCount;
     while (!isOver_ && runCount == initialRunCount) {
@@ -162,7 +162,7 @@
     co_await sleepFor(duration);
     json::object state = deployment_->backend(id, { { "full", 0 }, { "retry_after_ms", 0 } });
     checker_.faultIntervals().add(id, at, steadyNow());
-    // Each start of each gateway may send two requests per pause.
+    // Each gateway may send two requests per pause, and as many again after each restart.
     auto pauses = static_cast<std::uint64_t>(duration / pause + 1);
     std::uint64_t starts = 0;
     for (const Node& node : nodes_)
--- a/test/Platform/Soak/SoakMonitor.cpp
+++ b/test/Platform/Soak/SoakMonitor.cpp
@@ -1,4 +1,4 @@
-//===- test/Platform/Soak/SoakMonitor.cpp - gateway monitor of the soak ---===//
+//===- test/Platform/Soak/SoakMonitor.cpp - gateway monitor -------------===//
 ///
 /// \file
 /// Polls the process state and the metrics of each gateway.
--- a/test/Platform/Soak/SoakRun.h
+++ b/test/Platform/Soak/SoakRun.h
@@ -1,4 +1,4 @@
-//===- test/Platform/Soak/SoakRun.h - one run of the soak -----------------===//
+//===- test/Platform/Soak/SoakRun.h - one run of the soak test ----------===//
 ///
 /// \file
 /// Runs gateways as processes that use a stand-in of the users' platform through
@@ -69,6 +69,7 @@
     asio::awaitable<void> stopAndRestart(std::size_t index, int signal, milliseconds pause);
     asio::awaitable<void> freeze(std::size_t index, milliseconds duration);
     asio::awaitable<void> injectLinkFault(FaultProxy& proxy, const std::string& component, Fault fault);
+    /// Sets \p key in the control of the stand-in for the duration of \p fault.
     asio::awaitable<void> control(std::string key, Fault fault);
     asio::awaitable<void> replace(std::size_t index);
     asio::awaitable<void> reclaim(std::size_t index, milliseconds notice);
--- a/test/PlatformFleetTest.cpp
+++ b/test/PlatformFleetTest.cpp
@@ -1,7 +1,7 @@
 //===- test/PlatformFleetTest.cpp - a fleet of gateways -------------------===//
 ///
 /// \file
-/// Runs whole gateways: what they know of each other, and what happens to callers
+/// Runs gateways as processes: what they know of each other, and what happens to callers
 /// and duties when one of them stops or is lost.
 //===----------------------------------------------------------------------===//
 #include "Platform/GatewayDeployment.h"
@@ -145,7 +145,7 @@
     };
     REQUIRE(waitUntil([&] { return holderOf() < gateways.size(); }, waitLimit));
     std::size_t first = holderOf();
-    // A long stream keeps the stopping node running for its full grace time of 3 s.
+    // A long stream keeps the stopping node running for its full grace period of 3 s.
     deployment.setBackendFaults({ { "events", 1000 } });
     std::thread caller([&] { (void)deployment.call(gateways[first], gatewayRequest("POST", "/ask/stream", "long")); });
     REQUIRE(waitUntil([&] { return deployment.metric(gateways[first], "requests_running") > 0; }, waitLimit));
--- a/test/PlatformGatewayTest.cpp
+++ b/test/PlatformGatewayTest.cpp
@@ -1,8 +1,8 @@
-//===- test/PlatformGatewayTest.cpp - transparent requests ----------------===//
+//===- test/PlatformGatewayTest.cpp - requests through gateways ---------===//
 ///
 /// \file
-/// Runs whole gateways with a stand-in of the users' platform: what reaches backend
-/// servers, what callers receive, and what failures must not change.
+/// Runs gateways as processes with a stand-in of the users' platform. Checks what reaches
+/// backend servers, what callers receive, and which guarantees hold when processes fail.
 //===----------------------------------------------------------------------===//
 #include "Platform/GatewayDeployment.h"
 
@@ -41,7 +41,8 @@
     return events;
 }
 
-/// A connection that sends raw bytes and reads until a text or its end.
+/// A connection that sends raw bytes, and reads up to a given text or to the end of the
+/// stream.
 class RawConnection {
 public:
     explicit RawConnection(const Endpoint& endpoint)
@@ -168,7 +169,8 @@
     deployment.startStandardServices();
     // The first attempt is cancelled after 0.4 of 5,000 ms. The second needs 2,500 of the
     // remaining 3,000 ms, far more than 0.4 of them, so it answers only if it may use all
-    // of them. Both bounds are 500 ms away, so that a slow machine does not affect the result.
+    // of them. Each delay is 500 ms away from its bound, so that a slow
+    // machine does not affect the result.
     deployment.putConfiguration(2, R"(,{"name":"patient","hostname":"h.example","path_prefix":"/patient/","type":"safe","timeout_ms":5000,"goal_ms":100,"priority":2,"service":"plain","attempts":2})");
     REQUIRE(deployment.waitForVersion(2, milliseconds(5000)));
     deployment.setBackendFaults({ { "delay_ms", 2500 } });
--- a/test/RolloutsTest.cpp
+++ b/test/RolloutsTest.cpp
@@ -1,7 +1,7 @@
 //===- test/RolloutsTest.cpp - roll-outs of service versions --------------===//
 ///
 /// \file
-/// Runs whole gateways. An operator orders a good or bad version, and the gateways roll
+/// Runs gateways as processes. An operator orders a good or bad version, and the gateways roll
 /// it out or revert it, also when the holder of the duties or all gateways are killed.
 //===----------------------------------------------------------------------===//
 #include "Platform/GatewayDeployment.h"
@@ -18,7 +18,8 @@
 
 constexpr milliseconds waitLimit { 12000 };
 constexpr double periodSeconds = 8;
-// Shares with which the few callers of a test produce enough answers.
+// Shares of the requests that are large enough for the few callers of a test to produce
+// the answers that a decision needs.
 constexpr const char* rolloutSettings = "  rollout:\n    trial_share: 0.2\n    exposed_share: 0.25\n    exposed_extra: 20\n";
 constexpr std::size_t oldServerCount = 4;
 
--- a/test/ServerSignalsTest.cpp
+++ b/test/ServerSignalsTest.cpp
@@ -1,8 +1,9 @@
 //===- test/ServerSignalsTest.cpp - signals in backend servers' answers ---===//
 ///
 /// \file
-/// A signal in an answer applies from that answer on, whatever the platform and peers
-/// report, and is sent to no one but other gateways.
+/// A backend server can signal in an answer that it is leaving or requests a pause. The
+/// signal applies from that answer on, whatever the platform and peers report, and is
+/// forwarded only to other gateways.
 //===----------------------------------------------------------------------===//
 #include "Platform/GatewayDeployment.h"
 
@@ -43,7 +44,7 @@
 
 } // namespace
 
-TEST_CASE("an engine that announces in an answer that it is leaving gets new requests while the platform is down", "[gateway]")
+TEST_CASE("a backend server that announces in an answer that it is leaving gets new requests while the platform is down", "[gateway]")
 {
     const char* path = GENERATE("/safe/x", "/once/x", "/draft/stream/x", "/ask/stream/x");
     CAPTURE(path);
@@ -69,7 +70,7 @@
     CHECK(runsOf(deployment, leaving) == before);
 }
 
-TEST_CASE("an engine that rejects a request and announces that it is leaving gets new requests", "[gateway]")
+TEST_CASE("a backend server that rejects a request and announces that it is leaving gets new requests", "[gateway]")
 {
     GatewayDeployment deployment(1);
     deployment.startStandardServices();
@@ -87,7 +88,7 @@
     CHECK(rejectedCount() == before);
 }
 
-TEST_CASE("an engine that asked for a pause gets requests during it", "[gateway]")
+TEST_CASE("a backend server that requested a pause gets requests during it", "[gateway]")
 {
     GatewayDeployment deployment(1);
     deployment.startStandardServices();
