--- a/test/DraftsTest.cpp
+++ b/test/DraftsTest.cpp
@@ -1,7 +1,7 @@
 //===- test/DraftsTest.cpp - accepted drafts survive failures -------------===//
 ///
 /// \file
-/// Reclaims, kills and freezes the processes that work on an accepted generation.
+/// Reclaims, kills and freezes the processes that work on an accepted draft.
 /// The caller still receives the engine's exact sequence.
 //===----------------------------------------------------------------------===//
 #include "Harness/Deployment.h"
--- a/test/Platform/Soak/Soak.cpp
+++ b/test/Platform/Soak/Soak.cpp
@@ -1,4 +1,4 @@
-//===- test/Platform/Soak/Soak.cpp - soak test with random faults -------===//
+//===- test/Platform/Soak/Soak.cpp - soak test with random faults ---------===//
 ///
 /// \file
 /// Runs gateways as processes that use a stand-in of the users' platform through
--- a/test/Platform/Soak/SoakCaller.cpp
+++ b/test/Platform/Soak/SoakCaller.cpp
@@ -1,4 +1,4 @@
-//===- test/Platform/Soak/SoakCaller.cpp - callers of the soak test -----===//
+//===- test/Platform/Soak/SoakCaller.cpp - callers of the soak test -------===//
 ///
 /// \file
 /// See SoakCaller.h.
--- a/test/Platform/Soak/SoakCaller.h
+++ b/test/Platform/Soak/SoakCaller.h
@@ -1,4 +1,4 @@
-//===- test/Platform/Soak/SoakCaller.h - callers of the soak test -------===//
+//===- test/Platform/Soak/SoakCaller.h - callers of the soak test ---------===//
 ///
 /// \file
 /// A caller sends requests one after the other on a persistent connection, opens a new
--- a/test/Platform/Soak/SoakFaults.cpp
+++ b/test/Platform/Soak/SoakFaults.cpp
@@ -1,4 +1,4 @@
-//===- test/Platform/Soak/SoakFaults.cpp - faults of the soak test ------===//
+//===- test/Platform/Soak/SoakFaults.cpp - faults of the soak test --------===//
 ///
 /// \file
 /// Applies the generated faults to processes, links, the platform and backend servers.
--- a/test/Platform/Soak/SoakMonitor.cpp
+++ b/test/Platform/Soak/SoakMonitor.cpp
@@ -1,4 +1,4 @@
-//===- test/Platform/Soak/SoakMonitor.cpp - gateway monitor -------------===//
+//===- test/Platform/Soak/SoakMonitor.cpp - gateway monitor ---------------===//
 ///
 /// \file
 /// Polls the process state and the metrics of each gateway.
@@ -7,8 +7,7 @@
 
 namespace pistachioloom::test {
 
-/// The active configuration version according to the metrics in \p metricsText; 0 if there is
-/// none.
+/// The active configuration version according to \p metricsText; 0 if there is none.
 static double versionIn(const std::string& metricsText)
 {
     constexpr std::string_view key = "\npistachioloom_configuration_version ";
--- a/test/Platform/Soak/SoakRun.cpp
+++ b/test/Platform/Soak/SoakRun.cpp
@@ -1,4 +1,4 @@
-//===- test/Platform/Soak/SoakRun.cpp - one run of the soak test --------===//
+//===- test/Platform/Soak/SoakRun.cpp - one run of the soak test ----------===//
 ///
 /// \file
 /// Starts the deployment and its callers, waits for the end, and reports violations.
--- a/test/Platform/Soak/SoakRun.h
+++ b/test/Platform/Soak/SoakRun.h
@@ -1,4 +1,4 @@
-//===- test/Platform/Soak/SoakRun.h - one run of the soak test ----------===//
+//===- test/Platform/Soak/SoakRun.h - one run of the soak test ------------===//
 ///
 /// \file
 /// Runs gateways as processes that use a stand-in of the users' platform through
--- a/test/PlatformGatewayTest.cpp
+++ b/test/PlatformGatewayTest.cpp
@@ -1,4 +1,4 @@
-//===- test/PlatformGatewayTest.cpp - requests through gateways ---------===//
+//===- test/PlatformGatewayTest.cpp - requests through gateways -----------===//
 ///
 /// \file
 /// Runs gateways as processes with a stand-in of the users' platform. Checks what reaches
@@ -169,8 +169,8 @@
     deployment.startStandardServices();
     // The first attempt is cancelled after 0.4 of 5,000 ms. The second needs 2,500 of the
     // remaining 3,000 ms, far more than 0.4 of them, so it answers only if it may use all
-    // of them. Each delay is 500 ms away from its bound, so that a slow
-    // machine does not affect the result.
+    // of them. Each delay is 500 ms away from its bound, so that a slow machine does not
+    // affect the result.
     deployment.putConfiguration(2, R"(,{"name":"patient","hostname":"h.example","path_prefix":"/patient/","type":"safe","timeout_ms":5000,"goal_ms":100,"priority":2,"service":"plain","attempts":2})");
     REQUIRE(deployment.waitForVersion(2, milliseconds(5000)));
     deployment.setBackendFaults({ { "delay_ms", 2500 } });
