--- a/test/Harness/TcpProxySet.h
+++ b/test/Harness/TcpProxySet.h
@@ -15,7 +15,8 @@
 
 namespace pistachioloom::test {
 
-/// Proxies from one data centre to nodes of another, all on one thread.
+/// A set of proxies on one thread, such as those from one data centre to the nodes of
+/// another.
 class TcpProxySet {
 public:
     TcpProxySet();
@@ -34,7 +35,7 @@
 private:
     struct Link;
     asio::awaitable<void> accept(std::shared_ptr<asio::ip::tcp::acceptor> acceptor, Endpoint target);
-    asio::awaitable<void> pump(std::shared_ptr<Link> link, bool isToTarget);
+    asio::awaitable<void> forwardBytes(std::shared_ptr<Link> link, bool isToTarget);
 
     asio::io_context io_;
     asio::executor_work_guard<asio::io_context::executor_type> work_;
--- a/test/Platform/Soak/SoakMonitor.cpp
+++ b/test/Platform/Soak/SoakMonitor.cpp
@@ -1,4 +1,4 @@
-//===- test/Platform/Soak/SoakMonitor.cpp - gateway monitor of the soak ---===//
+//===- test/Platform/Soak/SoakMonitor.cpp - gateway monitor ---------------===//
 ///
 /// \file
 /// Polls the process state and the metrics of each gateway.
@@ -7,13 +7,12 @@
 
 namespace pistachioloom::test {
 
-/// The active configuration version according to the metrics in \p page; 0 if there is
-/// none.
-static double versionIn(const std::string& page)
+/// The active configuration version according to \p metricsText; 0 if there is none.
+static double versionIn(const std::string& metricsText)
 {
     constexpr std::string_view key = "\npistachioloom_configuration_version ";
-    std::size_t position = page.find(key);
-    return position == std::string::npos ? 0 : std::stod(page.substr(position + key.size()));
+    std::size_t position = metricsText.find(key);
+    return position == std::string::npos ? 0 : std::stod(metricsText.substr(position + key.size()));
 }
 
 /// Checks that one gateway keeps running and that its configuration version never
