--- a/include/pistachioloom/Backends.h
+++ b/include/pistachioloom/Backends.h
@@ -196,7 +196,8 @@
     /// would try the engines of other data centres one by one for as long as the partition
     /// lasts.
     std::size_t unreachableThreshold_ = 3;
-    /// Time for which a backend server that reported that it is full is not chosen.
+    /// Time for which a backend server that reported that it is full is chosen only if
+    /// there is no other.
     milliseconds fullBackoff_ { 100 };
     /// Upper bound of the pause that a backend server may ask for.
     milliseconds maxPause_ { 3'600'000 };
@@ -228,7 +229,8 @@
     /// No later record of this incarnation reverts that, not even after a removal.
     /// \returns whether the server was known and not marked before.
     bool setLeaving(const BackendId& id, SteadyTime now);
-    /// Notes that \p id has terminated, and ejects it for ChoiceSettings::maxEjection_.
+    /// Notes that \p id has terminated, and ejects it for ChoiceSettings::maxEjection_ as
+    /// after consecutive failures.
     void setEnded(const BackendId& id, SteadyTime now);
     /// Notes that \p id asked for no requests for \p pause. It is not chosen before then,
     /// even if there is no other server.
@@ -270,9 +272,9 @@
     /// Notes that a connection to \p id could be established.
     void noteReachable(const BackendId& id);
     /// Returns one random backend server of each data centre that counts as unreachable,
-    /// since connections and requests to several of its servers have failed and none has
-    /// succeeded. Servers of such a data centre are chosen only if there are no others,
-    /// until noteReachable().
+    /// since connections and requests to several of its servers have failed without a
+    /// success in between. Servers of such a data centre are chosen only if there are no
+    /// others, until noteReachable().
     std::vector<BackendRecord> unreachableSample() const;
     /// Whether \p dataCentre counts as reachable from this node.
     bool isReachable(const DataCentreId& dataCentre) const;
@@ -329,7 +331,8 @@
         SteadyTime pausedUntil_ {};
         /// Duration of the last ejection; 0 after a successful request.
         milliseconds ejection_ {};
-        /// Moving average of observed waits as multiples of their estimates.
+        /// Moving average of observed waits as multiples of their estimates; 1 if they
+        /// are as estimated.
         double slowness_ = 1;
         /// Moving average of the share of requests that the server failed.
         double failedShare_ = 0;
--- a/include/pistachioloom/Fleet.h
+++ b/include/pistachioloom/Fleet.h
@@ -53,8 +53,9 @@
     /// other data centres are reclaimed.
     milliseconds reclaimableStabilisationWindow_ { 15000 };
     /// Only additional reclaimable engines are ordered until this time has passed since
-    /// the last growth in registered on-demand engines. It covers a heartbeat of 1.2 s and
-    /// its latency: an order dismisses engines that have not registered yet.
+    /// the first engine registered and since the number of on-demand engines last grew.
+    /// It covers a heartbeat of 1.2 s and its latency: an order dismisses engines that
+    /// have not registered yet.
     milliseconds settleTime_ { 1500 };
     /// On-demand engines are not dismissed for this time after reclaimable ones were
     /// reclaimed: more of those may follow, and an engine that was dismissed takes its
--- a/include/pistachioloom/Rollout.h
+++ b/include/pistachioloom/Rollout.h
@@ -193,8 +193,8 @@
     bool hasFirstByte_ = false;
     /// Time to the first byte, or until the attempt was abandoned without one.
     milliseconds waited_ {};
-    /// `waited_` as a multiple of the estimate for a backend server of usual speed; not
-    /// set without a first byte.
+    /// `waited_` as a multiple of the estimate for a backend server of average speed; 1
+    /// without a first byte.
     double waitRatio_ = 1;
     /// Estimate of `waited_` for this backend server when it was chosen.
     milliseconds estimate_ {};
--- a/include/pistachioloom/Routes.h
+++ b/include/pistachioloom/Routes.h
@@ -41,7 +41,7 @@
     bool hasAffinity_ = false;
     /// Maximum number of attempts for one request, each at another backend server.
     unsigned maxAttempts_ = 1;
-    /// Time limit of a request.
+    /// Longest time for which a request is kept waiting, from its arrival.
     milliseconds timeout_ { 15000 };
     /// The latency objective for a complete answer or a stream's first event.
     milliseconds objective_ { 1000 };
--- a/lib/Duties/Usage.cpp
+++ b/lib/Duties/Usage.cpp
@@ -15,9 +15,9 @@
 // An offset that was not reported again within this time is ignored.
 static constexpr milliseconds clockValidity { 5000 };
 static const VmId ownSource {};
-// Windows kept for each source, which is two minutes at 5 s a window. Usage is reported
-// from the last four windows; without the bound a node that never reports usage would
-// keep all windows forever.
+// Windows kept for each source, which is two minutes at 5 s a window. A window's usage is
+// due within four windows of its end. Without the bound a node that never reports usage
+// would keep all windows forever.
 static constexpr std::size_t maxWindowsPerSource = 24;
 
 static void dropOldWindows(std::map<WindowNumber, UsageCounts>& windows)
--- a/lib/Forward/RequestForwarder.cpp
+++ b/lib/Forward/RequestForwarder.cpp
@@ -252,8 +252,9 @@
             break;
         context_.metrics_.add(Counter::Retries);
         logger().info(LogLine("Retrying.").add("id", id_).add("after", attempt.choice_.backend_.id_.value_).add("sends", sendCount_).add("why", attempt.detail_).add("left_ms", timeLeft().count()));
-        // The previous engine detects its closed connection before the next one starts,
-        // because the close is sent first, over a path that is no longer than the send's.
+        // No pause is needed: the previous engine detects its closed connection long before
+        // the next one starts, because the close is sent first, over a path that is no longer
+        // than the send's.
     }
     if (caller_->isDisconnected())
         co_return;
--- a/lib/Forward/StreamMove.cpp
+++ b/lib/Forward/StreamMove.cpp
@@ -72,7 +72,7 @@
         copied = co_await context_.hooks_.copyStream_(copy);
     }
     bool isMoved = copied && copy.stopsRun_;
-    LogLine line(isMoved ? "Stream moved to another engine." : "Stream move failed.");
+    LogLine line(isMoved ? "Stream moved to another engine." : "Stream was not moved.");
     line.add("id", id_).add("from", from.id_.value_).add("to", to.backend_.id_.value_).add("last_event", static_cast<std::int64_t>(events_.last().value_or(0)));
     line.add("took_ms", std::chrono::duration_cast<milliseconds>(steadyNow() - startedAt).count()).add("error", copied ? "" : describe(copied.error()));
     logger().info(line);
--- a/lib/Quarantine/Quarantine.cpp
+++ b/lib/Quarantine/Quarantine.cpp
@@ -205,7 +205,7 @@
 {
     std::lock_guard lock(mutex_);
     for (const Suspect& suspect : reported) {
-        // A suspect that has expired on this node is not restored.
+        // A suspect whose crashes have expired is not added again.
         if (now > expiryOf(suspect.crashes_))
             continue;
         Entry& entry = findOrAdd(suspect.request_, suspect.organisation_, now);
--- a/lib/Rollout/Evaluators.cpp
+++ b/lib/Rollout/Evaluators.cpp
@@ -41,7 +41,8 @@
             constexpr double assumedAnswers = 20;
             return (bad_ + assumedBad) / (answers_ + assumedAnswers);
         }
-        /// Upper bound of the rate, by its standard error at the number of answers counted.
+        /// Upper bound of the rate: the rate plus its standard error, by which the rate of
+        /// so few answers may be higher by chance.
         double upperRate() const
         {
             constexpr double deviations = 1.0;
--- a/unittests/Quarantine/QuarantineTest.cpp
+++ b/unittests/Quarantine/QuarantineTest.cpp
@@ -132,8 +132,7 @@
     for (std::uint64_t of = 1; of <= 20; ++of)
         crash(table, { of }, 3, start);
     QuarantineTable started({});
-    // The reports that a new node receives within the platform's contact time, in which
-    // all nodes must learn what one has observed.
+    // A new node receives 15 reports within the platform's contact time.
     for (std::uint64_t report = 0; report < 15; ++report)
         started.take(table.suspectsToReport(after(60'000), report * 7919), after(60'000));
     CHECK(started.quarantined(after(60'000)) == 20);
