--- a/include/pistachioloom/Forward.h
+++ b/include/pistachioloom/Forward.h
@@ -34,7 +34,8 @@
     std::string seal_;
     /// Its presence in an answer means that the request did not run.
     std::string notRun_;
-    /// In an answer, any value except "0" means that the backend server is leaving.
+    /// A non-empty value other than "0" in an answer means that the backend server is
+    /// leaving.
     std::string leaving_;
     /// The number of prompt tokens and the maximum number of output tokens.
     std::string tokenCount_;
