--- a/lib/Gateway/Discovery.cpp
+++ b/lib/Gateway/Discovery.cpp
@@ -100,7 +100,8 @@
 
 std::vector<KnownPeer> Discovery::membersToAdvertise(SteadyTime now)
 {
-    // Readers are advertised in every other digest, since a reader times out after four.
+    // Readers are advertised in every other digest, since a reader is replaced only after
+    // four reporting periods without a report.
     bool advertisesReaders = ++digestCount_ % 2;
     std::vector<KnownPeer> advertised;
     addRelays(own_, advertised, now);
--- a/lib/Gateway/DutyRunner.h
+++ b/lib/Gateway/DutyRunner.h
@@ -45,7 +45,8 @@
         Yes,
         /// Another record was appended first.
         Superseded,
-        /// The record may or may not have been appended.
+        /// The record may or may not have been appended; only a later read of the log
+        /// shows which.
         Unknown,
     };
 
--- a/lib/Gateway/Gateway.cpp
+++ b/lib/Gateway/Gateway.cpp
@@ -73,7 +73,7 @@
     : file_(std::move(file))
     , context_(std::move(settings), std::move(platform))
     , ios_(makeContexts(context_.settings_.threads_))
-    , peerPool_(ios_[0]->get_executor(), context_.settings_.peerCredential_, [this](const Error& error) { logger_.warn("Peer connection failed: " + describe(error)); })
+    , peerPool_(ios_[0]->get_executor(), context_.settings_.peerCredential_, [this](const Error& error) { logger_.warn("Peer link failed: " + describe(error)); })
     , reports_(*ios_[0], context_, { [this] { return duties_.reportedToken(); }, [this] { return duties_.releasedToken(); }, [this](const VmId& vm, DutyToken token, SteadyTime reportedAt) { duties_.noteHolder(vm, token, reportedAt); }, [this](DutyToken token) { duties_.noteReleased(token); }, [this](const VmId& vm) { duties_.noteStopping(vm); }, [this] { return feed_.isReader(); }, [this] { return feed_.isPlatformUnavailable(); } })
     , duties_(*ios_[0], context_)
     , probe_(context_)
@@ -81,7 +81,7 @@
     , quarantineStore_(context_, { [this] { return feed_.isReader(); }, [this] { return reports_.rankFor("quarantines") == 0; } })
     , peerServer_(
           ios_[0]->get_executor(), context_.settings_.peerCredential_, [this](std::shared_ptr<PeerStream> stream) { return servePeer(std::move(stream)); },
-          [this](const Error& error) { logger_.warn("Peer connection failed: " + describe(error)); })
+          [this](const Error& error) { logger_.warn("Incoming peer connection failed: " + describe(error)); })
     , readinessServer_(
           ios_[0]->get_executor(), HttpBounds {}, [this](HttpExchange& exchange) -> asio::awaitable<void> { (void)co_await exchange.respond(readiness()); }, errorResponse)
     , metricsServer_(
--- a/lib/Gateway/NodeGroupSums.h
+++ b/lib/Gateway/NodeGroupSums.h
@@ -38,8 +38,8 @@
     std::uint64_t unresponsiveNodes(SteadyTime now) const;
     /// Returns the sources that reported recently.
     std::vector<VmId> liveSources(SteadyTime now) const;
-    /// Returns what was admitted of each organisation's quota since this group was first
-    /// received. The counts never decrease, whichever source is active.
+    /// Returns what was admitted of each organisation's quota since the first report of
+    /// this group. The counts continue to grow when another source becomes active.
     const NamedCounts& admitted() const { return admitted_; }
 
 private:
--- a/lib/Node/ControlPlane.h
+++ b/lib/Node/ControlPlane.h
@@ -45,7 +45,7 @@
     };
 
     /// Marks VMs as leaving, after a reclaim notice or a report of the VM
-    /// itself, and gossips it if any of them was not marked before.
+    /// itself, and gossips it if this changed the table of leaving VMs.
     void markLeaving(const std::vector<LeavingVm>& vms);
     /// Time until a leaving VM stops: from its notice, or otherwise the default
     /// notice counted from the time at which the VM was marked. nullopt for a
@@ -87,8 +87,8 @@
     /// over the data centres.
     std::vector<VmId> nextContacts();
     wire::Frame makeGossip() const;
-    /// Merges \p gossip into this node's state. \returns whether this marked any
-    /// VM as leaving that was not marked before.
+    /// Merges \p gossip into this node's state. \returns whether this changed the
+    /// table of leaving VMs.
     bool mergeGossip(const wire::Gossip& gossip);
     /// Pulls catalogue and VM list from the sender if its versions are newer.
     void pullUpdates(const wire::Gossip& gossip);
--- a/lib/Node/Node.cpp
+++ b/lib/Node/Node.cpp
@@ -76,7 +76,7 @@
           io_.get_executor(), context_.settings_.peerCredential_, [this](std::shared_ptr<PeerStream> stream) { return servePeer(std::move(stream)); },
           [this](const Error& error) {
               context_.metrics_.add(Counter::PeerErrors);
-              logger_.warn("Peer connection failed: " + describe(error) + ".");
+              logger_.warn("Incoming peer connection failed: " + describe(error) + ".");
           },
           context_.keepAlive_)
     , callerServer_(
--- a/lib/Node/NodeContext.h
+++ b/lib/Node/NodeContext.h
@@ -54,8 +54,8 @@
     /// Opens a stream to \p vm; errors as for call().
     asio::awaitable<Result<std::shared_ptr<PeerStream>>> open(VmId vm, const wire::Frame& request, milliseconds timeout);
 
-    /// Starts \p task on its own strand. The task never runs before spawn()
-    /// returns, so the caller may hold a lock.
+    /// Starts \p task on its own strand. The task never runs inside the call of
+    /// spawn(), so the caller may hold a lock.
     void spawn(asio::awaitable<void> task) const;
 
 private:
--- a/unittests/Gateway/ReadersTest.cpp
+++ b/unittests/Gateway/ReadersTest.cpp
@@ -163,9 +163,9 @@
 /// round.
 std::size_t simulateRounds(std::vector<ReaderState>& all, const std::function<bool(std::size_t)>& isServed)
 {
-    // In each round at least one more node of a data centre may learn that the platform
-    // rejects it. There are more rounds than nodes of a data centre that may be rejected
-    // before no other node of it tries.
+    // In each round one node of a data centre may learn that the platform rejects it. The
+    // rounds outnumber the rejected nodes of a data centre after which its other nodes do
+    // not try.
     constexpr int rounds = 16;
     std::size_t maxReading = 0;
     for (int round = 0; round < rounds; ++round) {
