--- a/include/pistachioloom/Http.h
+++ b/include/pistachioloom/Http.h
@@ -172,8 +172,8 @@
 /// retry_after_ms, the HTTP status that belongs to the code, and `Retry-After` in seconds.
 HttpResponse errorResponse(const Error& error);
 
-/// Parses the error body of \p response. Without a valid error body the error holds the
-/// HTTP status.
+/// Parses the error body of \p response. Without a valid error body the code is
+/// Errc::Internal and the message names the HTTP status.
 Error errorFromResponse(const HttpResponse& response, std::string step, std::string peer);
 
 } // namespace pistachioloom
--- a/include/pistachioloom/Settings.h
+++ b/include/pistachioloom/Settings.h
@@ -82,8 +82,8 @@
 struct ReplicaSettings {
     /// Time limit of sending a generation's record to a replica.
     milliseconds copyTimeout_ { 500 };
-    /// The time after a break of the owner's connection before its replica checks the
-    /// owner and takes over.
+    /// The mean time after a break of the owner's connection before its replica asks the
+    /// owner for the record, and takes over unless the owner still has it.
     milliseconds takeoverGrace_ { 1000 };
     /// The time without an update after which a replica probes the owner.
     milliseconds ownerUpdateTimeout_ { 2000 };
--- a/include/pistachioloom/Support.h
+++ b/include/pistachioloom/Support.h
@@ -3,7 +3,8 @@
 /// \file
 /// The base of all other libraries: strong types for ids and units, the error type
 /// with step and peer, clocks, hashing, compression and RCU. The header depends on
-/// the standard library and Boost.Outcome only.
+/// the standard library and Boost.Outcome only; the implementation also uses liburcu,
+/// xxHash, OpenSSL, zlib and other headers of Boost, and no other library.
 //===----------------------------------------------------------------------===//
 #pragma once
 
--- a/lib/Telemetry/LogOutput.cpp
+++ b/lib/Telemetry/LogOutput.cpp
@@ -125,7 +125,8 @@
     SteadyTime now = steadyNow();
     allowance_ = std::min(linesPerSecond_ * burstSeconds, allowance_ + linesPerSecond_ * std::chrono::duration<double>(now - refilledAt_).count());
     refilledAt_ = now;
-    // Warnings and errors may overdraw the allowance by the lines of one second.
+    // Warnings and errors may overdraw the allowance by the lines of one second, so that
+    // they are still written when other lines have used up the rate.
     double minAllowance = event.getLogLevel() >= log4cplus::WARN_LOG_LEVEL ? -linesPerSecond_ : 0;
     if (allowance_ < minAllowance + 1)
         return false;
--- a/lib/Wire/PeerLink.h
+++ b/lib/Wire/PeerLink.h
@@ -93,7 +93,7 @@
 };
 
 /// One connection with its nghttp2 session. start() is called once; all other members
-/// except executor(), isUsable() and peer() are called on the link's strand.
+/// except executor(), isUsable(), peer() and report() are called on the link's strand.
 class PeerLink : public std::enable_shared_from_this<PeerLink> {
 public:
     enum class Side {
--- a/test/CrashingRequestsTest.cpp
+++ b/test/CrashingRequestsTest.cpp
@@ -32,8 +32,9 @@
     return options;
 }
 
-/// Starts eight engines, more than can crash while one restarts. A request of
-/// crashingRequest() crashes the engine that it reaches, which then restarts.
+/// Starts eight engines, more than can crash in the time in which a replacement starts.
+/// A request of crashingRequest() crashes the engine that it reaches, and another engine
+/// starts in its place 1 s later.
 void startCrashableFleet(GatewayDeployment& deployment)
 {
     deployment.startStandardServices();
--- a/test/Platform/Soak/InvariantChecker.cpp
+++ b/test/Platform/Soak/InvariantChecker.cpp
@@ -139,8 +139,9 @@
     }
 }
 
-/// Excuses each crash within the contact time after a fault: its gateway was down or
-/// frozen, or the platform was unavailable while all gateways had to restart.
+/// A late crash is excused if its gateway or the platform had a fault within the contact
+/// time before it. A gateway that was down or frozen may not know of the quarantine, nor do
+/// gateways that all restart while the platform is unavailable.
 void InvariantChecker::checkCrashes(const json::array& crashes)
 {
     std::map<std::string, std::string> gatewayOf;
--- a/test/Platform/Soak/InvariantChecker.h
+++ b/test/Platform/Soak/InvariantChecker.h
@@ -33,7 +33,8 @@
     /// by it.
     milliseconds faultGrace_ { 2000 };
     milliseconds lease_ { 3000 };
-    /// Quota of the small organisation, in requests per second and requests.
+    /// Quota of the small organisation: its rate in requests per second, and its burst in
+    /// requests.
     double limitedRate_ = 0.5;
     double limitedBurst_ = 1;
     /// Requests that all nodes together may admit above the quota between two reports.
--- a/test/Platform/Soak/SoakFaults.cpp
+++ b/test/Platform/Soak/SoakFaults.cpp
@@ -15,7 +15,7 @@
 // Time after the last fault: the contact time of the platform plus the takeover of a
 // duty by a new holder.
 static constexpr milliseconds recoveryTime { 6000 };
-// Time after the recovery in which the share of served requests is measured.
+// Time after the recovery in which the share of served requests is counted.
 static constexpr milliseconds measuredTime { 3000 };
 // The grace period in the gateways' settings plus a margin for a busy machine.
 static constexpr milliseconds maxStopTime { 3000 + 2500 };
--- a/test/ServerSignalsTest.cpp
+++ b/test/ServerSignalsTest.cpp
@@ -15,7 +15,8 @@
 
 namespace {
 
-// No new work reaches a leaving backend server after this time.
+// No new work reaches a leaving backend server once this time has passed since the answer
+// that announced it.
 constexpr milliseconds maxNoticeDelay { 2000 };
 
 std::size_t runsOf(const GatewayDeployment& deployment, const std::string& backend)
--- a/tools/standins/FleetStandin.cpp
+++ b/tools/standins/FleetStandin.cpp
@@ -313,7 +313,8 @@
     }
 
 private:
-    /// Applies the keys of the body, and returns the duty calls, crashes and statuses so far.
+    /// Applies the keys of the body. Returns the duty calls, crashes and statuses so far, and
+    /// the ports of the backend servers that it started.
     /// `backends`: starts backend servers. They are not registered in the store if they
     /// have `unregistered`. With `idle_s`, they close idle connections after that many
     /// seconds and advertise it.
