--- a/lib/Wire/PeerLink.h
+++ b/lib/Wire/PeerLink.h
@@ -85,7 +85,8 @@
     std::atomic<bool> isClosed_ { false };
     // Time at which the last bytes were received. Written on the link's strand, read on any.
     std::atomic<SteadyTime> receivedAt_ { SteadyTime {} };
-    // Written before the end mark of the frames, read after it.
+    // The reasons for the end of the stream: written before the end mark of the frames and
+    // read after it. cancel() also sets isCancelled_, on any strand.
     std::atomic<bool> isRefused_ { false };
     std::atomic<bool> isRemoteClosed_ { false };
     std::atomic<bool> isCancelled_ { false };
