--- a/include/pistachioloom/Backends.h
+++ b/include/pistachioloom/Backends.h
@@ -229,7 +229,7 @@
     /// \returns whether the server was known and not marked before.
     bool setLeaving(const BackendId& id, SteadyTime now);
     /// Notes that \p id has terminated, and ejects it for ChoiceSettings::maxEjection_.
-    void setEnded(const BackendId& id, SteadyTime now);
+    void setTerminated(const BackendId& id, SteadyTime now);
     /// Notes that \p id asked for no requests for \p pause. It is not chosen before then,
     /// even if there is no other server.
     void setPause(const BackendId& id, milliseconds pause, SteadyTime now);
--- a/include/pistachioloom/Duties.h
+++ b/include/pistachioloom/Duties.h
@@ -65,12 +65,12 @@
     void becomeHolder(DutyToken token, SteadyTime now);
     /// Ends this node's term as the holder, or its attempt to claim the duties, because
     /// another node's record was appended first or the outcome of its claim is unknown.
-    void stepDown(SteadyTime now);
+    void release(SteadyTime now);
     bool isHolder() const { return isHolder_; }
     DutyToken token() const { return token_; }
     /// Whether this node may start acts: it is the holder, and the acts of its predecessor
     /// have ended.
-    bool mayBegin(SteadyTime now) const;
+    bool mayStartActs(SteadyTime now) const;
     /// Whether an act is still covered by a record that this node started to append at
     /// \p recordedAt.
     bool mayAct(SteadyTime recordedAt, SteadyTime now) const;
@@ -127,9 +127,9 @@
     /// three successive reports through relays, at intervals of 200 ms, and clocks that
     /// differ by a few hundred ms. Counts that wait longer are lost if all nodes are
     /// terminated.
-    milliseconds settled_ { 1500 };
+    milliseconds minDelay_ { 1500 };
     /// Used otherwise, so that partitioned nodes may reconnect in the meantime.
-    milliseconds longest_ { 5000 };
+    milliseconds maxDelay_ { 5000 };
 };
 
 /// The newest window whose usage is due at \p nowMs, in ms since the Unix epoch; nullopt
--- a/include/pistachioloom/Forward.h
+++ b/include/pistachioloom/Forward.h
@@ -88,7 +88,7 @@
     /// Called when an answer is the first to report that its backend server is leaving.
     std::function<void(const BackendId& backend)> onLeaving_;
     /// Called when a probe shows that a backend server has terminated without notice.
-    std::function<void(const BackendId& backend)> onEnded_;
+    std::function<void(const BackendId& backend)> onTerminated_;
     /// \returns the current configuration, or nullptr before the first.
     std::function<std::shared_ptr<const RouteTable>()> table_;
     /// Copies a stream's KV cache. A second copy of the same cache transfers only the
@@ -129,7 +129,7 @@
 
 /// Counts the termination of \p backend, which its record or a probe has shown, as a crash
 /// against the requests that it cut off.
-void noteBackendEnded(ForwardContext& context, const BackendId& backend);
+void noteBackendTerminated(ForwardContext& context, const BackendId& backend);
 
 /// Serves callers on a single-threaded io_context. Workers share an address, and the
 /// kernel distributes new connections among them.
--- a/include/pistachioloom/Quarantine.h
+++ b/include/pistachioloom/Quarantine.h
@@ -45,11 +45,11 @@
 std::optional<RequestFingerprint> parseFingerprint(std::string_view text);
 
 /// Hash of one start of a backend server, the same as in messages; see keyOf().
-using BackendInstanceKey = Quantity<struct BackendInstanceKeyTag, std::uint32_t>;
+using BackendIncarnationKey = Quantity<struct BackendIncarnationKeyTag, std::uint32_t>;
 
 /// A backend server crashed while it ran the request.
 struct Crash {
-    BackendInstanceKey backend_;
+    BackendIncarnationKey backend_;
     SteadyTime at_ {};
     /// The request was answered successfully afterwards, or an operator cleared it.
     bool isCleared_ = false;
@@ -70,9 +70,9 @@
     /// Number of active crashes at which a request is quarantined.
     std::uint64_t crashes_ = 3;
     /// Duration of the first quarantine; each further crash doubles it, up to
-    /// `longest_`.
+    /// `maxDuration_`.
     milliseconds firstDuration_ { 600'000 };
-    milliseconds longest_ { 24LL * 3600 * 1000 };
+    milliseconds maxDuration_ { 24LL * 3600 * 1000 };
     /// How long crashes are kept after the quarantine, or after the last crash if there
     /// is no quarantine.
     milliseconds retention_ { 600'000 };
@@ -100,7 +100,7 @@
     bool isEmpty() const { return !count_; }
     /// Records a crash of \p backend during \p request.
     /// \returns the number of active crashes of \p request.
-    std::size_t noteCrash(RequestFingerprint request, const OrganisationId& organisation, BackendInstanceKey backend, SteadyTime now);
+    std::size_t noteCrash(RequestFingerprint request, const OrganisationId& organisation, BackendIncarnationKey backend, SteadyTime now);
     /// Clears the crashes of \p request, since the request did not cause them. \returns
     /// whether any of them was active.
     bool clear(RequestFingerprint request, SteadyTime now);
@@ -114,7 +114,7 @@
     /// selects the latter.
     std::vector<Suspect> suspectsToReport(SteadyTime now, std::uint64_t draw) const;
     /// Merges the suspects that a peer reported; their times are on this node's clock.
-    void take(const std::vector<Suspect>& reported, SteadyTime now);
+    void mergeSuspects(const std::vector<Suspect>& reported, SteadyTime now);
     /// \returns all suspects, those with the most active crashes first.
     std::vector<Suspect> suspects(SteadyTime now) const;
     /// \returns the number of requests that are quarantined.
@@ -130,7 +130,7 @@
 
     Entry& findOrAdd(RequestFingerprint request, std::uint32_t organisation, SteadyTime now);
     static bool merge(Entry& entry, const Crash& crash);
-    void evictWeakest(std::uint32_t organisation);
+    void evictLeastSuspect(std::uint32_t organisation);
     void removeExpired(SteadyTime now);
     /// \returns nullopt if too few crashes are active.
     std::optional<SteadyTime> quarantinedUntil(const std::vector<Crash>& crashes) const;
@@ -159,7 +159,7 @@
 
     /// \returns the changes that bring the records in line with \p suspects, which must
     /// be complete.
-    std::vector<Change> due(const std::vector<Suspect>& suspects) const;
+    std::vector<Change> pendingChanges(const std::vector<Suspect>& suspects) const;
     /// Notes that \p change was recorded.
     void noteRecorded(const Change& change);
 
@@ -173,7 +173,7 @@
 struct CutOff {
     RequestFingerprint request_;
     OrganisationId organisation_;
-    BackendInstanceKey backend_;
+    BackendIncarnationKey backend_;
 };
 
 /// Distinguishes crashes from connections that were lost for other reasons. An attempt
@@ -204,10 +204,10 @@
     /// Records an attempt that was cut off.
     CutOffResult noteCutOff(const CutOff& cutOff, SteadyTime now);
     /// Notes that the probe that noteCutOff() requested has finished.
-    void noteProbed(BackendInstanceKey backend);
+    void noteProbed(BackendIncarnationKey backend);
     /// Notes that \p backend ended without having reported that it leaves.
     /// \returns the requests with a crash counted because of this.
-    std::vector<CountedRequest> noteEnded(BackendInstanceKey backend, SteadyTime now);
+    std::vector<CountedRequest> noteTerminated(BackendIncarnationKey backend, SteadyTime now);
     /// Whether no attempt is pending and no request is suspected, so that clear() has no
     /// effect.
     bool isIdle() const { return !pendingCount_ && table_.isEmpty(); }
@@ -229,8 +229,8 @@
     std::vector<Pending> pending_;
     std::atomic<std::size_t> pendingCount_ { 0 };
     /// Backend servers that a probe is running for.
-    std::set<BackendInstanceKey> probed_;
-    std::map<BackendInstanceKey, SteadyTime> ended_;
+    std::set<BackendIncarnationKey> probed_;
+    std::map<BackendIncarnationKey, SteadyTime> terminated_;
 };
 
 } // namespace pistachioloom
--- a/include/pistachioloom/Quota.h
+++ b/include/pistachioloom/Quota.h
@@ -141,7 +141,7 @@
     bool isStarting(const Bucket& bucket, SteadyTime now) const;
     /// Whether nearly all nodes report, so that their counts show how much of each quota
     /// is left.
-    bool hasReportsFromMost(SteadyTime now) const;
+    bool hasEnoughReports(SteadyTime now) const;
     void initialise(Bucket& bucket, const OrganisationId& organisation) const;
     /// \returns this node's share of an organisation's requests: the mean of an equal
     /// share and the observed share, since callers stay with the nodes that they are
@@ -193,7 +193,7 @@
     /// Counts a request of \p service.
     void countRequest(const ServiceName& service, SteadyTime now);
     /// \returns whether one more retry is allowed, and counts it if so.
-    bool take(const ServiceName& service, SteadyTime now);
+    bool tryRetry(const ServiceName& service, SteadyTime now);
     /// Sets how many nodes share the additional retries.
     void setNodes(std::uint64_t nodes);
 
--- a/include/pistachioloom/Rollout.h
+++ b/include/pistachioloom/Rollout.h
@@ -236,7 +236,7 @@
     bool applyOrder(const RolloutOrder& order, SteadyTime now);
     /// Applies \p state, which its holder reported at \p reportedAt. \returns whether it
     /// replaced the state known so far.
-    bool take(const RolloutState& state, SteadyTime reportedAt, SteadyTime now);
+    bool applyState(const RolloutState& state, SteadyTime reportedAt, SteadyTime now);
     struct ReceivedState {
         RolloutState state_;
         SteadyTime reportedAt_ {};
--- a/include/pistachioloom/Telemetry.h
+++ b/include/pistachioloom/Telemetry.h
@@ -108,7 +108,7 @@
 enum class Histogram {
     FirstToken,
     BetweenTokens,
-    WholeAnswer,
+    CompleteAnswer,
     CopyAcknowledged,
     LogAppend,
     LoopLag,
--- a/lib/Backends/Registration.cpp
+++ b/lib/Backends/Registration.cpp
@@ -87,7 +87,7 @@
     return true;
 }
 
-void BackendTable::setEnded(const BackendId& id, SteadyTime now)
+void BackendTable::setTerminated(const BackendId& id, SteadyTime now)
 {
     std::lock_guard lock(mutex_);
     auto found = backends_.find(id);
--- a/lib/Duties/DutyLease.cpp
+++ b/lib/Duties/DutyLease.cpp
@@ -24,7 +24,7 @@
     if (token < token_ || token <= releasedToken_)
         return;
     if (isHolder_ && token > token_)
-        stepDown(reportedAt);
+        release(reportedAt);
     if (isHolder_)
         return;
     bool isKnown = token == token_ && holder == holder_;
@@ -68,7 +68,7 @@
     holderLastSeenAt_ = now;
 }
 
-void DutyLease::stepDown(SteadyTime now)
+void DutyLease::release(SteadyTime now)
 {
     isHolder_ = false;
     // The node whose record came first gets the usual timeout to report itself.
@@ -76,14 +76,14 @@
     holderLastSeenAt_ = now;
 }
 
-bool DutyLease::mayBegin(SteadyTime now) const
+bool DutyLease::mayStartActs(SteadyTime now) const
 {
     return isHolder_ && now - claimedAt_ >= timing_.actAfterClaim_;
 }
 
 bool DutyLease::mayAct(SteadyTime recordedAt, SteadyTime now) const
 {
-    return mayBegin(now) && now - recordedAt <= timing_.recordValidity_;
+    return mayStartActs(now) && now - recordedAt <= timing_.recordValidity_;
 }
 
 VmId DutyLease::knownHolder(SteadyTime now) const
--- a/lib/Duties/Usage.cpp
+++ b/lib/Duties/Usage.cpp
@@ -136,8 +136,8 @@
     // A node's report covers only what it counted until shortly before it was received.
     constexpr milliseconds reportAge { 300 };
     auto newestEnded = [&](milliseconds before) { return static_cast<std::uint64_t>(std::max<std::int64_t>(0, (nowMs - before.count()) / window.count())); };
-    std::uint64_t settled = newestEnded(std::min(timing.settled_, timing.longest_));
-    std::uint64_t overdue = newestEnded(timing.longest_);
+    std::uint64_t settled = newestEnded(std::min(timing.minDelay_, timing.maxDelay_));
+    std::uint64_t overdue = newestEnded(timing.maxDelay_);
     milliseconds sinceEnd { nowMs - static_cast<std::int64_t>(settled) * window.count() };
     bool isComplete = sinceEnd > reportAge && allReportedWithin(sinceEnd - reportAge);
     std::uint64_t ended = isComplete ? settled : overdue;
--- a/lib/Forward/EventSplitter.cpp
+++ b/lib/Forward/EventSplitter.cpp
@@ -41,7 +41,7 @@
     return lfEnd + 2;
 }
 
-std::string EventSplitter::take(std::string_view bytes)
+std::string EventSplitter::feed(std::string_view bytes)
 {
     partial_.append(bytes);
     std::string complete;
--- a/lib/Forward/EventSplitter.h
+++ b/lib/Forward/EventSplitter.h
@@ -24,7 +24,7 @@
     /// Adds \p bytes of the stream and \returns the complete events that are new to the
     /// caller. Events up to the last one are left out. An event whose predecessor is
     /// missing sets hasGap().
-    std::string take(std::string_view bytes);
+    std::string feed(std::string_view bytes);
     /// Discards an incomplete event, because its stream broke off and another follows.
     void dropPartial() { partial_.clear(); }
     /// The id of the newest event that the caller has.
--- a/lib/Forward/LivenessProbe.cpp
+++ b/lib/Forward/LivenessProbe.cpp
@@ -28,9 +28,9 @@
     logger().info(line);
 }
 
-void noteBackendEnded(ForwardContext& context, const BackendId& backend)
+void noteBackendTerminated(ForwardContext& context, const BackendId& backend)
 {
-    for (const CrashDetector::CountedRequest& counted : context.crashes_.noteEnded({ keyOf(backend) }, steadyNow()))
+    for (const CrashDetector::CountedRequest& counted : context.crashes_.noteTerminated({ keyOf(backend) }, steadyNow()))
         logCrash(context, backend, counted);
 }
 
@@ -43,17 +43,17 @@
         code = co_await tryConnection(backend.endpoint_, waitLimit);
     }
     // A fault that isolates a data centre may refuse connections as well.
-    bool hasEnded = code == asio::error::connection_refused && context.backends_.isReachable(backend.dataCentre_);
-    LogLine line(hasEnded ? "Backend server has ended." : "Backend server closed a connection during a request.");
+    bool hasTerminated = code == asio::error::connection_refused && context.backends_.isReachable(backend.dataCentre_);
+    LogLine line(hasTerminated ? "Backend server has ended." : "Backend server closed a connection during a request.");
     line.add("backend", backend.id_.value_).add("connection", code ? code.message() : "accepted");
     logger().info(line);
     context.crashes_.noteProbed({ keyOf(backend.id_) });
-    if (!hasEnded)
+    if (!hasTerminated)
         co_return;
-    context.backends_.setEnded(backend.id_, steadyNow());
-    noteBackendEnded(context, backend.id_);
-    if (context.hooks_.onEnded_)
-        context.hooks_.onEnded_(backend.id_);
+    context.backends_.setTerminated(backend.id_, steadyNow());
+    noteBackendTerminated(context, backend.id_);
+    if (context.hooks_.onTerminated_)
+        context.hooks_.onTerminated_(backend.id_);
 }
 
 } // namespace pistachioloom
--- a/lib/Forward/RequestForwarder.cpp
+++ b/lib/Forward/RequestForwarder.cpp
@@ -163,7 +163,7 @@
     // The request may have crashed this backend server as well, which is not known yet.
     if (end == SendOutcome::Lost && shape_.isSuspect_)
         return false;
-    return context_.retries_.take(shape_.service_, steadyNow());
+    return context_.retries_.tryRetry(shape_.service_, steadyNow());
 }
 
 std::optional<RequestForwarder::HeldAnswer> RequestForwarder::rejectLongWait(const BackendChoice& choice) const
@@ -324,7 +324,7 @@
     auto streamed = attempt.hasFirstByte_ ? std::chrono::duration_cast<milliseconds>(now - attempt.firstByteAt_) : milliseconds(0);
     context_.backends_.end(attempt.choice_.backend_.id_, { outcome, attempt.choice_.uncached_, attempt.hasFirstByte_, streamed }, now);
     auto took = std::chrono::duration_cast<milliseconds>(now - request_.receivedAt_);
-    context_.metrics_.observe(Histogram::WholeAnswer, now - request_.receivedAt_);
+    context_.metrics_.observe(Histogram::CompleteAnswer, now - request_.receivedAt_);
     noteVersionOutcome(attempt, outcome);
     logAttempt(attempt, outcome, took);
     if (outcome == BackendOutcome::Broken && attempt.isCutOff_)
--- a/lib/Forward/Sending.cpp
+++ b/lib/Forward/Sending.cpp
@@ -354,7 +354,7 @@
             attempt.isCutOff_ = isDisconnect(code);
             co_return co_await handleStreamBreak(attempt, code);
         }
-        std::string events = events_.take(parser.get().body());
+        std::string events = events_.feed(parser.get().body());
         parser.get().body().clear();
         if (events_.hasGap()) {
             attempt.detail_ = "event_missing";
--- a/lib/Forward/StreamMove.cpp
+++ b/lib/Forward/StreamMove.cpp
@@ -51,7 +51,7 @@
     if (!to)
         return;
     // A moved stream reaches its target as a retry does, so the retry budget applies.
-    if (!context_.retries_.take(shape_.service_, steadyNow())) {
+    if (!context_.retries_.tryRetry(shape_.service_, steadyNow())) {
         releaseTarget(*to);
         return;
     }
--- a/lib/Gateway/DutyRunner.cpp
+++ b/lib/Gateway/DutyRunner.cpp
@@ -73,7 +73,7 @@
     , context_(context)
     , lease_(context.settings_.vm_, timingFor(context.settings_.dutyLease_), steadyNow())
     , fleet_(context.settings_.fleet_)
-    , rollouts_(context, { [this] { return actingToken(); }, [this](wire::DutyRecord record) { return recordOrResign(std::move(record)); } })
+    , rollouts_(context, { [this] { return actingToken(); }, [this](wire::DutyRecord record) { return recordOrRelease(std::move(record)); } })
 {
 }
 
@@ -102,15 +102,15 @@
 DutyToken DutyRunner::actingToken() const
 {
     std::lock_guard lock(mutex_);
-    bool mayAct = !context_.isStopping_ && lease_.mayBegin(steadyNow());
+    bool mayAct = !context_.isStopping_ && lease_.mayStartActs(steadyNow());
     return mayAct ? lease_.token() : DutyToken {};
 }
 
-asio::awaitable<bool> DutyRunner::recordOrResign(wire::DutyRecord record)
+asio::awaitable<bool> DutyRunner::recordOrRelease(wire::DutyRecord record)
 {
-    bool isRecorded = co_await this->record(record) == Recorded::Yes;
+    bool isRecorded = co_await this->record(record) == AppendResult::Appended;
     if (!isRecorded)
-        resign("a decision could not be recorded");
+        releaseDuties("a decision could not be recorded");
     co_return isRecorded;
 }
 
@@ -141,12 +141,12 @@
         logger_.info(LogLine("Another node holds the duties.").add("holder", holder.value_).add("token", static_cast<std::int64_t>(token.value_)));
 }
 
-void DutyRunner::resign(const std::string& why)
+void DutyRunner::releaseDuties(const std::string& why)
 {
     std::lock_guard lock(mutex_);
     if (lease_.isHolder())
         releasedToken_ = lease_.token();
-    lease_.stepDown(steadyNow());
+    lease_.release(steadyNow());
     logger_.info(LogLine("This node releases the duties.").add("why", why).add("token", static_cast<std::int64_t>(releasedToken_.value_)));
 }
 
@@ -162,16 +162,16 @@
         if (context_.isStopping_)
             continue;
         bool shouldClaim = false;
-        bool mayBegin = false;
+        bool mayStartActs = false;
         {
             std::size_t rank = reports_->rankFor("duties");
             std::lock_guard lock(mutex_);
             shouldClaim = context_.table() && lease_.shouldClaim(rank, steadyNow());
-            mayBegin = lease_.mayBegin(steadyNow());
+            mayStartActs = lease_.mayStartActs(steadyNow());
         }
         if (shouldClaim)
             co_await claim();
-        else if (mayBegin)
+        else if (mayStartActs)
             co_await act();
     }
 }
@@ -221,7 +221,7 @@
     }
 }
 
-asio::awaitable<DutyRunner::Recorded> DutyRunner::record(const wire::DutyRecord& record)
+asio::awaitable<DutyRunner::AppendResult> DutyRunner::record(const wire::DutyRecord& record)
 {
     std::string bytes = record.SerializeAsString();
     // A record that is appended later than this does not cover its act any more, and a
@@ -231,7 +231,7 @@
         auto appended = co_await context_.platform_.appendDutyRecord_(end_, bytes);
         if (appended) {
             ++end_.value_;
-            co_return Recorded::Yes;
+            co_return AppendResult::Appended;
         }
         if (appended.error().code_ != Errc::Conflict) {
             logger_.warn("Record may not have been appended to the log of duties: " + describe(appended.error()));
@@ -242,11 +242,11 @@
         auto read = co_await context_.platform_.readDutyLog_(ownOffset);
         if (read && !read.value().records_.empty() && read.value().records_.front().second == bytes) {
             ++end_.value_;
-            co_return Recorded::Yes;
+            co_return AppendResult::Appended;
         }
-        co_return Recorded::Superseded;
+        co_return AppendResult::Superseded;
     }
-    co_return Recorded::Unknown;
+    co_return AppendResult::Unknown;
 }
 
 asio::awaitable<void> DutyRunner::claim()
@@ -269,9 +269,9 @@
     wire::DutyRecord claim;
     claim.set_vm(context_.settings_.vm_.value_);
     claim.set_incarnation(context_.incarnation_);
-    Recorded recorded = co_await record(claim);
-    if (recorded != Recorded::Yes)
-        co_return resign(recorded == Recorded::Superseded ? "another record was appended first" : "the outcome of the claim is unknown");
+    AppendResult recorded = co_await record(claim);
+    if (recorded != AppendResult::Appended)
+        co_return releaseDuties(recorded == AppendResult::Superseded ? "another record was appended first" : "the outcome of the claim is unknown");
     for (const auto& [service, engines] : recordedNeeds_)
         fleet_.inheritNeed(service, engines, steadyNow());
     std::lock_guard lock(mutex_);
@@ -295,7 +295,7 @@
 asio::awaitable<void> DutyRunner::reportUsage()
 {
     const UsageTiming& timing = context_.settings_.usageTiming_;
-    auto allReportedWithin = [&](milliseconds time) { return reports_->haveAllReportedWithin(time, timing.longest_); };
+    auto allReportedWithin = [&](milliseconds time) { return reports_->haveAllReportedWithin(time, timing.maxDelay_); };
     auto newest = dueWindow(context_.agreedWallMs(), context_.settings_.usageWindow_, timing, allReportedWithin);
     if (!newest || reported_.contains(*newest))
         co_return;
@@ -315,9 +315,9 @@
     intent.mutable_usage()->set_number(due.value_);
     for (const auto& [organisation, count] : counts)
         (*intent.mutable_usage()->mutable_counts())[organisation.value_] = count;
-    Recorded recorded = co_await record(intent);
-    if (recorded != Recorded::Yes)
-        co_return resign("usage of window " + std::to_string(due.value_) + " could not be recorded");
+    AppendResult recorded = co_await record(intent);
+    if (recorded != AppendResult::Appended)
+        co_return releaseDuties("usage of window " + std::to_string(due.value_) + " could not be recorded");
     recorded_[due] = counts;
     DutyToken token = heldToken();
     if (!lease_.mayAct(recordedAt, steadyNow()))
@@ -415,8 +415,8 @@
         need.set_service(service.value_);
         need.set_engines(fleet_.needed(service));
     }
-    if (co_await record(intent) != Recorded::Yes)
-        co_return resign("orders could not be recorded");
+    if (co_await record(intent) != AppendResult::Appended)
+        co_return releaseDuties("orders could not be recorded");
     for (const wire::FleetNeed& need : intent.needs())
         recordedNeeds_[{ need.service() }] = need.engines();
     for (const FleetOrder& order : due) {
--- a/lib/Gateway/DutyRunner.h
+++ b/lib/Gateway/DutyRunner.h
@@ -41,8 +41,8 @@
 
 private:
     /// Outcome of an append to the log of duties.
-    enum class Recorded {
-        Yes,
+    enum class AppendResult {
+        Appended,
         /// Another record was appended first.
         Superseded,
         /// The record may or may not have been appended.
@@ -59,13 +59,13 @@
     DutyToken actingToken() const;
     /// \returns whether \p record was appended. If it was not, this node has released the
     /// duties.
-    asio::awaitable<bool> recordOrResign(wire::DutyRecord record);
-    asio::awaitable<Recorded> record(const wire::DutyRecord& record);
+    asio::awaitable<bool> recordOrRelease(wire::DutyRecord record);
+    asio::awaitable<AppendResult> record(const wire::DutyRecord& record);
     FleetView viewOf(const ServicePolicy& service, SteadyTime now) const;
     std::vector<FleetView> fleetViews(SteadyTime now) const;
     std::vector<FleetOrder> dueOrders(SteadyTime now);
     void sampleDemand();
-    void resign(const std::string& why);
+    void releaseDuties(const std::string& why);
 
     asio::io_context& io_;
     GatewayContext& context_;
--- a/lib/Gateway/Gateway.cpp
+++ b/lib/Gateway/Gateway.cpp
@@ -92,7 +92,7 @@
         logger_.info(LogLine("Backend server is leaving.").add("backend", backend.value_).add("from", "its answer"));
         reports_.noteLeaving(backend);
     };
-    context_.forward_.hooks_.onEnded_ = [this](const BackendId& backend) { reports_.noteEnded(backend); };
+    context_.forward_.hooks_.onTerminated_ = [this](const BackendId& backend) { reports_.noteTerminated(backend); };
     for (const auto& io : ios_)
         workers_.push_back(std::make_unique<ForwardWorker>(*io, context_.forward_));
 }
--- a/lib/Gateway/GatewaySettings.cpp
+++ b/lib/Gateway/GatewaySettings.cpp
@@ -97,7 +97,7 @@
     {
         settings.crashes_ = map.integer("crashes", 1, 12, settings.crashes_);
         settings.firstDuration_ = map.duration("first", milliseconds(1000), oneDay, settings.firstDuration_);
-        settings.longest_ = map.duration("longest", milliseconds(1000), 30 * oneDay, settings.longest_);
+        settings.maxDuration_ = map.duration("longest", milliseconds(1000), 30 * oneDay, settings.maxDuration_);
         settings.retention_ = map.duration("memory", milliseconds(1000), oneDay, settings.retention_);
         settings.capacity_ = map.integer("capacity", 1, 1'000'000, settings.capacity_);
         settings.organisationCapacity_ = map.integer("organisation_capacity", 1, 1'000'000, settings.organisationCapacity_);
@@ -127,8 +127,8 @@
         settings.duties_ = endpoint(map, "address");
         settings.dutyLease_ = map.duration("lease", milliseconds(300), oneDay, settings.dutyLease_);
         settings.usageWindow_ = map.duration("usage_window", milliseconds(100), oneDay, settings.usageWindow_);
-        settings.usageTiming_.longest_ = map.duration("usage_delay", milliseconds(0), oneDay, settings.usageTiming_.longest_);
-        settings.usageTiming_.settled_ = map.duration("usage_settled", milliseconds(0), oneDay, settings.usageTiming_.settled_);
+        settings.usageTiming_.maxDelay_ = map.duration("usage_delay", milliseconds(0), oneDay, settings.usageTiming_.maxDelay_);
+        settings.usageTiming_.minDelay_ = map.duration("usage_settled", milliseconds(0), oneDay, settings.usageTiming_.minDelay_);
         map.reportUnknownKeys();
     }
 
--- a/lib/Gateway/PeerReports.cpp
+++ b/lib/Gateway/PeerReports.cpp
@@ -77,12 +77,12 @@
 
 Coverage PeerReports::coverage(SteadyTime now) const
 {
-    PeerTable::Census census = table_.census();
+    PeerTable::PeerCounts peerCounts = table_.peerCounts();
     // Nodes that were advertised and have never reported may have stopped long ago. They
     // count as known only for a while after the start of this node, in which their first
     // reports may still arrive.
     bool hasJustStarted = now - startedAt_ < context_.settings_.gossiping_.forgetAfter_;
-    std::uint64_t known = census.reported_ + (hasJustStarted ? census.advertised_ : 0);
+    std::uint64_t known = peerCounts.reported_ + (hasJustStarted ? peerCounts.advertised_ : 0);
     const wire::NodeSums* sums = others_.current(now);
     std::uint64_t reported = usesRelays_ ? (sums ? sums->nodes() : 0) : live().size();
     return { reported + 1, std::max(known, reported) + 1 };
@@ -134,12 +134,12 @@
     leaving_.emplace_back(steadyNow(), id);
 }
 
-void PeerReports::noteEnded(const BackendId& id)
+void PeerReports::noteTerminated(const BackendId& id)
 {
     std::lock_guard lock(leavingMutex_);
-    bool isKnown = std::any_of(ended_.begin(), ended_.end(), [&](const auto& entry) { return entry.second == id; });
+    bool isKnown = std::any_of(terminated_.begin(), terminated_.end(), [&](const auto& entry) { return entry.second == id; });
     if (!isKnown)
-        ended_.emplace_back(steadyNow(), id);
+        terminated_.emplace_back(steadyNow(), id);
 }
 
 void PeerReports::send(const wire::Datagram& datagram, const std::vector<Endpoint>& receivers)
@@ -322,7 +322,7 @@
 void PeerReports::applySuspects(const google::protobuf::RepeatedPtrField<wire::SuspectReport>& suspects, SteadyTime now)
 {
     if (!suspects.empty())
-        context_.quarantine_.take(suspectsOf(suspects, now), now);
+        context_.quarantine_.mergeSuspects(suspectsOf(suspects, now), now);
 }
 
 void PeerReports::applyRollouts(const google::protobuf::RepeatedPtrField<wire::RolloutReport>& reports, const VmId& from, SteadyTime now)
@@ -333,23 +333,23 @@
             logger_.warn("Report of a roll-out by " + from.value_ + " is invalid.");
             continue;
         }
-        if (context_.rollouts_.take(*state, now - milliseconds(static_cast<std::int64_t>(report.age_ms())), now))
+        if (context_.rollouts_.applyState(*state, now - milliseconds(static_cast<std::int64_t>(report.age_ms())), now))
             logger_.info(LogLine("Roll-out state was received.").add("service", report.service()).add("target", report.target()).add("phase", report.phase()).add("share", std::to_string(report.share())).add("from", from.value_));
     }
 }
 
-void PeerReports::applyEnded(const google::protobuf::RepeatedPtrField<std::string>& ended, const VmId& from, SteadyTime now)
+void PeerReports::applyTerminated(const google::protobuf::RepeatedPtrField<std::string>& terminated, const VmId& from, SteadyTime now)
 {
-    for (const std::string& id : ended) {
+    for (const std::string& id : terminated) {
         {
             std::lock_guard lock(leavingMutex_);
-            if (std::any_of(ended_.begin(), ended_.end(), [&](const auto& entry) { return entry.second.value_ == id; }))
+            if (std::any_of(terminated_.begin(), terminated_.end(), [&](const auto& entry) { return entry.second.value_ == id; }))
                 continue;
         }
-        noteEnded({ id });
+        noteTerminated({ id });
         logger_.info(LogLine("Backend server has ended.").add("backend", id).add("from", from.value_));
-        context_.backends_.setEnded({ id }, now);
-        noteBackendEnded(context_.forward_, { id });
+        context_.backends_.setTerminated({ id }, now);
+        noteBackendTerminated(context_.forward_, { id });
     }
 }
 
@@ -393,7 +393,7 @@
     }
     context_.clocks_.setPeer(vm, report.wall_ms() - context_.localWallMs(), now);
     applyLeaving(report.leaving(), vm);
-    applyEnded(report.ended(), vm, now);
+    applyTerminated(report.ended(), vm, now);
     applyRollouts(report.rollouts(), vm, now);
     applySuspects(report.suspects(), now);
     if (report.duty_token())
@@ -453,7 +453,7 @@
     if (!isRelay_)
         discovery_.queueAnswer(relay);
     applyLeaving(report.sums().leaving(), relay);
-    applyEnded(report.sums().ended(), relay, now);
+    applyTerminated(report.sums().ended(), relay, now);
     applyRollouts(report.sums().rollouts(), relay, now);
     applySuspects(report.sums().suspects(), now);
     aggregator_.applySummary(report, now);
@@ -462,7 +462,7 @@
 void PeerReports::applyDigest(const VmId& relay, std::uint64_t incarnation, const wire::NodeSums& sums, SteadyTime now)
 {
     applyLeaving(sums.leaving(), relay);
-    applyEnded(sums.ended(), relay, now);
+    applyTerminated(sums.ended(), relay, now);
     applyRollouts(sums.rollouts(), relay, now);
     applySuspects(sums.suspects(), now);
     if (sums.duty_token() && VmId { sums.holder() } != context_.settings_.vm_)
--- a/lib/Gateway/PeerReports.h
+++ b/lib/Gateway/PeerReports.h
@@ -66,7 +66,7 @@
     /// Reports to peers for some seconds that a backend server is leaving.
     void noteLeaving(const BackendId& id);
     /// Reports to peers for some seconds that a backend server has ended.
-    void noteEnded(const BackendId& id);
+    void noteTerminated(const BackendId& id);
     /// Returns this node's rank among live nodes in the order for \p key. A node that
     /// receives reports of less than half of the others ranks behind nodes that receive
     /// more. Must be called on the event loop.
@@ -97,7 +97,7 @@
     void applyDigest(const VmId& relay, std::uint64_t incarnation, const wire::NodeSums& sums, SteadyTime now);
     void applySuspects(const google::protobuf::RepeatedPtrField<wire::SuspectReport>& suspects, SteadyTime now);
     void applyRollouts(const google::protobuf::RepeatedPtrField<wire::RolloutReport>& reports, const VmId& from, SteadyTime now);
-    void applyEnded(const google::protobuf::RepeatedPtrField<std::string>& ended, const VmId& from, SteadyTime now);
+    void applyTerminated(const google::protobuf::RepeatedPtrField<std::string>& terminated, const VmId& from, SteadyTime now);
     void applyLeaving(const google::protobuf::RepeatedPtrField<std::string>& leaving, const VmId& from);
     void forgetCounts(const VmId& vm);
     void removeUnresponsive(SteadyTime now);
@@ -121,7 +121,7 @@
     std::mutex leavingMutex_;
     std::deque<std::pair<SteadyTime, BackendId>> leaving_;
     /// Guarded by leavingMutex_. Holds each backend server once.
-    std::deque<std::pair<SteadyTime, BackendId>> ended_;
+    std::deque<std::pair<SteadyTime, BackendId>> terminated_;
     std::uint64_t sequence_ = 0;
     std::atomic<bool> usesRelays_ { false };
     const SteadyTime startedAt_ = steadyNow();
--- a/lib/Gateway/PeerTable.cpp
+++ b/lib/Gateway/PeerTable.cpp
@@ -121,13 +121,13 @@
     return peers_.size();
 }
 
-PeerTable::Census PeerTable::census() const
+PeerTable::PeerCounts PeerTable::peerCounts() const
 {
     std::lock_guard lock(mutex_);
-    Census census;
+    PeerCounts peerCounts;
     for (const auto& [vm, peer] : peers_)
-        ++(peer.receivedAt_ == SteadyTime {} ? census.advertised_ : census.reported_);
-    return census;
+        ++(peer.receivedAt_ == SteadyTime {} ? peerCounts.advertised_ : peerCounts.reported_);
+    return peerCounts;
 }
 
 std::vector<KnownPeer> PeerTable::reportedWithin(milliseconds maxAge, SteadyTime now) const
--- a/lib/Gateway/PeerTable.h
+++ b/lib/Gateway/PeerTable.h
@@ -74,11 +74,11 @@
     bool isLarge() const;
     std::size_t size() const;
     /// Numbers of nodes that have reported, and of nodes that were only advertised.
-    struct Census {
+    struct PeerCounts {
         std::size_t reported_ = 0;
         std::size_t advertised_ = 0;
     };
-    Census census() const;
+    PeerCounts peerCounts() const;
     /// Returns the nodes that reported within \p maxAge.
     std::vector<KnownPeer> reportedWithin(milliseconds maxAge, SteadyTime now) const;
     std::vector<KnownPeer> all() const;
--- a/lib/Gateway/PlatformFeed.cpp
+++ b/lib/Gateway/PlatformFeed.cpp
@@ -117,7 +117,7 @@
     }
     // A backend server that crashes never announces that it leaves.
     if (!known->isLeaving_)
-        noteBackendEnded(context_.forward_, known->id_);
+        noteBackendTerminated(context_.forward_, known->id_);
     logger_.info(LogLine("Backend server was removed.").add("backend", known->id_.value_).add("from", source));
     // A removal that was found in a peer's list is not reported: other nodes fetch that
     // list themselves.
@@ -158,7 +158,7 @@
     if (result == BackendTable::PutResult::Outdated)
         return;
     if (result == BackendTable::PutResult::Restarted && newest && !newest->isLeaving_)
-        noteBackendEnded(context_.forward_, newest->id_);
+        noteBackendTerminated(context_.forward_, newest->id_);
     if (!before)
         logger_.info(LogLine(result == BackendTable::PutResult::Restarted ? "Backend server restarted." : "Backend server is registered.").add("backend", record.id_.value_).add("service", record.service_.value_).add("address", record.endpoint_.toString()).add("data_centre", record.dataCentre_.value_).add("version", record.version_.value_).add("reclaimable", record.isReclaimable_).add("leaving", record.isLeaving_));
     if (record.isLeaving_ && (!before || !before->isLeaving_)) {
--- a/lib/Gateway/QuarantineStore.cpp
+++ b/lib/Gateway/QuarantineStore.cpp
@@ -73,7 +73,7 @@
     *reports.Add() = stored.suspect();
     SteadyTime now = steadyNow();
     std::vector<Suspect> suspects = suspectsOf(reports, now - milliseconds(age));
-    context_.quarantine_.take(suspects, now);
+    context_.quarantine_.mergeSuspects(suspects, now);
     for (const Suspect& suspect : suspects) {
         tracker_.noteRecorded({ suspect, false });
         logger_.info(LogLine("Quarantine is read.").add("request", toString(suspect.request_)).add("crashes", static_cast<std::int64_t>(suspect.activeCrashes())).add("note_age_ms", age));
@@ -82,7 +82,7 @@
 
 asio::awaitable<void> QuarantineStore::writeNotes()
 {
-    std::vector<QuarantineRecordTracker::Change> changes = tracker_.due(context_.quarantine_.suspects(steadyNow()));
+    std::vector<QuarantineRecordTracker::Change> changes = tracker_.pendingChanges(context_.quarantine_.suspects(steadyNow()));
     changes.resize(std::min(changes.size(), maxWritesPerPeriod));
     for (QuarantineRecordTracker::Change& change : changes) {
         if (!co_await write(std::move(change)))
--- a/lib/Gateway/ReportAggregator.cpp
+++ b/lib/Gateway/ReportAggregator.cpp
@@ -124,7 +124,7 @@
         total.observations_ += demand.observations();
     }
     leaving_.insert(sums.leaving().begin(), sums.leaving().end());
-    ended_.insert(sums.ended().begin(), sums.ended().end());
+    terminated_.insert(sums.ended().begin(), sums.ended().end());
     addRollouts(sums, age);
     if (sums.duty_token() > dutyToken_.value_) {
         holder_ = sums.holder();
@@ -198,7 +198,7 @@
     }
     for (const std::string& id : leaving_)
         sums.add_leaving(id);
-    for (const std::string& id : ended_)
+    for (const std::string& id : terminated_)
         sums.add_ended(id);
     for (const auto& [service, rollout] : rollouts_) {
         wire::RolloutReport& report = *sums.add_rollouts();
--- a/lib/Gateway/ReportAggregator.h
+++ b/lib/Gateway/ReportAggregator.h
@@ -48,7 +48,7 @@
     NamedCounts levels_;
     std::map<std::string, Demand> demand_;
     std::set<std::string> leaving_;
-    std::set<std::string> ended_;
+    std::set<std::string> terminated_;
     struct Rollout {
         RolloutState state_;
         /// Time since the holder of the duties reported this state.
--- a/lib/Gateway/ReportMessages.cpp
+++ b/lib/Gateway/ReportMessages.cpp
@@ -18,7 +18,7 @@
     constexpr milliseconds leavingReportDuration { 10000 };
     // Time for which an ended backend server is reported to peers. Its registration
     // expires soon after.
-    constexpr milliseconds endedReportDuration { 3000 };
+    constexpr milliseconds terminatedReportDuration { 3000 };
 
 } // namespace
 
@@ -51,9 +51,9 @@
             leaving_.pop_front();
         for (const auto& [at, id] : leaving_)
             report.add_leaving(id.value_);
-        while (!ended_.empty() && now - ended_.front().first > endedReportDuration)
-            ended_.pop_front();
-        for (const auto& [at, id] : ended_)
+        while (!terminated_.empty() && now - terminated_.front().first > terminatedReportDuration)
+            terminated_.pop_front();
+        for (const auto& [at, id] : terminated_)
             report.add_ended(id.value_);
     }
     putSuspects(context_.quarantine_.suspectsToReport(now, randomBits()), *report.mutable_suspects(), now);
--- a/lib/Gateway/RolloutEndpoint.cpp
+++ b/lib/Gateway/RolloutEndpoint.cpp
@@ -61,7 +61,7 @@
     state->phase_ = RolloutPhase::Reverted;
     state->share_ = 0;
     SteadyTime now = steadyNow();
-    (void)context.rollouts_.take(*state, now, now);
+    (void)context.rollouts_.applyState(*state, now, now);
     Logger("rollout").info(LogLine("Roll-out is reverted by an operator.").add("service", service.value_).add("target", state->order_.target_.value_));
     return jsonResponse(200, "{}");
 }
--- a/lib/Gateway/RolloutRunner.cpp
+++ b/lib/Gateway/RolloutRunner.cpp
@@ -76,7 +76,7 @@
     if (record.is_told())
         reported_[state->order_.service_] = std::max(reported_[state->order_.service_], state->order_.number_);
     SteadyTime now = steadyNow();
-    if (isFinal(state->phase_) && context_.rollouts_.take(*state, now, now))
+    if (isFinal(state->phase_) && context_.rollouts_.applyState(*state, now, now))
         logger_.info(LogLine("Decision on a roll-out is read.").add("service", state->order_.service_.value_).add("target", state->order_.target_.value_).add("phase", toString(state->phase_)));
 }
 
@@ -105,7 +105,7 @@
     RolloutState after = controller.adjust(view, now);
     // The state is reported again in each period: other nodes end a trial whose holder
     // has become unresponsive.
-    (void)context_.rollouts_.take(after, now, now);
+    (void)context_.rollouts_.applyState(after, now, now);
     if (after == before)
         return;
     {
@@ -163,7 +163,7 @@
     if (isSame && decision.phase_ == RolloutPhase::Complete) {
         found->second.controller_.complete();
         SteadyTime now = steadyNow();
-        (void)context_.rollouts_.take(found->second.controller_.state(), now, now);
+        (void)context_.rollouts_.applyState(found->second.controller_.state(), now, now);
     }
     bool isReported = co_await report(decision);
     if (!isReported)
--- a/lib/Node/Generation.cpp
+++ b/lib/Node/Generation.cpp
@@ -153,7 +153,7 @@
     return recordLocked();
 }
 
-void Generation::abandonHandover()
+void Generation::cancelHandover()
 {
     std::lock_guard lock(mutex_);
     handedOverTokens_.reset();
--- a/lib/Node/Generation.h
+++ b/lib/Node/Generation.h
@@ -61,10 +61,10 @@
 
     // Functions for the owner.
     wire::GenerationRecord record() const;
-    /// \returns the record to hand over. Until abandonHandover() is called, readers get
+    /// \returns the record to hand over. Until cancelHandover() is called, readers get
     /// no tokens beyond this record, since the successor may compute different ones.
     wire::GenerationRecord beginHandover();
-    void abandonHandover();
+    void cancelHandover();
     std::uint32_t startAttempt();
     void countYield();
     /// Appends the tokens of \p chunk that the record does not have yet. \returns their
--- a/lib/Node/GenerationOwner.cpp
+++ b/lib/Node/GenerationOwner.cpp
@@ -123,7 +123,7 @@
     if (progress.failure_)
         scope.span().outcome_ = describe(*progress.failure_);
     context_.metrics_.add(progress.failure_ ? Counter::RequestsFailed : Counter::RequestsFinished);
-    context_.metrics_.observe(Histogram::WholeAnswer, steadyNow() - generation->startedAt());
+    context_.metrics_.observe(Histogram::CompleteAnswer, steadyNow() - generation->startedAt());
     if (origin == Origin::Adopted)
         co_return;
     std::uint64_t unused = generation->maxTokens() - std::min(generation->maxTokens(), static_cast<std::uint64_t>(progress.tokens_.size()));
--- a/lib/Node/LimitCoordinator.cpp
+++ b/lib/Node/LimitCoordinator.cpp
@@ -73,13 +73,13 @@
     auto view = context_.membership();
     // While this process was suspended, another node may have coordinated its
     // entries, without a change of nodes that is visible here.
-    bool wasSuspended = steadyNow() - nodesCheckedAt_ > grantValidity();
+    bool wasFrozen = steadyNow() - nodesCheckedAt_ > grantValidity();
     nodesCheckedAt_ = steadyNow();
-    if (view->localNodes_ == nodes_ && !wasSuspended)
+    if (view->localNodes_ == nodes_ && !wasFrozen)
         return;
     nodes_ = view->localNodes_;
     nodesChangedAt_ = steadyNow();
-    std::erase_if(tables_, [&](const auto& item) { return (wasSuspended || coordinatorOf(item.first) != context_.self()) && !item.second->borrowing_; });
+    std::erase_if(tables_, [&](const auto& item) { return (wasFrozen || coordinatorOf(item.first) != context_.self()) && !item.second->borrowing_; });
 }
 
 LimitCoordinator::LimitTablePtr LimitCoordinator::tableOf(const EntryPtr& entry)
--- a/lib/Node/RecordCopying.cpp
+++ b/lib/Node/RecordCopying.cpp
@@ -143,7 +143,7 @@
         generation->markMoved();
         co_return;
     }
-    generation->abandonHandover();
+    generation->cancelHandover();
     logger_.error("Request " + generation->id() + " could not be handed over.");
 }
 
--- a/lib/Quarantine/Quarantine.cpp
+++ b/lib/Quarantine/Quarantine.cpp
@@ -52,9 +52,9 @@
     if (active < settings_.crashes_)
         return std::nullopt;
     milliseconds length = settings_.firstDuration_;
-    for (std::size_t i = settings_.crashes_; i < active && length < settings_.longest_; ++i)
+    for (std::size_t i = settings_.crashes_; i < active && length < settings_.maxDuration_; ++i)
         length *= 2;
-    return lastActiveCrash(crashes) + std::min(length, settings_.longest_);
+    return lastActiveCrash(crashes) + std::min(length, settings_.maxDuration_);
 }
 
 /// \returns when an entry expires. The time depends on the crashes alone, so that
@@ -76,23 +76,23 @@
 /// Evicts a suspect of \p organisation if the organisation has reached its share, or any
 /// suspect if the table is full: the one with the fewest active crashes, and among equal
 /// ones the one that has not changed for longest.
-void QuarantineTable::evictWeakest(std::uint32_t organisation)
+void QuarantineTable::evictLeastSuspect(std::uint32_t organisation)
 {
     auto isOwn = [&](const auto& item) { return item.second.organisation_ == organisation; };
     bool hasReachedShare = static_cast<std::uint64_t>(std::count_if(entries_.begin(), entries_.end(), isOwn)) >= settings_.organisationCapacity_;
     if (!hasReachedShare && entries_.size() < settings_.capacity_)
         return;
-    auto weakest = entries_.end();
-    auto isWeaker = [](const Entry& left, const Entry& right) {
+    auto leastSuspect = entries_.end();
+    auto isLessSuspect = [](const Entry& left, const Entry& right) {
         return std::pair(countActive(left.crashes_), left.changedAt_) < std::pair(countActive(right.crashes_), right.changedAt_);
     };
     for (auto item = entries_.begin(); item != entries_.end(); ++item) {
         bool isEvictable = !hasReachedShare || isOwn(*item);
-        if (isEvictable && (weakest == entries_.end() || isWeaker(item->second, weakest->second)))
-            weakest = item;
+        if (isEvictable && (leastSuspect == entries_.end() || isLessSuspect(item->second, leastSuspect->second)))
+            leastSuspect = item;
     }
-    if (weakest != entries_.end())
-        entries_.erase(weakest);
+    if (leastSuspect != entries_.end())
+        entries_.erase(leastSuspect);
 }
 
 QuarantineTable::Entry& QuarantineTable::findOrAdd(RequestFingerprint request, std::uint32_t organisation, SteadyTime now)
@@ -101,7 +101,7 @@
     if (found != entries_.end())
         return found->second;
     removeExpired(now);
-    evictWeakest(organisation);
+    evictLeastSuspect(organisation);
     Entry& entry = entries_[request];
     entry.organisation_ = organisation;
     entry.changedAt_ = now;
@@ -132,7 +132,7 @@
     return true;
 }
 
-std::size_t QuarantineTable::noteCrash(RequestFingerprint request, const OrganisationId& organisation, BackendInstanceKey backend, SteadyTime now)
+std::size_t QuarantineTable::noteCrash(RequestFingerprint request, const OrganisationId& organisation, BackendIncarnationKey backend, SteadyTime now)
 {
     std::lock_guard lock(mutex_);
     Entry& entry = findOrAdd(request, static_cast<std::uint32_t>(stableHash(organisation.value_)), now);
@@ -201,7 +201,7 @@
     return suspects;
 }
 
-void QuarantineTable::take(const std::vector<Suspect>& reported, SteadyTime now)
+void QuarantineTable::mergeSuspects(const std::vector<Suspect>& reported, SteadyTime now)
 {
     std::lock_guard lock(mutex_);
     for (const Suspect& suspect : reported) {
--- a/lib/Quarantine/QuarantineRecordTracker.cpp
+++ b/lib/Quarantine/QuarantineRecordTracker.cpp
@@ -7,7 +7,7 @@
 
 namespace pistachioloom {
 
-std::vector<QuarantineRecordTracker::Change> QuarantineRecordTracker::due(const std::vector<Suspect>& suspects) const
+std::vector<QuarantineRecordTracker::Change> QuarantineRecordTracker::pendingChanges(const std::vector<Suspect>& suspects) const
 {
     std::vector<Change> changes;
     std::set<RequestFingerprint> toRecord;
--- a/lib/Quota/Quota.cpp
+++ b/lib/Quota/Quota.cpp
@@ -47,7 +47,7 @@
     return static_cast<double>(std::max(nodes, nodesKnown_));
 }
 
-bool QuotaLimiter::hasReportsFromMost(SteadyTime now) const
+bool QuotaLimiter::hasEnoughReports(SteadyTime now) const
 {
     std::uint64_t reporting = 1;
     for (const auto& [id, peer] : peers_)
@@ -59,7 +59,7 @@
 {
     if (nodesKnown_ < 2 || now - startedAt_ >= settings_.startup_)
         return false;
-    if (now - startedAt_ >= settings_.minStartup_ && hasReportsFromMost(now))
+    if (now - startedAt_ >= settings_.minStartup_ && hasEnoughReports(now))
         return false;
     // A bucket with more tokens than the rate has added since this node's start got its
     // level from a node that has run for longer.
@@ -342,7 +342,7 @@
     window.requests_.push_back(now);
 }
 
-bool ServiceRetryBudget::take(const ServiceName& service, SteadyTime now)
+bool ServiceRetryBudget::tryRetry(const ServiceName& service, SteadyTime now)
 {
     std::lock_guard lock(mutex_);
     Window& window = windows_[service];
--- a/lib/Rollout/RolloutTracker.cpp
+++ b/lib/Rollout/RolloutTracker.cpp
@@ -11,7 +11,7 @@
 namespace pistachioloom {
 
 // Sums of shares are inexact, so slightly less than 1 counts as a request.
-static constexpr double wholeRequest = 1 - 1e-9;
+static constexpr double oneRequest = 1 - 1e-9;
 // Weight of one stream in the moving average of the time between events.
 static constexpr double gapSmoothing = 0.05;
 
@@ -115,10 +115,10 @@
 
 bool RolloutTracker::applyOrder(const RolloutOrder& order, SteadyTime now)
 {
-    return take({ order, RolloutPhase::Trial, 0, 0, 0 }, now, now);
+    return applyState({ order, RolloutPhase::Trial, 0, 0, 0 }, now, now);
 }
 
-bool RolloutTracker::take(const RolloutState& state, SteadyTime reportedAt, SteadyTime now)
+bool RolloutTracker::applyState(const RolloutState& state, SteadyTime reportedAt, SteadyTime now)
 {
     std::lock_guard lock(mutex_);
     auto [found, isNew] = entries_.try_emplace(state.order_.service_);
@@ -204,7 +204,7 @@
     ++entry.requests_[route];
     double& due = entry.due_[route];
     due += state.phase_ == RolloutPhase::Trial ? shareOnRoute(rule.share_, route, entry.requests_) : rule.share_;
-    if (due < wholeRequest)
+    if (due < oneRequest)
         return rule;
     due -= 1;
     rule.usesTarget_ = true;
--- a/lib/Routing/Routing.cpp
+++ b/lib/Routing/Routing.cpp
@@ -47,15 +47,15 @@
     for (EngineCandidate& candidate : candidates)
         candidate.estimate_ = estimateFirstToken(candidate, parameters);
     auto isBetter = [&](const EngineCandidate& left, const EngineCandidate& right) {
-        bool leftMeets = left.estimate_ <= parameters.latencyTarget_;
-        bool rightMeets = right.estimate_ <= parameters.latencyTarget_;
-        if (leftMeets != rightMeets)
-            return leftMeets;
-        if (leftMeets && left.isLocal_ != right.isLocal_)
+        bool leftMeetsTarget = left.estimate_ <= parameters.latencyTarget_;
+        bool rightMeetsTarget = right.estimate_ <= parameters.latencyTarget_;
+        if (leftMeetsTarget != rightMeetsTarget)
+            return leftMeetsTarget;
+        if (leftMeetsTarget && left.isLocal_ != right.isLocal_)
             return left.isLocal_;
-        if (leftMeets && left.prefixRank_ != right.prefixRank_ && (!left.prefixRank_ || !right.prefixRank_))
+        if (leftMeetsTarget && left.prefixRank_ != right.prefixRank_ && (!left.prefixRank_ || !right.prefixRank_))
             return !left.prefixRank_;
-        if (leftMeets && left.pricePerHour_ != right.pricePerHour_)
+        if (leftMeetsTarget && left.pricePerHour_ != right.pricePerHour_)
             return left.pricePerHour_ < right.pricePerHour_;
         return left.estimate_ < right.estimate_;
     };
--- a/tools/standins/PlatformStandin.cpp
+++ b/tools/standins/PlatformStandin.cpp
@@ -53,7 +53,7 @@
     std::map<std::string, json::object> vms_;
     std::uint64_t version_ = 1;
     std::vector<json::object> notices_;
-    std::set<std::string> cutDataCentres_;
+    std::set<std::string> partitionedDataCentres_;
     // Peer ports as each data centre sees them, keyed by "data centre/VM".
     std::map<std::string, std::uint64_t> portViews_;
     std::uint64_t appends_ = 0;
@@ -172,9 +172,9 @@
     for (const json::object& notice : objectsField(body, "notices"))
         notices_.push_back(notice);
     if (const json::array* cut = arrayField(body, "cut_data_centres")) {
-        cutDataCentres_.clear();
+        partitionedDataCentres_.clear();
         for (const json::value& name : *cut)
-            cutDataCentres_.insert(std::string(name.as_string()));
+            partitionedDataCentres_.insert(std::string(name.as_string()));
     }
     std::string trimmed = textField(body, "trim_stream");
     if (!trimmed.empty()) {
@@ -204,7 +204,7 @@
         co_await control(exchange);
         co_return;
     }
-    if (cutDataCentres_.contains(request.header("x-data-centre"))) {
+    if (partitionedDataCentres_.contains(request.header("x-data-centre"))) {
         exchange.abort();
         co_return;
     }
--- a/unittests/Backends/BackendsTest.cpp
+++ b/unittests/Backends/BackendsTest.cpp
@@ -484,12 +484,12 @@
     BackendTable table({ "a" }, ChoiceSettings {});
     for (const char* id : { "x", "y" })
         table.put(record(id));
-    table.setEnded({ "x" }, start);
+    table.setTerminated({ "x" }, start);
     for (int i = 0; i < 20; ++i)
         CHECK(chosen(table, plainRequest()) == "y");
     // It is used as the last resort, in case the report was wrong.
     CHECK(chosen(table, plainRequest(), { { "y" } }) == "x");
-    table.setEnded({ "unknown" }, start);
+    table.setTerminated({ "unknown" }, start);
 }
 
 TEST_CASE("a request is sent to a version that the rule does not allow", "[backends]")
--- a/unittests/Duties/DutiesTest.cpp
+++ b/unittests/Duties/DutiesTest.cpp
@@ -90,15 +90,15 @@
             if (chance(0.2))
                 ++logEnd_;
             if (node.knownEnd_ != logEnd_)
-                return node.lease_.stepDown(now);
+                return node.lease_.release(now);
             node.knownEnd_ = ++logEnd_;
             node.lease_.becomeHolder({ logEnd_ }, now);
             return;
         }
-        if (!node.lease_.mayBegin(now) || !chance(0.3))
+        if (!node.lease_.mayStartActs(now) || !chance(0.3))
             return;
         if (node.knownEnd_ != logEnd_)
-            return node.lease_.stepDown(now);
+            return node.lease_.release(now);
         node.knownEnd_ = ++logEnd_;
         // The node may freeze between its record and the act.
         SteadyTime actAt = now + milliseconds(chance(0.1) ? 5000 : 5);
@@ -141,11 +141,11 @@
 {
     DutyLease first({ "a" }, timing(), start);
     first.becomeHolder({ 1 }, start);
-    CHECK(first.mayBegin(start));
+    CHECK(first.mayStartActs(start));
     DutyLease second({ "b" }, timing(), start);
     second.becomeHolder({ 2 }, start);
-    CHECK_FALSE(second.mayBegin(start));
-    CHECK(second.mayBegin(start + timing().actAfterClaim_));
+    CHECK_FALSE(second.mayStartActs(start));
+    CHECK(second.mayStartActs(start + timing().actAfterClaim_));
 }
 
 TEST_CASE("the holder's timeout counts from its original report, not from forwarded copies", "[duties]")
--- a/unittests/Duties/DutyLeaseExplorationTest.cpp
+++ b/unittests/Duties/DutyLeaseExplorationTest.cpp
@@ -40,54 +40,54 @@
     std::optional<SteadyTime> recordedAt_;
 };
 
-struct World {
+struct SystemState {
     std::vector<Participant> nodes_;
     std::uint64_t logEnd_ = 0;
     std::vector<Act> acts_;
 };
 
-World initialWorld()
+SystemState initialState()
 {
     DutyTiming timing;
     timing.holderTimeout_ = lease * 85 / 100;
     timing.actAfterClaim_ = lease / 2 + milliseconds(100);
     timing.recordValidity_ = lease / 3;
-    World world;
+    SystemState system;
     for (const char* name : { "0", "1" })
-        world.nodes_.push_back({ DutyLease({ name }, timing, start), 0, std::nullopt });
-    return world;
+        system.nodes_.push_back({ DutyLease({ name }, timing, start), 0, std::nullopt });
+    return system;
 }
 
-void act(World& world, int index, SteadyTime now)
+void act(SystemState& system, int index, SteadyTime now)
 {
-    Participant& node = world.nodes_[static_cast<std::size_t>(index)];
+    Participant& node = system.nodes_[static_cast<std::size_t>(index)];
     if (node.recordedAt_ && node.lease_.mayAct(*node.recordedAt_, now))
-        world.acts_.push_back({ index, node.lease_.token(), now });
+        system.acts_.push_back({ index, node.lease_.token(), now });
     node.recordedAt_.reset();
 }
 
-void run(World& world, int index, Choice choice, SteadyTime now)
+void run(SystemState& system, int index, Choice choice, SteadyTime now)
 {
     if (choice == Choice::Frozen)
         return;
-    Participant& node = world.nodes_[static_cast<std::size_t>(index)];
-    const Participant& peer = world.nodes_[static_cast<std::size_t>(1 - index)];
+    Participant& node = system.nodes_[static_cast<std::size_t>(index)];
+    const Participant& peer = system.nodes_[static_cast<std::size_t>(1 - index)];
     // An act that was pending when the node froze comes first.
-    act(world, index, now);
+    act(system, index, now);
     if (choice != Choice::Partitioned && peer.lease_.isHolder())
         node.lease_.noteHolder({ std::to_string(1 - index) }, peer.lease_.token(), now);
     if (node.lease_.shouldClaim(static_cast<std::size_t>(index), now)) {
-        node.knownEnd_ = ++world.logEnd_;
+        node.knownEnd_ = ++system.logEnd_;
         return node.lease_.becomeHolder({ node.knownEnd_ }, now);
     }
-    if (!node.lease_.mayBegin(now))
+    if (!node.lease_.mayStartActs(now))
         return;
-    if (node.knownEnd_ != world.logEnd_)
-        return node.lease_.stepDown(now);
-    node.knownEnd_ = ++world.logEnd_;
+    if (node.knownEnd_ != system.logEnd_)
+        return node.lease_.release(now);
+    node.knownEnd_ = ++system.logEnd_;
     node.recordedAt_ = now;
     if (choice != Choice::FreezesBeforeActing)
-        act(world, index, now);
+        act(system, index, now);
 }
 
 /// Returns what is wrong with the order of acts, or an empty text.
@@ -114,7 +114,7 @@
 
 TEST_CASE("no schedule of two nodes lets their acts overlap", "[duties]")
 {
-    World settled = initialWorld();
+    SystemState settled = initialState();
     SteadyTime now = start;
     for (int i = 0; i < 5; ++i, now += step) {
         run(settled, 0, Choice::Runs, now);
@@ -126,28 +126,28 @@
         schedules *= choices * choices;
     int changes = 0;
     for (int schedule = 0; schedule < schedules; ++schedule) {
-        World world = settled;
+        SystemState system = settled;
         SteadyTime at = now;
         int rest = schedule;
         for (int i = 0; i < steps; ++i, at += step) {
-            run(world, 0, static_cast<Choice>(rest % choices), at);
+            run(system, 0, static_cast<Choice>(rest % choices), at);
             rest /= choices;
-            run(world, 1, static_cast<Choice>(rest % choices), at);
+            run(system, 1, static_cast<Choice>(rest % choices), at);
             rest /= choices;
         }
         // Afterwards both nodes run without faults for two leases.
         for (int i = 0; i < 7; ++i, at += step) {
-            run(world, 0, Choice::Runs, at);
-            run(world, 1, Choice::Runs, at);
+            run(system, 0, Choice::Runs, at);
+            run(system, 1, Choice::Runs, at);
         }
-        std::string problem = problemOf(world.acts_);
+        std::string problem = problemOf(system.acts_);
         if (!problem.empty()) {
             CAPTURE(schedule);
             FAIL(problem);
         }
-        changes += world.acts_.back().node_ != settled.acts_.front().node_;
+        changes += system.acts_.back().node_ != settled.acts_.front().node_;
         // One of the nodes holds the duties at the end.
-        if (at - world.acts_.back().at_ > 2 * step) {
+        if (at - system.acts_.back().at_ > 2 * step) {
             CAPTURE(schedule);
             FAIL("no node acts after both run again");
         }
--- a/unittests/Forward/ForwardTest.cpp
+++ b/unittests/Forward/ForwardTest.cpp
@@ -100,7 +100,7 @@
     EventSplitter splitter(row.last_);
     std::string output;
     for (const std::string& piece : row.pieces_)
-        output += splitter.take(piece);
+        output += splitter.feed(piece);
     CHECK(output == row.expected_);
     CHECK(splitter.hasGap() == row.hasGap_);
     if (!row.hasGap_)
@@ -110,9 +110,9 @@
 TEST_CASE("an incomplete event is not joined to the events of another engine", "[forward]")
 {
     EventSplitter splitter(std::nullopt);
-    CHECK(splitter.take("id: 1\ndata: a\n\nid: 2\ndata: ha") == "id: 1\ndata: a\n\n");
+    CHECK(splitter.feed("id: 1\ndata: a\n\nid: 2\ndata: ha") == "id: 1\ndata: a\n\n");
     splitter.dropPartial();
-    CHECK(splitter.take("id: 2\ndata: whole\n\n") == "id: 2\ndata: whole\n\n");
+    CHECK(splitter.feed("id: 2\ndata: whole\n\n") == "id: 2\ndata: whole\n\n");
     CHECK(splitter.last() == 2U);
 }
 
--- a/unittests/Forward/ResumptionTest.cpp
+++ b/unittests/Forward/ResumptionTest.cpp
@@ -58,13 +58,13 @@
         for (Engine second : engines) {
             for (std::size_t secondCut = 0; secondCut <= fullStream.size(); ++secondCut) {
                 EventSplitter splitter(std::nullopt);
-                std::string received = splitter.take(fullStream.substr(0, firstCut));
+                std::string received = splitter.feed(fullStream.substr(0, firstCut));
                 splitter.dropPartial();
                 std::string rest = streamOf(second, splitter.last().value_or(0));
-                received += splitter.take(rest.substr(0, std::min(secondCut, rest.size())));
+                received += splitter.feed(rest.substr(0, std::min(secondCut, rest.size())));
                 splitter.dropPartial();
                 if (!splitter.hasGap())
-                    received += splitter.take(streamOf(Engine::Resumes, splitter.last().value_or(0)));
+                    received += splitter.feed(streamOf(Engine::Resumes, splitter.last().value_or(0)));
                 bool isCorrect = splitter.hasGap() ? fullStream.starts_with(received) : received == fullStream;
                 if (!isCorrect) {
                     CAPTURE(firstCut, secondCut, static_cast<int>(second), received);
--- a/unittests/Fuzz/FuzzTest.cpp
+++ b/unittests/Fuzz/FuzzTest.cpp
@@ -67,7 +67,7 @@
     splitter = EventSplitter(last);
     std::string events;
     for (const std::string& piece : pieces)
-        events += splitter.take(piece);
+        events += splitter.feed(piece);
     return events;
 }
 
@@ -202,7 +202,7 @@
             continue;
         if (datagram.has_report()) {
             aggregator.applyReport(datagram.report(), now);
-            quarantine.take(suspectsOf(datagram.report().suspects(), now), now);
+            quarantine.mergeSuspects(suspectsOf(datagram.report().suspects(), now), now);
             REQUIRE(quarantine.suspectsToReport(now, run).size() <= 24);
         }
         if (datagram.has_relayed())
--- a/unittests/Gateway/ReportAggregatorTest.cpp
+++ b/unittests/Gateway/ReportAggregatorTest.cpp
@@ -180,12 +180,12 @@
     CHECK(aggregator.digestFor({ "near" }, aggregator.totals(start), start).silent_nodes() == 3);
     struct Row {
         milliseconds later_;
-        std::uint64_t silent_;
+        std::uint64_t unresponsive_;
     };
     auto row = GENERATE(values<Row>({ { milliseconds(1500), 21 }, { milliseconds(9000), 21 }, { milliseconds(11000), 0 } }));
     SteadyTime now = start + row.later_;
     aggregator.applyReport(report("near", {}), now);
-    CHECK(aggregator.digestFor({ "near" }, aggregator.totals(now), now).silent_nodes() == row.silent_);
+    CHECK(aggregator.digestFor({ "near" }, aggregator.totals(now), now).silent_nodes() == row.unresponsive_);
 }
 
 TEST_CASE("usage is sent only to the data centre that reports it to the platform", "[relay]")
--- a/unittests/Gateway/SuspectMessagesTest.cpp
+++ b/unittests/Gateway/SuspectMessagesTest.cpp
@@ -43,6 +43,6 @@
     REQUIRE(read[0].crashes_.size() == 1);
     CHECK(read[0].crashes_[0].at_ < now);
     QuarantineTable table({});
-    table.take(read, now);
+    table.mergeSuspects(read, now);
     CHECK(table.isEmpty());
 }
--- a/unittests/Node/GenerationTest.cpp
+++ b/unittests/Node/GenerationTest.cpp
@@ -160,7 +160,7 @@
     CHECK(generation.read(0).tokens_.size() == handedOver);
     CHECK_FALSE(generation.read(0).isFinished_);
     // No node accepted the record, so the generation continues on this node.
-    generation.abandonHandover();
+    generation.cancelHandover();
     CHECK(generation.read(0).tokens_.size() == 5);
     CHECK(generation.read(0).isFinished_);
 }
--- a/unittests/Quarantine/QuarantineTest.cpp
+++ b/unittests/Quarantine/QuarantineTest.cpp
@@ -86,9 +86,9 @@
     // later.
     QuarantineTable other({});
     crash(other, request, 3, start);
-    table.take(other.suspects(start), after(30));
+    table.mergeSuspects(other.suspects(start), after(30));
     CHECK(table.activeCrashesOf(request) == 2);
-    other.take(table.suspects(after(30)), after(40));
+    other.mergeSuspects(table.suspects(after(30)), after(40));
     CHECK(other.activeCrashesOf(request) == 2);
 }
 
@@ -108,13 +108,13 @@
             table.clear(of, after(at));
         // Half of the reports are lost.
         QuarantineTable& from = *tables[random() % tables.size()];
-        tables[random() % tables.size()]->take(from.suspectsToReport(after(at), random()), after(at));
+        tables[random() % tables.size()]->mergeSuspects(from.suspectsToReport(after(at), random()), after(at));
     }
     // All nodes receive the reports of all others for four seconds.
     for (std::int64_t at = 4000; at < 8000; at += 200) {
         for (auto& to : tables) {
             for (auto& from : tables)
-                to->take(from->suspectsToReport(after(at), random()), after(at));
+                to->mergeSuspects(from->suspectsToReport(after(at), random()), after(at));
         }
     }
     for (std::uint64_t of = 1; of <= 6; ++of) {
@@ -135,7 +135,7 @@
     // The reports that a new node receives within the platform's contact time, in which
     // all nodes must learn what one has observed.
     for (std::uint64_t report = 0; report < 15; ++report)
-        started.take(table.suspectsToReport(after(60'000), report * 7919), after(60'000));
+        started.mergeSuspects(table.suspectsToReport(after(60'000), report * 7919), after(60'000));
     CHECK(started.quarantined(after(60'000)) == 20);
 }
 
@@ -171,10 +171,10 @@
     crash(table, request, 2, start);
     auto reported = table.suspects(start);
     SteadyTime later = start + milliseconds(600'001);
-    table.take(reported, later);
+    table.mergeSuspects(reported, later);
     table.noteCrash({ 77 }, north, { 1 }, later);
     CHECK(table.activeCrashesOf(request) == 0);
-    table.take(reported, later);
+    table.mergeSuspects(reported, later);
     CHECK(table.activeCrashesOf(request) == 0);
 }
 
@@ -191,7 +191,7 @@
     CHECK_FALSE(detector.isIdle());
     detector.noteProbed({ 1 });
     // The registry removes the server some seconds later.
-    CHECK(detector.noteEnded({ 1 }, after(4000)).size() == 2);
+    CHECK(detector.noteTerminated({ 1 }, after(4000)).size() == 2);
     CHECK(table.activeCrashesOf(request) == 1);
     // An attempt that is found cut off after the server's end counts immediately.
     auto late = detector.noteCutOff({ { 0x123 }, north, { 1 } }, after(4100));
@@ -205,7 +205,7 @@
     CrashDetector detector(table);
     (void)detector.noteCutOff({ request, north, { 1 } }, start);
     detector.clear(request, after(200));
-    CHECK(detector.noteEnded({ 1 }, after(3000)).empty());
+    CHECK(detector.noteTerminated({ 1 }, after(3000)).empty());
     CHECK(table.activeCrashesOf(request) == 0);
 }
 
@@ -214,7 +214,7 @@
     QuarantineTable table({});
     CrashDetector detector(table);
     (void)detector.noteCutOff({ request, north, { 1 } }, start);
-    CHECK(detector.noteEnded({ 1 }, after(10'001)).empty());
+    CHECK(detector.noteTerminated({ 1 }, after(10'001)).empty());
     CHECK(table.isEmpty());
 }
 
@@ -222,8 +222,8 @@
 {
     QuarantineTable table({});
     QuarantineRecordTracker record(3);
-    auto take = [&](std::size_t expected, bool isDropped) {
-        auto changes = record.due(table.suspects(start));
+    auto mergeSuspects = [&](std::size_t expected, bool isDropped) {
+        auto changes = record.pendingChanges(table.suspects(start));
         REQUIRE(changes.size() == expected);
         for (const QuarantineRecordTracker::Change& change : changes) {
             CHECK(change.suspect_.request_ == request);
@@ -232,13 +232,13 @@
         }
     };
     crash(table, request, 2, start);
-    take(0, false);
+    mergeSuspects(0, false);
     crash(table, request, 3, start);
-    take(1, false);
-    take(0, false);
+    mergeSuspects(1, false);
+    mergeSuspects(0, false);
     crash(table, request, 4, start);
-    take(1, false);
+    mergeSuspects(1, false);
     table.clear(request, start);
-    take(1, true);
-    take(0, true);
+    mergeSuspects(1, true);
+    mergeSuspects(0, true);
 }
--- a/unittests/Quota/QuotaTest.cpp
+++ b/unittests/Quota/QuotaTest.cpp
@@ -95,13 +95,13 @@
     for (int i = 0; i < 100; ++i)
         budget.countRequest(service, start);
     int taken = 0;
-    while (budget.take(service, start))
+    while (budget.tryRetry(service, start))
         ++taken;
     CHECK(taken == 30);
-    CHECK_FALSE(budget.take({ "other" }, start + milliseconds(20000)) == false);
+    CHECK_FALSE(budget.tryRetry({ "other" }, start + milliseconds(20000)) == false);
     // The window has passed, so only the additional retries are left.
     taken = 0;
-    while (budget.take(service, start + milliseconds(10001)))
+    while (budget.tryRetry(service, start + milliseconds(10001)))
         ++taken;
     CHECK(taken == 10);
 }
--- a/unittests/Rollout/RolloutTest.cpp
+++ b/unittests/Rollout/RolloutTest.cpp
@@ -89,7 +89,7 @@
     for (const Row& row : rows) {
         CAPTURE(toString(row.phase_), row.share_, row.ageMs_);
         RolloutTracker tracker({});
-        CHECK(tracker.take({ orderOf(1), row.phase_, row.share_, 1, 1 }, start, start));
+        CHECK(tracker.applyState({ orderOf(1), row.phase_, row.share_, 1, 1 }, start, start));
         CHECK(toTarget(tracker, after(row.ageMs_)) == row.first_);
         CHECK(toTarget(tracker, after(row.ageMs_), RolloutTracker::SendKind::Subsequent) == row.again_);
     }
@@ -105,7 +105,7 @@
     CHECK(shareOnRoute(0.08, 3, requests) == 0.08);
     CHECK(shareOnRoute(0.08, 1, { { 1, 100 } }) == Approx(0.08));
     RolloutTracker tracker({});
-    tracker.take({ orderOf(1), RolloutPhase::Trial, 0.08, 1, 1 }, start, start);
+    tracker.applyState({ orderOf(1), RolloutPhase::Trial, 0.08, 1, 1 }, start, start);
     int toTargetOf[2] {};
     for (int i = 0; i < 10000; ++i) {
         bool isSparse = i % 7 == 0;
@@ -131,7 +131,7 @@
     do {
         RolloutTracker tracker({});
         for (const RolloutState& state : reported)
-            tracker.take(state, start, start);
+            tracker.applyState(state, start, start);
         CHECK(tracker.find(service) == next);
     } while (std::next_permutation(reported.begin(), reported.end()));
 }
