--- a/cmake/PistachioloomLibrary.cmake
+++ b/cmake/PistachioloomLibrary.cmake
@@ -1,8 +1,8 @@
-# Shared compile settings, and one function per kind of target.
+# Compile options that all targets share, and functions that add targets.
 add_library(PistachioloomOptions INTERFACE)
 target_include_directories(PistachioloomOptions INTERFACE ${CMAKE_SOURCE_DIR}/include)
 target_compile_options(PistachioloomOptions INTERFACE -Wall -Wextra -Wpedantic -Werror)
-# GCC 12 reports false positives of these two inside Boost's coroutine and JSON templates.
+# GCC 12 reports false positives of these warnings inside Boost's coroutine and JSON templates.
 target_compile_options(PistachioloomOptions INTERFACE -Wno-maybe-uninitialized -Wno-mismatched-new-delete -Wno-array-bounds -Wno-stringop-overread -Wno-uninitialized)
 target_compile_definitions(PistachioloomOptions INTERFACE BOOST_ASIO_NO_DEPRECATED BOOST_ASIO_HAS_CO_AWAIT BOOST_ASIO_DISABLE_BOOST_COROUTINE=1)
 if(PISTACHIOLOOM_TSAN)
--- a/include/pistachioloom/Ledger.h
+++ b/include/pistachioloom/Ledger.h
@@ -5,7 +5,7 @@
 /// key's shard of the log before the call is dispatched. The attempt with the
 /// first intent in log order dispatches the call; every other attempt reads
 /// from the log that the key is held. Safety does not depend on leases or
-/// clocks: a coordinator that was suspended meanwhile finds another intent
+/// clocks: a coordinator that was frozen meanwhile finds another intent
 /// ahead of its own and does not dispatch.
 //===----------------------------------------------------------------------===//
 #pragma once
--- a/include/pistachioloom/Quarantine.h
+++ b/include/pistachioloom/Quarantine.h
@@ -44,7 +44,7 @@
 /// Parses the format of toString(). \returns nullopt for any other text.
 std::optional<RequestFingerprint> parseFingerprint(std::string_view text);
 
-/// Hash of one start of a backend server, the same as in messages; see keyOf().
+/// Hash of one incarnation of a backend server, the same as in messages; see keyOf().
 using BackendIncarnationKey = Quantity<struct BackendIncarnationKeyTag, std::uint32_t>;
 
 /// A backend server crashed while it ran the request.
@@ -178,7 +178,7 @@
 
 /// Distinguishes crashes from connections that were lost for other reasons. An attempt
 /// that was cut off counts as a crash of its request if the node learns within 10 s,
-/// before or afterwards, that the backend server has ended. Thread-safe.
+/// before or afterwards, that the backend server has terminated. Thread-safe.
 class CrashDetector {
 public:
     explicit CrashDetector(QuarantineTable& table)
@@ -194,9 +194,9 @@
 
     /// The consequences of an attempt that was cut off.
     struct CutOffResult {
-        /// Set if the backend server is already known to have ended.
+        /// Set if the backend server is already known to have terminated.
         std::optional<CountedRequest> counted_;
-        /// The caller must probe whether the backend server has ended, since no other
+        /// The caller must probe whether the backend server has terminated, since no other
         /// probe is running.
         bool needsProbe_ = false;
     };
@@ -205,7 +205,7 @@
     CutOffResult noteCutOff(const CutOff& cutOff, SteadyTime now);
     /// Notes that the probe that noteCutOff() requested has finished.
     void noteProbed(BackendIncarnationKey backend);
-    /// Notes that \p backend ended without having reported that it leaves.
+    /// Notes that \p backend terminated without having reported that it leaves.
     /// \returns the requests with a crash counted because of this.
     std::vector<CountedRequest> noteTerminated(BackendIncarnationKey backend, SteadyTime now);
     /// Whether no attempt is pending and no request is suspected, so that clear() has no
@@ -216,7 +216,7 @@
     bool clear(RequestFingerprint request, SteadyTime now);
 
 private:
-    /// An attempt whose backend server is not known to have ended.
+    /// An attempt whose backend server is not known to have terminated.
     struct Pending {
         CutOff cutOff_;
         SteadyTime at_ {};
--- a/lib/Forward/LivenessProbe.cpp
+++ b/lib/Forward/LivenessProbe.cpp
@@ -44,7 +44,7 @@
     }
     // A fault that isolates a data centre may refuse connections as well.
     bool hasTerminated = code == asio::error::connection_refused && context.backends_.isReachable(backend.dataCentre_);
-    LogLine line(hasTerminated ? "Backend server has ended." : "Backend server closed a connection during a request.");
+    LogLine line(hasTerminated ? "Backend server has terminated." : "Backend server closed a connection during a request.");
     line.add("backend", backend.id_.value_).add("connection", code ? code.message() : "accepted");
     logger().info(line);
     context.crashes_.noteProbed({ keyOf(backend.id_) });
--- a/lib/Gateway/DutyRunner.cpp
+++ b/lib/Gateway/DutyRunner.cpp
@@ -225,7 +225,7 @@
 {
     std::string bytes = record.SerializeAsString();
     // A record that is appended later than this does not cover its act any more, and a
-    // holder that gets no answers from the platform must step down for another node.
+    // holder that gets no answers from the platform must release the duties for another node.
     SteadyTime until = steadyNow() + timingFor(context_.settings_.dutyLease_).recordValidity_;
     for (int i = 0; i < maxAppendAttempts && steadyNow() < until; ++i) {
         auto appended = co_await context_.platform_.appendDutyRecord_(end_, bytes);
--- a/lib/Gateway/PeerReports.cpp
+++ b/lib/Gateway/PeerReports.cpp
@@ -347,7 +347,7 @@
                 continue;
         }
         noteTerminated({ id });
-        logger_.info(LogLine("Backend server has ended.").add("backend", id).add("from", from.value_));
+        logger_.info(LogLine("Backend server has terminated.").add("backend", id).add("from", from.value_));
         context_.backends_.setTerminated({ id }, now);
         noteBackendTerminated(context_.forward_, { id });
     }
--- a/lib/Gateway/PeerReports.h
+++ b/lib/Gateway/PeerReports.h
@@ -65,7 +65,7 @@
     void noteFleetKnown();
     /// Reports to peers for some seconds that a backend server is leaving.
     void noteLeaving(const BackendId& id);
-    /// Reports to peers for some seconds that a backend server has ended.
+    /// Reports to peers for some seconds that a backend server has terminated.
     void noteTerminated(const BackendId& id);
     /// Returns this node's rank among live nodes in the order for \p key. A node that
     /// receives reports of less than half of the others ranks behind nodes that receive
--- a/lib/Gateway/ReportMessages.cpp
+++ b/lib/Gateway/ReportMessages.cpp
@@ -16,7 +16,7 @@
 
     // Time for which a leaving backend server is reported to peers.
     constexpr milliseconds leavingReportDuration { 10000 };
-    // Time for which an ended backend server is reported to peers. Its registration
+    // Time for which a terminated backend server is reported to peers. Its registration
     // expires soon after.
     constexpr milliseconds terminatedReportDuration { 3000 };
 
--- a/lib/Node/LimitCoordinator.cpp
+++ b/lib/Node/LimitCoordinator.cpp
@@ -71,7 +71,7 @@
 void LimitCoordinator::updateNodes()
 {
     auto view = context_.membership();
-    // While this process was suspended, another node may have coordinated its
+    // While this process was frozen, another node may have coordinated its
     // entries, without a change of nodes that is visible here.
     bool wasFrozen = steadyNow() - nodesCheckedAt_ > grantValidity();
     nodesCheckedAt_ = steadyNow();
--- a/lib/Node/RunOnceCoordinator.h
+++ b/lib/Node/RunOnceCoordinator.h
@@ -4,7 +4,7 @@
 /// Drives RunOnceCall against the log. A coordinator appends the pending
 /// intents of a shard as one record, reads the shard up to that record and
 /// passes the result to each call. Any number of coordinators of one shard,
-/// suspended or not, are safe together.
+/// frozen or not, are safe together.
 //===----------------------------------------------------------------------===//
 #pragma once
 
--- a/unittests/Quarantine/QuarantineTest.cpp
+++ b/unittests/Quarantine/QuarantineTest.cpp
@@ -139,7 +139,7 @@
     CHECK(started.quarantined(after(60'000)) == 20);
 }
 
-TEST_CASE("a flood of suspects of one organisation evicts its own, weakest first", "[quarantine]")
+TEST_CASE("a flood of suspects of one organisation evicts its own, those with the fewest crashes first", "[quarantine]")
 {
     QuarantineTable table(smallTableSettings());
     crash(table, { 1 }, 3, start);
@@ -178,7 +178,7 @@
     CHECK(table.activeCrashesOf(request) == 0);
 }
 
-TEST_CASE("an attempt that was cut off counts only once its server is known to have ended", "[quarantine]")
+TEST_CASE("an attempt that was cut off counts only once its server is known to have terminated", "[quarantine]")
 {
     QuarantineTable table({});
     CrashDetector detector(table);
