--- a/include/pistachioloom/Limits.h
+++ b/include/pistachioloom/Limits.h
@@ -135,7 +135,7 @@
 
 /// Admits requests on one node, within the slots and tokens that the node holds
 /// of each entry's limits.
-class Admission {
+class EntryAdmission {
 public:
     enum class Decision {
         Admitted,
--- a/include/pistachioloom/Quota.h
+++ b/include/pistachioloom/Quota.h
@@ -38,9 +38,9 @@
     /// nodes reported that more is left. Nodes that start simultaneously receive each
     /// other's counts only after 1 to 2 s, and each of them would admit requests from
     /// the same remainder until then.
-    milliseconds startup_ { 3000 };
+    milliseconds startupTime_ { 3000 };
     /// Startup time if nearly all nodes report: twice the lag through relays.
-    milliseconds minStartup_ { 1200 };
+    milliseconds minStartupTime_ { 1200 };
     /// Buckets start with the tokens that the rate adds in this time, since a node is
     /// down for longer than this before it starts again.
     milliseconds startCredit_ { 400 };
--- a/lib/Gateway/PeerReports.cpp
+++ b/lib/Gateway/PeerReports.cpp
@@ -124,7 +124,7 @@
     context_.forward_.nodes_ = assumed;
     // If the platform does not answer, the number of nodes assumed at the start restricts
     // the quotas for the startup time at most.
-    bool isWaiting = !isFleetKnown_ && now - startedAt_ < QuotaSettings {}.startup_;
+    bool isWaiting = !isFleetKnown_ && now - startedAt_ < QuotaSettings {}.startupTime_;
     context_.quotas_.setNodes(isWaiting ? std::max(nodesAssumedAtStart, known) : known);
 }
 
--- a/lib/Limits/Admission.cpp
+++ b/lib/Limits/EntryAdmission.cpp
@@ -1,4 +1,4 @@
-//===- lib/Limits/Admission.cpp - the node's side of limits ----------------===//
+//===- lib/Limits/EntryAdmission.cpp - the node's side of limits -----------===//
 ///
 /// \file
 /// Tracks the slots and tokens that a node holds of each entry's limits, and
@@ -11,7 +11,7 @@
 
 namespace pistachioloom {
 
-Admission::Decision Admission::tryStart(const CatalogueEntry& entry, std::uint64_t tokens, SteadyTime now)
+EntryAdmission::Decision EntryAdmission::tryStart(const CatalogueEntry& entry, std::uint64_t tokens, SteadyTime now)
 {
     EntryState& state = entries_[entry.name_];
     std::uint64_t slots = state.expires_ > now ? state.slots_ : 0;
@@ -28,7 +28,7 @@
     return Decision::Admitted;
 }
 
-void Admission::finish(const EntryName& entry, std::uint64_t unusedTokens)
+void EntryAdmission::finish(const EntryName& entry, std::uint64_t unusedTokens)
 {
     auto found = entries_.find(entry);
     if (found == entries_.end() || !found->second.inProgress_)
@@ -37,12 +37,12 @@
     found->second.tokens_ += unusedTokens;
 }
 
-void Admission::beginWait(const EntryName& entry, std::uint64_t tokens)
+void EntryAdmission::beginWait(const EntryName& entry, std::uint64_t tokens)
 {
     entries_[entry].waiting_.push_back(tokens);
 }
 
-void Admission::endWait(const EntryName& entry, std::uint64_t tokens)
+void EntryAdmission::endWait(const EntryName& entry, std::uint64_t tokens)
 {
     auto& waiting = entries_[entry].waiting_;
     auto found = std::find(waiting.begin(), waiting.end(), tokens);
@@ -50,7 +50,7 @@
         waiting.erase(found);
 }
 
-Admission::Demand Admission::makeDemand(const CatalogueEntry& entry, std::uint64_t slotsAhead)
+EntryAdmission::Demand EntryAdmission::makeDemand(const CatalogueEntry& entry, std::uint64_t slotsAhead)
 {
     EntryState& state = entries_[entry.name_];
     Demand demand;
@@ -75,7 +75,7 @@
     return demand;
 }
 
-void Admission::applyGrant(const EntryName& entry, const Grant& grant)
+void EntryAdmission::applyGrant(const EntryName& entry, const Grant& grant)
 {
     EntryState& state = entries_[entry];
     state.slots_ = grant.slots_;
@@ -84,25 +84,25 @@
     state.tokenWait_ = grant.tokenWait_;
 }
 
-std::uint64_t Admission::inProgress(const EntryName& entry) const
+std::uint64_t EntryAdmission::inProgress(const EntryName& entry) const
 {
     auto found = entries_.find(entry);
     return found == entries_.end() ? 0 : found->second.inProgress_;
 }
 
-std::uint64_t Admission::held(const EntryName& entry, SteadyTime now) const
+std::uint64_t EntryAdmission::held(const EntryName& entry, SteadyTime now) const
 {
     auto found = entries_.find(entry);
     return found == entries_.end() || found->second.expires_ <= now ? 0 : found->second.slots_;
 }
 
-milliseconds Admission::tokenWait(const EntryName& entry) const
+milliseconds EntryAdmission::tokenWait(const EntryName& entry) const
 {
     auto found = entries_.find(entry);
     return found == entries_.end() ? milliseconds {} : found->second.tokenWait_;
 }
 
-std::vector<EntryName> Admission::activeEntries() const
+std::vector<EntryName> EntryAdmission::activeEntries() const
 {
     std::vector<EntryName> names;
     for (const auto& [name, state] : entries_) {
--- a/lib/Node/BackendDispatcher.cpp
+++ b/lib/Node/BackendDispatcher.cpp
@@ -19,7 +19,7 @@
     constexpr milliseconds closedRetryAfter { 1000 };
     // Reported as the wait of an engine that is being reconfigured, so that entry
     // VMs prefer other engines.
-    constexpr milliseconds closedWait { 10000 };
+    constexpr milliseconds closedEngineWait { 10000 };
 
     EngineRequest makeEngineRequest(const wire::GenerateRequest& request)
     {
@@ -347,7 +347,7 @@
                 continue;
             ModelLoad load = slots_.load(server, capacity);
             if (isAdmissionClosed(server))
-                load = { 0, load.queued_, closedWait, 0 };
+                load = { 0, load.queued_, closedEngineWait, 0 };
             auto [position, isFirst] = loads.emplace(name, load);
             if (isFirst)
                 continue;
--- a/lib/Node/EngineRouter.cpp
+++ b/lib/Node/EngineRouter.cpp
@@ -14,7 +14,7 @@
     // Numbers of engines that sampleEngines() picks by their rank for the prefix, and
     // at random among the others.
     constexpr std::size_t topRanked = 2;
-    constexpr std::size_t others = 2;
+    constexpr std::size_t randomCandidates = 2;
     constexpr std::size_t maxExplanations = 512;
     // Network latency between the data centres of one region. A remote engine is
     // preferred only if it saves more than this.
@@ -76,7 +76,7 @@
     auto add = [&](std::vector<VmId> engines) {
         std::erase_if(engines, [&](const VmId& engine) { return query.excluded_.contains(engine); });
         std::size_t rank = 0;
-        for (const VmId& engine : sampleEngines(prefix, engines, topRanked, others, randomBits)) {
+        for (const VmId& engine : sampleEngines(prefix, engines, topRanked, randomCandidates, randomBits)) {
             EngineCandidate candidate = makeCandidate(*view, query, engine, rank++);
             if (!candidate.dispatcher_.isEmpty())
                 candidates.push_back(std::move(candidate));
--- a/lib/Node/LimitClient.cpp
+++ b/lib/Node/LimitClient.cpp
@@ -34,31 +34,31 @@
 
 asio::awaitable<Result<void>> LimitClient::admit(std::shared_ptr<const CatalogueEntry> entry, std::uint64_t tokens)
 {
-    auto decision = Admission::Decision::Admitted;
+    auto decision = EntryAdmission::Decision::Admitted;
     {
         std::lock_guard lock(mutex_);
         decision = admission_.tryStart(*entry, tokens, steadyNow());
-        if (decision == Admission::Decision::Admitted)
+        if (decision == EntryAdmission::Decision::Admitted)
             co_return boost::outcome_v2::success();
         admission_.beginWait(entry->name_, tokens);
     }
     // Concurrent requests may use up what the coordinator granted for this one,
     // so the grant is requested again before this request is rejected.
-    for (int requestCount = 0; requestCount < maxGrantRequests && decision != Admission::Decision::Admitted; ++requestCount) {
+    for (int requestCount = 0; requestCount < maxGrantRequests && decision != EntryAdmission::Decision::Admitted; ++requestCount) {
         co_await requestOrJoin(entry);
         std::lock_guard lock(mutex_);
         decision = admission_.tryStart(*entry, tokens, steadyNow());
     }
     std::lock_guard lock(mutex_);
     admission_.endWait(entry->name_, tokens);
-    if (decision == Admission::Decision::Admitted)
+    if (decision == EntryAdmission::Decision::Admitted)
         co_return boost::outcome_v2::success();
     co_return rejection(*entry, decision);
 }
 
-Error LimitClient::rejection(const CatalogueEntry& entry, Admission::Decision decision) const
+Error LimitClient::rejection(const CatalogueEntry& entry, EntryAdmission::Decision decision) const
 {
-    bool isForTokens = decision == Admission::Decision::NeedsTokens;
+    bool isForTokens = decision == EntryAdmission::Decision::NeedsTokens;
     milliseconds wait = isForTokens ? std::max(admission_.tokenWait(entry.name_), limitRetryAfter) : limitRetryAfter;
     std::string reason = isForTokens ? "tokens a second are used up" : "requests in progress are at the limit";
     return { Errc::LimitReached, "admit", entry.name_.value_, std::move(reason), Ran::No, jitter(wait, randomBits()) };
--- a/lib/Node/LimitClient.h
+++ b/lib/Node/LimitClient.h
@@ -41,7 +41,7 @@
 private:
     using EntryPtr = std::shared_ptr<const CatalogueEntry>;
 
-    Error rejection(const CatalogueEntry& entry, Admission::Decision decision) const;
+    Error rejection(const CatalogueEntry& entry, EntryAdmission::Decision decision) const;
     /// Requests a grant from the coordinator of \p entry, or waits for the
     /// reply to a pending request.
     asio::awaitable<void> requestOrJoin(EntryPtr entry);
@@ -53,7 +53,7 @@
     LimitCoordinator& coordinator_;
     Logger logger_;
     mutable std::mutex mutex_;
-    Admission admission_;
+    EntryAdmission admission_;
     std::map<EntryName, std::shared_ptr<CompletionEvent>> pendingRequests_;
 };
 
--- a/lib/Orders/Steps.cpp
+++ b/lib/Orders/Steps.cpp
@@ -39,7 +39,7 @@
 // An order of the previous dispatcher may arrive until its claim has expired and
 // the longest freeze has passed. The claim was read after its append, so a wait
 // that counts from the reading is long enough.
-static bool mayOtherStillOrder(const OrderContext& context, const OrderTiming& timing, SteadyTime now)
+static bool mayOtherNodeStillOrder(const OrderContext& context, const OrderTiming& timing, SteadyTime now)
 {
     auto otherReadAt = context.holder_->otherReadAt_;
     if (context.honoursFencing_ || !otherReadAt)
@@ -75,7 +75,7 @@
         return OrderStep::Wait;
     if (context.active_)
         return OrderStep::Drain;
-    if (mayOtherStillOrder(context, timing, now))
+    if (mayOtherNodeStillOrder(context, timing, now))
         return OrderStep::Drain;
     return hasClaimExpired(context, timing, now) ? OrderStep::Claim : OrderStep::Order;
 }
--- a/lib/Quota/Quota.cpp
+++ b/lib/Quota/Quota.cpp
@@ -57,9 +57,9 @@
 
 bool QuotaLimiter::isStarting(const Bucket& bucket, SteadyTime now) const
 {
-    if (nodesKnown_ < 2 || now - startedAt_ >= settings_.startup_)
+    if (nodesKnown_ < 2 || now - startedAt_ >= settings_.startupTime_)
         return false;
-    if (now - startedAt_ >= settings_.minStartup_ && hasEnoughReports(now))
+    if (now - startedAt_ >= settings_.minStartupTime_ && hasEnoughReports(now))
         return false;
     // A bucket with more tokens than the rate has added since this node's start got its
     // level from a node that has run for longer.
@@ -115,7 +115,7 @@
 {
     // Right after the start, no reports of other nodes have arrived yet, and all
     // requests seem to arrive at this node.
-    if (bucket.filledAt_ - startedAt_ < settings_.startup_)
+    if (bucket.filledAt_ - startedAt_ < settings_.startupTime_)
         return 1 / nodes();
     double all = bucket.ownLong_ + bucket.othersLong_;
     double observedShare = all > 0 ? bucket.ownLong_ / all : 1 / nodes();
--- a/lib/Support/Compression.cpp
+++ b/lib/Support/Compression.cpp
@@ -22,7 +22,7 @@
 
 Result<std::string> decompress(std::string_view bytes, ByteCount maxSize)
 {
-    constexpr std::size_t step = 64UL * 1024;
+    constexpr std::size_t chunkSize = 64UL * 1024;
     z_stream stream {};
     if (inflateInit(&stream) != Z_OK)
         return Error { Errc::Unavailable, "decompress", {}, "zlib cannot start", Ran::No, {} };
@@ -32,11 +32,11 @@
     int code = Z_OK;
     while (code == Z_OK && text.size() <= maxSize.value_) {
         std::size_t before = text.size();
-        text.resize(before + step);
+        text.resize(before + chunkSize);
         stream.next_out = reinterpret_cast<Bytef*>(text.data() + before);
-        stream.avail_out = step;
+        stream.avail_out = chunkSize;
         code = inflate(&stream, Z_NO_FLUSH);
-        text.resize(before + step - stream.avail_out);
+        text.resize(before + chunkSize - stream.avail_out);
     }
     inflateEnd(&stream);
     if (code == Z_STREAM_END && text.size() <= maxSize.value_)
--- a/unittests/Gateway/DiscoveryTest.cpp
+++ b/unittests/Gateway/DiscoveryTest.cpp
@@ -263,7 +263,7 @@
     // Nodes claim duties from firstClaim on. Without the platform no node claims them, but
     // quotas are divided equally until equalDivision at most.
     milliseconds firstClaim = DutyTiming {}.firstClaimAfter_;
-    milliseconds equalDivision = QuotaSettings {}.startup_;
+    milliseconds equalDivision = QuotaSettings {}.startupTime_;
     auto shape = GENERATE_COPY(values<Shape>({
         { "small fleet, announced", 30, 2, 3, true, firstClaim },
         { "hundreds of nodes, announced", 195, 5, 3, true, firstClaim },
--- a/unittests/Limits/LimitsTest.cpp
+++ b/unittests/Limits/LimitsTest.cpp
@@ -99,24 +99,24 @@
 
 TEST_CASE("admission needs a grant that has not expired")
 {
-    Admission admission;
+    EntryAdmission admission;
     CatalogueEntry e = workload(0, 0);
-    CHECK(admission.tryStart(e, 1, start) == Admission::Decision::NeedsSlot);
+    CHECK(admission.tryStart(e, 1, start) == EntryAdmission::Decision::NeedsSlot);
     admission.applyGrant(entry, { 2, 0, start + validity, {} });
-    CHECK(admission.tryStart(e, 1, start) == Admission::Decision::Admitted);
-    CHECK(admission.tryStart(e, 1, start) == Admission::Decision::Admitted);
-    CHECK(admission.tryStart(e, 1, start) == Admission::Decision::NeedsSlot);
+    CHECK(admission.tryStart(e, 1, start) == EntryAdmission::Decision::Admitted);
+    CHECK(admission.tryStart(e, 1, start) == EntryAdmission::Decision::Admitted);
+    CHECK(admission.tryStart(e, 1, start) == EntryAdmission::Decision::NeedsSlot);
     admission.finish(entry, 0);
-    CHECK(admission.tryStart(e, 1, start + validity) == Admission::Decision::NeedsSlot);
+    CHECK(admission.tryStart(e, 1, start + validity) == EntryAdmission::Decision::NeedsSlot);
     CHECK(admission.inProgress(entry) == 1);
 }
 
 TEST_CASE("a node requests the tokens that it needs and returns the others")
 {
-    Admission admission;
+    EntryAdmission admission;
     CatalogueEntry e = workload(1000, 1000);
     admission.applyGrant(entry, { 9, 0, start + validity, milliseconds(70) });
-    CHECK(admission.tryStart(e, 100, start) == Admission::Decision::NeedsTokens);
+    CHECK(admission.tryStart(e, 100, start) == EntryAdmission::Decision::NeedsTokens);
     CHECK(admission.tokenWait(entry) == milliseconds(70));
     admission.beginWait(entry, 100);
     admission.beginWait(entry, 30);
@@ -126,9 +126,9 @@
     CHECK(demand.tokensFirst_ == 100);
     CHECK(demand.tokensWanted_ == 130);
     admission.applyGrant(entry, { 6, 130, start + validity, {} });
-    CHECK(admission.tryStart(e, 100, start) == Admission::Decision::Admitted);
-    CHECK(admission.tryStart(e, 30, start) == Admission::Decision::Admitted);
-    CHECK(admission.tryStart(e, 1, start) == Admission::Decision::NeedsTokens);
+    CHECK(admission.tryStart(e, 100, start) == EntryAdmission::Decision::Admitted);
+    CHECK(admission.tryStart(e, 30, start) == EntryAdmission::Decision::Admitted);
+    CHECK(admission.tryStart(e, 1, start) == EntryAdmission::Decision::NeedsTokens);
     admission.endWait(entry, 100);
     admission.endWait(entry, 30);
     // The demand requests ahead what was spent since the last demand, less the
@@ -144,7 +144,7 @@
 
 TEST_CASE("a node releases the slots beyond its demand when it makes the demand")
 {
-    Admission admission;
+    EntryAdmission admission;
     CatalogueEntry e = workload(0, 0);
     admission.applyGrant(entry, { 10, 0, start + validity, {} });
     CHECK(admission.makeDemand(e, 2).wanted_ == 2);
