--- a/include/pistachioloom/Quota.h
+++ b/include/pistachioloom/Quota.h
@@ -38,9 +38,9 @@
     /// nodes reported that more is left. Nodes that start simultaneously receive each
     /// other's counts only after 1 to 2 s, and each of them would admit requests from
     /// the same remainder until then.
-    milliseconds startup_ { 3000 };
+    milliseconds startupTime_ { 3000 };
     /// Startup time if nearly all nodes report: twice the lag through relays.
-    milliseconds minStartup_ { 1200 };
+    milliseconds minStartupTime_ { 1200 };
     /// Buckets start with the tokens that the rate adds in this time, since a node is
     /// down for longer than this before it starts again.
     milliseconds startCredit_ { 400 };
@@ -141,7 +141,7 @@
     bool isStarting(const Bucket& bucket, SteadyTime now) const;
     /// Whether nearly all nodes report, so that their counts show how much of each quota
     /// is left.
-    bool hasReportsFromMost(SteadyTime now) const;
+    bool hasEnoughReports(SteadyTime now) const;
     void initialise(Bucket& bucket, const OrganisationId& organisation) const;
     /// \returns this node's share of an organisation's requests: the mean of an equal
     /// share and the observed share, since callers stay with the nodes that they are
@@ -193,7 +193,7 @@
     /// Counts a request of \p service.
     void countRequest(const ServiceName& service, SteadyTime now);
     /// \returns whether one more retry is allowed, and counts it if so.
-    bool take(const ServiceName& service, SteadyTime now);
+    bool tryRetry(const ServiceName& service, SteadyTime now);
     /// Sets how many nodes share the additional retries.
     void setNodes(std::uint64_t nodes);
 
--- a/lib/Quota/Quota.cpp
+++ b/lib/Quota/Quota.cpp
@@ -47,7 +47,7 @@
     return static_cast<double>(std::max(nodes, nodesKnown_));
 }
 
-bool QuotaLimiter::hasReportsFromMost(SteadyTime now) const
+bool QuotaLimiter::hasEnoughReports(SteadyTime now) const
 {
     std::uint64_t reporting = 1;
     for (const auto& [id, peer] : peers_)
@@ -57,9 +57,9 @@
 
 bool QuotaLimiter::isStarting(const Bucket& bucket, SteadyTime now) const
 {
-    if (nodesKnown_ < 2 || now - startedAt_ >= settings_.startup_)
+    if (nodesKnown_ < 2 || now - startedAt_ >= settings_.startupTime_)
         return false;
-    if (now - startedAt_ >= settings_.minStartup_ && hasReportsFromMost(now))
+    if (now - startedAt_ >= settings_.minStartupTime_ && hasEnoughReports(now))
         return false;
     // A bucket with more tokens than the rate has added since this node's start got its
     // level from a node that has run for longer.
@@ -115,7 +115,7 @@
 {
     // Right after the start, no reports of other nodes have arrived yet, and all
     // requests seem to arrive at this node.
-    if (bucket.filledAt_ - startedAt_ < settings_.startup_)
+    if (bucket.filledAt_ - startedAt_ < settings_.startupTime_)
         return 1 / nodes();
     double all = bucket.ownLong_ + bucket.othersLong_;
     double observedShare = all > 0 ? bucket.ownLong_ / all : 1 / nodes();
@@ -342,7 +342,7 @@
     window.requests_.push_back(now);
 }
 
-bool ServiceRetryBudget::take(const ServiceName& service, SteadyTime now)
+bool ServiceRetryBudget::tryRetry(const ServiceName& service, SteadyTime now)
 {
     std::lock_guard lock(mutex_);
     Window& window = windows_[service];
