--- a/include/pistachioloom/Catalogue.h
+++ b/include/pistachioloom/Catalogue.h
@@ -40,7 +40,8 @@
     bool hasTokenLimit() const { return tokensPerSecond_ && tokensPerSecond_ < maxTokensPerSecond; }
 };
 
-/// What a customer may call, under which API key and limits.
+/// An entry for a customer's calls: the models and services that they may use, their API
+/// key, and their limits.
 struct Workload {
     OrganisationId owner_;
     ServiceClass class_ = ServiceClass::Paid;
--- a/include/pistachioloom/Fleet.h
+++ b/include/pistachioloom/Fleet.h
@@ -45,10 +45,10 @@
     double reserveShare_ = 1;
     /// Interval at which orders are reviewed.
     milliseconds period_ { 500 };
-    /// Orders cover the highest need of this time. The demand itself is already a peak
+    /// Orders cover the highest need within this time. The demand itself is already a peak
     /// over DemandTiming::peakWindow_.
     milliseconds stabilisationWindow_ { 2000 };
-    /// Orders of reclaimable engines cover the highest need of this time. They cost a
+    /// Orders of reclaimable engines cover the highest need within this time. They cost a
     /// fraction of on-demand ones, and they are the capacity that remains when those of
     /// other data centres are reclaimed.
     milliseconds reclaimableStabilisationWindow_ { 15000 };
--- a/include/pistachioloom/Forward.h
+++ b/include/pistachioloom/Forward.h
@@ -24,7 +24,8 @@
 struct ForwardHeaderNames {
     /// The id of one attempt of a caller. Backend servers echo it.
     std::string attempt_;
-    /// The number of milliseconds that the caller, or this node, waits for an answer.
+    /// The time in milliseconds for which the sender of a request, a caller or this node,
+    /// waits for an answer.
     std::string deadline_;
     /// Tells backend servers which organisation a request belongs to.
     std::string organisation_;
@@ -61,10 +62,10 @@
     /// an answer is sent to another backend server.
     double waitLimitShare_ = 0.4;
     AdmissionSettings admission_;
-    /// A kept connection is not used in the last part of its idle time. That part is a
-    /// fifth, and at least this long.
+    /// A kept connection is not used in the last fifth of its idle timeout, and not in the
+    /// last part of at least this length.
     milliseconds idleMargin_ { 300 };
-    /// The idle time of a kept connection whose server does not state one.
+    /// The idle timeout of a kept connection whose server does not state one.
     milliseconds defaultIdle_ { 2000 };
     /// The maximum size of a buffered answer. All answers except event streams are
     /// buffered.
--- a/include/pistachioloom/Limits.h
+++ b/include/pistachioloom/Limits.h
@@ -155,7 +155,7 @@
         /// Tokens that the first waiting request lacks.
         std::uint64_t tokensFirst_ = 0;
         std::uint64_t tokensWanted_ = 0;
-        /// Unused tokens that the node gives back.
+        /// Unused tokens that the node returns to the coordinator.
         std::uint64_t tokensReturned_ = 0;
     };
     struct Grant {
@@ -175,14 +175,15 @@
     void endWait(const EntryName& entry, std::uint64_t tokens);
     /// \returns the demand for \p entry with \p slotsAhead spare slots. Releases
     /// the slots beyond this demand immediately, so that the coordinator can grant
-    /// them to other nodes, and removes the returned tokens.
+    /// them to other nodes, and removes the tokens that the demand returns.
     Demand makeDemand(const CatalogueEntry& entry, std::uint64_t slotsAhead);
     void applyGrant(const EntryName& entry, const Grant& grant);
     std::uint64_t inProgress(const EntryName& entry) const;
     /// \returns the slots that the node holds, used or not.
     std::uint64_t held(const EntryName& entry, SteadyTime now) const;
     milliseconds tokenWait(const EntryName& entry) const;
-    /// Entries with requests in progress or tokens to return.
+    /// Entries with requests in progress or with unused tokens to return to the
+    /// coordinator.
     std::vector<EntryName> activeEntries() const;
 
 private:
@@ -241,7 +242,7 @@
 class RetryBudget {
 public:
     /// \p ratio is the number of retries per request; \p reserve is the number of
-    /// retries available at the start, and the most that can be saved up.
+    /// retries available at the start, and the maximum that can accumulate.
     RetryBudget(double ratio, double reserve);
     void countRequest();
     bool tryRetry();
--- a/include/pistachioloom/Membership.h
+++ b/include/pistachioloom/Membership.h
@@ -255,7 +255,7 @@
 
 /// \returns the candidate nodes for a replica, best first. Other data centres
 /// of the same region come first, since the writer waits for the copy; other
-/// regions come next, since a data centre may fail as a whole; the own data
+/// regions come next, since a data centre may fail completely; the own data
 /// centre comes last. VMs without a region count as being in the same region.
 std::vector<VmId> rankReplicas(const MembershipView& view, const RecordLocation& location, const std::string& key, const std::set<VmId>& excluded);
 
--- a/include/pistachioloom/Quota.h
+++ b/include/pistachioloom/Quota.h
@@ -48,7 +48,8 @@
     /// drive the level below zero. Requests that cost more wait until it has recovered:
     /// rejecting a request of 12,000 tokens leaves capacity for 60 requests of 200 tokens.
     double smallCostRatio_ = 0.125;
-    /// How far small requests may drive the level below zero, as time at the rate.
+    /// How far small requests may drive the level below zero: by the tokens that the rate
+    /// adds in this time.
     milliseconds maxSmallDebt_ { 100 };
     /// Phase from 0 to 1, different on each node, so that nodes that divide the
     /// remainder of a quota do not all admit their first request simultaneously.
@@ -73,7 +74,7 @@
     /// Takes \p cost out of the organisation's bucket.
     /// \returns nullopt if the request is admitted, else the time after which to retry.
     std::optional<milliseconds> take(const OrganisationId& organisation, const QuotaLimit& limit, double cost, SteadyTime now);
-    /// Returns the tokens that were taken for a request that did not run.
+    /// Refunds the tokens that were taken for a request that did not run.
     void giveBack(const OrganisationId& organisation, double cost);
 
     /// \returns what this node has admitted since its start.
--- a/include/pistachioloom/Rollout.h
+++ b/include/pistachioloom/Rollout.h
@@ -104,13 +104,14 @@
     /// deadline: a share of the service's requests, plus a constant number.
     double exposedShare_ = 0.1;
     double exposedExtra_ = 50;
-    /// Fraction of the period after which a target that was not worse starts to get the
-    /// remaining requests. A version may degrade late, so the trial takes as long as the
-    /// period allows.
+    /// The trial lasts for at least this fraction of the order's period. Then a target that
+    /// was not worse gets the remaining requests in steps. The trial takes as long as the
+    /// period allows, since a version may degrade late.
     double trialFraction_ = 0.7;
     /// The order is decided by the end of this fraction of the period.
     double decisionFraction_ = 0.9;
-    /// While requests are shifted, the share doubles after each such fraction of the period.
+    /// After the trial, the target's share of the requests doubles at intervals of this
+    /// fraction of the period.
     double shiftStepFraction_ = 0.035;
     /// During a trial a share that was not reported again for this time counts as 0.
     milliseconds validity_ { 2500 };
--- a/lib/Backends/Registration.cpp
+++ b/lib/Backends/Registration.cpp
@@ -19,7 +19,7 @@
 
 BackendTable::PutResult BackendTable::put(const BackendRecord& record)
 {
-    assert(!record.name_.isEmpty() && "a backend server registers with a name");
+    assert(!record.name_.isEmpty() && "a registered backend server has a name");
     std::lock_guard lock(mutex_);
     BackendStartTime& newest = newestStarts_.try_emplace(record.name_, record.startTime_).first->second;
     if (record.startTime_ < newest)
--- a/lib/Fleet/FleetTracker.cpp
+++ b/lib/Fleet/FleetTracker.cpp
@@ -128,7 +128,7 @@
     // The platform has no engines of this kind now, whatever number is ordered.
     if (!last->isAccepted_ && order.wanted_ > present && now - last->at_ < settings_.rejectedRepeatInterval_)
         return false;
-    // An accepted order is in force, though its engines take time to boot.
+    // An accepted order needs no repetition yet, since its engines take time to boot.
     bool isSame = last->wanted_ == order.wanted_ && last->isAccepted_;
     return !isSame || (present != order.wanted_ && now - last->at_ >= settings_.repeatInterval_);
 }
--- a/lib/Forward/ConnectionPool.cpp
+++ b/lib/Forward/ConnectionPool.cpp
@@ -12,14 +12,14 @@
 
 namespace pistachioloom {
 
-// The last fifth of an idle time is not used. A new connection costs only a round trip,
+// The last fifth of an idle timeout is not used. A new connection costs only a round trip,
 // whereas a request that is lost in the server's close may not be retryable.
 static constexpr int idleMarginDivisor = 5;
-// Longer idle times are cut to this limit, since no connection needs to be kept for longer.
+// Longer idle timeouts are reduced to this limit, since no connection needs to be kept for longer.
 // The limit also bounds the external values that enter the arithmetic.
 static constexpr std::chrono::hours maxIdle { 1 };
 
-/// Parses the idle time of a Keep-Alive header (RFC 2068, 19.7.1), which may be in quotes.
+/// Parses the idle timeout of a Keep-Alive header (RFC 2068, 19.7.1), which may be in quotes.
 /// \returns nullopt if the header states none.
 static std::optional<milliseconds> parseIdleTimeout(std::string_view keepAlive)
 {
--- a/lib/Forward/ConnectionPool.h
+++ b/lib/Forward/ConnectionPool.h
@@ -15,7 +15,7 @@
 
 /// Computes for how long after the arrival of its last answer a kept connection may be
 /// used. \p keepAlive is the server's Keep-Alive header, or empty. The rest of the idle
-/// time, a fifth and at least ForwardSettings::idleMargin_, allows for network and queueing
+/// timeout, a fifth and at least ForwardSettings::idleMargin_, allows for network and queueing
 /// delays: a request that arrives after the server has closed the connection is lost.
 milliseconds usableIdle(std::string_view keepAlive, const ForwardSettings& settings);
 
--- a/lib/Forward/Headers.cpp
+++ b/lib/Forward/Headers.cpp
@@ -102,8 +102,8 @@
     head.append(name).append(": ").append(value).append("\r\n");
 }
 
-/// The announced idle time leaves out a fifth of the limit to allow for network queues and
-/// delayed event loops. A caller that sent a request while the close is in flight would lose
+/// Announces at most four fifths of the idle timeout, to allow for network queues and delayed event
+/// loops. A caller that sent a request while the close is in flight would lose
 /// the request.
 std::string connectionFields(std::optional<milliseconds> idle)
 {
--- a/lib/Forward/LivenessProbe.cpp
+++ b/lib/Forward/LivenessProbe.cpp
@@ -42,7 +42,7 @@
         co_await sleepFor(reprobeDelay);
         code = co_await tryConnection(backend.endpoint_, waitLimit);
     }
-    // A fault that isolates a data centre may refuse connections as well.
+    // Connections are also refused if a network fault isolates the data centre.
     bool hasTerminated = code == asio::error::connection_refused && context.backends_.isReachable(backend.dataCentre_);
     LogLine line(hasTerminated ? "Backend server has terminated." : "Backend server closed a connection during a request.");
     line.add("backend", backend.id_.value_).add("connection", code ? code.message() : "accepted");
--- a/lib/Forward/RequestForwarder.h
+++ b/lib/Forward/RequestForwarder.h
@@ -85,13 +85,13 @@
         std::string body_;
     };
 
-    // Admission.
+    // Checks before the first attempt.
     std::optional<HeldAnswer> admit();
     std::optional<HeldAnswer> authorise();
     std::optional<HeldAnswer> takeQuota();
     RequestShape shapeOf() const;
 
-    // Attempts.
+    // Attempts at backend servers.
     asio::awaitable<void> serve();
     asio::awaitable<SendOutcome> send(Attempt& attempt);
     asio::awaitable<SendOutcome> connect(Attempt& attempt);
@@ -135,17 +135,17 @@
     void noteFirstByte(Attempt& attempt);
     void releaseConnection(Attempt& attempt, const Parser& parser);
 
-    // Answers.
+    // Answers to the caller.
     asio::awaitable<bool> deliver(HeldAnswer answer);
     asio::awaitable<bool> startEvents(const HeaderFields& fields);
     asio::awaitable<bool> writeEvents(std::string events);
     HeldAnswer rejection(int status, std::string reason, milliseconds retryAfter) const;
     HeldAnswer finalFailure() const;
-    /// The idle limit that an answer announces; nullopt if the connection closes after the
-    /// answer.
+    /// The idle timeout of the caller's connection, of which the answer's Keep-Alive header
+    /// announces a part; nullopt if the connection closes after the answer.
     std::optional<milliseconds> announcedIdle();
 
-    // Time.
+    // Deadlines and timers.
     void armTimer();
     void onTimer();
     void stop(StopReason reason);
@@ -190,7 +190,7 @@
 
         AutoResetEvent done_;
         bool isDone_ = false;
-        /// Whether the stream no longer uses the move.
+        /// Whether the move was cancelled. If it completes later, it has no effect.
         bool isCancelled_ = false;
         /// The target, once the stream is stopped and its KV cache is copied.
         std::optional<BackendChoice> to_;
--- a/lib/Quota/Quota.cpp
+++ b/lib/Quota/Quota.cpp
@@ -17,7 +17,7 @@
 static constexpr double longSeconds = 10;
 // Weight of one request in the mean cost, given some dozens of requests per second.
 static constexpr double meanCostWeight = 0.02;
-// How much of its share of the rate a node may save up, as seconds of that share.
+// A node may accumulate the tokens that its share of the rate adds in this time, in seconds.
 static constexpr double maxSavedShareSeconds = 0.5;
 // Tolerance for the rounding of a bucket that was filled in steps since the start.
 static constexpr double startTolerance = 1.01;
@@ -91,7 +91,7 @@
 }
 
 /// Charges the buckets for what unresponsive peers may have admitted since their last
-/// reports. fill() adds the rate of that time separately.
+/// reports. fill() separately adds the tokens that the rate gives for that time.
 void QuotaLimiter::chargeUnresponsive(SteadyTime now)
 {
     double all = nodes();
@@ -283,6 +283,7 @@
 
 void QuotaLimiter::setUnresponsiveNodes(std::uint64_t nodes, std::uint64_t live, SteadyTime now)
 {
+    // Stands for all unresponsive nodes in `peers_`.
     static const VmId unresponsiveNodes { "(unresponsive nodes)" };
     std::lock_guard lock(mutex_);
     auto [found, isNew] = peers_.try_emplace(unresponsiveNodes);
--- a/unittests/Backends/BackendsTest.cpp
+++ b/unittests/Backends/BackendsTest.cpp
@@ -248,7 +248,7 @@
     CHECK(choice->estimate_ == milliseconds(330));
 }
 
-TEST_CASE("an engine keeps the requests of a cached part although first events take time", "[backends]")
+TEST_CASE("requests with a shared part stay at the engine that caches it although first events take time", "[backends]")
 {
     BackendTable table({ "a" }, ChoiceSettings {});
     for (const char* id : { "v", "w", "x", "y" })
@@ -492,10 +492,10 @@
     table.setTerminated({ "unknown" }, start);
 }
 
-TEST_CASE("a request is sent to a version that the rule does not allow", "[backends]")
+TEST_CASE("a version rule restricts the backend servers that requests are sent to", "[backends]")
 {
     struct Row {
-        const char* what_;
+        const char* name_;
         std::size_t stable_;
         std::size_t target_;
         VersionRule rule_;
@@ -515,7 +515,7 @@
         { "no server of another version, reverted", 0, 6, { v2, false, 0, false }, 0, false },
     };
     for (const Row& row : rows) {
-        CAPTURE(row.what_);
+        CAPTURE(row.name_);
         BackendTable table({ "a" }, ChoiceSettings {});
         for (std::size_t i = 0; i < row.stable_ + row.target_; ++i) {
             BackendRecord added = record("x-" + std::to_string(i));
--- a/unittests/Fleet/FleetTest.cpp
+++ b/unittests/Fleet/FleetTest.cpp
@@ -58,7 +58,7 @@
         { "enough without the largest data centre", { 12, 1, 12, 6, 1 }, { 6, 6, 6 }, 0 },
         { "one data centre lost", { 12, 1, 12, 6, 1 }, { 6, 6, 0 }, 6 },
         { "nothing reserved", { 12, 1, 12, 6, 0 }, { 6, 6, 0 }, 1 },
-        { "either kind counts towards the lower bound", { 4, 2, 12, 6, 1 }, { 6, 1, 0 }, 3 },
+        { "engines of either kind count towards the lower bound", { 4, 2, 12, 6, 1 }, { 6, 1, 0 }, 3 },
         { "more than the upper bound", { 100, 1, 12, 6, 0 }, { 0, 0, 0 }, 36 },
         { "nothing needed", { 0, 2, 12, 0, 0 }, { 0, 0, 0 }, 6 },
     }));
@@ -339,7 +339,7 @@
 TEST_CASE("engines of a version on trial are dismissed, or counted as serving", "[fleet]")
 {
     struct Row {
-        const char* what_;
+        const char* name_;
         bool isRollingOut_;
         std::vector<std::pair<std::uint64_t, std::uint64_t>> engines_;
         double tokensPerSecond_;
@@ -353,7 +353,7 @@
         { "the new version is being removed", false, { { 3, 6 }, { 3, 6 }, { 3, 6 } }, 200000, 0 },
     };
     for (const Row& row : rows) {
-        CAPTURE(row.what_);
+        CAPTURE(row.name_);
         FleetTracker tracker({});
         FleetView view = viewOf(row.engines_, row.tokensPerSecond_);
         view.isRollingOut_ = row.isRollingOut_;
--- a/unittests/Forward/ConnectionPoolTest.cpp
+++ b/unittests/Forward/ConnectionPoolTest.cpp
@@ -1,7 +1,7 @@
 //===- unittests/Forward/ConnectionPoolTest.cpp - pooled connections ------===//
 ///
 /// \file
-/// Tests the connection count, the usable idle time and the abort of connections.
+/// Tests the connection count, the usable part of idle timeouts, and the abort of connections.
 //===----------------------------------------------------------------------===//
 #include "ConnectionPool.h"
 
@@ -31,13 +31,14 @@
     CHECK(pool.openCount(backend) == 1);
 }
 
-TEST_CASE("a kept connection is not used in the last part of its idle time", "[forward]")
+TEST_CASE("a kept connection is not used in the last part of its idle timeout", "[forward]")
 {
     struct Row {
         const char* keepAlive_;
         std::int64_t usable_;
     };
-    // The default idle time is 2,000 ms, and the unused part is at least 300 ms.
+    // The default idle timeout is 2,000 ms. Its last fifth is not used, and of any timeout at
+    // least the last 300 ms.
     auto row = GENERATE(values<Row>({
         { "", 1600 },
         { "timeout=5", 4000 },
@@ -62,7 +63,7 @@
     CHECK(usableIdle(row.keepAlive_, {}) == milliseconds(row.usable_));
 }
 
-TEST_CASE("the idle margin is the minimum of the unused part of an idle time", "[forward]")
+TEST_CASE("the last part of an idle timeout, which is not used, is at least the idle margin", "[forward]")
 {
     struct Row {
         std::int64_t margin_;
--- a/unittests/Forward/ForwardTest.cpp
+++ b/unittests/Forward/ForwardTest.cpp
@@ -153,7 +153,7 @@
     CHECK(parseRetryAfter(row.text_) == row.pause_);
 }
 
-TEST_CASE("the announced idle time ends before the idle limit", "[forward]")
+TEST_CASE("the idle time announced to callers is shorter than the idle timeout", "[forward]")
 {
     struct Row {
         std::optional<milliseconds> idle_;
--- a/unittests/Ledger/LedgerTest.cpp
+++ b/unittests/Ledger/LedgerTest.cpp
@@ -153,7 +153,7 @@
     CHECK(result.finalStates_ > 100);
 }
 
-TEST_CASE("a released call leaves its key usable")
+TEST_CASE("a new call may use the key of a released call")
 {
     RunOnceModel model(1, 1, { 0, 1, 0, 0 });
     model.apply({ Choice::Kind::AppendDelayed, 0 });
--- a/unittests/Limits/LimitsTest.cpp
+++ b/unittests/Limits/LimitsTest.cpp
@@ -195,11 +195,11 @@
         for (int i = 0; i < 300; ++i) {
             now_ += milliseconds(random_() % 300);
             isPartitioned_ = random_() % 20 ? isPartitioned_ : !isPartitioned_;
-            std::size_t site = random_() % sites_.size();
-            borrow(site, (site + 1 + random_() % 2) % sites_.size());
-            request(site);
+            std::size_t dataCentre = random_() % dataCentres_.size();
+            borrow(dataCentre, (dataCentre + 1 + random_() % 2) % dataCentres_.size());
+            request(dataCentre);
             std::uint64_t sum = 0;
-            for (Site& each : sites_)
+            for (DataCentre& each : dataCentres_)
                 sum += each.grants_.granted(entry, now_);
             maxGranted = std::max(maxGranted, sum);
         }
@@ -209,46 +209,46 @@
 
 private:
     static constexpr milliseconds loanValidity { 6000 };
-    struct Site {
+    struct DataCentre {
         GrantTable grants_;
         LoanTable loans_;
     };
 
-    std::uint64_t shareOf(std::size_t site) const { return guaranteedShare(limit_, site, sites_.size()); }
+    std::uint64_t shareOf(std::size_t dataCentre) const { return guaranteedShare(limit_, dataCentre, dataCentres_.size()); }
 
-    std::uint64_t usable(std::size_t site) const
+    std::uint64_t usable(std::size_t dataCentre) const
     {
-        const LoanTable& loans = sites_[site].loans_;
+        const LoanTable& loans = dataCentres_[dataCentre].loans_;
         std::uint64_t lent = loans.lent(now_);
-        return (shareOf(site) > lent ? shareOf(site) - lent : 0) + loans.borrowed(now_ + validity);
+        return (shareOf(dataCentre) > lent ? shareOf(dataCentre) - lent : 0) + loans.borrowed(now_ + validity);
     }
 
-    void request(std::size_t site)
+    void request(std::size_t dataCentre)
     {
         std::uint64_t wanted = random_() % (limit_ + 1);
-        sites_[site].grants_.request(entry, { "node" }, usable(site), 0, wanted, validity, now_);
+        dataCentres_[dataCentre].grants_.request(entry, { "node" }, usable(dataCentre), 0, wanted, validity, now_);
     }
 
     void borrow(std::size_t from, std::size_t lender)
     {
         std::uint64_t wanted = random_() % (limit_ + 1);
-        sites_[from].loans_.capBorrowed({ std::to_string(lender) }, wanted);
+        dataCentres_[from].loans_.capBorrowed({ std::to_string(lender) }, wanted);
         bool isRequestLost = isPartitioned_ || random_() % 10 == 0;
         bool isReplyLost = random_() % 10 == 0;
         if (isRequestLost)
             return;
-        Site& other = sites_[lender];
+        DataCentre& other = dataCentres_[lender];
         std::uint64_t used = other.grants_.granted(entry, now_) + other.loans_.lent(now_);
         std::uint64_t free = shareOf(lender) > used ? shareOf(lender) - used : 0;
         std::uint64_t slots = other.loans_.lend({ std::to_string(from) }, free, { 0, wanted }, loanValidity, validity, now_);
         totalBorrowed_ += slots;
         if (!isReplyLost)
-            sites_[from].loans_.setBorrowed({ std::to_string(lender) }, slots, now_ + loanValidity);
+            dataCentres_[from].loans_.setBorrowed({ std::to_string(lender) }, slots, now_ + loanValidity);
     }
 
     std::mt19937_64 random_;
     std::uint64_t limit_;
-    std::vector<Site> sites_ { 3 };
+    std::vector<DataCentre> dataCentres_ { 3 };
     SteadyTime now_ = start;
     bool isPartitioned_ = false;
     std::uint64_t totalBorrowed_ = 0;
--- a/unittests/Orders/OrdersTest.cpp
+++ b/unittests/Orders/OrdersTest.cpp
@@ -60,8 +60,8 @@
     static constexpr std::int64_t length = 4000;
     static constexpr std::int64_t step = 5;
 
-    // \returns the delay from a decision to its effect: mostly short, in a quarter
-    // of the cases up to the longest freeze.
+    /// \returns the delay from a decision to its effect: mostly short, in a quarter
+    /// of the cases up to the longest freeze.
     std::int64_t delay()
     {
         bool isFrozen = random_() % 4 == 0;
@@ -129,18 +129,18 @@
         OrderStep expected_;
     };
     auto stepCase = GENERATE(values<StepCase>({
-        { "configured, and no claim is open", "", 0, true, false, 0, 0, OrderStep::Settled },
-        { "configured, and this node's claim is open", "a", 10, true, true, 0, 0, OrderStep::End },
-        { "configured, but a stopped node's claim is open", "b", 150, true, false, 0, 0, OrderStep::Claim },
-        { "not configured, and no claim is open", "", 0, false, false, 0, 0, OrderStep::Claim },
+        { "the engine has the wanted configuration, and no claim is open", "", 0, true, false, 0, 0, OrderStep::Settled },
+        { "the engine has the wanted configuration, and this node's claim is open", "a", 10, true, true, 0, 0, OrderStep::End },
+        { "the engine has the wanted configuration, but a stopped node's claim is open", "b", 150, true, false, 0, 0, OrderStep::Claim },
+        { "the engine has another configuration, and no claim is open", "", 0, false, false, 0, 0, OrderStep::Claim },
         { "another node claimed just now", "b", 10, false, false, 0, 0, OrderStep::Wait },
         { "another node's claim is old", "b", 150, false, false, 0, 0, OrderStep::Claim },
         { "another engine loads first", "a", 10, false, false, 1, 0, OrderStep::Wait },
         { "requests are in progress on the engine", "a", 10, false, false, 0, 3, OrderStep::Drain },
         { "nothing delays the order", "a", 10, false, false, 0, 0, OrderStep::Order },
         { "nothing delays the order, but the claim has expired", "a", 150, false, false, 0, 0, OrderStep::Claim },
-        { "just ordered", "a", 50, false, true, 0, 0, OrderStep::Wait },
-        { "ordered without effect", "a", 150, false, true, 0, 0, OrderStep::Claim },
+        { "the order was sent just now", "a", 50, false, true, 0, 0, OrderStep::Wait },
+        { "the order had no effect in time", "a", 150, false, true, 0, 0, OrderStep::Claim },
     }));
     INFO(stepCase.name_);
     ClaimTable table;
@@ -198,7 +198,7 @@
     CHECK(table.ahead({ "e2" }, isPresent) == 1);
     CHECK(table.ahead({ "e3" }, isPresent) == 0);
     // A new claim on an engine, by the same node or a new dispatcher, keeps the engine's
-    // position.
+    // position in the queue.
     table.apply({ 5 }, encodeClaim(claimOf("a", "e1")), at(0));
     CHECK(table.ahead({ "e1" }, isPresent) == 0);
     table.apply({ 6 }, encodeClaim(claimOf("b", "e1")), at(0));
--- a/unittests/Quota/QuotaRestartTest.cpp
+++ b/unittests/Quota/QuotaRestartTest.cpp
@@ -56,11 +56,12 @@
     // Each node may admit one request beyond its share, in addition to the start credit.
     CHECK(nodes.maxAdmitted(milliseconds(8000)) <= (0.9 + 0.4 + 0.3) * tokens.ratePerSecond_);
     // In the next seconds, the nodes receive each other's reports: an excess of a tenth of
-    // the rate of 8 s and of one second is tolerated.
+    // the tokens that the rate adds in 8 s, and of those that it adds in one second, is
+    // tolerated.
     nodes.run(start + milliseconds(20900), milliseconds(3100), excess * tokens.ratePerSecond_ / cost, tokens, cost);
     CHECK(nodes.maxAdmitted(milliseconds(8000)) <= (4 + 0.9) * tokens.ratePerSecond_ + 140000);
-    // If each of 63 nodes receives one request, a third of them have saved up the share
-    // for it.
+    // If each of 63 nodes receives one request, a third of them have accumulated enough
+    // tokens for it from their shares.
     CHECK(nodes.maxAdmitted(milliseconds(8000)) >= 0.25 * tokens.ratePerSecond_);
 }
 
@@ -101,10 +102,11 @@
     CHECK(nodes.maxAdmitted(milliseconds(8000)) <= (8 * tokens.ratePerSecond_ + tokens.burst_) * 1.1 + 140000);
 }
 
-TEST_CASE("requests right after a crash of all nodes can use the rate of the downtime", "[quota]")
+TEST_CASE("requests right after a crash of all nodes can use the tokens that the rate added meanwhile", "[quota]")
 {
     // Nine or ten nodes are down for 0.5 s and receive requests for half of the quota. A
-    // request of 12,000 tokens takes a quarter of a second of one node's share.
+    // request of 12,000 tokens costs what one node's share of the rate adds in a quarter of a
+    // second.
     const QuotaLimit tokens { 420000, 420000 };
     constexpr double cost = 12000;
     SteadyTime now = start + milliseconds(20000);
--- a/unittests/Quota/QuotaTest.cpp
+++ b/unittests/Quota/QuotaTest.cpp
@@ -13,7 +13,8 @@
 
 TEST_CASE("an organisation that requests many times its quota gets its quota and little more", "[quota]")
 {
-    // Users accept up to a tenth and 140,000 tokens over the quota in 8 s.
+    // The users' requirements allow an excess over the quota of a tenth plus 140,000 tokens
+    // in 8 s.
     auto count = GENERATE(9U, 26U, 63U);
     auto lag = GENERATE(200, 400);
     auto excess = GENERATE(2.0, 4.0, 7.5);
@@ -55,13 +56,13 @@
     auto count = GENERATE(1U, 3U, 9U);
     Nodes nodes(count, milliseconds(200));
     double admitted = nodes.flood(start + milliseconds(5000), milliseconds(8000), 1);
-    // The bound is the burst, the rate of 8 s, and one report interval of 200 ms in which
-    // each node may use the complete rate.
+    // The upper bound is the burst, plus the tokens that the rate adds in 8 s, plus those
+    // that each node may use at the complete rate in one report interval of 200 ms.
     CHECK(admitted >= 8000);
     CHECK(admitted <= 9000 + 200.0 * count);
 }
 
-TEST_CASE("the cost of a request that did not run is returned", "[quota]")
+TEST_CASE("the cost of a request that did not run is refunded", "[quota]")
 {
     QuotaLimiter limiter(start);
     SteadyTime now = start + milliseconds(1000);
--- a/unittests/Quota/QuotaUnresponsiveTest.cpp
+++ b/unittests/Quota/QuotaUnresponsiveTest.cpp
@@ -34,7 +34,8 @@
     SteadyTime later = now + milliseconds(1500);
     REQUIRE_FALSE(limiter.take(north, limit, 1, later));
     limiter.setPeer({ "peer" }, 1, { { north, 150 } }, {}, later, 3);
-    // The rate of 1.5 s, less what both nodes used, is capped at the burst of 1,000.
+    // The tokens that the rate adds in 1.5 s, less those that both nodes used, exceed the
+    // burst of 1,000, which limits the level.
     CHECK(limiter.levels()[north] == Approx(1000));
     limiter.setPeer({ "peer" }, 1, { { north, 650 } }, {}, later, 3);
     CHECK(limiter.levels()[north] == Approx(500));
@@ -64,7 +65,8 @@
         limiter.setPeer({ peer }, 1, { { north, 5000 } }, { { north, 1000 } }, reportedAt);
     SteadyTime resumedAt = reportedAt + milliseconds(frozen);
     CHECK_FALSE(limiter.take(north, limit, 1, resumedAt));
-    // What the peers used in that time counts, and so does the rate of that time.
+    // The level includes the tokens that the rate added in that time, less those that the
+    // peers used.
     for (const char* peer : { "1", "2", "3" })
         limiter.setPeer({ peer }, 1, { { north, 5000 + 0.25 * frozen } }, {}, resumedAt);
     CHECK_FALSE(limiter.take(north, limit, 1, resumedAt));
@@ -77,7 +79,7 @@
     limiter.setPeer({ "peer" }, 1, { { north, 5000 } }, { { north, 10 } }, reportedAt);
     SteadyTime first = reportedAt + milliseconds(200);
     REQUIRE_FALSE(limiter.take(north, limit, 1, first));
-    // The reported level, plus the rate of 200 ms, less this request.
+    // The reported level, plus the tokens that the rate adds in 200 ms, less this request.
     CHECK(limiter.levels()[north] == Approx(10 + 200 - 1));
 }
 
@@ -94,7 +96,8 @@
         }
         admitted += limiter.take(north, limit, 1, partitionedAt + t) ? 0 : 1;
     }
-    // The bound is the burst, and the share of six of ten nodes for 8 s.
+    // The upper bound is the burst, plus the shares that six of ten nodes have in the tokens
+    // that the rate adds in 8 s, plus a tolerance. The shares of the four others are charged.
     CHECK(admitted <= 1000 + 0.6 * 8000 + 400);
     CHECK(admitted >= 4000);
     limiter.setUnresponsiveNodes(0, 9, partitionedAt + milliseconds(8000));
@@ -146,8 +149,8 @@
     SteadyTime partitionedAt = start + milliseconds(9000);
     for (milliseconds t {}; t < milliseconds(8000); t += milliseconds(1))
         admitted += nodes.limiters_[0]->take(north, limit, 1, partitionedAt + t) ? 0 : 1;
-    // A quarter of the rate of 8 s; in the first second without reports, the shares of
-    // the other nodes are not charged yet.
+    // A quarter of the tokens that the rate adds in 8 s. In the first second without
+    // reports, the shares of the other nodes are not charged yet.
     CHECK(admitted <= 2000 + 1000 * 0.75 + 200);
     CHECK(admitted >= 1500);
 }
--- a/unittests/Rollout/EvaluatorsTest.cpp
+++ b/unittests/Rollout/EvaluatorsTest.cpp
@@ -89,7 +89,7 @@
             std::uint64_t toTarget = std::binomial_distribution<std::uint64_t>(all, onRoute)(random_);
             tally.requests_ += all;
             tally.exposed_ += toTarget;
-            // 15 in 100 of the stable servers fail as well.
+            // 15% of the stable servers fail as well.
             double stableBad = baselineBad(now) + (isFailTime(now) ? 0.15 * failRate : 0);
             count(tally.cells_[{ stableBackendKey, route }], all - toTarget, stableBad);
             std::uint64_t left = toTarget;
--- a/unittests/Rollout/RolloutTest.cpp
+++ b/unittests/Rollout/RolloutTest.cpp
@@ -139,7 +139,7 @@
 TEST_CASE("which outcomes are evidence against a version", "[rollout]")
 {
     struct Row {
-        const char* what_;
+        const char* name_;
         AttemptOutcome outcome_;
         std::optional<bool> isBad_;
     };
@@ -168,7 +168,7 @@
         { "usual events", with(BackendOutcome::Served, [](AttemptOutcome& o) { o.eventGapMs_ = 55; }), false },
     };
     for (const Row& row : rows) {
-        CAPTURE(row.what_);
+        CAPTURE(row.name_);
         CHECK(isBadAnswer(row.outcome_, 50) == row.isBad_);
     }
 }
@@ -219,7 +219,7 @@
 TEST_CASE("an order that is not decided by the end of its period is reverted", "[rollout]")
 {
     struct Row {
-        const char* what_;
+        const char* name_;
         std::size_t targetServers_;
         RolloutTally tally_;
     };
@@ -229,7 +229,7 @@
         { "no requests at all", 4, tallyOf(0, 0) },
     };
     for (const Row& row : rows) {
-        CAPTURE(row.what_);
+        CAPTURE(row.name_);
         RolloutController controller({}, { orderOf(1), RolloutPhase::Trial, 0, 0, 0 }, start, 3, makeSequentialEvaluator());
         for (std::int64_t ms = 0; ms < 9000; ms += 500)
             CHECK(controller.adjust({ row.tally_, row.targetServers_, 40, 9 }, after(ms)).phase_ == RolloutPhase::Trial);
