--- a/lib/Forward/ConnectionPool.cpp
+++ b/lib/Forward/ConnectionPool.cpp
@@ -15,8 +15,8 @@
 // The last fifth of an idle timeout is not used. A new connection costs only a round trip,
 // whereas a request that is lost in the server's close may not be retryable.
 static constexpr int idleMarginDivisor = 5;
-// Longer idle timeouts are reduced to this limit, since no connection needs to be kept for longer.
-// The limit also bounds the external values that enter the arithmetic.
+// Longer idle timeouts are reduced to this limit, since no connection needs to be kept for
+// longer. The limit also bounds the external values that enter the arithmetic.
 static constexpr std::chrono::hours maxIdle { 1 };
 
 /// Parses the idle timeout of a Keep-Alive header (RFC 2068, 19.7.1), which may be in quotes.
--- a/lib/Forward/Headers.cpp
+++ b/lib/Forward/Headers.cpp
@@ -102,9 +102,9 @@
     head.append(name).append(": ").append(value).append("\r\n");
 }
 
-/// Announces at most four fifths of the idle timeout, to allow for network queues and delayed event
-/// loops. A caller that sent a request while the close is in flight would lose
-/// the request.
+/// Announces at most four fifths of the idle timeout, to allow for network queues and delayed
+/// event loops. A caller that sent a request while the close is in flight would lose the
+/// request.
 std::string connectionFields(std::optional<milliseconds> idle)
 {
     std::string fields;
--- a/lib/Forward/Sending.cpp
+++ b/lib/Forward/Sending.cpp
@@ -16,7 +16,8 @@
 using tcp = asio::ip::tcp;
 
 // The wait limit for the first event, as a multiple of the latency objective. Queueing
-// delays stay below twice the objective even under high load, so a longer wait indicates a fault.
+// delays stay below twice the objective even under high load, so a longer wait indicates a
+// fault.
 static constexpr int waitLimitObjectives = 3;
 // Replaces a Retry-After value that is not a number, such as a date. Dates are not
 // evaluated, as clocks may differ by more than the length of the pause.
--- a/lib/Quota/Quota.cpp
+++ b/lib/Quota/Quota.cpp
@@ -91,7 +91,7 @@
 }
 
 /// Charges the buckets for what unresponsive peers may have admitted since their last
-/// reports. fill() separately adds the tokens that the rate gives for that time.
+/// reports. fill() separately adds the tokens of the rate for that time.
 void QuotaLimiter::chargeUnresponsive(SteadyTime now)
 {
     double all = nodes();
