--- a/include/pistachioloom/Gateway.h
+++ b/include/pistachioloom/Gateway.h
@@ -122,7 +122,7 @@
     /// Pause after a failed read.
     milliseconds retryPause_ { 200 };
     /// Registrations that are missing after an outage of the platform are kept for this
-    /// time, in which their owners write them again.
+    /// time, so that their backend servers can renew them.
     milliseconds registrationGrace_ { 2200 };
     /// Number of readers in addition to one in each data centre. All other nodes fetch
     /// from readers what the readers read.
--- a/include/pistachioloom/Support.h
+++ b/include/pistachioloom/Support.h
@@ -160,8 +160,8 @@
 
 /// Compresses \p text to a zlib stream at the fastest level.
 std::string compress(std::string_view text);
-/// Decompresses the output of compress(). The error is Errc::Protocol if \p bytes are no
-/// complete zlib stream or the text is longer than \p maxSize.
+/// Decompresses the output of compress(). The error is Errc::Protocol if \p bytes are not
+/// a complete zlib stream or the text is longer than \p maxSize.
 Result<std::string> decompress(std::string_view bytes, ByteCount maxSize);
 
 /// Returns a 64-bit hash of \p bytes that is the same on every node.
--- a/include/pistachioloom/Yaml.h
+++ b/include/pistachioloom/Yaml.h
@@ -37,7 +37,7 @@
 /// reports the keys that no getter has read.
 class YamlMap {
 public:
-    /// Parses \p text. A syntax error, or a root that is no map, is added to \p errors.
+    /// Parses \p text. A syntax error, or a root that is not a map, is added to \p errors.
     static std::optional<YamlMap> parse(const std::string& text, const std::string& file, InputErrors& errors);
     ~YamlMap();
     YamlMap(YamlMap&&) noexcept;
--- a/lib/Gateway/Discovery.cpp
+++ b/lib/Gateway/Discovery.cpp
@@ -11,20 +11,21 @@
 
 namespace {
 
-    // Nodes that receive a repeated introduction in a period. Each of 370 nodes receives
-    // one within 25 s; urgent changes arrive by digests.
+    // Number of nodes to which this node introduces itself again in a period. Each of 370
+    // nodes receives an introduction within 25 s; urgent changes arrive by digests.
     constexpr std::size_t introductionsPerPeriod = 3;
-    // Nodes without any report so far that receive an introduction in a period. Each of
-    // 200 such nodes receives one within 1.7 s.
+    // Number of nodes that have not reported yet to which this node introduces itself in a
+    // period. Each of 200 such nodes receives an introduction within 1.7 s.
     constexpr std::size_t firstIntroductionsPerPeriod = 24;
-    // Answers sent in a period, of 2 to 4 KB each. A seed that hundreds of nodes contact
-    // when all start at once fills a third of a link of 20 Mbit/s with them.
+    // Number of answers, of 2 to 4 KB each, that this node sends in a period. A seed that
+    // hundreds of nodes contact when all start simultaneously uses a third of a link of
+    // 20 Mbit/s for its answers.
     constexpr std::size_t answersPerPeriod = 48;
-    // Nodes of its own data centre that a digest advertises in rotation: 26 nodes are
-    // advertised within seven periods, 1.4 s.
+    // Number of nodes of its own data centre that a digest advertises in rotation: 26
+    // nodes are advertised within seven periods, 1.4 s.
     constexpr std::size_t membersPerDigest = 4;
-    // Nodes advertised in a report: many in a small fleet and to a new node, few in the
-    // reports that nodes of a large fleet send in each period.
+    // Number of nodes advertised in a report: many in a small fleet and to a new node,
+    // few in the reports that nodes of a large fleet send in each period.
     constexpr std::size_t manyPeers = 24;
     constexpr std::size_t fewPeers = 3;
 
--- a/lib/Gateway/Discovery.h
+++ b/lib/Gateway/Discovery.h
@@ -1,10 +1,10 @@
 //===- lib/Gateway/Discovery.h - how nodes find each other ----------------===//
 ///
 /// \file
-/// In a large fleet no node introduces itself to all others at once. Discovery selects
-/// the nodes to which a node introduces itself in each period, and the nodes that it
-/// advertises to others, so that all nodes know the relays of their data centre soon
-/// after a start. The class does no I/O and takes the time as a parameter.
+/// In a large fleet no node introduces itself to all others simultaneously. Discovery
+/// selects the nodes to which a node introduces itself in each period, and the nodes
+/// that it advertises to others, so that all nodes know the relays of their data centre
+/// soon after a start. The class does no I/O and takes the time as a parameter.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -27,8 +27,8 @@
     Discovery(const PeerTable& table, const VmId& self, DataCentreId own, GossipSettings settings);
 
     /// Queues an answer to \p vm, which reported for the first time since its start or
-    /// the start of this node, or took this node for a relay. The answer tells \p vm of
-    /// this node and of the relays that this node knows.
+    /// the start of this node, or took this node for a relay. The answer introduces
+    /// this node to \p vm and advertises the relays that this node knows.
     void queueAnswer(const VmId& vm);
     struct Receivers {
         /// Receive an introduction of this node.
--- a/lib/Gateway/NodeGroupSums.cpp
+++ b/lib/Gateway/NodeGroupSums.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-    // Five reports in a row are missing: a lost datagram or a slow VM causes one or two
-    // missing reports.
+    // A source is unresponsive after five missing reports in a row. A lost datagram or a
+    // slow VM causes one or two.
     constexpr milliseconds sourceTimeout { 1000 };
     // Other nodes receive the reports of a node within this time after its start, which
     // is also the maximum time for which quotas are divided equally after a start.
@@ -55,8 +55,8 @@
 void NodeGroupSums::chooseActiveSource(SteadyTime now)
 {
     auto active = sources_.find(activeSource_);
-    bool hasActive = active != sources_.end() && isLive(active->second, now);
-    double bound = hasActive ? replacementRatio * static_cast<double>(active->second.sums_.nodes()) : -1;
+    bool hasActiveSource = active != sources_.end() && isLive(active->second, now);
+    double bound = hasActiveSource ? replacementRatio * static_cast<double>(active->second.sums_.nodes()) : -1;
     for (const auto& [vm, source] : sources_) {
         auto nodes = static_cast<double>(source.sums_.nodes());
         if (!isLive(source, now) || nodes <= bound)
--- a/lib/Gateway/PeerReports.cpp
+++ b/lib/Gateway/PeerReports.cpp
@@ -18,9 +18,9 @@
 
     // Maximum size of a UDP datagram.
     constexpr std::size_t maxDatagramSize = 64UL * 1024;
-    // Ranks that are added to the rank of a node which receives reports of less than half
-    // of the fleet. It then waits longer than a lease before it claims duties, which a
-    // node that it receives no reports from may hold.
+    // Added to the rank of a node that receives reports of less than half of the fleet.
+    // A node whose reports do not arrive may hold the duties, and with this rank the node
+    // waits longer than a lease before it claims them.
     constexpr std::size_t rankPenalty = 8;
 
     /// Identifies the peer that represents all other nodes in the tables of a large
@@ -238,8 +238,8 @@
     return static_cast<std::uint64_t>(std::max<std::int64_t>(1, std::chrono::duration_cast<milliseconds>(now - startedAt_).count()));
 }
 
-/// Sends each node that reports here the sums of all other nodes, and the relays of other
-/// data centres the sums of this one's nodes.
+/// Sends each node that reports to this one the sums of all other nodes, and the relays
+/// of other data centres the sums of this one's nodes.
 void PeerReports::sendSums(SteadyTime now)
 {
     std::vector<VmId> receivers = aggregator_.receivers(now);
--- a/lib/Gateway/PeerReports.h
+++ b/lib/Gateway/PeerReports.h
@@ -50,10 +50,11 @@
     /// counts within \p time. In a large fleet, returns whether the relays' sums cover
     /// nearly all known nodes and no node became unresponsive recently.
     bool haveAllReportedWithin(milliseconds time, milliseconds maxAge) const;
-    /// Returns the number of other nodes whose work is reported here.
+    /// Returns the number of other nodes whose reports this node receives, directly or in
+    /// relays' sums.
     std::uint64_t nodesCovered() const;
-    /// Returns how much of the fleet's work is reported here. Must be called on the event
-    /// loop.
+    /// Returns how much of the fleet this node receives reports of. Must be called on the
+    /// event loop.
     Coverage coverage(SteadyTime now) const;
     /// Returns whether \p vm reported that it is stopping.
     bool isStopping(const VmId& vm) const { return table_.isStopping(vm); }
--- a/lib/Gateway/PeerTable.cpp
+++ b/lib/Gateway/PeerTable.cpp
@@ -13,7 +13,7 @@
 namespace {
 
     // Maximum age of the last report of a relay candidate: if all relays of a data centre
-    // stop at once, no reports arrive for a while.
+    // stop simultaneously, no reports arrive for a while.
     constexpr milliseconds maxRelayCandidateAge { 10000 };
     // A relay sends its sums in each period of 200 ms. Three missing ones in a row are
     // not explained by a lost datagram.
--- a/lib/Gateway/PeerTable.h
+++ b/lib/Gateway/PeerTable.h
@@ -31,17 +31,18 @@
 
 using KnownPeer = std::pair<VmId, Peer>;
 
-/// The part of the fleet, including this node, that a node's knowledge covers.
+/// How much of the fleet this node receives reports of. Both numbers include this node.
 struct Coverage {
-    /// Number of nodes whose work is reported here now.
+    /// Number of nodes whose reports this node receives, directly or in relays' sums.
     std::uint64_t reported_ = 1;
     /// Number of nodes that exist as far as this node knows.
     std::uint64_t known_ = 1;
 
-    /// Returns whether nearly all nodes report. The others may be starting or stopped.
+    /// Returns whether this node receives reports of nearly all nodes. The others may be
+    /// starting or stopped.
     bool isComplete() const;
-    /// Returns whether more than half of the nodes report. At most one partition of a
-    /// fleet that is split has them.
+    /// Returns whether this node receives reports of more than half of the nodes. During
+    /// a network partition this is true on one side at most.
     bool hasMajority() const;
 };
 
--- a/lib/Gateway/PlatformFeed.cpp
+++ b/lib/Gateway/PlatformFeed.cpp
@@ -208,7 +208,8 @@
         bool wasUnavailable = isRegistryUnavailable_.exchange(!read);
         if (wasUnavailable == read.has_value())
             logAvailability("registry", read ? nullptr : &read.error());
-        // Registrations that expired during an outage are written again soon after it.
+        // Backend servers whose registrations expired during an outage renew them
+        // soon after.
         bool endsOutage = wasUnavailable || (isRegistryStale() && haveAllReadersFailed(readerStates()));
         if (read && endsOutage && !context_.backends_.records().empty())
             removalGraceEnd_ = steadyNow() + settings.registrationGrace_;
--- a/lib/Gateway/PlatformFeed.h
+++ b/lib/Gateway/PlatformFeed.h
@@ -31,7 +31,7 @@
     bool isReader() const;
     bool isPlatformUnavailable() const { return isRegistryUnavailable_ || isConfigurationUnavailable_; }
     /// Answers a peer that fetches what this node has read from the platform. A peer that
-    /// fetches the configuration while others receive it is told to retry later.
+    /// fetches the configuration while others receive it is asked to retry later.
     asio::awaitable<void> serve(std::shared_ptr<PeerStream> stream, wire::Frame request);
 
 private:
--- a/lib/Gateway/QuarantineStore.h
+++ b/lib/Gateway/QuarantineStore.h
@@ -27,7 +27,8 @@
 
     QuarantineStore(GatewayContext& context, Hooks hooks);
 
-    /// Reads and writes at regular intervals.
+    /// Reads the stored quarantines once after the start, and writes changes to them at
+    /// regular intervals while this node is the writer. Never returns.
     asio::awaitable<void> run();
 
 private:
--- a/lib/Gateway/RolloutRunner.h
+++ b/lib/Gateway/RolloutRunner.h
@@ -51,7 +51,7 @@
 private:
     struct Order {
         RolloutController controller_;
-        /// The operator knows that the order is active.
+        /// Whether the platform has accepted the report that the order is active.
         bool isActiveReported_ = false;
     };
 
@@ -71,7 +71,7 @@
     /// Number of reports under `token_` that the platform accepted.
     std::uint64_t reportCount_ = 0;
     bool hasReadNotes_ = false;
-    /// Orders whose final decision the operator knows.
+    /// Orders whose final decision was reported to the operator.
     std::map<ServiceName, RolloutNumber> reported_;
     mutable std::mutex reasonsMutex_;
     /// Reason of the last decision on each order.
--- a/lib/Gateway/SuspectMessages.cpp
+++ b/lib/Gateway/SuspectMessages.cpp
@@ -11,8 +11,8 @@
 
 // Number of bits in SuspectReport::cleared.
 static constexpr int maxCrashesPerMessage = 32;
-// Greater ages are invalid. A crash of this age is no longer kept, and the conversion to
-// a time cannot overflow.
+// Greater ages are reduced to this one. A crash of this age is no longer kept, and its
+// conversion to a time cannot overflow.
 static constexpr std::uint64_t maxAgeMs = 366ULL * 24 * 3600 * 1000;
 
 void putSuspects(const std::vector<Suspect>& suspects, google::protobuf::RepeatedPtrField<wire::SuspectReport>& message, SteadyTime now)
--- a/lib/Node/ControlPlane.h
+++ b/lib/Node/ControlPlane.h
@@ -83,8 +83,8 @@
     std::vector<VmId> localPeers() const;
     /// One node of each other data centre.
     std::vector<VmId> remoteContacts() const;
-    /// Picks at most as many of remoteContacts() as the relay fan-out, in turn
-    /// over the data centres.
+    /// Picks at most as many of remoteContacts() as the relay fan-out, in
+    /// rotation over the data centres.
     std::vector<VmId> nextContacts();
     wire::Frame makeGossip() const;
     /// Merges \p gossip into this node's state. \returns whether this changed the
--- a/lib/Node/EngineOrders.cpp
+++ b/lib/Node/EngineOrders.cpp
@@ -13,7 +13,8 @@
 
     const std::string claimsStream = "claims";
     constexpr milliseconds appendTimeout { 1000 };
-    // A settled engine is checked once in this number of periods.
+    // An engine that has the wanted configuration and no open claim is checked once in
+    // this number of periods.
     constexpr int settledCheckPeriods = 20;
 
 } // namespace
--- a/lib/Node/EventStream.h
+++ b/lib/Node/EventStream.h
@@ -42,6 +42,8 @@
     std::string failed(const Error& error);
 
 private:
+    /// Stops skipping tokens. \returns a restart event and the skipped tokens, or an
+    /// empty string if none are kept because the caller has the same text.
     std::string flushSkipped();
 
     std::string requestId_;
--- a/lib/Node/Generation.h
+++ b/lib/Node/Generation.h
@@ -166,7 +166,8 @@
 private:
     enum class AttemptOutcome {
         Ended,
-        /// The attempt ended early. The next one starts without a delay.
+        /// The attempt ended before the answer was complete. The next one starts without
+        /// a delay.
         RetryNow,
         /// The next attempt starts after a delay.
         RetryLater,
--- a/lib/Node/SlotTable.h
+++ b/lib/Node/SlotTable.h
@@ -3,7 +3,8 @@
 /// \file
 /// The dispatcher of a backend server counts the requests that run on it and queues
 /// the others. Paid requests precede trial requests, and entries share the slots
-/// fairly. A request is rejected early if its estimated wait exceeds its wait limit.
+/// fairly. A request is rejected immediately if its estimated wait exceeds its wait
+/// limit.
 //===----------------------------------------------------------------------===//
 #pragma once
 
--- a/lib/Wire/Peers.cpp
+++ b/lib/Wire/Peers.cpp
@@ -135,7 +135,8 @@
         bool isSubmitted = co_await asio::co_spawn(link->executor(), submit, asio::use_awaitable);
         if (isSubmitted)
             co_return std::static_pointer_cast<PeerStream>(stream);
-        // Removes the link that accepted no stream, so that the next try connects again.
+        // Removes the link that accepted no stream, so that the next attempt connects
+        // again.
         std::lock_guard lock(state_->mutex_);
         if (auto found = state_->links_.find(peer); found != state_->links_.end() && found->second == link)
             state_->links_.erase(found);
--- a/unittests/Gateway/BackgroundExecutorTest.cpp
+++ b/unittests/Gateway/BackgroundExecutorTest.cpp
@@ -72,7 +72,7 @@
         isDone = true;
     };
     asio::co_spawn(io, caller(), asio::detached);
-    // The work ends only if the loop gets here while the work runs.
+    // The work ends only if the loop runs this coroutine while the work runs.
     auto other = [&]() -> asio::awaitable<void> {
         co_await sleepFor(milliseconds(20));
         CHECK_FALSE(isDone);
--- a/unittests/Gateway/ConfigurationApplyTest.cpp
+++ b/unittests/Gateway/ConfigurationApplyTest.cpp
@@ -62,7 +62,7 @@
 TEST_CASE("a configuration of a peer is applied and sent to others if it is complete and newer", "[takein]")
 {
     struct Row {
-        std::string bytes_;
+        std::string payload_;
         std::uint64_t version_;
     };
     auto row = GENERATE(values<Row>({
@@ -78,7 +78,7 @@
     GatewayContext context(GatewaySettings {}, decodingPlatform());
     context.applyCompressed(compress("5"), "peer");
     REQUIRE(versionOf(context) == 5);
-    context.applyCompressed(row.bytes_, "peer");
+    context.applyCompressed(row.payload_, "peer");
     CHECK(versionOf(context) == row.version_);
     CHECK(context.table()->configuration().compressedSource_ == compress(std::to_string(row.version_)));
 }
--- a/unittests/Gateway/DiscoveryTest.cpp
+++ b/unittests/Gateway/DiscoveryTest.cpp
@@ -1,10 +1,10 @@
-//===- unittests/Gateway/DiscoveryTest.cpp - a fleet that starts at once --===//
+//===- unittests/Gateway/DiscoveryTest.cpp - simultaneous start of a fleet ===//
 ///
 /// \file
 /// All nodes start at the same time, as after a power failure, and must find the relays
-/// of their data centre. Until a node receives the sums of all others, it takes the work
-/// of a few nodes for that of all: it orders engines for them, and claims duties that
-/// another node holds.
+/// of their data centre. A node that does not yet receive the sums of all others treats
+/// the demand of a few nodes as that of all: it orders engines for this demand only, and
+/// claims duties that another node holds.
 //===----------------------------------------------------------------------===//
 #include "Discovery.h"
 #include "ReportAggregator.h"
@@ -34,7 +34,8 @@
     std::size_t dataCentres_;
     /// Number of seeds in the settings.
     std::size_t seeds_;
-    /// Whether all nodes know the announced nodes; otherwise they know the seeds only.
+    /// Whether all nodes are announced on the platform and know each other; otherwise
+    /// they know the seeds only.
     bool areAnnounced_;
     milliseconds bound_;
 };
@@ -265,10 +266,10 @@
     milliseconds firstClaim = DutyTiming {}.firstClaimAfter_;
     milliseconds equalDivision = QuotaSettings {}.startupTime_;
     auto shape = GENERATE_COPY(values<Shape>({
-        { "small fleet, announced", 30, 2, 3, true, firstClaim },
-        { "hundreds of nodes, announced", 195, 5, 3, true, firstClaim },
+        { "small fleet, announced on the platform", 30, 2, 3, true, firstClaim },
+        { "hundreds of nodes, announced on the platform", 195, 5, 3, true, firstClaim },
         { "hundreds of nodes, platform unavailable", 195, 5, 3, false, equalDivision },
-        { "largest fleet, announced", 370, 14, 3, true, firstClaim },
+        { "largest fleet, announced on the platform", 370, 14, 3, true, firstClaim },
         { "largest fleet, platform unavailable", 370, 14, 3, false, equalDivision },
     }));
     CAPTURE(shape.name_);
--- a/unittests/Gateway/ReportAggregatorTest.cpp
+++ b/unittests/Gateway/ReportAggregatorTest.cpp
@@ -126,7 +126,7 @@
     CHECK(admittedIn(aggregator.digestFor({ "a" }, aggregator.totals(muchLater), muchLater)) == 30);
 }
 
-TEST_CASE("the counts of a restarted node start again and subtract nothing", "[relay]")
+TEST_CASE("the counts of a restarted node start from zero and do not reduce the sums", "[relay]")
 {
     ReportAggregator aggregator(window);
     aggregator.applyReport(report("a", {}), start);
@@ -212,7 +212,7 @@
     CHECK(group.current(start + milliseconds(1500)) == nullptr);
 }
 
-TEST_CASE("the age of the holder's report grows on its way through relays", "[relays]")
+TEST_CASE("the age of the holder's report includes the time that relays take to forward it", "[relays]")
 {
     ReportAggregator near(window);
     ReportAggregator far(window);
--- a/unittests/Node/SlotTableTest.cpp
+++ b/unittests/Node/SlotTableTest.cpp
@@ -99,7 +99,7 @@
     CHECK(fixture.slots_.size() == 2);
     fixture.startAcquire("p1", ServiceClass::Paid, false);
     CHECK(fixture.slots_.contains("p1"));
-    // The reserve is used up, so a trial request has to yield to restore it.
+    // The paid reserve is used up, so a trial request has to yield to restore it.
     CHECK(fixture.yields_ == 1);
     fixture.release("t1");
     CHECK_FALSE(fixture.slots_.contains("t3"));
