--- a/benchmarks/DecisionBenchmark.cpp
+++ b/benchmarks/DecisionBenchmark.cpp
@@ -137,7 +137,7 @@
         if (size.nodes_ == 52)
             largeViewUs = view / static_cast<double>(list.vms_.size());
     }
-    checkBound("view time per VM, largest against smallest", largeViewUs / smallViewUs, 3);
+    checkBound("time per VM to build the membership view, 52 nodes relative to 3", largeViewUs / smallViewUs, 3);
 }
 
 void benchRouting()
@@ -158,7 +158,7 @@
         std::printf("%8zu %14.2f %14.2f %14.2f\n", count, sample, rank, sample + rank);
         (count == 12 ? rankSmall : rankLarge) = rank;
     }
-    checkBound("time to rank the sample, at 2,100 engines against 12", rankLarge / rankSmall, 2);
+    checkBound("time to rank the sample, 2,100 engines relative to 12", rankLarge / rankSmall, 2);
 }
 
 void benchLedger()
@@ -191,7 +191,7 @@
         std::printf("%8zu %14.2f %14.2f %14.0f\n", count, apply, find, bytes);
         (count == 1000 ? small : large) = bytes;
     }
-    checkBound("bytes per key, 100,000 keys against 1,000", large / small, 1.3);
+    checkBound("bytes per key, 100,000 keys relative to 1,000", large / small, 1.3);
 }
 
 std::string entryText(std::size_t index)
@@ -223,7 +223,7 @@
         std::printf("%8zu %14.1f %14.1f %14.2f %14.0f %14.1f\n", count, edit, publish, find, bytes, static_cast<double>(state.encodeSnapshot().size()) / 1024);
         (count == 10 ? smallBytes : largeBytes) = bytes;
     }
-    checkBound("bytes per entry, 1,000 entries against 10", largeBytes / smallBytes, 1.5);
+    checkBound("bytes per entry, 1,000 entries relative to 10", largeBytes / smallBytes, 1.5);
 }
 
 void benchLimits()
--- a/benchmarks/RelayBenchmark.cpp
+++ b/benchmarks/RelayBenchmark.cpp
@@ -143,7 +143,7 @@
     }
     // The report that a node sends must not grow with the fleet. The digest that it
     // receives grows by 8 to 10 bytes per engine.
-    checkBound("report at 364 nodes against 63", static_cast<double>(measured[2].reportBytes_) / static_cast<double>(measured[1].reportBytes_), 1.1);
+    checkBound("report size, 364 nodes relative to 63", static_cast<double>(measured[2].reportBytes_) / static_cast<double>(measured[1].reportBytes_), 1.1);
     checkBound("bytes of a digest for each engine", static_cast<double>(measured[2].digestBytes_) / sizes[2].engines_, 11);
     checkBound("digest as a fraction of a datagram of 64 KiB", static_cast<double>(measured[2].digestBytes_) / 65536, 0.5);
     return isWithinBounds ? 0 : 1;
--- a/include/pistachioloom/Settings.h
+++ b/include/pistachioloom/Settings.h
@@ -78,7 +78,7 @@
     milliseconds handoverMargin_ { 1500 };
 };
 
-/// Settings of the replicas of generations.
+/// Settings of the replicas that nodes keep of the state of running generations.
 struct ReplicaSettings {
     /// Time limit of sending a generation's record to a replica.
     milliseconds copyTimeout_ { 500 };
@@ -89,11 +89,12 @@
     milliseconds ownerUpdateTimeout_ { 2000 };
 };
 
-/// Settings of the grants by which nodes share limited slots.
+/// Settings of the grants by which nodes share the limits of an entry.
 struct LimitSettings {
     /// The time for which a grant is valid.
     milliseconds grantValidity_ { 4000 };
-    /// The number of slots requested in addition to those in use.
+    /// The number of slots, each for one request in progress, that a node asks for in
+    /// addition to those for its running and waiting requests.
     std::uint64_t grantAhead_ = 4;
 };
 
@@ -151,7 +152,8 @@
 /// Reads and parses a file. \returns nullopt if it added any errors to \p errors.
 std::optional<Settings> loadSettings(const std::string& file, InputErrors& errors);
 
-/// Parses the section of log settings. Errors are added to those of \p map.
+/// Parses the settings of the process's own log output. Errors are added to those of
+/// \p map.
 void parseLogSettings(YamlMap map, LogSettings& settings);
 
 /// Parses `IP:PORT`. \returns nullopt for any other text, including a host name.
--- a/test/ConfigurationSpreadTest.cpp
+++ b/test/ConfigurationSpreadTest.cpp
@@ -241,12 +241,12 @@
     CHECK(deployment.waitForVersion(2, maxSpreadTime));
     INFO("in force on all after " << std::chrono::duration_cast<milliseconds>(steadyNow() - startedAt).count() << " ms");
 
-    std::size_t fromPlatform = 0;
+    std::size_t receivedFromPlatform = 0;
     std::size_t sentByPeers = 0;
     std::uint64_t maxConcurrent = 0;
     for (const auto& gateway : deployment.gateways()) {
         for (const auto& line : logLinesWith(deployment, gateway, "Configuration is in force"))
-            fromPlatform += textField(line, "configuration") == "2" && textField(line, "from") == "platform";
+            receivedFromPlatform += textField(line, "configuration") == "2" && textField(line, "from") == "platform";
         for (const auto& line : logLinesWith(deployment, gateway, "was sent to a peer")) {
             if (textField(line, "configuration") != "2")
                 continue;
@@ -255,7 +255,7 @@
             CHECK(std::stoull(textField(line, "bytes")) > 64UL * 1024);
         }
     }
-    CHECK(fromPlatform + sentByPeers >= count);
+    CHECK(receivedFromPlatform + sentByPeers >= count);
     CHECK(sentByPeers > 0);
     CHECK(maxConcurrent <= maxTransfers);
 }
--- a/test/CrashingRequestsTest.cpp
+++ b/test/CrashingRequestsTest.cpp
@@ -69,7 +69,7 @@
 
 } // namespace
 
-TEST_CASE("a request that crashed three backend servers is dispatched to others repeatedly", "[gateway]")
+TEST_CASE("a request that has crashed three backend servers is rejected, and other requests are still served", "[gateway]")
 {
     const char* fanout = GENERATE("24", "1");
     CAPTURE(fanout);
@@ -136,7 +136,7 @@
     CHECK(waitUntil([&] { return deployment.call(deployment.gateways()[2], crashingRequest("mended")).status_ == 200; }, propagationTime));
 }
 
-TEST_CASE("a simultaneous crash of all gateways loses the quarantine of a request", "[gateway]")
+TEST_CASE("a simultaneous crash of all gateways does not lose the quarantine of a request", "[gateway]")
 {
     const char* fanout = GENERATE("24", "1");
     CAPTURE(fanout);
@@ -160,14 +160,14 @@
     CHECK(crashTimes(deployment).size() == crashThreshold);
 }
 
-TEST_CASE("a gateway sends requests to a backend server that crashed on another gateway's request", "[gateway]")
+TEST_CASE("a gateway sends no requests to a backend server that crashed on another gateway's request", "[gateway]")
 {
     const char* fanout = GENERATE("24", "1");
     CAPTURE(fanout);
     GatewayDeployment deployment(fleetOptions(3, fanout));
     startCrashableFleet(deployment);
-    // The registration remains for a long time, so only reports between gateways keep
-    // requests away.
+    // The registration remains for a long time, so only reports between gateways
+    // prevent requests to the crashed server.
     deployment.control({ { "restart_ms", 8000 } });
     (void)deployment.call(deployment.gateways()[0], crashingRequest("crash-0"));
     REQUIRE(crashTimes(deployment).size() == 1);
@@ -189,7 +189,7 @@
     auto& restarted = deployment.gateways()[2];
     restarted.process_->kill();
     (void)restarted.process_->wait(propagationTime);
-    // By then the peers no longer send the report as a new one.
+    // After this time the peers no longer send the crash report as an update.
     std::this_thread::sleep_for(propagationTime);
     deployment.restart(restarted);
     REQUIRE(waitUntil([&] { return deployment.isReady(restarted); }, milliseconds(10000)));
--- a/test/CutsTest.cpp
+++ b/test/CutsTest.cpp
@@ -1,8 +1,8 @@
 //===- test/CutsTest.cpp - partitioned data centres -----------------------===//
 ///
 /// \file
-/// What a data centre still serves while it is partitioned from the others, from
-/// the platform, or from both, and that nothing runs twice after the partition
+/// Checks what a data centre still serves while it is partitioned from the others,
+/// from the platform, or from both, and that nothing runs twice after the partition
 /// heals. Each row of the table in docs/OPERATIONS.md is a case here.
 //===----------------------------------------------------------------------===//
 #include "Harness/Deployment.h"
@@ -63,14 +63,14 @@
     auto& inside = deployment.node("bento-c-1");
     auto& outside = deployment.node("caxias-a-1");
 
-    // Drafts that run during the partition, owned by nodes inside and outside the
+    // Streamed answers that run during the partition, owned by nodes inside and outside the
     // partitioned data centre.
     std::vector<Completion> completions;
-    std::vector<std::future<Answer>> drafts;
+    std::vector<std::future<Answer>> streams;
     for (int i = 0; i < 6; ++i) {
         completions.push_back({ Deployment::apiKey("rede"), "planogram", "across " + std::to_string(i), 700 });
         std::vector<Endpoint> entries { i % 2 ? inside.callers_ : outside.callers_ };
-        drafts.push_back(std::async(std::launch::async, [=] { return streamToEndBlocking(entries, completions.back(), answerTimeout); }));
+        streams.push_back(std::async(std::launch::async, [=] { return streamToEndBlocking(entries, completions.back(), answerTimeout); }));
     }
     REQUIRE(waitUntil([&] { return deployment.metricOfAll("tokens_delivered_total") > 60; }));
     setPartitioned(deployment, row.partition_, true);
@@ -99,13 +99,14 @@
     CHECK((edited.first == 0) == row.canEdit_);
 
     setPartitioned(deployment, row.partition_, false);
-    for (std::size_t i = 0; i < drafts.size(); ++i) {
-        Answer answer = drafts[i].get();
-        INFO("draft " << i << (answer.error_ ? ": " + describe(*answer.error_) : std::string()));
+    for (std::size_t i = 0; i < streams.size(); ++i) {
+        Answer answer = streams[i].get();
+        INFO("stream " << i << (answer.error_ ? ": " + describe(*answer.error_) : std::string()));
         CHECK(answer.isDone_);
         CHECK(checkAnswer(answer, completions[i]) == "");
     }
-    // After the partition heals, the order is known everywhere and has run once.
+    // After the partition heals, the outcome of the service call is known everywhere, and
+    // the call has run once.
     CHECK(waitUntil([&] { return callService(inside.callers_, Deployment::apiKey("rede"), "labels/order", "cut-order", "{}").status_ == 200; }));
     std::uint64_t executions = 0;
     for (auto& service : deployment.services())
--- a/test/DraftsTest.cpp
+++ b/test/DraftsTest.cpp
@@ -1,8 +1,8 @@
-//===- test/DraftsTest.cpp - accepted drafts survive failures -------------===//
+//===- test/DraftsTest.cpp - generations survive failures -----------------===//
 ///
 /// \file
-/// Reclaims, kills and freezes the processes that work on an accepted draft.
-/// The caller still receives the engine's exact sequence.
+/// Reclaims, kills and freezes the processes that work on an accepted request to
+/// generate. The caller still receives the engine's exact sequence.
 //===----------------------------------------------------------------------===//
 #include "Harness/Deployment.h"
 
@@ -17,7 +17,7 @@
 
 constexpr milliseconds answerTimeout { 40000 };
 
-DeploymentOptions draftOptions()
+DeploymentOptions deploymentOptions()
 {
     DeploymentOptions options;
     options.nodesPerDataCentre_ = 2;
@@ -27,10 +27,10 @@
     return options;
 }
 
-/// Drafts in progress. Each caller resumes its draft at other entry VMs.
-class Drafts {
+/// Running generations. Each caller resumes its answer at other entry VMs.
+class RunningGenerations {
 public:
-    Drafts(Deployment& deployment, std::size_t count, std::uint64_t tokens, const std::string& firstEntry = "caxias-a-1")
+    RunningGenerations(Deployment& deployment, std::size_t count, std::uint64_t tokens, const std::string& firstEntry = "caxias-a-1")
     {
         std::vector<Endpoint> entries { deployment.node(firstEntry).callers_ };
         for (auto& node : deployment.nodes()) {
@@ -50,7 +50,7 @@
     {
         for (std::size_t i = 0; i < answers_.size(); ++i) {
             Answer answer = answers_[i].get();
-            INFO("draft " << i << (answer.error_ ? ": " + describe(*answer.error_) : std::string()));
+            INFO("generation " << i << (answer.error_ ? ": " + describe(*answer.error_) : std::string()));
             CHECK(answer.isDone_);
             CHECK(answer.restarts_ == 0);
             CHECK(checkAnswer(answer, completions_[i]) == "");
@@ -87,7 +87,7 @@
 
 } // namespace
 
-TEST_CASE("drafts survive a reclaim of their engine's VM")
+TEST_CASE("generations survive a reclaim of their engine's VM")
 {
     struct Reclaim {
         milliseconds notice_;
@@ -102,31 +102,31 @@
         { milliseconds(150), false, false },
     }));
     INFO("notice " << reclaim.notice_.count() << " ms, import rejected " << reclaim.rejectsImport_);
-    Deployment deployment(draftOptions());
+    Deployment deployment(deploymentOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
     if (reclaim.rejectsImport_) {
         for (auto& engine : deployment.engines())
             Deployment::control(engine.endpoint_, { { "refuse_import", 1 } });
     }
-    Drafts drafts(deployment, 8, 600);
+    RunningGenerations generations(deployment, 8, 600);
     reclaimEngine(deployment, busiestEngine(deployment, "caxias-a"), reclaim.notice_);
-    drafts.checkAll();
+    generations.checkAll();
     double recomputed = deployment.metricOfAll("tokens_recomputed_total");
     WARN("notice " << reclaim.notice_.count() << " ms, import rejected " << reclaim.rejectsImport_ << ": " << recomputed << " tokens recomputed");
     if (reclaim.mustNotRecompute_)
         CHECK(recomputed == 0);
 }
 
-TEST_CASE("drafts survive a crash of their engine")
+TEST_CASE("generations survive a crash of their engine")
 {
-    Deployment deployment(draftOptions());
+    Deployment deployment(deploymentOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
-    Drafts drafts(deployment, 6, 300);
+    RunningGenerations generations(deployment, 6, 300);
     busiestEngine(deployment, "caxias-a").process_->kill();
-    drafts.checkAll();
+    generations.checkAll();
 }
 
-TEST_CASE("drafts survive the loss of a node in any role")
+TEST_CASE("generations survive the loss of a node in any role")
 {
     enum class Victim {
         Dispatcher,
@@ -135,9 +135,9 @@
     };
     auto victim = GENERATE(Victim::Dispatcher, Victim::Entry, Victim::FrozenEntry);
     INFO("victim " << static_cast<int>(victim));
-    Deployment deployment(draftOptions());
+    Deployment deployment(deploymentOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
-    Drafts drafts(deployment, 6, 400);
+    RunningGenerations generations(deployment, 6, 400);
     Deployment::NodeProcess* node = &deployment.node("caxias-a-1");
     if (victim == Victim::Dispatcher) {
         node = &deployment.node("caxias-a-2");
@@ -157,17 +157,17 @@
     } else {
         node->process_->kill();
     }
-    drafts.checkAll();
+    generations.checkAll();
     if (victim != Victim::FrozenEntry)
         CHECK(deployment.metricOfAll("tokens_recomputed_total") == 0);
 }
 
-TEST_CASE("drafts survive the simultaneous reclaim of a complete data centre")
+TEST_CASE("generations survive the simultaneous reclaim of a complete data centre")
 {
     bool isAnnounced = GENERATE(true, false);
-    Deployment deployment(draftOptions());
+    Deployment deployment(deploymentOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
-    Drafts drafts(deployment, 8, 500);
+    RunningGenerations generations(deployment, 8, 500);
     constexpr milliseconds notice { 2500 };
     for (auto& engine : deployment.engines()) {
         if (engine.dataCentre_ != "caxias-a")
@@ -185,15 +185,15 @@
         else
             node.process_->kill();
     }
-    drafts.checkAll();
+    generations.checkAll();
     WARN((isAnnounced ? "announced: " : "sudden: ") << deployment.metricOfAll("tokens_recomputed_total") << " tokens recomputed");
 }
 
-TEST_CASE("a dispatcher that is killed during its handover loses no draft")
+TEST_CASE("a dispatcher that is killed during its handover loses no generation")
 {
-    Deployment deployment(draftOptions());
+    Deployment deployment(deploymentOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
-    Drafts drafts(deployment, 8, 500);
+    RunningGenerations generations(deployment, 8, 500);
     auto& dispatcher = deployment.node("caxias-a-2");
     REQUIRE(waitUntil([&] { return deployment.metric(dispatcher, "streams_homed") > 0; }));
     for (auto& engine : deployment.engines()) {
@@ -205,12 +205,12 @@
         return view.is_object() && objectsField(view.as_object(), "engines").empty();
     }));
     dispatcher.process_->kill();
-    drafts.checkAll();
+    generations.checkAll();
 }
 
 TEST_CASE("a caller that does not stream fetches its answer after its entry VM is lost")
 {
-    Deployment deployment(draftOptions());
+    Deployment deployment(deploymentOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
     auto& entry = deployment.node("caxias-a-1");
     Completion completion { Deployment::apiKey("rede"), "planogram", "no stream", 200 };
@@ -263,13 +263,13 @@
     Endpoint entry = deployment.nodes().front().callers_;
     Completion trial { Deployment::apiKey("visitante"), "planogram", "trial draft", 600 };
     Completion paid { Deployment::apiKey("rede"), "planogram", "question", 5 };
-    auto draft = std::async(std::launch::async, [=] { return streamCompletionBlocking(entry, trial); });
+    auto trialAnswer = std::async(std::launch::async, [=] { return streamCompletionBlocking(entry, trial); });
     REQUIRE(waitUntil([&] { return deployment.metricOfAll("tokens_delivered_total") > 10; }));
     // The delay exceeds the time that a dispatcher waits for the engine's answer to a
     // cancel.
     Deployment::control(engine.endpoint_, { { "cancel_delay_ms", 2500 } });
     CHECK(streamCompletionBlocking(entry, paid).isDone_);
-    Answer answer = draft.get();
+    Answer answer = trialAnswer.get();
     CHECK(answer.isDone_);
     CHECK(checkAnswer(answer, trial) == "");
     auto state = Deployment::control(engine.endpoint_);
--- a/test/Harness/Deployment.cpp
+++ b/test/Harness/Deployment.cpp
@@ -94,8 +94,8 @@
             if (!listed.is_object())
                 return false;
             auto seen = objectsField(listed.as_object(), "nodes");
-            // The node must know every node of the list, and have live digests of
-            // all nodes of its own data centre.
+            // The node must know every node of the VM list, and have live digests
+            // of all nodes of its own data centre.
             std::size_t digests = 0;
             for (const json::object& line : seen)
                 digests += line.contains("catalogue_offset") ? 1 : 0;
--- a/test/LeavingTest.cpp
+++ b/test/LeavingTest.cpp
@@ -55,29 +55,29 @@
         isStopped_ = true;
         if (thread_.joinable())
             thread_.join();
-        return failures_;
+        return failureCount_;
     }
-    int answered() const { return answered_; }
+    int answeredCount() const { return answeredCount_; }
 
 private:
     void run(const std::vector<Endpoint>& entries)
     {
         for (int i = 0; !isStopped_; ++i) {
             Answer answer = streamCompletionBlocking(entries[static_cast<std::size_t>(i) % entries.size()], shortQuestion(i));
-            ++(answer.isDone_ ? answered_ : failures_);
+            ++(answer.isDone_ ? answeredCount_ : failureCount_);
         }
     }
 
     std::atomic<bool> isStopped_ { false };
-    std::atomic<int> failures_ { 0 };
-    std::atomic<int> answered_ { 0 };
+    std::atomic<int> failureCount_ { 0 };
+    std::atomic<int> answeredCount_ { 0 };
     std::thread thread_;
 };
 
 enum class NoticeSource {
     CloudNotice,
     VmList,
-    OwnRejection,
+    EngineRejection,
     CloudNoticeWhilePartitioned,
 };
 
@@ -85,7 +85,7 @@
 
 TEST_CASE("a leaving engine gets no new work once two seconds have passed since the first notice")
 {
-    auto source = GENERATE(NoticeSource::CloudNotice, NoticeSource::VmList, NoticeSource::OwnRejection, NoticeSource::CloudNoticeWhilePartitioned);
+    auto source = GENERATE(NoticeSource::CloudNotice, NoticeSource::VmList, NoticeSource::EngineRejection, NoticeSource::CloudNoticeWhilePartitioned);
     INFO("source " << static_cast<int>(source));
     auto options = twoEngines();
     Deployment deployment(options);
@@ -105,15 +105,15 @@
     case NoticeSource::VmList:
         deployment.controlPlatform({ { "put_vms", boost::json::array { leavingVm } } });
         break;
-    case NoticeSource::OwnRejection:
+    case NoticeSource::EngineRejection:
         Deployment::control(engine.endpoint_, { { "leaving", 1 } });
         break;
     }
     std::this_thread::sleep_for(maxNoticeDelay);
     std::uint64_t started = startedCount(engine);
     std::uint64_t startedWhileLeaving = numberField(Deployment::control(engine.endpoint_), "started_while_leaving");
-    int answeredBefore = load.answered();
-    REQUIRE(waitUntil([&] { return load.answered() > answeredBefore + 100; }));
+    int answeredBefore = load.answeredCount();
+    REQUIRE(waitUntil([&] { return load.answeredCount() > answeredBefore + 100; }));
     CHECK(startedCount(engine) == started);
     CHECK(numberField(Deployment::control(engine.endpoint_), "started_while_leaving") == startedWhileLeaving);
     CHECK(load.stop() == 0);
@@ -186,10 +186,10 @@
     auto& leaving = deployment.node("caxias-a-1");
     auto& successor = deployment.node("caxias-b-1");
     Completion handedOver { Deployment::apiKey("rede"), "planogram", "handed over", 400 };
-    Completion ownDraft { Deployment::apiKey("rede"), "planogram", "stays", 1600 };
+    Completion successorStream { Deployment::apiKey("rede"), "planogram", "stays", 1600 };
     std::vector<Endpoint> entries { leaving.callers_, successor.callers_ };
     auto first = std::async(std::launch::async, [=] { return streamToEndBlocking(entries, handedOver, answerTimeout); });
-    auto second = std::async(std::launch::async, [=] { return streamCompletionBlocking(entries[1], ownDraft); });
+    auto second = std::async(std::launch::async, [=] { return streamCompletionBlocking(entries[1], successorStream); });
     REQUIRE(waitUntil([&] { return deployment.metric(leaving, "generations_running") == 1 && deployment.metric(successor, "generations_running") == 1; }));
     deployment.announceReclaim(leaving.id_, milliseconds(800));
     Answer answer = first.get();
@@ -233,8 +233,8 @@
         CHECK(answer.restarts_ == 0);
         CHECK(checkAnswer(answer, completions[i]) == "");
     }
-    // The streams were handed over, not taken over by replicas that found them
-    // missing, and the engines' streams continued under their new dispatchers.
+    // All streams were handed over, so no replica took one over after the loss of its
+    // owner. The engines' streams continued under their new dispatchers.
     CHECK(deployment.metricOfAll("takeovers_total") == 0);
     CHECK(deployment.metricOfAll("tokens_recomputed_total") == 0);
 }
--- a/test/OrdersTest.cpp
+++ b/test/OrdersTest.cpp
@@ -121,7 +121,7 @@
     std::ofstream(deployment.directory() + "/v3.yaml") << engineEntry("v3", honoursFencing);
     REQUIRE(deployment.runTool(other, { "catalogue", "apply", deployment.directory() + "/v3.yaml" }).first == 0);
     CHECK(waitUntil([&] { return versionOf(engine) == "v3"; }, rolloutTimeout));
-    // The delayed order has been either obeyed or rejected.
+    // The delayed order has been either applied or rejected.
     CHECK(waitUntil([&] { return counterOf(engine, "stale_refused") + counterOf(engine, "orders_obeyed") >= 2; }, rolloutTimeout));
     CHECK(waitUntil([&] { return versionOf(engine) == "v3" && !counterOf(engine, "loading"); }));
     CHECK(counterOf(engine, "stale_obeyed") == 0);
--- a/test/Platform/Soak/InvariantChecker.cpp
+++ b/test/Platform/Soak/InvariantChecker.cpp
@@ -67,7 +67,7 @@
 {
     std::string expected = expectedBody(call, bounds_.eventsPerStream_);
     if (call.status_ == 200 && call.isComplete_ && call.body_ != expected)
-        reportViolation("a complete answer equals that of the backend server", describe(call));
+        reportViolation("a complete answer equals the answer that the backend server sent", describe(call));
     if (call.status_ == 200 && !call.isComplete_ && !expected.starts_with(call.body_))
         reportViolation("events arrive in order and exactly once", describe(call));
     if (call.status_ >= 400 && call.status_ < 500 && !isRejection(call.status_))
@@ -96,7 +96,7 @@
     int runs = found == runs_.end() ? 0 : found->second;
     if (!mayRepeat(call.kind_) && runs > 1)
         reportViolation("an unrepeatable request runs at most once", describe(call) + " ran " + std::to_string(runs) + " times");
-    // Runs at backend servers that have been taken away do not count.
+    // Runs at backend servers that a reclaim or a crash has removed do not count.
     auto atRemoved = runsAtRemoved_.find(call.id_);
     if (mayRepeat(call.kind_) && runs - (atRemoved == runsAtRemoved_.end() ? 0 : atRemoved->second) > maxAttempts)
         reportViolation("the number of attempts is bounded", describe(call) + " ran " + std::to_string(runs) + " times");
--- a/test/Platform/Soak/InvariantChecker.h
+++ b/test/Platform/Soak/InvariantChecker.h
@@ -41,7 +41,7 @@
     double limitedSlack_ = 8;
     /// Time after which all gateways know what one of them has observed.
     milliseconds contactTime_ { 3000 };
-    /// Engines that a request crashes before it is quarantined.
+    /// Number of engines that a request crashes before it is quarantined.
     std::size_t crashesBeforeQuarantine_ = 3;
     /// Attempts at a quarantined request that may reach engines later than the contact
     /// time.
@@ -61,7 +61,7 @@
     /// Adds a finished call and checks its answer.
     void addCall(Call call);
     /// Adds the ids of requests that one backend server ran, in order of their runs.
-    /// \p isRemoved tells whether the backend server has been taken away.
+    /// \p isRemoved: a reclaim or a crash has removed the backend server.
     void addRuns(const boost::json::array& ids, bool isRemoved);
     /// Checks the duty calls that reached the platform, in order of arrival.
     void checkDuties(const boost::json::array& duties);
@@ -91,7 +91,8 @@
     FaultIntervals faultIntervals_;
     std::vector<Call> calls_;
     std::map<std::string, int> runs_;
-    /// The part of runs_ at backend servers that have been taken away.
+    /// The number of runs of each request at backend servers that a reclaim or a crash has
+    /// removed. `runs_` includes them.
     std::map<std::string, int> runsAtRemoved_;
     struct LateRun {
         std::string server_;
--- a/test/Platform/Soak/Schedule.h
+++ b/test/Platform/Soak/Schedule.h
@@ -57,7 +57,8 @@
     std::size_t target_ = 0;
     milliseconds duration_ {};
     LinkFault link_ = LinkFault::None;
-    /// Key in the stand-in's control that sets a fault of a backend server.
+    /// Key in a body to the stand-in's control endpoint that sets a fault of a backend
+    /// server.
     std::string controlKey_;
     /// Value for `controlKey_`, a delay or pause in milliseconds, or the number of
     /// versions, depending on `kind_`.
--- a/test/Platform/Soak/SoakRun.h
+++ b/test/Platform/Soak/SoakRun.h
@@ -40,7 +40,7 @@
         std::string service_;
         std::unique_ptr<FaultProxy> proxy_;
         bool isLeaving_ = false;
-        /// It has been taken away by a reclaim or a crash.
+        /// A reclaim or a crash has removed it.
         bool isRemoved_ = false;
         bool hasCrashed_ = false;
     };
@@ -69,7 +69,8 @@
     asio::awaitable<void> stopAndRestart(std::size_t index, int signal, milliseconds pause);
     asio::awaitable<void> freeze(std::size_t index, milliseconds duration);
     asio::awaitable<void> injectLinkFault(FaultProxy& proxy, const std::string& component, Fault fault);
-    /// Sets \p key in the control of the stand-in for the duration of \p fault.
+    /// Sets \p key through the control endpoint of the stand-in for the duration of
+    /// \p fault.
     asio::awaitable<void> control(std::string key, Fault fault);
     asio::awaitable<void> replace(std::size_t index);
     asio::awaitable<void> reclaim(std::size_t index, milliseconds notice);
--- a/test/PlatformFleetTest.cpp
+++ b/test/PlatformFleetTest.cpp
@@ -1,8 +1,8 @@
 //===- test/PlatformFleetTest.cpp - a fleet of gateways -------------------===//
 ///
 /// \file
-/// Runs gateways as processes: what they know of each other, and what happens to callers
-/// and duties when one of them stops or is lost.
+/// Runs gateways as processes. Checks what they know of each other, and what happens to
+/// callers and duties when one of them stops or is lost.
 //===----------------------------------------------------------------------===//
 #include "Platform/GatewayDeployment.h"
 
@@ -88,7 +88,7 @@
     CHECK(admitted >= 1);
     CHECK(admitted <= 6 + 1 + 0.5 * seconds);
 
-    // One node of each data centre, which may be a relay.
+    // Kills one node of each data centre, which may be a relay.
     for (std::size_t i : { 0U, 1U })
         deployment.gateways()[i].process_->kill();
     CHECK(allKnow(2, 3));
@@ -101,7 +101,7 @@
     deployment.startStandardServices();
     auto& gateway = deployment.gateways()[0];
     deployment.setBackendFaults({ { "delay_ms", 100 } });
-    // Callers that send requests all the time, on connections from before the stop.
+    // Callers that send requests continuously, on connections opened before the stop.
     std::atomic<bool> isStopping { false };
     std::atomic<int> answeredWhileStopping { 0 };
     std::atomic<int> unanswered { 0 };
--- a/test/PlatformGatewayTest.cpp
+++ b/test/PlatformGatewayTest.cpp
@@ -167,10 +167,10 @@
 {
     GatewayDeployment deployment(1);
     deployment.startStandardServices();
-    // The first attempt is cancelled after 0.4 of 5,000 ms. The second needs 2,500 of the
-    // remaining 3,000 ms, far more than 0.4 of them, so it answers only if it may use all
-    // of them. Each delay is 500 ms away from its bound, so that a slow machine does not
-    // affect the result.
+    // The node cancels the first attempt after 2,000 ms, which is 40 % of the timeout. The
+    // second attempt takes 2,500 of the remaining 3,000 ms, far more than 40 % of them, so it
+    // succeeds only if it may use all of them. Each delay is 500 ms away from its bound, so
+    // that a slow machine does not affect the result.
     deployment.putConfiguration(2, R"(,{"name":"patient","hostname":"h.example","path_prefix":"/patient/","type":"safe","timeout_ms":5000,"goal_ms":100,"priority":2,"service":"plain","attempts":2})");
     REQUIRE(deployment.waitForVersion(2, milliseconds(5000)));
     deployment.setBackendFaults({ { "delay_ms", 2500 } });
@@ -275,7 +275,7 @@
     deployment.startStandardServices();
     json::object unused = deployment.backend("p-1");
     deployment.setLeaving("p-1", "plain", "127.0.0.1:1");
-    // Both gateways learn of it within two polls of the registry.
+    // Both gateways learn within two polls of the registry that the server is leaving.
     std::this_thread::sleep_for(milliseconds(1500));
     std::size_t before = deployment.backend("p-1").at("runs").as_array().size();
     for (int i = 0; i < 20; ++i)
@@ -283,7 +283,7 @@
     CHECK(deployment.backend("p-1").at("runs").as_array().size() == before);
 }
 
-TEST_CASE("a backend server that restarts under its id is used again, and delayed reports of its previous start are ignored", "[gateway]")
+TEST_CASE("a backend server that restarts under its id is used again, and delayed reports of the process before the restart are ignored", "[gateway]")
 {
     GatewayDeployment deployment(2);
     deployment.startStandardServices();
@@ -295,7 +295,7 @@
     auto serves = [&](GatewayDeployment::Gateway& gateway) { return deployment.call(gateway, gatewayRequest("GET", "/safe/x", "again")).status_ == 200; };
     for (auto& gateway : deployment.gateways())
         CHECK(waitUntil([&] { return serves(gateway); }, waitLimit));
-    // The previous start reports once more that it is leaving.
+    // A delayed report of the process that ran before the restart: it is leaving.
     json::object staleRecord { { "service", "plain" }, { "address", "127.0.0.1:1" }, { "zone", "a" }, { "version", "v1" }, { "slot_count", 8 }, { "phase", "draining" }, { "cold_left_ms", 0 }, { "call_seq", 1 }, { "born", before.at("born") } };
     json::object entry { { "topic", "keyed.servers" }, { "key", "p-1" }, { "value", json::serialize(staleRecord) } };
     deployment.control({ { "put", json::array { entry } } });
--- a/test/ServerSignalsTest.cpp
+++ b/test/ServerSignalsTest.cpp
@@ -45,7 +45,7 @@
 
 } // namespace
 
-TEST_CASE("a backend server that announces in an answer that it is leaving gets new requests while the platform is down", "[gateway]")
+TEST_CASE("a backend server that announces in an answer that it is leaving gets no new requests, also while the platform is down", "[gateway]")
 {
     const char* path = GENERATE("/safe/x", "/once/x", "/draft/stream/x", "/ask/stream/x");
     CAPTURE(path);
@@ -63,7 +63,7 @@
     for (int i = 0; i < 40; ++i)
         CHECK(deployment.call(deployment.gateways()[i % 2], gatewayRequest("GET", path, "later-" + std::to_string(i))).status_ == 200);
     CHECK(runsOf(deployment, leaving) == before);
-    // The platform is up again, with a list from before the answer.
+    // The platform is up again, but its list of backend servers is older than the answer.
     deployment.control({ { "down", 0 } });
     std::this_thread::sleep_for(maxNoticeDelay);
     for (int i = 0; i < 20; ++i)
@@ -71,7 +71,7 @@
     CHECK(runsOf(deployment, leaving) == before);
 }
 
-TEST_CASE("a backend server that rejects a request and announces that it is leaving gets new requests", "[gateway]")
+TEST_CASE("a backend server that rejects a request and announces that it is leaving gets no new requests", "[gateway]")
 {
     GatewayDeployment deployment(1);
     deployment.startStandardServices();
@@ -89,7 +89,7 @@
     CHECK(rejectedCount() == before);
 }
 
-TEST_CASE("a backend server that requested a pause gets requests during it", "[gateway]")
+TEST_CASE("a backend server that requested a pause gets no requests during it", "[gateway]")
 {
     GatewayDeployment deployment(1);
     deployment.startStandardServices();
--- a/tools/standins/Engine.h
+++ b/tools/standins/Engine.h
@@ -57,6 +57,7 @@
     std::map<std::string, std::string> importedRuns_;
     std::uint64_t samplingRunCount_ = 0;
     std::int64_t started_ = 0;
+    /// Number of requests to generate that were rejected because the engine was leaving.
     std::int64_t startRequestsWhileLeaving_ = 0;
     std::int64_t tokens_ = 0;
     std::int64_t prefilled_ = 0;
@@ -72,6 +73,7 @@
     std::int64_t staleRejected_ = 0;
     std::int64_t staleApplied_ = 0;
     std::int64_t appliedWhileActive_ = 0;
+    /// Number of requests to generate that were rejected because the engine was loading.
     std::int64_t startRequestsWhileLoading_ = 0;
 };
 
--- a/tools/standins/EngineStream.h
+++ b/tools/standins/EngineStream.h
@@ -31,7 +31,7 @@
     void notifyWriter() { changeTimer_.cancel(); }
 
     std::uint32_t attempt_ = 0;
-    /// The start of the prompt's hash, contained in each token.
+    /// The first characters of the prompt's hash. Each token contains them.
     std::string promptTag_;
     /// Names the sampling run; an imported KV cache continues the run of its source.
     std::string samplingRun_;
--- a/tools/standins/FleetStandin.cpp
+++ b/tools/standins/FleetStandin.cpp
@@ -350,7 +350,7 @@
         auto queried = entries_.find(textField(body, "born"));
         if (queried != entries_.end())
             answer["born"] = queried->second.at("born");
-        answer["duties"] = dutyCalls_;
+        answer["duties"] = recordedDutyCalls_;
         answer["crashes"] = crashes_;
         answer["statuses"] = statuses_;
         answer["ports"] = ports;
@@ -501,7 +501,7 @@
         json::object duty { { "call", path }, { "holder", request.header("x-pistachioloom-duty-holder") }, { "token", std::stoll("0" + request.header("x-pistachioloom-fence-token")) } };
         duty["at_ms"] = std::chrono::duration_cast<milliseconds>(steadyNow().time_since_epoch()).count();
         duty["body"] = parseJsonObject(request.body_).value_or(json::object {});
-        dutyCalls_.push_back(std::move(duty));
+        recordedDutyCalls_.push_back(std::move(duty));
     }
 
     asio::io_context& io_;
@@ -512,7 +512,7 @@
     std::vector<std::unique_ptr<Backend>> crashed_;
     /// The registration of each backend server, by id.
     std::map<std::string, json::object> entries_;
-    json::array dutyCalls_;
+    json::array recordedDutyCalls_;
     std::string crashText_;
     json::array crashes_;
     struct ProducerState {
