--- a/benchmarks/RelayBenchmark.cpp
+++ b/benchmarks/RelayBenchmark.cpp
@@ -90,7 +90,7 @@
     shape.isForEngine_ = true;
     return medianTimeUs(200, [&] {
         auto choice = table.choose(shape, {}, start);
-        table.end(choice->backend_.id_, { BackendOutcome::Abandoned, choice->uncached_ }, start);
+        table.end(choice->backend_.id_, { BackendOutcome::Abandoned, choice->uncachedTokens_ }, start);
     });
 }
 
--- a/include/pistachioloom/Backends.h
+++ b/include/pistachioloom/Backends.h
@@ -133,12 +133,12 @@
     /// The part of the estimate that is spent on requests ahead of this one.
     milliseconds queueWait_ {};
     /// Number of candidates before sampling.
-    std::size_t candidates_ = 0;
+    std::size_t candidateCount_ = 0;
     /// Prompt tokens that the server has to read, since it is not likely to have them
     /// cached.
-    TokenCount uncached_;
+    TokenCount uncachedTokens_;
     /// Prompt tokens queued at the server before this request.
-    TokenCount queuedAhead_;
+    TokenCount queuedTokensAhead_;
     /// Requests in progress at the server before this one, waiting or not.
     std::uint64_t running_ = 0;
 };
@@ -147,7 +147,7 @@
 struct SendResult {
     BackendOutcome outcome_ = BackendOutcome::Served;
     /// Copied from BackendChoice.
-    TokenCount uncached_ {};
+    TokenCount uncachedTokens_ {};
     /// Whether BackendTable::noteFirstByte() has been called.
     bool hasFirstByte_ = false;
     /// From the first byte to the end.
@@ -300,7 +300,7 @@
     /// Slots of a service's backend servers that take new requests, and how many of them
     /// are taken by requests of this node and, as reported, of its peers.
     struct Occupancy {
-        std::uint64_t taken_ = 0;
+        std::uint64_t takenSlots_ = 0;
         std::uint64_t slots_ = 0;
         std::size_t backends_ = 0;
     };
@@ -322,22 +322,22 @@
         /// Hash of the id; key_ is its lower half.
         std::uint64_t hash_ = 0;
         BackendKey key_ = 0;
-        BackendLoad own_;
-        BackendLoad peers_;
+        BackendLoad ownLoad_;
+        BackendLoad peerLoad_;
         /// Consecutive failures.
-        unsigned failures_ = 0;
+        unsigned consecutiveFailures_ = 0;
         SteadyTime ejectedUntil_ {};
         /// End of the pause that the server asked for.
         SteadyTime pausedUntil_ {};
         /// Duration of the last ejection; 0 after a successful request.
-        milliseconds ejection_ {};
+        milliseconds ejectionTime_ {};
         /// Moving average of observed waits as multiples of their estimates; 1 if they
         /// are as estimated.
         double slowness_ = 1;
         /// Moving average of the share of requests that the server failed.
         double failedShare_ = 0;
         /// Time at which this node last sent each shared prompt part, by the part's id.
-        std::unordered_map<std::string, SteadyTime> cached_;
+        std::unordered_map<std::string, SteadyTime> partSentAt_;
     };
     struct PeerLoads {
         SteadyTime receivedAt_ {};
@@ -358,8 +358,8 @@
         std::uint64_t observations_ = 0;
         double meanTokens_ = 0;
         double meanWait_ = 0;
-        double meanSquare_ = 0;
-        double meanProduct_ = 0;
+        double meanSquaredTokens_ = 0;
+        double meanTokensTimesWait_ = 0;
         std::uint64_t tokensRequested_ = 0;
         /// Moving average of the time for which a request holds its slot.
         std::optional<double> meanSlotHoldMs_;
--- a/include/pistachioloom/Forward.h
+++ b/include/pistachioloom/Forward.h
@@ -66,7 +66,7 @@
     /// last part of at least this length.
     milliseconds idleMargin_ { 300 };
     /// The idle timeout of a kept connection whose server does not state one.
-    milliseconds defaultIdle_ { 2000 };
+    milliseconds defaultIdleTimeout_ { 2000 };
     /// The maximum size of a buffered answer. All answers except event streams are
     /// buffered.
     ByteCount maxAnswerSize_ { 8UL * 1024 * 1024 };
--- a/include/pistachioloom/Limits.h
+++ b/include/pistachioloom/Limits.h
@@ -97,8 +97,8 @@
     /// \returns the slots that the lender must not use because of the loan \p lent.
     static std::uint64_t reservedSlots(const OutgoingLoan& lent, SteadyTime now);
 
-    std::map<DataCentreId, OutgoingLoan> lent_;
-    std::map<DataCentreId, IncomingLoan> borrowed_;
+    std::map<DataCentreId, OutgoingLoan> outgoingLoans_;
+    std::map<DataCentreId, IncomingLoan> incomingLoans_;
 };
 
 /// Token bucket of an entry's generated tokens, refilled at the entry's rate up
@@ -228,11 +228,11 @@
 private:
     struct Queued {
         Waiter waiter_;
-        double finish_ = 0;
+        double virtualFinish_ = 0;
         std::uint64_t sequence_ = 0;
     };
     std::vector<Queued> waiting_;
-    std::map<EntryName, double> lastFinish_;
+    std::map<EntryName, double> lastVirtualFinish_;
     double virtualTime_ = 0;
     std::uint64_t sequence_ = 0;
 };
--- a/include/pistachioloom/Orders.h
+++ b/include/pistachioloom/Orders.h
@@ -75,7 +75,7 @@
     void applyClaim(LogOffset offset, EngineClaim claim, SteadyTime now);
     void applyEnd(const EngineClaim& claim);
 
-    std::map<VmId, Holder> open_;
+    std::map<VmId, Holder> openClaims_;
     LogOffset nextOffset_;
 };
 
@@ -99,14 +99,14 @@
     const ClaimTable::Holder* holder_ = nullptr;
     /// Open claims that precede this node's claim in its queue, and how many
     /// engines of one queue may load simultaneously.
-    std::size_t ahead_ = 0;
+    std::size_t claimsAhead_ = 0;
     std::size_t maxLoading_ = 1;
     /// When the append of this node's claim began.
     SteadyTime claimedAt_;
     /// When this node sent its last order, if it was for `wanted_`.
     std::optional<SteadyTime> orderedAt_;
     /// Requests in progress on the engine.
-    std::uint64_t active_ = 0;
+    std::uint64_t activeRequests_ = 0;
     /// Whether the engine rejects orders with stale fencing tokens.
     bool honoursFencing_ = false;
 };
--- a/include/pistachioloom/Quarantine.h
+++ b/include/pistachioloom/Quarantine.h
@@ -68,7 +68,7 @@
 
 struct QuarantineSettings {
     /// Number of active crashes at which a request is quarantined.
-    std::uint64_t crashes_ = 3;
+    std::uint64_t crashesToQuarantine_ = 3;
     /// Duration of the first quarantine; each further crash doubles it, up to
     /// `maxDuration_`.
     milliseconds firstDuration_ { 600'000 };
@@ -86,7 +86,7 @@
 struct Quarantine {
     std::size_t crashes_ = 0;
     milliseconds sinceLastCrash_ {};
-    milliseconds left_ {};
+    milliseconds timeLeft_ {};
 };
 
 /// Crashes by request. Nodes that exchange reports converge to the same state in any
@@ -166,7 +166,7 @@
 private:
     const std::uint64_t crashesToQuarantine_;
     /// Number of active crashes in the record of each request.
-    std::map<RequestFingerprint, std::size_t> recorded_;
+    std::map<RequestFingerprint, std::size_t> recordedCrashes_;
 };
 
 /// An attempt whose connection the backend server cut off.
@@ -219,7 +219,7 @@
     /// An attempt whose backend server is not known to have terminated.
     struct Pending {
         CutOff cutOff_;
-        SteadyTime at_ {};
+        SteadyTime cutOffAt_ {};
     };
 
     void removeExpired(SteadyTime now);
@@ -229,8 +229,8 @@
     std::vector<Pending> pending_;
     std::atomic<std::size_t> pendingCount_ { 0 };
     /// Backend servers that a probe is running for.
-    std::set<BackendIncarnationKey> probed_;
-    std::map<BackendIncarnationKey, SteadyTime> terminated_;
+    std::set<BackendIncarnationKey> runningProbes_;
+    std::map<BackendIncarnationKey, SteadyTime> terminatedAt_;
 };
 
 } // namespace pistachioloom
--- a/include/pistachioloom/Quota.h
+++ b/include/pistachioloom/Quota.h
@@ -115,13 +115,13 @@
         /// Mean cost of all requests, admitted or rejected.
         double meanCost_ = 0;
         /// This node's share, set while the nodes divide the remainder.
-        std::optional<double> share_;
+        std::optional<double> shareBalance_;
         /// Tokens charged for unresponsive peers since their last reports.
-        std::map<VmId, double> charged_;
+        std::map<VmId, double> chargedByPeer_;
     };
     struct ReceivedLevel {
         double level_ = 0;
-        SteadyTime at_ {};
+        SteadyTime receivedAt_ {};
     };
     struct Peer {
         std::uint64_t incarnation_ = 0;
@@ -175,7 +175,7 @@
     /// Retries allowed for each request of a service.
     double ratio_ = 0.2;
     /// Additional retries allowed in each window, over all nodes.
-    double extra_ = 0;
+    double extraRetries_ = 0;
     milliseconds window_ { 10000 };
     /// Nodes that share the additional retries.
     std::uint64_t nodes_ = 1;
--- a/include/pistachioloom/Routing.h
+++ b/include/pistachioloom/Routing.h
@@ -22,11 +22,11 @@
     VmId dispatcher_;
     ModelLoad load_;
     /// Requests that this node sent to the engine since the load was reported.
-    std::uint32_t sentSince_ = 0;
+    std::uint32_t sentSinceReport_ = 0;
     /// Rank of the engine for the prompt's prefix by rendezvous hashing; 0 is the highest.
     std::size_t prefixRank_ = 0;
     bool isLocal_ = true;
-    milliseconds network_ {};
+    milliseconds networkLatency_ {};
     std::uint64_t pricePerHour_ = 0;
     /// Estimated time to first token; set by rankEngines().
     milliseconds estimate_ {};
@@ -35,7 +35,7 @@
 /// Parameters of the estimated time to first token.
 struct RoutingParameters {
     /// Time to prefill the complete prompt on an engine that has none of it cached.
-    milliseconds prefill_ {};
+    milliseconds prefillTime_ {};
     /// Time until a slot of a full engine becomes free.
     milliseconds serviceTime_ { 500 };
     milliseconds latencyTarget_ { 720 };
--- a/lib/Backends/Backends.cpp
+++ b/lib/Backends/Backends.cpp
@@ -86,16 +86,16 @@
 void BackendTable::noteAdmitted(const BackendChoice& choice)
 {
     std::lock_guard lock(mutex_);
-    estimators_[choice.backend_.service_].tokensRequested_ += choice.uncached_.value_;
+    estimators_[choice.backend_.service_].tokensRequested_ += choice.uncachedTokens_.value_;
 }
 
 void BackendTable::noteRejected(const BackendChoice& choice)
 {
     std::lock_guard lock(mutex_);
-    estimators_[choice.backend_.service_].tokensRequested_ += choice.uncached_.value_ / 2;
+    estimators_[choice.backend_.service_].tokensRequested_ += choice.uncachedTokens_.value_ / 2;
     auto found = backends_.find(choice.backend_.id_);
     if (found != backends_.end())
-        releaseLoad(found->second, choice.uncached_, false);
+        releaseLoad(found->second, choice.uncachedTokens_, false);
 }
 
 void BackendTable::noteNoBackend(const RequestShape& shape)
@@ -107,10 +107,10 @@
 /// Removes a request from the load in progress at \p backend.
 void BackendTable::releaseLoad(Backend& backend, TokenCount uncached, bool hasFirstByte)
 {
-    if (backend.own_.running_)
-        --backend.own_.running_;
+    if (backend.ownLoad_.running_)
+        --backend.ownLoad_.running_;
     if (!hasFirstByte)
-        backend.own_.queuedTokens_ -= std::min(backend.own_.queuedTokens_, uncached.value_);
+        backend.ownLoad_.queuedTokens_ -= std::min(backend.ownLoad_.queuedTokens_, uncached.value_);
 }
 
 double BackendTable::noteFirstByte(const BackendChoice& choice, const RequestShape& shape, milliseconds wait)
@@ -121,16 +121,16 @@
         return 1;
     Backend& backend = found->second;
     noteReachable(backend);
-    backend.own_.queuedTokens_ -= std::min(backend.own_.queuedTokens_, choice.uncached_.value_);
+    backend.ownLoad_.queuedTokens_ -= std::min(backend.ownLoad_.queuedTokens_, choice.uncachedTokens_.value_);
     double waited = std::max(1.0, static_cast<double>(wait.count()));
     double estimated = std::max(1.0, static_cast<double>(choice.estimate_.count()) / (shape.isForEngine_ ? slowdownFactor(backend) : backend.slowness_));
     double observed = std::clamp(waited / estimated, minSlowness, maxSlowness);
     backend.slowness_ += learningRate * (observed - backend.slowness_);
-    std::uint64_t tokens = choice.uncached_.value_;
+    std::uint64_t tokens = choice.uncachedTokens_.value_;
     // Only requests that did not queue are observed. The loads of other requests are
     // known with a delay, so that prompts already read would count as read during this
     // wait. The same holds for the wait for a slot.
-    if (shape.isForEngine_ && !choice.queuedAhead_.value_ && choice.running_ < choice.backend_.slots_)
+    if (shape.isForEngine_ && !choice.queuedTokensAhead_.value_ && choice.running_ < choice.backend_.slots_)
         estimators_[shape.service_].observeWait(static_cast<double>(tokens), waited);
     return waited / estimated;
 }
@@ -141,8 +141,8 @@
     double weight = std::max(prefillLearningRate, 1.0 / static_cast<double>(++observations_));
     meanTokens_ += weight * (tokens - meanTokens_);
     meanWait_ += weight * (waitedMs - meanWait_);
-    meanSquare_ += weight * (tokens * tokens - meanSquare_);
-    meanProduct_ += weight * (tokens * waitedMs - meanProduct_);
+    meanSquaredTokens_ += weight * (tokens * tokens - meanSquaredTokens_);
+    meanTokensTimesWait_ += weight * (tokens * waitedMs - meanTokensTimesWait_);
 }
 
 void BackendTable::ServiceEstimator::observeSlotHold(milliseconds held)
@@ -154,8 +154,8 @@
 
 double BackendTable::ServiceEstimator::prefillPerMs(double fallback) const
 {
-    double variance = meanSquare_ - meanTokens_ * meanTokens_;
-    double covariance = meanProduct_ - meanTokens_ * meanWait_;
+    double variance = meanSquaredTokens_ - meanTokens_ * meanTokens_;
+    double covariance = meanTokensTimesWait_ - meanTokens_ * meanWait_;
     if (observations_ < minObservations || variance <= 0 || covariance <= 0)
         return fallback;
     return std::clamp(variance / covariance, fallback / maxFallbackRatio, fallback * maxFallbackRatio);
@@ -204,10 +204,10 @@
 
 void BackendTable::recordFailure(Backend& backend, SteadyTime now)
 {
-    if (++backend.failures_ < settings_.failuresToEject_)
+    if (++backend.consecutiveFailures_ < settings_.failuresToEject_)
         return;
-    backend.ejection_ = backend.ejection_.count() ? std::min(backend.ejection_ * 2, settings_.maxEjection_) : settings_.initialEjection_;
-    backend.ejectedUntil_ = now + backend.ejection_;
+    backend.ejectionTime_ = backend.ejectionTime_.count() ? std::min(backend.ejectionTime_ * 2, settings_.maxEjection_) : settings_.initialEjection_;
+    backend.ejectedUntil_ = now + backend.ejectionTime_;
 }
 
 void BackendTable::end(const BackendId& id, const SendResult& result, SteadyTime now)
@@ -217,13 +217,13 @@
     if (found == backends_.end())
         return;
     Backend& backend = found->second;
-    releaseLoad(backend, result.uncached_, result.hasFirstByte_);
+    releaseLoad(backend, result.uncachedTokens_, result.hasFirstByte_);
     switch (result.outcome_) {
     case BackendOutcome::Served:
         noteReachable(backend);
         estimators_[backend.record_.service_].observeSlotHold(result.streamingTime_);
-        backend.failures_ = 0;
-        backend.ejection_ = {};
+        backend.consecutiveFailures_ = 0;
+        backend.ejectionTime_ = {};
         backend.failedShare_ -= learningRate * backend.failedShare_;
         return;
     case BackendOutcome::Failed:
@@ -239,7 +239,7 @@
         return;
     case BackendOutcome::Unreachable:
         failedByDataCentre_[backend.record_.dataCentre_].insert(id);
-        backend.failures_ = std::max(backend.failures_, settings_.failuresToEject_);
+        backend.consecutiveFailures_ = std::max(backend.consecutiveFailures_, settings_.failuresToEject_);
         recordFailure(backend, now);
         return;
     case BackendOutcome::Broken:
@@ -257,8 +257,8 @@
     std::lock_guard lock(mutex_);
     std::map<BackendKey, BackendLoad> loads;
     for (const auto& [id, backend] : backends_) {
-        if (backend.own_.running_)
-            loads[backend.key_] = backend.own_;
+        if (backend.ownLoad_.running_)
+            loads[backend.key_] = backend.ownLoad_;
     }
     return loads;
 }
@@ -280,13 +280,13 @@
 {
     std::erase_if(peers_, [&](const auto& entry) { return now - entry.second.receivedAt_ > settings_.peerLoadValidity_; });
     for (auto& [id, backend] : backends_) {
-        backend.peers_ = {};
+        backend.peerLoad_ = {};
         for (const auto& [peer, reported] : peers_) {
             auto found = reported.loads_.find(backend.key_);
             if (found == reported.loads_.end())
                 continue;
-            backend.peers_.running_ += found->second.running_;
-            backend.peers_.queuedTokens_ += found->second.queuedTokens_;
+            backend.peerLoad_.running_ += found->second.running_;
+            backend.peerLoad_.queuedTokens_ += found->second.queuedTokens_;
         }
     }
 }
@@ -300,7 +300,7 @@
             continue;
         bool isTarget = backend.record_.version_ == target;
         if (!isTarget)
-            versions.othersRunning_ += backend.own_.running_ + backend.peers_.running_;
+            versions.othersRunning_ += backend.ownLoad_.running_ + backend.peerLoad_.running_;
         if (!backend.record_.isLeaving_)
             ++(isTarget ? versions.target_ : versions.others_);
     }
@@ -314,7 +314,7 @@
     for (const auto& [id, backend] : backends_) {
         if (backend.record_.service_ != service || backend.record_.isLeaving_)
             continue;
-        sum.taken_ += std::min<std::uint64_t>(backend.record_.slots_, backend.own_.running_ + backend.peers_.running_);
+        sum.takenSlots_ += std::min<std::uint64_t>(backend.record_.slots_, backend.ownLoad_.running_ + backend.peerLoad_.running_);
         sum.slots_ += backend.record_.slots_;
         ++sum.backends_;
     }
--- a/lib/Backends/Choice.cpp
+++ b/lib/Backends/Choice.cpp
@@ -56,8 +56,8 @@
     const PromptPart* shared = sharedPart(shape);
     if (!shared)
         return shape.promptTokens_;
-    auto sent = backend.cached_.find(shared->id_);
-    bool wasSent = sent != backend.cached_.end() && now - sent->second < settings_.assumedCacheLifetime_;
+    auto sent = backend.partSentAt_.find(shared->id_);
+    bool wasSent = sent != backend.partSentAt_.end() && now - sent->second < settings_.assumedCacheLifetime_;
     if (!wasSent && backend.record_.id_ != affinityBackend)
         return shape.promptTokens_;
     std::uint64_t cached = 0;
@@ -90,8 +90,8 @@
     auto mayCache = [&](const Backend* backend) {
         if (!shared)
             return false;
-        auto sent = backend->cached_.find(shared->id_);
-        return backend->record_.id_ == affinityBackend || (sent != backend->cached_.end() && now - sent->second < settings_.assumedCacheLifetime_);
+        auto sent = backend->partSentAt_.find(shared->id_);
+        return backend->record_.id_ == affinityBackend || (sent != backend->partSentAt_.end() && now - sent->second < settings_.assumedCacheLifetime_);
     };
     auto others = std::partition(candidates.begin(), candidates.end(), mayCache);
     auto left = static_cast<std::size_t>(candidates.end() - others);
@@ -106,7 +106,7 @@
 double BackendTable::slotWaitMs(const Backend& backend) const
 {
     std::uint64_t slots = std::max<std::uint64_t>(1, backend.record_.slots_);
-    std::uint64_t running = backend.own_.running_ + backend.peers_.running_;
+    std::uint64_t running = backend.ownLoad_.running_ + backend.peerLoad_.running_;
     if (running < slots)
         return 0;
     auto estimator = estimators_.find(backend.record_.service_);
@@ -123,10 +123,10 @@
 
 double BackendTable::queueWaitMs(const Backend& backend, const RequestShape& shape) const
 {
-    double running = backend.own_.running_ + backend.peers_.running_;
+    double running = backend.ownLoad_.running_ + backend.peerLoad_.running_;
     if (!shape.isForEngine_)
         return plainRequestMs * running / static_cast<double>(std::max<std::uint64_t>(1, backend.record_.slots_)) * backend.slowness_;
-    auto queued = static_cast<double>(backend.own_.queuedTokens_ + backend.peers_.queuedTokens_);
+    auto queued = static_cast<double>(backend.ownLoad_.queuedTokens_ + backend.peerLoad_.queuedTokens_);
     return (queued / prefillRateOf(shape.service_) + running * settings_.delayPerRunningMs_ + slotWaitMs(backend)) * slowdownFactor(backend);
 }
 
@@ -192,7 +192,7 @@
         return std::nullopt;
 
     BackendChoice choice;
-    choice.candidates_ = candidates.size();
+    choice.candidateCount_ = candidates.size();
     BackendId affinityBackend = affinityBackendOf(shape, candidates);
     if (candidates.size() > settings_.samplingThreshold_ && !shape.isSuspect_)
         reduceToSample(candidates, shape, affinityBackend, now);
@@ -202,7 +202,7 @@
     for (Backend* backend : candidates) {
         TokenCount uncached = uncachedAt(*backend, shape, affinityBackend, now);
         double estimate = estimateMs(*backend, shape, uncached);
-        double suspectPenalty = shape.isSuspect_ ? suspectPenaltyMs * (backend->own_.running_ + backend->peers_.running_) : 0;
+        double suspectPenalty = shape.isSuspect_ ? suspectPenaltyMs * (backend->ownLoad_.running_ + backend->peerLoad_.running_) : 0;
         double score = suspectPenalty + estimate + (backend->record_.dataCentre_ == ownDataCentre_ ? 0 : settings_.remotePenaltyMs_);
         // A random one of equal candidates is chosen, so that nodes do not all choose the
         // same one.
@@ -212,19 +212,19 @@
             continue;
         chosen = backend;
         bestScore = score;
-        choice.uncached_ = uncached;
-        choice.queuedAhead_ = { backend->own_.queuedTokens_ + backend->peers_.queuedTokens_ };
-        choice.running_ = backend->own_.running_ + backend->peers_.running_;
+        choice.uncachedTokens_ = uncached;
+        choice.queuedTokensAhead_ = { backend->ownLoad_.queuedTokens_ + backend->peerLoad_.queuedTokens_ };
+        choice.running_ = backend->ownLoad_.running_ + backend->peerLoad_.running_;
         choice.estimate_ = milliseconds(static_cast<std::int64_t>(estimate));
         choice.queueWait_ = milliseconds(static_cast<std::int64_t>(queueWaitMs(*backend, shape)));
     }
-    chosen->own_.running_ += 1;
-    chosen->own_.queuedTokens_ += choice.uncached_.value_;
+    chosen->ownLoad_.running_ += 1;
+    chosen->ownLoad_.queuedTokens_ += choice.uncachedTokens_.value_;
     if (const PromptPart* shared = sharedPart(shape)) {
-        if (chosen->cached_.size() >= maxRememberedParts)
-            std::erase_if(chosen->cached_, [&](const auto& part) { return now - part.second >= settings_.assumedCacheLifetime_; });
-        if (chosen->cached_.size() < maxRememberedParts)
-            chosen->cached_[shared->id_] = now;
+        if (chosen->partSentAt_.size() >= maxRememberedParts)
+            std::erase_if(chosen->partSentAt_, [&](const auto& part) { return now - part.second >= settings_.assumedCacheLifetime_; });
+        if (chosen->partSentAt_.size() < maxRememberedParts)
+            chosen->partSentAt_[shared->id_] = now;
     }
     choice.backend_ = chosen->record_;
     return choice;
--- a/lib/Forward/Answering.cpp
+++ b/lib/Forward/Answering.cpp
@@ -59,8 +59,8 @@
 RequestForwarder::HeldAnswer RequestForwarder::rejection(int status, std::string reason, milliseconds retryAfter) const
 {
     HeldAnswer answer { status, {}, {} };
-    if (!id_.empty())
-        answer.fields_.push_back({ context_.names_.attempt_, id_ });
+    if (!attemptId_.empty())
+        answer.fields_.push_back({ context_.names_.attempt_, attemptId_ });
     answer.fields_.push_back({ "Content-Type", "text/plain" });
     if (retryAfter.count()) {
         std::string fraction = std::to_string(1000 + retryAfter.count() % 1000);
--- a/lib/Forward/CallerConnection.cpp
+++ b/lib/Forward/CallerConnection.cpp
@@ -29,8 +29,8 @@
 
 CallerConnection::CallerConnection(asio::ip::tcp::socket socket)
     : socket_(std::move(socket))
-    , arrived_(socket_.get_executor())
-    , consumed_(socket_.get_executor())
+    , inputArrived_(socket_.get_executor())
+    , inputConsumed_(socket_.get_executor())
 {
     boost::system::error_code ignored;
     socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
@@ -51,17 +51,17 @@
         if (!socket_.is_open())
             break;
         if (input_.size() >= maxBuffered) {
-            (void)co_await consumed_.waitUntil(steadyNow() + bodyReadTimeout);
+            (void)co_await inputConsumed_.waitUntil(steadyNow() + bodyReadTimeout);
             continue;
         }
         auto [code, count] = co_await socket_.async_read_some(asio::buffer(chunk), asTuple);
         if (code)
             break;
         input_.append(chunk.data(), count);
-        arrived_.notify();
+        inputArrived_.notify();
     }
     isDisconnected_ = true;
-    arrived_.notify();
+    inputArrived_.notify();
     if (auto hook = std::exchange(disconnectHook_, nullptr))
         hook();
 }
@@ -87,11 +87,11 @@
     while (input_.empty()) {
         if (isDisconnected_)
             co_return false;
-        if (co_await arrived_.waitUntil(idleUntil))
+        if (co_await inputArrived_.waitUntil(idleUntil))
             continue;
         if (!hasUnread())
             co_return !input_.empty();
-        bool hasArrived = co_await arrived_.waitUntil(steadyNow() + pendingReadTimeout);
+        bool hasArrived = co_await inputArrived_.waitUntil(steadyNow() + pendingReadTimeout);
         if (!hasArrived)
             co_return !input_.empty();
     }
@@ -116,7 +116,7 @@
     SteadyTime headUntil = steadyNow() + bounds.headerTimeout_;
     for (;;) {
         RequestReader::Progress progress = reader.feed(input_);
-        consumed_.notify();
+        inputConsumed_.notify();
         if (progress == RequestReader::Progress::Done)
             co_return reader.take();
         if (progress == RequestReader::Progress::Bad) {
@@ -130,7 +130,7 @@
             (void)co_await write(std::move(interimAnswer));
         }
         SteadyTime until = reader.hasHead() ? steadyNow() + bodyReadTimeout : headUntil;
-        if (co_await arrived_.waitUntil(until))
+        if (co_await inputArrived_.waitUntil(until))
             continue;
         badStatus_ = 408;
         co_return Error { Errc::Timeout, "read request", peer_, "the request did not arrive in time", Ran::No, {} };
--- a/lib/Forward/CallerConnection.h
+++ b/lib/Forward/CallerConnection.h
@@ -60,8 +60,8 @@
 
     asio::ip::tcp::socket socket_;
     std::string input_;
-    AutoResetEvent arrived_;
-    AutoResetEvent consumed_;
+    AutoResetEvent inputArrived_;
+    AutoResetEvent inputConsumed_;
     std::function<void()> disconnectHook_;
     bool isDisconnected_ = false;
     bool isIdle_ = true;
--- a/lib/Forward/ConnectionPool.cpp
+++ b/lib/Forward/ConnectionPool.cpp
@@ -39,7 +39,7 @@
 
 milliseconds usableIdle(std::string_view keepAlive, const ForwardSettings& settings)
 {
-    milliseconds idle = parseIdleTimeout(keepAlive).value_or(settings.defaultIdle_);
+    milliseconds idle = parseIdleTimeout(keepAlive).value_or(settings.defaultIdleTimeout_);
     return std::max(milliseconds(0), idle - std::max(idle / idleMarginDivisor, settings.idleMargin_));
 }
 
--- a/lib/Forward/EventSplitter.cpp
+++ b/lib/Forward/EventSplitter.cpp
@@ -54,14 +54,14 @@
         std::string_view event = rest.substr(0, length);
         at += length;
         auto id = eventId(event);
-        if (id && last_ && *id <= *last_)
+        if (id && lastId_ && *id <= *lastId_)
             continue;
-        if (id && last_ && *id != *last_ + 1) {
+        if (id && lastId_ && *id != *lastId_ + 1) {
             hasGap_ = true;
             break;
         }
         if (id)
-            last_ = id;
+            lastId_ = id;
         complete.append(event);
     }
     partial_.erase(0, at);
--- a/lib/Forward/EventSplitter.h
+++ b/lib/Forward/EventSplitter.h
@@ -17,7 +17,7 @@
 public:
     /// \p last is the id of the newest event that the caller has, if known.
     explicit EventSplitter(std::optional<std::uint64_t> last)
-        : last_(last)
+        : lastId_(last)
     {
     }
 
@@ -28,7 +28,7 @@
     /// Discards an incomplete event, because its stream broke off and another follows.
     void dropPartial() { partial_.clear(); }
     /// The id of the newest event that the caller has.
-    std::optional<std::uint64_t> last() const { return last_; }
+    std::optional<std::uint64_t> last() const { return lastId_; }
     /// Whether an incomplete event is buffered.
     bool hasPartial() const { return !partial_.empty(); }
     /// Whether an event is missing. No events are returned after the gap.
@@ -36,7 +36,7 @@
 
 private:
     std::string partial_;
-    std::optional<std::uint64_t> last_;
+    std::optional<std::uint64_t> lastId_;
     bool hasGap_ = false;
 };
 
--- a/lib/Forward/RequestForwarder.cpp
+++ b/lib/Forward/RequestForwarder.cpp
@@ -39,7 +39,7 @@
     , pool_(pool)
     , caller_(std::move(caller))
     , request_(std::move(request))
-    , id_(request_.field(context.names_.attempt_))
+    , attemptId_(request_.field(context.names_.attempt_))
     , timer_(pool.executor())
 {
     keepsConnection_ = request_.isKeepAlive_;
@@ -79,10 +79,10 @@
     if (!organisation_)
         return std::nullopt;
     std::uint64_t tokens = shape_.promptTokens_.value_ + shape_.maxOutputTokens_.value_;
-    cost_ = 1;
+    quotaCost_ = 1;
     if (organisation_->countsTokens_)
-        cost_ = static_cast<double>(tokens ? tokens : organisation_->defaultTokens_);
-    auto wait = context_.quotas_.take(organisation_->name_, { organisation_->ratePerSecond_, organisation_->burst_ }, cost_, steadyNow());
+        quotaCost_ = static_cast<double>(tokens ? tokens : organisation_->defaultTokens_);
+    auto wait = context_.quotas_.take(organisation_->name_, { organisation_->ratePerSecond_, organisation_->burst_ }, quotaCost_, steadyNow());
     if (wait) {
         context_.metrics_.add(Counter::RequestsRefused);
         return rejection(429, "quota of " + organisation_->name_.value_ + " used up", *wait);
@@ -105,7 +105,7 @@
         return rejected;
     urgency_ = std::min(maxUrgency, organisation_ && organisation_->priority_ ? *organisation_->priority_ : route_->priority_);
     shape_ = shapeOf();
-    events_ = EventSplitter(parseNumber(request_.field(context_.names_.lastEvent_)));
+    eventSplitter_ = EventSplitter(parseNumber(request_.field(context_.names_.lastEvent_)));
     deadline_ = request_.receivedAt_ + route_->timeout_;
     if (auto callerDeadline = parseNumber(request_.field(context_.names_.deadline_)))
         deadline_ = std::min(deadline_, request_.receivedAt_ + milliseconds(static_cast<std::int64_t>(std::min<std::uint64_t>(*callerDeadline, 3600000))));
@@ -168,7 +168,7 @@
 
 std::optional<RequestForwarder::HeldAnswer> RequestForwarder::rejectLongWait(const BackendChoice& choice) const
 {
-    AdmissionView view { shape_.isForEngine_ && route_->isStream_, sendCount_ || events_.last(), choice.queueWait_, route_->maxQueueWait_ };
+    AdmissionView view { shape_.isForEngine_ && route_->isStream_, sendCount_ || eventSplitter_.last(), choice.queueWait_, route_->maxQueueWait_ };
     auto retryAfter = retryAfterIfRejected(view, context_.settings_.admission_);
     if (!retryAfter)
         return std::nullopt;
@@ -195,8 +195,8 @@
 void RequestForwarder::logQuarantined(const Quarantine& quarantine)
 {
     LogLine line("Request is quarantined.");
-    line.add("id", id_).add("request", toString(fingerprint())).add("crashes", static_cast<std::int64_t>(quarantine.crashes_));
-    line.add("last_crash_ms", quarantine.sinceLastCrash_.count()).add("left_ms", quarantine.left_.count());
+    line.add("id", attemptId_).add("request", toString(fingerprint())).add("crashes", static_cast<std::int64_t>(quarantine.crashes_));
+    line.add("last_crash_ms", quarantine.sinceLastCrash_.count()).add("left_ms", quarantine.timeLeft_.count());
     line.add("target", request_.target_).add("organisation", organisation_ ? organisation_->name_.value_ : "");
     logger().info(line);
 }
@@ -208,7 +208,7 @@
     if (context_.crashes_.isIdle())
         return;
     if (context_.crashes_.clear(fingerprint(), steadyNow()))
-        logger().info(LogLine("Request is no longer suspected.").add("id", id_).add("request", toString(fingerprint())));
+        logger().info(LogLine("Request is no longer suspected.").add("id", attemptId_).add("request", toString(fingerprint())));
 }
 
 asio::awaitable<void> RequestForwarder::serve()
@@ -222,7 +222,7 @@
         auto choice = takeMoveTarget();
         shape_.version_ = context_.rollouts_.assign(shape_.service_, routeKeyOf(route_->name_), sendCount_ ? RolloutTracker::SendKind::Subsequent : RolloutTracker::SendKind::First, steadyNow());
         if (!choice)
-            choice = context_.backends_.choose(shape_, excluded_, steadyNow());
+            choice = context_.backends_.choose(shape_, excludedBackends_, steadyNow());
         if (!choice) {
             context_.backends_.noteNoBackend(shape_);
             break;
@@ -238,7 +238,7 @@
         Attempt attempt;
         attempt.choice_ = std::move(*choice);
         attempt.startedAt_ = steadyNow();
-        excluded_.insert(attempt.choice_.backend_.id_);
+        excludedBackends_.insert(attempt.choice_.backend_.id_);
         stopReason_ = StopReason::None;
         SendOutcome end = co_await send(attempt);
         finishAttempt(attempt, end);
@@ -251,7 +251,7 @@
         if (!mayRetry(end))
             break;
         context_.metrics_.add(Counter::Retries);
-        logger().info(LogLine("Retrying.").add("id", id_).add("after", attempt.choice_.backend_.id_.value_).add("sends", sendCount_).add("why", attempt.detail_).add("left_ms", timeLeft().count()));
+        logger().info(LogLine("Retrying.").add("id", attemptId_).add("after", attempt.choice_.backend_.id_.value_).add("sends", sendCount_).add("why", attempt.detail_).add("left_ms", timeLeft().count()));
         // No pause is needed: the previous engine detects its closed connection long before
         // the next one starts, because the close is sent first, over a path that is no longer
         // than the send's.
@@ -288,7 +288,7 @@
     cancelMove();
     timer_.cancel();
     if (!hasCountedStart_ && hasQuota_ && !mayHaveRun_)
-        context_.quotas_.giveBack(organisation_->name_, cost_);
+        context_.quotas_.giveBack(organisation_->name_, quotaCost_);
     co_return keepsConnection_ && !caller_->isDisconnected();
 }
 
@@ -323,7 +323,7 @@
     currentConnection_ = nullptr;
     SteadyTime now = steadyNow();
     auto streamed = attempt.hasFirstByte_ ? std::chrono::duration_cast<milliseconds>(now - attempt.firstByteAt_) : milliseconds(0);
-    context_.backends_.end(attempt.choice_.backend_.id_, { outcome, attempt.choice_.uncached_, attempt.hasFirstByte_, streamed }, now);
+    context_.backends_.end(attempt.choice_.backend_.id_, { outcome, attempt.choice_.uncachedTokens_, attempt.hasFirstByte_, streamed }, now);
     auto took = std::chrono::duration_cast<milliseconds>(now - request_.receivedAt_);
     context_.metrics_.observe(Histogram::CompleteAnswer, now - request_.receivedAt_);
     noteVersionOutcome(attempt, outcome);
@@ -348,7 +348,7 @@
     observed.waitRatio_ = attempt.waitRatio_;
     observed.waited_ = std::chrono::duration_cast<milliseconds>((attempt.hasFirstByte_ ? attempt.firstByteAt_ : now) - attempt.startedAt_);
     observed.estimate_ = attempt.choice_.estimate_;
-    std::uint64_t events = events_.last().value_or(0) - std::min(events_.last().value_or(0), attempt.eventBefore_);
+    std::uint64_t events = eventSplitter_.last().value_or(0) - std::min(eventSplitter_.last().value_or(0), attempt.lastEventBefore_);
     if (attempt.hasFirstByte_ && events > 1)
         observed.eventGapMs_ = std::chrono::duration<double, std::milli>(now - attempt.firstByteAt_).count() / static_cast<double>(events - 1);
     const BackendRecord& backend = attempt.choice_.backend_;
@@ -383,13 +383,13 @@
 {
     const BackendChoice& choice = attempt.choice_;
     LogLine line("Attempt ended.");
-    line.add("id", id_).add("outcome", toString(outcome)).add("why", attempt.detail_).add("status", finalStatus_).add("attempt", sendCount_);
+    line.add("id", attemptId_).add("outcome", toString(outcome)).add("why", attempt.detail_).add("status", finalStatus_).add("attempt", sendCount_);
     line.add("route", route_->name_).add("organisation", organisation_ ? organisation_->name_.value_ : "").add("configuration", static_cast<std::int64_t>(table_->version()));
-    line.add("backend", choice.backend_.id_.value_).add("service", shape_.service_.value_).add("data_centre", choice.backend_.dataCentre_.value_).add("candidates", static_cast<std::int64_t>(choice.candidates_));
-    line.add("estimate_ms", choice.estimate_.count()).add("running", static_cast<std::int64_t>(choice.running_)).add("queued_tokens", static_cast<std::int64_t>(choice.queuedAhead_.value_)).add("uncached_tokens", static_cast<std::int64_t>(choice.uncached_.value_));
-    line.add("charged", static_cast<std::int64_t>(cost_)).add("shared_part", shape_.parts_.size() < 2 ? "" : shape_.parts_[shape_.parts_.size() - 2].id_);
+    line.add("backend", choice.backend_.id_.value_).add("service", shape_.service_.value_).add("data_centre", choice.backend_.dataCentre_.value_).add("candidates", static_cast<std::int64_t>(choice.candidateCount_));
+    line.add("estimate_ms", choice.estimate_.count()).add("running", static_cast<std::int64_t>(choice.running_)).add("queued_tokens", static_cast<std::int64_t>(choice.queuedTokensAhead_.value_)).add("uncached_tokens", static_cast<std::int64_t>(choice.uncachedTokens_.value_));
+    line.add("charged", static_cast<std::int64_t>(quotaCost_)).add("shared_part", shape_.parts_.size() < 2 ? "" : shape_.parts_[shape_.parts_.size() - 2].id_);
     if (route_->isStream_)
-        line.add("last_event", events_.last() ? static_cast<std::int64_t>(*events_.last()) : 0);
+        line.add("last_event", eventSplitter_.last() ? static_cast<std::int64_t>(*eventSplitter_.last()) : 0);
     if (attempt.reportsLeaving_)
         line.add("leaving", true);
     if (attempt.pause_.count())
@@ -403,7 +403,7 @@
 void RequestForwarder::logRejection(const HeldAnswer& answer) const
 {
     LogLine line("Refused.");
-    line.add("id", id_).add("status", answer.status_).add("why", std::string_view(answer.body_).substr(0, answer.body_.find('\n')));
+    line.add("id", attemptId_).add("status", answer.status_).add("why", std::string_view(answer.body_).substr(0, answer.body_.find('\n')));
     line.add("target", request_.target_).add("host", request_.field("Host")).add("route", route_ ? route_->name_ : "").add("organisation", organisation_ ? organisation_->name_.value_ : "");
     line.add("configuration", table_ ? static_cast<std::int64_t>(table_->version()) : 0).add("peer", caller_->peer());
     logger().info(line);
--- a/lib/Forward/RequestForwarder.h
+++ b/lib/Forward/RequestForwarder.h
@@ -75,7 +75,7 @@
         /// The wait for the first byte as a multiple of its estimate.
         double waitRatio_ = 1;
         /// The id of the last event that the caller had before the attempt.
-        std::uint64_t eventBefore_ = 0;
+        std::uint64_t lastEventBefore_ = 0;
         std::string detail_;
     };
     /// A complete answer that is not yet delivered.
@@ -156,14 +156,14 @@
     ConnectionPool& pool_;
     std::shared_ptr<CallerConnection> caller_;
     CallerRequest request_;
-    std::string id_;
+    std::string attemptId_;
 
     std::shared_ptr<const RouteTable> table_;
     const Route* route_ = nullptr;
     const OrganisationPolicy* organisation_ = nullptr;
     RequestShape shape_;
     unsigned urgency_ = 0;
-    double cost_ = 0;
+    double quotaCost_ = 0;
     bool hasQuota_ = false;
 
     SteadyTime deadline_ {};
@@ -172,7 +172,7 @@
     StopReason stopReason_ = StopReason::None;
     BackendConnectionPtr currentConnection_;
 
-    std::set<BackendId> excluded_;
+    std::set<BackendId> excludedBackends_;
     unsigned sendCount_ = 0;
     unsigned unsentAttempts_ = 0;
     bool mayHaveRun_ = false;
@@ -180,7 +180,7 @@
     bool hasStartedAnswer_ = false;
     bool isFinished_ = false;
     bool keepsConnection_ = false;
-    EventSplitter events_ { std::nullopt };
+    EventSplitter eventSplitter_ { std::nullopt };
     /// The latest move of the running stream to another engine.
     struct Move {
         explicit Move(const asio::any_io_executor& executor)
@@ -193,7 +193,7 @@
         /// Whether the move was cancelled. If it completes later, it has no effect.
         bool isCancelled_ = false;
         /// The target, once the stream is stopped and its KV cache is copied.
-        std::optional<BackendChoice> to_;
+        std::optional<BackendChoice> target_;
         std::string resumeFrom_;
     };
     std::shared_ptr<Move> move_;
--- a/lib/Forward/Sending.cpp
+++ b/lib/Forward/Sending.cpp
@@ -68,8 +68,8 @@
         appendField(head, names.organisation_, organisation_->name_.value_);
     if (shape_.isForEngine_)
         appendField(head, names.urgency_, std::to_string(urgency_));
-    if (events_.last() && route_->isStream_)
-        appendField(head, names.lastEvent_, std::to_string(*events_.last()));
+    if (eventSplitter_.last() && route_->isStream_)
+        appendField(head, names.lastEvent_, std::to_string(*eventSplitter_.last()));
     if (!resumeFrom_.empty())
         appendField(head, names.resumeFrom_, resumeFrom_);
     if (hadLength || !request_.body_.empty())
@@ -141,7 +141,7 @@
 /// current one may use all of the remaining time.
 bool RequestForwarder::mayRetryElsewhere(const Attempt& attempt) const
 {
-    return route_->mayRepeat() && sendCount_ < route_->maxAttempts_ && attempt.choice_.candidates_ > 1;
+    return route_->mayRepeat() && sendCount_ < route_->maxAttempts_ && attempt.choice_.candidateCount_ > 1;
 }
 
 asio::awaitable<SendOutcome> RequestForwarder::send(Attempt& attempt)
@@ -170,7 +170,7 @@
     ++sendCount_;
     context_.metrics_.add(Counter::Attempts);
     context_.rollouts_.noteSent(shape_.service_, attempt.choice_.backend_.version_);
-    attempt.eventBefore_ = events_.last().value_or(0);
+    attempt.lastEventBefore_ = eventSplitter_.last().value_or(0);
     if (mayRetryElsewhere(attempt)) {
         auto waitLimit = std::chrono::duration_cast<milliseconds>(timeLeft() * context_.settings_.waitLimitShare_);
         if (route_->isStream_)
@@ -249,7 +249,7 @@
         return SendOutcome::NotRun;
     }
     std::string_view echoed = view(message[context_.names_.attempt_]);
-    bool matchesAttempt = id_.empty() || echoed == id_;
+    bool matchesAttempt = attemptId_.empty() || echoed == attemptId_;
     if (!matchesAttempt && !(echoed.empty() && status >= 400)) {
         attempt.detail_ = "other_answer";
         return SendOutcome::Lost;
@@ -348,16 +348,16 @@
 {
     HeaderFields fields = fieldsOf(parser, context_.names_);
     // The previous engine's stream may have ended within an event.
-    events_.dropPartial();
+    eventSplitter_.dropPartial();
     finalStatus_ = static_cast<int>(parser.get().result_int());
     while (!parser.is_done()) {
         if (auto code = co_await readSome(attempt, parser)) {
             attempt.isCutOff_ = isDisconnect(code);
             co_return co_await handleStreamBreak(attempt, code);
         }
-        std::string events = events_.feed(parser.get().body());
+        std::string events = eventSplitter_.feed(parser.get().body());
         parser.get().body().clear();
-        if (events_.hasGap()) {
+        if (eventSplitter_.hasGap()) {
             attempt.detail_ = "event_missing";
             co_return SendOutcome::Lost;
         }
@@ -378,7 +378,7 @@
         if (shouldMove(attempt))
             startMove(attempt);
     }
-    if (events_.hasPartial()) {
+    if (eventSplitter_.hasPartial()) {
         attempt.detail_ = "event_cut";
         co_return SendOutcome::Lost;
     }
--- a/lib/Forward/StreamMove.cpp
+++ b/lib/Forward/StreamMove.cpp
@@ -28,7 +28,7 @@
 /// reclaimed, and another engine would have to process its prompt again.
 bool RequestForwarder::shouldMove(const Attempt& attempt) const
 {
-    if (move_ || !route_->mayRepeat() || !events_.last() || !context_.hooks_.copyStream_)
+    if (move_ || !route_->mayRepeat() || !eventSplitter_.last() || !context_.hooks_.copyStream_)
         return false;
     const ServicePolicy* service = table_->findService(shape_.service_);
     if (!service || !service->engine_ || !service->engine_->canMoveKvCache_)
@@ -47,7 +47,7 @@
     shape.parts_.clear();
     shape.reclaimedDataCentre_ = from.dataCentre_;
     shape.version_ = context_.rollouts_.assign(shape.service_, routeKeyOf(route_->name_), RolloutTracker::SendKind::Subsequent, steadyNow());
-    auto to = context_.backends_.choose(shape, excluded_, steadyNow());
+    auto to = context_.backends_.choose(shape, excludedBackends_, steadyNow());
     if (!to)
         return;
     // A moved stream reaches its target as a retry does, so the retry budget applies.
@@ -64,7 +64,7 @@
     auto self = shared_from_this();
     std::shared_ptr<Move> move = move_;
     SteadyTime startedAt = steadyNow();
-    StreamCopy copy { from.endpoint_, to.backend_.endpoint_, id_, false };
+    StreamCopy copy { from.endpoint_, to.backend_.endpoint_, attemptId_, false };
     auto copied = co_await context_.hooks_.copyStream_(copy);
     std::string copyHandle = copied ? copied.value() : "";
     if (copied && !move->isCancelled_) {
@@ -73,13 +73,13 @@
     }
     bool isMoved = copied && copy.stopsRun_;
     LogLine line(isMoved ? "Stream moved to another engine." : "Stream was not moved.");
-    line.add("id", id_).add("from", from.id_.value_).add("to", to.backend_.id_.value_).add("last_event", static_cast<std::int64_t>(events_.last().value_or(0)));
+    line.add("id", attemptId_).add("from", from.id_.value_).add("to", to.backend_.id_.value_).add("last_event", static_cast<std::int64_t>(eventSplitter_.last().value_or(0)));
     line.add("took_ms", std::chrono::duration_cast<milliseconds>(steadyNow() - startedAt).count()).add("error", copied ? "" : describe(copied.error()));
     logger().info(line);
     move->isDone_ = true;
     if (isMoved && !move->isCancelled_) {
         move->resumeFrom_ = std::move(copied.value());
-        move->to_ = std::move(to);
+        move->target_ = std::move(to);
         move->done_.notify();
         co_return;
     }
@@ -89,14 +89,14 @@
         co_return;
     auto dropped = co_await context_.hooks_.dropCopy_(std::move(copy), std::move(copyHandle));
     if (!dropped)
-        logger().info(LogLine("Failed to free a KV cache copy.").add("id", id_).add("error", describe(dropped.error())));
+        logger().info(LogLine("Failed to free a KV cache copy.").add("id", attemptId_).add("error", describe(dropped.error())));
 }
 
 /// Ends the request that is counted as in progress at \p to, because the stream does not
 /// resume there.
 void RequestForwarder::releaseTarget(const BackendChoice& to)
 {
-    context_.backends_.end(to.backend_.id_, { BackendOutcome::Abandoned, to.uncached_, false, {} }, steadyNow());
+    context_.backends_.end(to.backend_.id_, { BackendOutcome::Abandoned, to.uncachedTokens_, false, {} }, steadyNow());
 }
 
 /// Cancels the move. If it completes later, it has no effect.
@@ -105,7 +105,7 @@
     if (!move_)
         return;
     move_->isCancelled_ = true;
-    if (auto to = std::exchange(move_->to_, std::nullopt))
+    if (auto to = std::exchange(move_->target_, std::nullopt))
         releaseTarget(*to);
 }
 
@@ -117,7 +117,7 @@
     bool canWaitForMove = move_ && stopReason_ != StopReason::CallerDisconnected && stopReason_ != StopReason::DeadlineExceeded;
     if (canWaitForMove && !move_->isDone_)
         (void)co_await move_->done_.waitUntil(steadyNow() + moveWaitLimit);
-    if (!canWaitForMove || !move_->to_) {
+    if (!canWaitForMove || !move_->target_) {
         cancelMove();
         co_return SendOutcome::Lost;
     }
@@ -128,9 +128,9 @@
 /// \returns the engine that has received this stream's KV cache, but only once.
 std::optional<BackendChoice> RequestForwarder::takeMoveTarget()
 {
-    if (!move_ || !move_->to_)
+    if (!move_ || !move_->target_)
         return std::nullopt;
-    std::optional<BackendChoice> to = std::exchange(move_->to_, std::nullopt);
+    std::optional<BackendChoice> to = std::exchange(move_->target_, std::nullopt);
     resumeFrom_ = std::move(move_->resumeFrom_);
     // The stream may have to move again. The send to the previous engine does not count
     // against the maximum number of attempts, as that engine is terminating.
--- a/lib/Gateway/DutyRunner.cpp
+++ b/lib/Gateway/DutyRunner.cpp
@@ -359,7 +359,7 @@
     view.prefillPerMs_ = context_.demand_.prefillPerMs(service.name_, context_.settings_.choice_.prefillPerMs_);
     BackendTable::Occupancy occupancy = context_.backends_.occupancy(service.name_);
     view.slots_ = occupancy.slots_;
-    view.slotsTaken_ = occupancy.taken_;
+    view.slotsTaken_ = occupancy.takenSlots_;
     view.isComplete_ = reports_->coverage(now).isComplete();
     bool hasExcluded = std::any_of(view.dataCentres_.begin(), view.dataCentres_.end(), [](const DataCentreFleet& fleet) { return fleet.onDemandExcluded_ > 0; });
     view.isRollingOut_ = rollout && (!isFinal(rollout->phase_) || (rollout->phase_ == RolloutPhase::Reverted && hasExcluded));
--- a/lib/Gateway/GatewayContext.cpp
+++ b/lib/Gateway/GatewayContext.cpp
@@ -20,7 +20,7 @@
 {
     RetrySettings retries;
     retries.ratio_ = settings.retryRatio_;
-    retries.extra_ = settings.retryExtra_;
+    retries.extraRetries_ = settings.retryExtra_;
     retries.window_ = settings.retryWindow_;
     retries.nodes_ = minNodesAssumed;
     return retries;
--- a/lib/Gateway/GatewaySettings.cpp
+++ b/lib/Gateway/GatewaySettings.cpp
@@ -81,7 +81,7 @@
         settings.streamStallTimeout_ = map.duration("stream_silence", milliseconds(50), oneDay, settings.streamStallTimeout_);
         settings.admission_.queueWaitFactor_ = map.number("admitted_share", 0.01, 100, settings.admission_.queueWaitFactor_);
         settings.waitLimitShare_ = map.number("patience_share", 0.01, 1, settings.waitLimitShare_);
-        settings.defaultIdle_ = map.duration("default_idle", milliseconds(0), oneDay, settings.defaultIdle_);
+        settings.defaultIdleTimeout_ = map.duration("default_idle", milliseconds(0), oneDay, settings.defaultIdleTimeout_);
         map.reportUnknownKeys();
     }
 
@@ -95,7 +95,7 @@
 
     void parseQuarantine(YamlMap map, QuarantineSettings& settings)
     {
-        settings.crashes_ = map.integer("crashes", 1, 12, settings.crashes_);
+        settings.crashesToQuarantine_ = map.integer("crashes", 1, 12, settings.crashesToQuarantine_);
         settings.firstDuration_ = map.duration("first", milliseconds(1000), oneDay, settings.firstDuration_);
         settings.maxDuration_ = map.duration("longest", milliseconds(1000), 30 * oneDay, settings.maxDuration_);
         settings.retention_ = map.duration("memory", milliseconds(1000), oneDay, settings.retention_);
--- a/lib/Gateway/QuarantineEndpoint.cpp
+++ b/lib/Gateway/QuarantineEndpoint.cpp
@@ -27,7 +27,7 @@
         last = std::max(last, crash.at_);
     json::object row { { "request", toString(suspect.request_) }, { "crashes", suspect.activeCrashes() } };
     row["last_crash_ms"] = std::chrono::duration_cast<milliseconds>(now - last).count();
-    row["left_ms"] = quarantine ? quarantine->left_.count() : 0;
+    row["left_ms"] = quarantine ? quarantine->timeLeft_.count() : 0;
     return row;
 }
 
--- a/lib/Gateway/QuarantineStore.cpp
+++ b/lib/Gateway/QuarantineStore.cpp
@@ -29,7 +29,7 @@
 QuarantineStore::QuarantineStore(GatewayContext& context, Hooks hooks)
     : context_(context)
     , hooks_(std::move(hooks))
-    , tracker_(context.settings_.quarantine_.crashes_)
+    , tracker_(context.settings_.quarantine_.crashesToQuarantine_)
 {
 }
 
--- a/lib/Limits/FairQueue.cpp
+++ b/lib/Limits/FairQueue.cpp
@@ -12,7 +12,7 @@
 
 void FairQueue::push(Waiter waiter)
 {
-    double& last = lastFinish_[waiter.entry_];
+    double& last = lastVirtualFinish_[waiter.entry_];
     double start = std::max(virtualTime_, last);
     double finish = start + static_cast<double>(waiter.cost_) / static_cast<double>(std::max<std::uint64_t>(1, waiter.weight_));
     last = finish;
@@ -24,16 +24,16 @@
     auto isBefore = [](const Queued& left, const Queued& right) {
         if (left.waiter_.class_ != right.waiter_.class_)
             return left.waiter_.class_ == ServiceClass::Paid;
-        return std::pair(left.finish_, left.sequence_) < std::pair(right.finish_, right.sequence_);
+        return std::pair(left.virtualFinish_, left.sequence_) < std::pair(right.virtualFinish_, right.sequence_);
     };
     auto best = std::min_element(waiting_.begin(), waiting_.end(), isBefore);
     if (best == waiting_.end())
         return std::nullopt;
     Waiter waiter = std::move(best->waiter_);
-    virtualTime_ = std::max(virtualTime_, best->finish_ - static_cast<double>(waiter.cost_) / static_cast<double>(std::max<std::uint64_t>(1, waiter.weight_)));
+    virtualTime_ = std::max(virtualTime_, best->virtualFinish_ - static_cast<double>(waiter.cost_) / static_cast<double>(std::max<std::uint64_t>(1, waiter.weight_)));
     waiting_.erase(best);
     if (waiting_.empty())
-        lastFinish_.clear();
+        lastVirtualFinish_.clear();
     return waiter;
 }
 
--- a/lib/Limits/Grants.cpp
+++ b/lib/Limits/Grants.cpp
@@ -76,7 +76,7 @@
 
 std::uint64_t LoanTable::lend(const DataCentreId& borrower, std::uint64_t free, const Request& request, milliseconds loanValidity, milliseconds grantValidity, SteadyTime now)
 {
-    OutgoingLoan& lent = lent_[borrower];
+    OutgoingLoan& lent = outgoingLoans_[borrower];
     std::uint64_t before = reservedSlots(lent, now);
     std::uint64_t slots = std::max(request.inUse_, std::min(request.wanted_, free + before));
     // Grants made before this request may stay valid for their full validity.
@@ -95,36 +95,36 @@
 std::uint64_t LoanTable::lent(SteadyTime now) const
 {
     std::uint64_t sum = 0;
-    for (const auto& [borrower, lent] : lent_)
+    for (const auto& [borrower, lent] : outgoingLoans_)
         sum += reservedSlots(lent, now);
     return sum;
 }
 
 std::uint64_t LoanTable::lentTo(const DataCentreId& borrower, SteadyTime now) const
 {
-    auto found = lent_.find(borrower);
-    return found == lent_.end() ? 0 : reservedSlots(found->second, now);
+    auto found = outgoingLoans_.find(borrower);
+    return found == outgoingLoans_.end() ? 0 : reservedSlots(found->second, now);
 }
 
 void LoanTable::capBorrowed(const DataCentreId& lender, std::uint64_t maxSlots)
 {
-    auto found = borrowed_.find(lender);
-    if (found != borrowed_.end())
+    auto found = incomingLoans_.find(lender);
+    if (found != incomingLoans_.end())
         found->second.slots_ = std::min(found->second.slots_, maxSlots);
 }
 
 void LoanTable::setBorrowed(const DataCentreId& lender, std::uint64_t slots, SteadyTime expires)
 {
     if (slots)
-        borrowed_[lender] = { slots, expires };
+        incomingLoans_[lender] = { slots, expires };
     else
-        borrowed_.erase(lender);
+        incomingLoans_.erase(lender);
 }
 
 std::uint64_t LoanTable::borrowed(SteadyTime until) const
 {
     std::uint64_t sum = 0;
-    for (const auto& [lender, loan] : borrowed_)
+    for (const auto& [lender, loan] : incomingLoans_)
         sum += loan.expires_ >= until ? loan.slots_ : 0;
     return sum;
 }
@@ -132,7 +132,7 @@
 std::map<DataCentreId, std::uint64_t> LoanTable::borrowedFrom(SteadyTime now) const
 {
     std::map<DataCentreId, std::uint64_t> loans;
-    for (const auto& [lender, loan] : borrowed_) {
+    for (const auto& [lender, loan] : incomingLoans_) {
         if (loan.expires_ > now)
             loans[lender] = loan.slots_;
     }
--- a/lib/Node/EngineOrders.cpp
+++ b/lib/Node/EngineOrders.cpp
@@ -145,11 +145,11 @@
     orderContext.wanted_ = *entry.backend_->configuration_;
     orderContext.state_ = state;
     orderContext.holder_ = claims_.find(engine);
-    orderContext.ahead_ = claims_.ahead(engine, [&](const VmId& other) { return view->find(other) && !view->isLeaving(other); });
+    orderContext.claimsAhead_ = claims_.ahead(engine, [&](const VmId& other) { return view->find(other) && !view->isLeaving(other); });
     orderContext.maxLoading_ = entry.backend_->maxLoading_;
     orderContext.claimedAt_ = managed.claimedAt_;
     orderContext.orderedAt_ = managed.orderedAt_;
-    orderContext.active_ = dispatcher_.active(engine);
+    orderContext.activeRequests_ = dispatcher_.active(engine);
     orderContext.honoursFencing_ = entry.backend_->honoursFencing_;
     OrderStep step = nextOrderStep(orderContext, timing, steadyNow());
     if (orderContext.holder_)
--- a/lib/Node/EngineRouter.cpp
+++ b/lib/Node/EngineRouter.cpp
@@ -48,7 +48,7 @@
     const Vm* vm = view.find(engine);
     candidate.pricePerHour_ = vm->pricePerHour_;
     candidate.isLocal_ = vm->dataCentre_ == view.dataCentre_;
-    candidate.network_ = candidate.isLocal_ ? milliseconds {} : remoteNetworkLatency;
+    candidate.networkLatency_ = candidate.isLocal_ ? milliseconds {} : remoteNetworkLatency;
     candidate.load_ = unknownLoad;
     auto digest = view.digests_.find(candidate.dispatcher_);
     if (digest == view.digests_.end())
@@ -59,7 +59,7 @@
     std::lock_guard lock(mutex_);
     auto sent = sent_.find({ candidate.dispatcher_, query.model_ });
     if (sent != sent_.end() && sent->second.heartbeat_ == digest->second.heartbeat_)
-        candidate.sentSince_ = sent->second.count_;
+        candidate.sentSinceReport_ = sent->second.count_;
     return candidate;
 }
 
@@ -69,7 +69,7 @@
     std::vector<std::uint64_t> blocks = prefixBlocks(query.prompt_);
     std::uint64_t prefix = blocks.empty() ? 0 : blocks.front();
     RoutingParameters parameters;
-    parameters.prefill_ = prefillPerBlock * static_cast<std::int64_t>(blocks.size());
+    parameters.prefillTime_ = prefillPerBlock * static_cast<std::int64_t>(blocks.size());
     parameters.latencyTarget_ = query.latencyTarget_;
     parameters.isPaid_ = query.isPaid_;
     std::vector<EngineCandidate> candidates;
@@ -115,7 +115,7 @@
             { "estimate_ms", candidate.estimate_.count() },
             { "free_slots", candidate.load_.freeSlots_ },
             { "queued", candidate.load_.queued_ },
-            { "sent_since", candidate.sentSince_ },
+            { "sent_since", candidate.sentSinceReport_ },
             { "prefix_rank", candidate.prefixRank_ },
             { "local", candidate.isLocal_ },
             { "price_per_hour", candidate.pricePerHour_ },
--- a/lib/Orders/Claims.cpp
+++ b/lib/Orders/Claims.cpp
@@ -55,8 +55,8 @@
 {
     // Tokens start at one, so that zero denotes an engine that was never ordered.
     Holder holder { std::move(claim), { offset.value_ + 1 }, now, offset, std::nullopt };
-    auto found = open_.find(holder.claim_.engine_);
-    if (found != open_.end()) {
+    auto found = openClaims_.find(holder.claim_.engine_);
+    if (found != openClaims_.end()) {
         const Holder& before = found->second;
         bool isSameNode = before.claim_.node_ == holder.claim_.node_;
         holder.otherReadAt_ = isSameNode ? before.otherReadAt_ : std::optional(before.readAt_);
@@ -66,22 +66,22 @@
             holder.queuedAt_ = before.queuedAt_;
     }
     VmId engine = holder.claim_.engine_;
-    open_.insert_or_assign(engine, std::move(holder));
+    openClaims_.insert_or_assign(engine, std::move(holder));
 }
 
 void ClaimTable::applyEnd(const EngineClaim& claim)
 {
-    auto found = open_.find(claim.engine_);
-    if (found == open_.end())
+    auto found = openClaims_.find(claim.engine_);
+    if (found == openClaims_.end())
         return;
     if (found->second.claim_.node_ == claim.node_)
-        open_.erase(found);
+        openClaims_.erase(found);
 }
 
 const ClaimTable::Holder* ClaimTable::find(const VmId& engine) const
 {
-    auto found = open_.find(engine);
-    return found == open_.end() ? nullptr : &found->second;
+    auto found = openClaims_.find(engine);
+    return found == openClaims_.end() ? nullptr : &found->second;
 }
 
 std::size_t ClaimTable::ahead(const VmId& engine, const std::function<bool(const VmId&)>& isPresent) const
@@ -89,7 +89,7 @@
     const Holder* own = find(engine);
     if (!own)
         return 0;
-    return static_cast<std::size_t>(std::count_if(open_.begin(), open_.end(), [&](const auto& item) {
+    return static_cast<std::size_t>(std::count_if(openClaims_.begin(), openClaims_.end(), [&](const auto& item) {
         const Holder& other = item.second;
         return other.claim_.queue_ == own->claim_.queue_ && other.queuedAt_ < own->queuedAt_ && isPresent(item.first);
     }));
@@ -97,7 +97,7 @@
 
 void ClaimTable::removeOlderThan(milliseconds maxAge, SteadyTime now)
 {
-    std::erase_if(open_, [&](const auto& item) { return now - item.second.readAt_ > maxAge; });
+    std::erase_if(openClaims_, [&](const auto& item) { return now - item.second.readAt_ > maxAge; });
 }
 
 } // namespace pistachioloom
--- a/lib/Orders/Steps.cpp
+++ b/lib/Orders/Steps.cpp
@@ -71,9 +71,9 @@
         return OrderStep::End;
     if (isOrderTakingEffect(context, timing, now))
         return OrderStep::Wait;
-    if (context.ahead_ >= context.maxLoading_)
+    if (context.claimsAhead_ >= context.maxLoading_)
         return OrderStep::Wait;
-    if (context.active_)
+    if (context.activeRequests_)
         return OrderStep::Drain;
     if (mayOtherNodeStillOrder(context, timing, now))
         return OrderStep::Drain;
--- a/lib/Quarantine/CrashDetector.cpp
+++ b/lib/Quarantine/CrashDetector.cpp
@@ -13,8 +13,8 @@
 
 void CrashDetector::removeExpired(SteadyTime now)
 {
-    std::erase_if(pending_, [&](const Pending& pending) { return now - pending.at_ > maxTerminationDelay; });
-    std::erase_if(terminated_, [&](const auto& terminated) { return now - terminated.second > maxTerminationDelay; });
+    std::erase_if(pending_, [&](const Pending& pending) { return now - pending.cutOffAt_ > maxTerminationDelay; });
+    std::erase_if(terminatedAt_, [&](const auto& terminated) { return now - terminated.second > maxTerminationDelay; });
     pendingCount_ = pending_.size();
 }
 
@@ -22,24 +22,24 @@
 {
     std::lock_guard lock(mutex_);
     removeExpired(now);
-    if (terminated_.contains(cutOff.backend_))
+    if (terminatedAt_.contains(cutOff.backend_))
         return { CountedRequest { cutOff.request_, table_.noteCrash(cutOff.request_, cutOff.organisation_, cutOff.backend_, now) }, false };
     pending_.push_back({ cutOff, now });
     pendingCount_ = pending_.size();
-    return { std::nullopt, probed_.insert(cutOff.backend_).second };
+    return { std::nullopt, runningProbes_.insert(cutOff.backend_).second };
 }
 
 void CrashDetector::noteProbed(BackendIncarnationKey backend)
 {
     std::lock_guard lock(mutex_);
-    probed_.erase(backend);
+    runningProbes_.erase(backend);
 }
 
 std::vector<CrashDetector::CountedRequest> CrashDetector::noteTerminated(BackendIncarnationKey backend, SteadyTime now)
 {
     std::lock_guard lock(mutex_);
     removeExpired(now);
-    terminated_.try_emplace(backend, now);
+    terminatedAt_.try_emplace(backend, now);
     std::vector<CountedRequest> counted;
     for (const Pending& pending : pending_) {
         if (pending.cutOff_.backend_ == backend)
--- a/lib/Quarantine/Quarantine.cpp
+++ b/lib/Quarantine/Quarantine.cpp
@@ -49,10 +49,10 @@
 std::optional<SteadyTime> QuarantineTable::quarantinedUntil(const std::vector<Crash>& crashes) const
 {
     std::size_t active = countActive(crashes);
-    if (active < settings_.crashes_)
+    if (active < settings_.crashesToQuarantine_)
         return std::nullopt;
     milliseconds length = settings_.firstDuration_;
-    for (std::size_t i = settings_.crashes_; i < active && length < settings_.maxDuration_; ++i)
+    for (std::size_t i = settings_.crashesToQuarantine_; i < active && length < settings_.maxDuration_; ++i)
         length *= 2;
     return lastActiveCrash(crashes) + std::min(length, settings_.maxDuration_);
 }
--- a/lib/Quarantine/QuarantineRecordTracker.cpp
+++ b/lib/Quarantine/QuarantineRecordTracker.cpp
@@ -15,11 +15,11 @@
         if (suspect.activeCrashes() < crashesToQuarantine_)
             continue;
         toRecord.insert(suspect.request_);
-        auto recorded = recorded_.find(suspect.request_);
-        if (recorded == recorded_.end() || recorded->second != suspect.activeCrashes())
+        auto recorded = recordedCrashes_.find(suspect.request_);
+        if (recorded == recordedCrashes_.end() || recorded->second != suspect.activeCrashes())
             changes.push_back({ suspect, false });
     }
-    for (const auto& [request, crashes] : recorded_) {
+    for (const auto& [request, crashes] : recordedCrashes_) {
         if (!toRecord.contains(request))
             changes.push_back({ { request, 0, {} }, true });
     }
@@ -29,9 +29,9 @@
 void QuarantineRecordTracker::noteRecorded(const Change& change)
 {
     if (change.isDropped_)
-        recorded_.erase(change.suspect_.request_);
+        recordedCrashes_.erase(change.suspect_.request_);
     else
-        recorded_[change.suspect_.request_] = change.suspect_.activeCrashes();
+        recordedCrashes_[change.suspect_.request_] = change.suspect_.activeCrashes();
 }
 
 } // namespace pistachioloom
--- a/lib/Quota/Quota.cpp
+++ b/lib/Quota/Quota.cpp
@@ -86,8 +86,8 @@
     bucket.ownLong_ *= longDecay;
     bucket.othersLong_ *= longDecay;
     double shareRate = bucket.limit_.ratePerSecond_ * shareOf(bucket);
-    if (bucket.share_)
-        bucket.share_ = std::min(shareRate * maxSavedShareSeconds, *bucket.share_ + seconds * shareRate);
+    if (bucket.shareBalance_)
+        bucket.shareBalance_ = std::min(shareRate * maxSavedShareSeconds, *bucket.shareBalance_ + seconds * shareRate);
 }
 
 /// Charges the buckets for what unresponsive peers may have admitted since their last
@@ -106,7 +106,7 @@
             double unresponsive = std::max(0.0, secondsOf(now - std::max(from, bucket.initialisedAt_)));
             double charge = unresponsive * bucket.limit_.ratePerSecond_ * static_cast<double>(peer.nodes_) / all;
             bucket.level_ -= charge;
-            bucket.charged_[id] += charge;
+            bucket.chargedByPeer_[id] += charge;
         }
     }
 }
@@ -144,18 +144,18 @@
 /// Admits this node's share of the rate while the nodes divide the remainder of a quota.
 std::optional<milliseconds> QuotaLimiter::takeShare(Bucket& bucket, double cost, SteadyTime now)
 {
-    if (!bucket.share_) {
+    if (!bucket.shareBalance_) {
         // A node that has just started gets its share of the rate since its start.
         double saved = isStarting(bucket, now) ? secondsCredited(now) * bucket.limit_.ratePerSecond_ * shareOf(bucket) : 0;
-        bucket.share_ = saved - phase_ * cost;
+        bucket.shareBalance_ = saved - phase_ * cost;
         phase_ += phaseStep;
         phase_ -= std::floor(phase_);
     }
-    if (*bucket.share_ >= floorFor(bucket, cost)) {
-        *bucket.share_ -= cost;
+    if (*bucket.shareBalance_ >= floorFor(bucket, cost)) {
+        *bucket.shareBalance_ -= cost;
         return std::nullopt;
     }
-    double wait = -*bucket.share_ / (bucket.limit_.ratePerSecond_ * shareOf(bucket));
+    double wait = -*bucket.shareBalance_ / (bucket.limit_.ratePerSecond_ * shareOf(bucket));
     return milliseconds(static_cast<std::int64_t>(wait * 1000) + 1);
 }
 
@@ -164,7 +164,7 @@
 void QuotaLimiter::initialise(Bucket& bucket, const OrganisationId& organisation) const
 {
     auto received = receivedLevels_.find(organisation);
-    bucket.initialisedAt_ = received != receivedLevels_.end() ? received->second.at_ : startedAt_ - settings_.startCredit_;
+    bucket.initialisedAt_ = received != receivedLevels_.end() ? received->second.receivedAt_ : startedAt_ - settings_.startCredit_;
     bucket.filledAt_ = bucket.initialisedAt_;
     if (received != receivedLevels_.end()) {
         bucket.level_ = received->second.level_;
@@ -199,7 +199,7 @@
         return milliseconds(static_cast<std::int64_t>(wait * 1000) + 1);
     }
     if (bucket.level_ > estimateUnreported(bucket) && !isStarting(bucket, now))
-        bucket.share_.reset();
+        bucket.shareBalance_.reset();
     else if (auto wait = takeShare(bucket, cost, now))
         return wait;
     bucket.level_ -= cost;
@@ -238,8 +238,8 @@
 void QuotaLimiter::refundCharges(const VmId& peer, double part)
 {
     for (auto& [organisation, bucket] : buckets_) {
-        auto charged = bucket.charged_.find(peer);
-        if (charged != bucket.charged_.end()) {
+        auto charged = bucket.chargedByPeer_.find(peer);
+        if (charged != bucket.chargedByPeer_.end()) {
             bucket.level_ += charged->second * part;
             charged->second *= 1 - part;
         }
@@ -297,7 +297,7 @@
     if (!nodes) {
         peers_.erase(found);
         for (auto& [organisation, bucket] : buckets_)
-            bucket.charged_.erase(unresponsiveNodes);
+            bucket.chargedByPeer_.erase(unresponsiveNodes);
         return;
     }
     peer.nodes_ = nodes;
@@ -349,7 +349,7 @@
     Window& window = windows_[service];
     dropOld(window.requests_, now - settings_.window_);
     dropOld(window.retries_, now - settings_.window_);
-    double allowed = settings_.ratio_ * static_cast<double>(window.requests_.size()) + settings_.extra_ / static_cast<double>(settings_.nodes_);
+    double allowed = settings_.ratio_ * static_cast<double>(window.requests_.size()) + settings_.extraRetries_ / static_cast<double>(settings_.nodes_);
     if (static_cast<double>(window.retries_.size()) + 1 > allowed * settings_.usableShare_)
         return false;
     window.retries_.push_back(now);
--- a/lib/Routing/Routing.cpp
+++ b/lib/Routing/Routing.cpp
@@ -30,16 +30,16 @@
 static milliseconds estimateFirstToken(const EngineCandidate& candidate, const RoutingParameters& parameters)
 {
     // Requests sent by this node since the report already occupy free slots.
-    std::uint32_t free = candidate.load_.freeSlots_ > candidate.sentSince_ ? candidate.load_.freeSlots_ - candidate.sentSince_ : 0;
+    std::uint32_t free = candidate.load_.freeSlots_ > candidate.sentSinceReport_ ? candidate.load_.freeSlots_ - candidate.sentSinceReport_ : 0;
     milliseconds wait = candidate.load_.wait_;
-    bool canPreempt = parameters.isPaid_ && candidate.load_.freeSlots_ + candidate.load_.trialSlots_ > candidate.sentSince_;
+    bool canPreempt = parameters.isPaid_ && candidate.load_.freeSlots_ + candidate.load_.trialSlots_ > candidate.sentSinceReport_;
     if (!free && canPreempt)
         wait = parameters.yieldTime_;
     else if (!free)
         wait = std::max(wait, parameters.serviceTime_ * (1 + candidate.load_.queued_));
     // Only the highest-ranked engine for the prefix is assumed to have it cached.
-    milliseconds prefill = candidate.prefixRank_ ? parameters.prefill_ : parameters.prefill_ / 4;
-    return wait + prefill + candidate.network_;
+    milliseconds prefill = candidate.prefixRank_ ? parameters.prefillTime_ : parameters.prefillTime_ / 4;
+    return wait + prefill + candidate.networkLatency_;
 }
 
 std::vector<EngineCandidate> rankEngines(std::vector<EngineCandidate> candidates, const RoutingParameters& parameters)
--- a/unittests/Backends/BackendsTest.cpp
+++ b/unittests/Backends/BackendsTest.cpp
@@ -81,7 +81,7 @@
     RequestShape shape = engineRequest(12000, { { "common", { 500 } }, { "subject", { 10000 } }, { "own", { 1500 } } });
     auto first = table.choose(shape, {}, start);
     REQUIRE(first);
-    CHECK(first->uncached_.value_ == 1500);
+    CHECK(first->uncachedTokens_.value_ == 1500);
     for (int i = 0; i < 3; ++i)
         CHECK(chosen(table, shape) == first->backend_.id_.value_);
     table.setPeerLoads({ "peer" }, { { keyOf(first->backend_.id_), { 10, 60000 } } }, start);
@@ -100,7 +100,7 @@
     CHECK(table.ownLoads().empty());
     auto sent = table.choose(engineRequest(1000), {}, start);
     REQUIRE(sent);
-    CHECK(sent->queuedAhead_.value_ == 0);
+    CHECK(sent->queuedTokensAhead_.value_ == 0);
     table.noteAdmitted(*sent);
     CHECK(table.services()[service].tokensRequested_ == 1500);
     CHECK(table.ownLoads().size() == 1);
@@ -209,7 +209,7 @@
         REQUIRE(choice);
         double wait = 31 + static_cast<double>(shape.promptTokens_.value_) / 112;
         table.noteFirstByte(*choice, shape, milliseconds(static_cast<std::int64_t>(wait)));
-        table.end({ "x" }, { BackendOutcome::Served, choice->uncached_, true }, start);
+        table.end({ "x" }, { BackendOutcome::Served, choice->uncachedTokens_, true }, start);
     }
     CHECK(table.services()[service].prefillPerMs_ == Approx(112).epsilon(0.1));
     CHECK(table.services()[service].observations_ == 200);
@@ -264,7 +264,7 @@
         REQUIRE(choice);
         CHECK(choice->backend_.id_.value_ == affinityBackend);
         table.noteFirstByte(*choice, shape, milliseconds(waits[static_cast<std::size_t>(i) % waits.size()]));
-        table.end(choice->backend_.id_, { BackendOutcome::Served, choice->uncached_, true, {} }, now);
+        table.end(choice->backend_.id_, { BackendOutcome::Served, choice->uncachedTokens_, true, {} }, now);
     }
 }
 
@@ -346,7 +346,7 @@
     for (int i = 0; i < 2; ++i) {
         auto failed = table.choose(plainRequest(), {}, start);
         REQUIRE(failed);
-        table.end(failed->backend_.id_, { BackendOutcome::Broken, failed->uncached_, false, {} }, start);
+        table.end(failed->backend_.id_, { BackendOutcome::Broken, failed->uncachedTokens_, false, {} }, start);
     }
     CHECK(table.put(after) == BackendTable::PutResult::Restarted);
     CHECK(table.records().size() == 1);
@@ -356,9 +356,9 @@
     REQUIRE(choice);
     CHECK(choice->backend_.startTime_ == after.startTime_);
     CHECK(choice->running_ == 0);
-    CHECK(choice->queuedAhead_.value_ == 0);
+    CHECK(choice->queuedTokensAhead_.value_ == 0);
     // The end of a request at the earlier incarnation does not change the new one's load.
-    table.end(running->backend_.id_, { BackendOutcome::Served, running->uncached_, true, {} }, start);
+    table.end(running->backend_.id_, { BackendOutcome::Served, running->uncachedTokens_, true, {} }, start);
     CHECK(table.ownLoads().at(keyOf(after.id_)).running_ == 1);
 }
 
@@ -496,11 +496,11 @@
 {
     struct Row {
         const char* name_;
-        std::size_t stable_;
-        std::size_t target_;
+        std::size_t otherServers_;
+        std::size_t targetServers_;
         VersionRule rule_;
         /// Number of backend servers that get any of many requests.
-        std::size_t used_;
+        std::size_t expectedServers_;
         /// Whether these servers have the target version.
         bool isTarget_;
     };
@@ -517,9 +517,9 @@
     for (const Row& row : rows) {
         CAPTURE(row.name_);
         BackendTable table({ "a" }, ChoiceSettings {});
-        for (std::size_t i = 0; i < row.stable_ + row.target_; ++i) {
+        for (std::size_t i = 0; i < row.otherServers_ + row.targetServers_; ++i) {
             BackendRecord added = record("x-" + std::to_string(i));
-            added.version_ = { i < row.stable_ ? "v1" : "v2" };
+            added.version_ = { i < row.otherServers_ ? "v1" : "v2" };
             table.put(added);
         }
         RequestShape shape = plainRequest();
@@ -532,7 +532,7 @@
             CHECK((choice->backend_.version_ == v2) == row.isTarget_);
             used.insert(choice->backend_.id_);
         }
-        CHECK(used.size() == row.used_);
+        CHECK(used.size() == row.expectedServers_);
     }
     BackendTable table({ "a" }, ChoiceSettings {});
     BackendRecord other = record("x");
--- a/unittests/Gateway/GatewaySettingsTest.cpp
+++ b/unittests/Gateway/GatewaySettingsTest.cpp
@@ -47,7 +47,7 @@
     CHECK(settings->vm_.value_ == "node-1");
     CHECK(settings->seeds_.size() == 2);
     CHECK(settings->usageWindow_ == milliseconds(2500));
-    CHECK(settings->quarantine_.crashes_ == 4);
+    CHECK(settings->quarantine_.crashesToQuarantine_ == 4);
     CHECK(settings->quarantine_.firstDuration_ == milliseconds(20000));
     CHECK(settings->quarantine_.organisationCapacity_ == 64);
     CHECK(settings->rollout_.exposedExtra_ == 50);
--- a/unittests/Limits/LimitsTest.cpp
+++ b/unittests/Limits/LimitsTest.cpp
@@ -14,13 +14,13 @@
 namespace {
 
 const SteadyTime start {};
-const EntryName entry { "e" };
-constexpr milliseconds validity { 2000 };
+const EntryName entryName { "e" };
+constexpr milliseconds grantValidity { 2000 };
 
 CatalogueEntry workload(std::uint64_t tokensPerSecond, std::uint64_t burst)
 {
     CatalogueEntry result;
-    result.name_ = entry;
+    result.name_ = entryName;
     result.workload_.emplace();
     result.workload_->limits_.tokensPerSecond_ = tokensPerSecond;
     result.workload_->limits_.burst_ = burst;
@@ -53,19 +53,19 @@
             now += milliseconds(generator() % 500);
             std::uint64_t node = generator() % 4;
             std::uint64_t wanted = generator() % 12;
-            std::uint64_t granted = table.request(entry, { std::to_string(node) }, share, inUse[node], wanted, validity, now);
+            std::uint64_t granted = table.request(entryName, { std::to_string(node) }, share, inUse[node], wanted, grantValidity, now);
             REQUIRE(granted >= inUse[node]);
             std::uint64_t before = inUse[node];
             inUse[node] = granted ? generator() % (granted + 1) : 0;
             // Only requests that were already in progress may exceed the share.
-            std::uint64_t others = table.granted(entry, now) - granted;
+            std::uint64_t others = table.granted(entryName, now) - granted;
             REQUIRE((granted + others <= share || granted == before));
         }
     }
     GrantTable table;
-    CHECK(table.request(entry, { "a" }, 10, 0, 8, validity, start) == 8);
-    CHECK(table.request(entry, { "b" }, 10, 0, 8, validity, start) == 2);
-    CHECK(table.request(entry, { "b" }, 10, 0, 8, validity, start + validity) == 8);
+    CHECK(table.request(entryName, { "a" }, 10, 0, 8, grantValidity, start) == 8);
+    CHECK(table.request(entryName, { "b" }, 10, 0, 8, grantValidity, start) == 2);
+    CHECK(table.request(entryName, { "b" }, 10, 0, 8, grantValidity, start + grantValidity) == 8);
 }
 
 TEST_CASE("a token bucket admits up to its burst, then at its rate, and returns the wait time")
@@ -100,55 +100,55 @@
 TEST_CASE("admission needs a grant that has not expired")
 {
     EntryAdmission admission;
-    CatalogueEntry e = workload(0, 0);
-    CHECK(admission.tryStart(e, 1, start) == EntryAdmission::Decision::NeedsSlot);
-    admission.applyGrant(entry, { 2, 0, start + validity, {} });
-    CHECK(admission.tryStart(e, 1, start) == EntryAdmission::Decision::Admitted);
-    CHECK(admission.tryStart(e, 1, start) == EntryAdmission::Decision::Admitted);
-    CHECK(admission.tryStart(e, 1, start) == EntryAdmission::Decision::NeedsSlot);
-    admission.finish(entry, 0);
-    CHECK(admission.tryStart(e, 1, start + validity) == EntryAdmission::Decision::NeedsSlot);
-    CHECK(admission.inProgress(entry) == 1);
+    CatalogueEntry catalogueEntry = workload(0, 0);
+    CHECK(admission.tryStart(catalogueEntry, 1, start) == EntryAdmission::Decision::NeedsSlot);
+    admission.applyGrant(entryName, { 2, 0, start + grantValidity, {} });
+    CHECK(admission.tryStart(catalogueEntry, 1, start) == EntryAdmission::Decision::Admitted);
+    CHECK(admission.tryStart(catalogueEntry, 1, start) == EntryAdmission::Decision::Admitted);
+    CHECK(admission.tryStart(catalogueEntry, 1, start) == EntryAdmission::Decision::NeedsSlot);
+    admission.finish(entryName, 0);
+    CHECK(admission.tryStart(catalogueEntry, 1, start + grantValidity) == EntryAdmission::Decision::NeedsSlot);
+    CHECK(admission.inProgress(entryName) == 1);
 }
 
 TEST_CASE("a node requests the tokens that it needs and returns the others")
 {
     EntryAdmission admission;
-    CatalogueEntry e = workload(1000, 1000);
-    admission.applyGrant(entry, { 9, 0, start + validity, milliseconds(70) });
-    CHECK(admission.tryStart(e, 100, start) == EntryAdmission::Decision::NeedsTokens);
-    CHECK(admission.tokenWait(entry) == milliseconds(70));
-    admission.beginWait(entry, 100);
-    admission.beginWait(entry, 30);
-    auto demand = admission.makeDemand(e, 4);
+    CatalogueEntry catalogueEntry = workload(1000, 1000);
+    admission.applyGrant(entryName, { 9, 0, start + grantValidity, milliseconds(70) });
+    CHECK(admission.tryStart(catalogueEntry, 100, start) == EntryAdmission::Decision::NeedsTokens);
+    CHECK(admission.tokenWait(entryName) == milliseconds(70));
+    admission.beginWait(entryName, 100);
+    admission.beginWait(entryName, 30);
+    auto demand = admission.makeDemand(catalogueEntry, 4);
     CHECK(demand.needed_ == 2);
     CHECK(demand.wanted_ == 6);
     CHECK(demand.tokensFirst_ == 100);
     CHECK(demand.tokensWanted_ == 130);
-    admission.applyGrant(entry, { 6, 130, start + validity, {} });
-    CHECK(admission.tryStart(e, 100, start) == EntryAdmission::Decision::Admitted);
-    CHECK(admission.tryStart(e, 30, start) == EntryAdmission::Decision::Admitted);
-    CHECK(admission.tryStart(e, 1, start) == EntryAdmission::Decision::NeedsTokens);
-    admission.endWait(entry, 100);
-    admission.endWait(entry, 30);
+    admission.applyGrant(entryName, { 6, 130, start + grantValidity, {} });
+    CHECK(admission.tryStart(catalogueEntry, 100, start) == EntryAdmission::Decision::Admitted);
+    CHECK(admission.tryStart(catalogueEntry, 30, start) == EntryAdmission::Decision::Admitted);
+    CHECK(admission.tryStart(catalogueEntry, 1, start) == EntryAdmission::Decision::NeedsTokens);
+    admission.endWait(entryName, 100);
+    admission.endWait(entryName, 30);
     // The demand requests ahead what was spent since the last demand, less the
     // unused tokens of finished requests.
-    admission.finish(entry, 90);
-    demand = admission.makeDemand(e, 4);
+    admission.finish(entryName, 90);
+    demand = admission.makeDemand(catalogueEntry, 4);
     CHECK(demand.tokensWanted_ == 40);
     CHECK(demand.tokensReturned_ == 0);
-    demand = admission.makeDemand(e, 4);
+    demand = admission.makeDemand(catalogueEntry, 4);
     CHECK(demand.tokensReturned_ == 90);
-    CHECK(admission.makeDemand(e, 4).tokensReturned_ == 0);
+    CHECK(admission.makeDemand(catalogueEntry, 4).tokensReturned_ == 0);
 }
 
 TEST_CASE("a node releases the slots beyond its demand when it makes the demand")
 {
     EntryAdmission admission;
-    CatalogueEntry e = workload(0, 0);
-    admission.applyGrant(entry, { 10, 0, start + validity, {} });
-    CHECK(admission.makeDemand(e, 2).wanted_ == 2);
-    CHECK(admission.held(entry, start) == 2);
+    CatalogueEntry catalogueEntry = workload(0, 0);
+    admission.applyGrant(entryName, { 10, 0, start + grantValidity, {} });
+    CHECK(admission.makeDemand(catalogueEntry, 2).wanted_ == 2);
+    CHECK(admission.held(entryName, start) == 2);
 }
 
 TEST_CASE("a loan shrinks only after the grants made on it have expired")
@@ -156,21 +156,21 @@
     constexpr milliseconds loanValidity { 6000 };
     LoanTable lender;
     DataCentreId borrower { "b" };
-    CHECK(lender.lend(borrower, 10, { 0, 6 }, loanValidity, validity, start) == 6);
-    CHECK(lender.lend(borrower, 4, { 0, 20 }, loanValidity, validity, start) == 10);
+    CHECK(lender.lend(borrower, 10, { 0, 6 }, loanValidity, grantValidity, start) == 6);
+    CHECK(lender.lend(borrower, 4, { 0, 20 }, loanValidity, grantValidity, start) == 10);
     bool wantsLess = GENERATE(true, false);
-    CHECK(lender.lend(borrower, 0, { 3, wantsLess ? 0U : 10U }, loanValidity, validity, start) == (wantsLess ? 3 : 10));
+    CHECK(lender.lend(borrower, 0, { 3, wantsLess ? 0U : 10U }, loanValidity, grantValidity, start) == (wantsLess ? 3 : 10));
     if (!wantsLess)
         return;
-    CHECK(lender.lent(start + validity - milliseconds(1)) == 10);
-    CHECK(lender.lent(start + validity) == 3);
+    CHECK(lender.lent(start + grantValidity - milliseconds(1)) == 10);
+    CHECK(lender.lent(start + grantValidity) == 3);
     CHECK(lender.lent(start + loanValidity) == 0);
     // Slots in use stay lent, even by a new lender that has no record of the loan.
     LoanTable successor;
-    CHECK(successor.lend(borrower, 0, { 3, 8 }, loanValidity, validity, start) == 3);
+    CHECK(successor.lend(borrower, 0, { 3, 8 }, loanValidity, grantValidity, start) == 3);
     LoanTable holder;
     holder.setBorrowed({ "a" }, 5, start + loanValidity);
-    CHECK(holder.borrowed(start + validity) == 5);
+    CHECK(holder.borrowed(start + grantValidity) == 5);
     CHECK(holder.borrowed(start + loanValidity + milliseconds(1)) == 0);
 }
 
@@ -200,7 +200,7 @@
             request(dataCentre);
             std::uint64_t sum = 0;
             for (DataCentre& each : dataCentres_)
-                sum += each.grants_.granted(entry, now_);
+                sum += each.grants_.granted(entryName, now_);
             maxGranted = std::max(maxGranted, sum);
         }
         return maxGranted;
@@ -220,13 +220,13 @@
     {
         const LoanTable& loans = dataCentres_[dataCentre].loans_;
         std::uint64_t lent = loans.lent(now_);
-        return (shareOf(dataCentre) > lent ? shareOf(dataCentre) - lent : 0) + loans.borrowed(now_ + validity);
+        return (shareOf(dataCentre) > lent ? shareOf(dataCentre) - lent : 0) + loans.borrowed(now_ + grantValidity);
     }
 
     void request(std::size_t dataCentre)
     {
         std::uint64_t wanted = random_() % (limit_ + 1);
-        dataCentres_[dataCentre].grants_.request(entry, { "node" }, usable(dataCentre), 0, wanted, validity, now_);
+        dataCentres_[dataCentre].grants_.request(entryName, { "node" }, usable(dataCentre), 0, wanted, grantValidity, now_);
     }
 
     void borrow(std::size_t from, std::size_t lender)
@@ -238,9 +238,9 @@
         if (isRequestLost)
             return;
         DataCentre& other = dataCentres_[lender];
-        std::uint64_t used = other.grants_.granted(entry, now_) + other.loans_.lent(now_);
+        std::uint64_t used = other.grants_.granted(entryName, now_) + other.loans_.lent(now_);
         std::uint64_t free = shareOf(lender) > used ? shareOf(lender) - used : 0;
-        std::uint64_t slots = other.loans_.lend({ std::to_string(from) }, free, { 0, wanted }, loanValidity, validity, now_);
+        std::uint64_t slots = other.loans_.lend({ std::to_string(from) }, free, { 0, wanted }, loanValidity, grantValidity, now_);
         totalBorrowed_ += slots;
         if (!isReplyLost)
             dataCentres_[from].loans_.setBorrowed({ std::to_string(lender) }, slots, now_ + loanValidity);
--- a/unittests/Orders/OrdersTest.cpp
+++ b/unittests/Orders/OrdersTest.cpp
@@ -43,7 +43,7 @@
             for (Dispatcher& dispatcher : dispatchers_)
                 act(dispatcher);
         }
-        return stale_;
+        return staleOrders_;
     }
     int orders() const { return orders_; }
 
@@ -100,7 +100,7 @@
         if (done != OrderStep::Order)
             return;
         ++orders_;
-        stale_ += dispatcher.token_ < newest_ ? 1 : 0;
+        staleOrders_ += dispatcher.token_ < newest_ ? 1 : 0;
         newest_ = std::max(newest_, dispatcher.token_);
         dispatcher.orderedAt_ = random_() % 2 ? std::optional(at(now_)) : std::nullopt;
     }
@@ -110,7 +110,7 @@
     std::vector<Dispatcher> dispatchers_ { { "a", {}, start - milliseconds(9999), {}, {}, {}, 0 }, { "b", {}, start - milliseconds(9999), {}, {}, {}, 0 } };
     std::int64_t now_ = 0;
     FencingToken newest_;
-    int stale_ = 0;
+    int staleOrders_ = 0;
     int orders_ = 0;
 };
 
@@ -124,8 +124,8 @@
         std::int64_t claimAge_;
         bool isReached_;
         bool isOrdered_;
-        std::size_t ahead_;
-        std::uint64_t active_;
+        std::size_t claimsAhead_;
+        std::uint64_t activeRequests_;
         OrderStep expected_;
     };
     auto stepCase = GENERATE(values<StepCase>({
@@ -154,8 +154,8 @@
     context.claimedAt_ = start;
     if (stepCase.isOrdered_)
         context.orderedAt_ = start;
-    context.ahead_ = stepCase.ahead_;
-    context.active_ = stepCase.active_;
+    context.claimsAhead_ = stepCase.claimsAhead_;
+    context.activeRequests_ = stepCase.activeRequests_;
     CHECK(nextOrderStep(context, timing, at(stepCase.claimAge_)) == stepCase.expected_);
 }
 
--- a/unittests/Quarantine/QuarantineTest.cpp
+++ b/unittests/Quarantine/QuarantineTest.cpp
@@ -221,7 +221,7 @@
 {
     QuarantineTable table({});
     QuarantineRecordTracker record(3);
-    auto mergeSuspects = [&](std::size_t expected, bool isDropped) {
+    auto recordChanges = [&](std::size_t expected, bool isDropped) {
         auto changes = record.pendingChanges(table.suspects(start));
         REQUIRE(changes.size() == expected);
         for (const QuarantineRecordTracker::Change& change : changes) {
@@ -231,13 +231,13 @@
         }
     };
     crash(table, request, 2, start);
-    mergeSuspects(0, false);
+    recordChanges(0, false);
     crash(table, request, 3, start);
-    mergeSuspects(1, false);
-    mergeSuspects(0, false);
+    recordChanges(1, false);
+    recordChanges(0, false);
     crash(table, request, 4, start);
-    mergeSuspects(1, false);
+    recordChanges(1, false);
     table.clear(request, start);
-    mergeSuspects(1, true);
-    mergeSuspects(0, true);
+    recordChanges(1, true);
+    recordChanges(0, true);
 }
--- a/unittests/Quota/QuotaTest.cpp
+++ b/unittests/Quota/QuotaTest.cpp
@@ -89,7 +89,7 @@
 {
     RetrySettings settings;
     settings.ratio_ = 0.2;
-    settings.extra_ = 10;
+    settings.extraRetries_ = 10;
     settings.usableShare_ = 1;
     ServiceRetryBudget budget(settings);
     const ServiceName service { "s" };
--- a/unittests/Routing/RoutingTest.cpp
+++ b/unittests/Routing/RoutingTest.cpp
@@ -19,7 +19,7 @@
     result.load_.freeSlots_ = free;
     result.prefixRank_ = rank;
     result.isLocal_ = isLocal;
-    result.network_ = isLocal ? milliseconds(0) : milliseconds(5);
+    result.networkLatency_ = isLocal ? milliseconds(0) : milliseconds(5);
     result.pricePerHour_ = price;
     return result;
 }
@@ -35,7 +35,7 @@
 TEST_CASE("candidates are ranked by latency target, locality, prefix and price")
 {
     EngineCandidate sent = candidate("sent", 2, 0);
-    sent.sentSince_ = 2;
+    sent.sentSinceReport_ = 2;
     auto rankCase = GENERATE_COPY(values<RankCase>({
         { "a free engine before a full top-ranked one", { candidate("full", 0, 0), candidate("free", 1, 1) }, "free" },
         { "the top-ranked engine before others", { candidate("other", 9, 1), candidate("top-ranked", 1, 0) }, "top-ranked" },
@@ -46,7 +46,7 @@
     }));
     INFO(rankCase.name_);
     RoutingParameters parameters;
-    parameters.prefill_ = milliseconds(100);
+    parameters.prefillTime_ = milliseconds(100);
     parameters.latencyTarget_ = milliseconds(400);
     CHECK(rankEngines(rankCase.candidates_, parameters).front().engine_.value_ == rankCase.best_);
 }
