--- a/include/pistachioloom/Admission.h
+++ b/include/pistachioloom/Admission.h
@@ -5,10 +5,10 @@
 /// immediately, and after what time its caller may retry. The decision is a pure
 /// function of its arguments.
 ///
-/// It protects engines that are asked for more prompt tokens than they can read. A
-/// request that misses its latency objective delays the requests queued behind it, so
-/// that these miss theirs too. When it is rejected immediately, its caller can retry
-/// once an engine has capacity.
+/// Admission control protects engines that are asked for more prompt tokens than they can
+/// read. A request that misses its latency objective delays the requests queued behind
+/// it, so that these miss theirs too. When it is rejected immediately, its caller can
+/// retry once an engine has capacity.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -24,8 +24,10 @@
     /// milliseconds and are always admitted.
     bool isEngineStream_ = false;
     /// The request has been sent to an engine before, or its caller has received events.
+    /// Such a request is always admitted.
     bool hasStarted_ = false;
-    /// Estimated wait for the requests ahead of it at the chosen engine.
+    /// Estimated time that the request waits at the chosen engine for the requests ahead
+    /// of it.
     milliseconds queueWait_ {};
     /// Upper bound of that wait for its route; see Route::maxQueueWait_.
     milliseconds maxQueueWait_ {};
@@ -35,11 +37,11 @@
     /// Requests are admitted if their wait is at most this multiple of
     /// AdmissionView::maxQueueWait_.
     double queueWaitFactor_ = 1;
-    /// Lower bound of the retry delay. Full engines have capacity again after a few
+    /// Lower bound of the retry delay. A full engine has capacity again after a few
     /// answers.
     milliseconds minRetryAfter_ { 150 };
-    /// Upper bound of the retry delay. The strictest latency objectives are 400 ms, and
-    /// callers spend a third of their time waiting.
+    /// Upper bound of the retry delay. Callers spend about a third of their time waiting,
+    /// and the strictest latency objectives are 400 ms.
     milliseconds maxRetryAfter_ { 800 };
 };
 
--- a/include/pistachioloom/Backends.h
+++ b/include/pistachioloom/Backends.h
@@ -3,8 +3,8 @@
 /// \file
 /// Holds what a node knows of the backend servers that serve transparent requests: their
 /// registration, the load that this node and its peers have put on them, and the
-/// outcomes of their requests. From this it chooses a backend server for each request.
-/// It reads no clock and does no I/O; callers pass the time in.
+/// outcomes of their requests. The table chooses a backend server for each request from
+/// this. It reads no clock and does no I/O; callers pass the time in.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -56,8 +56,8 @@
 /// The versions of a service to which a request may be sent during a trial.
 struct VersionRule {
     BackendVersion target_;
-    /// The request is sent to backend servers of the target version, otherwise to those of
-    /// other versions.
+    /// Whether the request is sent to backend servers of the target version instead of
+    /// those of other versions.
     bool usesTarget_ = false;
     /// Share of the service's requests that the target version gets.
     double share_ = 0;
@@ -92,14 +92,15 @@
 };
 
 /// A backend server's id, hashed to 32 bits for messages. Among 2,100 servers the
-/// probability of a collision is 0.05%. Servers with equal keys are both counted with the
-/// load of either.
+/// probability of a collision is 0.05%. Of servers with equal keys, each is counted with
+/// the load that is reported for any of them.
 using BackendKey = std::uint32_t;
 
 BackendKey keyOf(const BackendId& id);
 
 /// Load that a node has in progress at one backend server.
 struct BackendLoad {
+    /// Requests in progress, waiting or not.
     std::uint32_t running_ = 0;
     /// Prompt tokens of requests whose answer has not started to arrive.
     std::uint64_t queuedTokens_ = 0;
@@ -235,8 +236,9 @@
     /// Notes that \p id asked for no requests for \p pause. It is not chosen before then,
     /// even if there is no other server.
     void setPause(const BackendId& id, milliseconds pause, SteadyTime now);
-    /// Returns the time until the first backend server of \p service ends its pause, or
-    /// nullopt unless all that are not leaving are paused.
+    /// Returns the time until the first paused backend server of \p service may be chosen
+    /// again. Leaving servers do not count. Returns nullopt if a server is not paused, or
+    /// if there are none.
     std::optional<milliseconds> remainingPause(const ServiceName& service, SteadyTime now) const;
     /// Whether a request for which \p id was chosen may still be sent there.
     bool mayReceive(const BackendId& id, SteadyTime now) const;
@@ -371,7 +373,10 @@
     /// Returns the estimated wait for requests that are at \p backend already.
     double queueWaitMs(const Backend& backend, const RequestShape& shape) const;
     double estimateMs(const Backend& backend, const RequestShape& shape, TokenCount uncached) const;
+    /// Returns the estimated wait for a slot, which is 0 while a slot is free.
     double slotWaitMs(const Backend& backend) const;
+    /// Returns the prompt tokens of \p shape that \p backend has to read, since it is
+    /// not likely to have them cached.
     TokenCount uncachedAt(const Backend& backend, const RequestShape& shape, const BackendId& affinityBackend, SteadyTime now) const;
     /// Returns the backend server that gets requests with the shared part of \p shape
     /// unless it is busy, by rendezvous hashing; empty if the prompt has no shared part.
@@ -384,7 +389,10 @@
     static void releaseLoad(Backend& backend, TokenCount uncached, bool hasFirstByte);
     void recordFailure(Backend& backend, SteadyTime now);
     void sumPeerLoads(SteadyTime now);
+    /// Discards the record of \p id and everything learnt about it.
     void forget(const BackendId& id);
+    /// Notes that \p id is leaving although it has no record, so that a record that
+    /// arrives later is marked as leaving.
     void rememberLeaving(const BackendId& id, SteadyTime now);
 
     const DataCentreId ownDataCentre_;
@@ -393,13 +401,15 @@
     std::map<BackendId, Backend> backends_;
     /// Newest known start time by name, including removed servers.
     std::map<BackendName, BackendStartTime> newestStarts_;
-    /// Leaving servers without a record, and the time at which they were noted.
+    /// Leaving servers without a record, and the time at which each of them was reported
+    /// as leaving or removed.
     std::map<BackendId, SteadyTime> removedLeaving_;
     /// Names of removed servers, oldest first.
     std::deque<BackendName> removedNames_;
     std::map<VmId, PeerLoads> peers_;
     std::map<ServiceName, ServiceEstimator> estimators_;
-    /// Backend servers that failed since any server of their data centre was reachable.
+    /// By data centre, the backend servers that failed since a connection to or an answer
+    /// from any server of the data centre last succeeded.
     std::map<DataCentreId, std::set<BackendId>> failedByDataCentre_;
 };
 
--- a/include/pistachioloom/Forward.h
+++ b/include/pistachioloom/Forward.h
@@ -62,8 +62,8 @@
     /// an answer is sent to another backend server.
     double waitLimitShare_ = 0.4;
     AdmissionSettings admission_;
-    /// A kept connection is not used in the last fifth of its idle timeout, and not in the
-    /// last part of at least this length.
+    /// The unused last part of the idle timeout of a kept connection is a fifth of the
+    /// timeout, but at least this long.
     milliseconds idleMargin_ { 300 };
     /// The idle timeout of a kept connection whose server does not state one.
     milliseconds defaultIdleTimeout_ { 2000 };
@@ -129,8 +129,8 @@
     std::uint64_t workers_ = 1;
 };
 
-/// Counts the termination of \p backend, which its record or a probe has shown, as a crash
-/// against the requests that it cut off.
+/// Counts the termination of \p backend, which the removal of its record or a probe has
+/// shown, as a crash against the requests that it cut off.
 void noteBackendTerminated(ForwardContext& context, const BackendId& backend);
 
 /// Serves callers on a single-threaded io_context. Workers share an address, and the
--- a/include/pistachioloom/Limits.h
+++ b/include/pistachioloom/Limits.h
@@ -28,8 +28,9 @@
 /// again.
 class GrantTable {
 public:
-    /// Grants slots to \p node. \p inUse counts the slots of its requests in
-    /// progress, which it cannot return; \p wanted is the total it asks for.
+    /// Grants slots to \p node out of \p share, the slots that the data centre may grant
+    /// to all of its nodes. \p inUse counts the slots of its requests in progress, which
+    /// it cannot return; \p wanted is the total it asks for.
     /// \returns the slots that it may hold until \p now + \p validity.
     std::uint64_t request(const EntryName& entry, const VmId& node, std::uint64_t share, std::uint64_t inUse, std::uint64_t wanted, milliseconds validity, SteadyTime now);
     std::uint64_t granted(const EntryName& entry, SteadyTime now) const;
@@ -59,10 +60,10 @@
         std::uint64_t wanted_ = 0;
     };
 
-    /// Lends slots to \p borrower. \p free excludes the slots that are already
-    /// lent to it. When a loan shrinks, the difference stays reserved until the
-    /// grants made on the larger loan have expired and the borrower, which may not
-    /// receive this reply, no longer assumes the larger loan.
+    /// Lends slots to \p borrower. \p free excludes the slots that this borrower already
+    /// has. When a loan shrinks, the difference stays reserved until the grants made on
+    /// the larger loan have expired and the borrower, which may not receive this reply,
+    /// no longer assumes the larger loan.
     /// \returns the slots of the new loan.
     std::uint64_t lend(const DataCentreId& borrower, std::uint64_t free, const Request& request, milliseconds loanValidity, milliseconds grantValidity, SteadyTime now);
     /// Slots lent to others.
@@ -85,7 +86,8 @@
         /// Slots that the borrower may still assume to be lent, and until when.
         std::uint64_t assumedSlots_ = 0;
         SteadyTime assumedUntil_;
-        /// Slots that may have been granted to nodes, and when these grants expire.
+        /// Slots that the borrower may have granted to its nodes, and when these grants
+        /// expire.
         std::uint64_t outstandingSlots_ = 0;
         SteadyTime outstandingUntil_;
     };
@@ -154,6 +156,7 @@
         std::uint64_t wanted_ = 0;
         /// Tokens that the first waiting request lacks.
         std::uint64_t tokensFirst_ = 0;
+        /// All tokens that the node requests, including tokensFirst_.
         std::uint64_t tokensWanted_ = 0;
         /// Unused tokens that the node returns to the coordinator.
         std::uint64_t tokensReturned_ = 0;
@@ -192,8 +195,8 @@
         std::uint64_t slots_ = 0;
         SteadyTime expires_;
         std::uint64_t tokens_ = 0;
-        /// Tokens spent since the last demand; the next demand requests as many
-        /// ahead.
+        /// Tokens spent since the last demand; the next demand requests as many in
+        /// advance.
         std::uint64_t tokensSpent_ = 0;
         milliseconds tokenWait_ {};
         /// Tokens of each waiting request.
--- a/include/pistachioloom/Orders.h
+++ b/include/pistachioloom/Orders.h
@@ -55,8 +55,8 @@
         SteadyTime readAt_;
         /// Position in the queue; a later claim of the same engine and queue keeps it.
         LogOffset queuedAt_;
-        /// When this node last read a claim of another node that the other node
-        /// did not end.
+        /// When this node last read a claim on the engine by a node other than the
+        /// holder, if that node did not end it.
         std::optional<SteadyTime> otherReadAt_;
     };
 
@@ -80,7 +80,7 @@
 };
 
 struct OrderTiming {
-    /// How long after the start of its append a claim allows orders.
+    /// How long a claim allows orders, counted from the start of its append.
     milliseconds claimValidity_ { 5000 };
     /// Upper bound of the time that a node may be frozen between its last reading
     /// of the clock and its order, for engines that ignore fencing tokens.
--- a/include/pistachioloom/Quarantine.h
+++ b/include/pistachioloom/Quarantine.h
@@ -228,8 +228,9 @@
     std::mutex mutex_;
     std::vector<Pending> pending_;
     std::atomic<std::size_t> pendingCount_ { 0 };
-    /// Backend servers that a probe is running for.
+    /// Backend servers for which a probe is running.
     std::set<BackendIncarnationKey> runningProbes_;
+    /// When this node learnt that a backend server had terminated.
     std::map<BackendIncarnationKey, SteadyTime> terminatedAt_;
 };
 
--- a/include/pistachioloom/Quota.h
+++ b/include/pistachioloom/Quota.h
@@ -30,8 +30,9 @@
     milliseconds unresponsiveAfter_ { 1000 };
     /// An unresponsive node is assumed to have stopped after this time.
     milliseconds forgetAfter_ { 10000 };
-    /// Age of the counts of other nodes: one report interval of 200 ms and the
-    /// transfer, or three of them through relays.
+    /// Age of the counts of other nodes. It is one report interval of 200 ms and the
+    /// transfer for direct reports (lag_), and three report intervals for reports through
+    /// relays (relayedLag_).
     milliseconds lag_ { 300 };
     milliseconds relayedLag_ { 600 };
     /// How long a node admits only its share of the rate after its start, unless other
@@ -41,8 +42,8 @@
     milliseconds startupTime_ { 3000 };
     /// Startup time if nearly all nodes report: twice the lag through relays.
     milliseconds minStartupTime_ { 1200 };
-    /// Buckets start with the tokens that the rate adds in this time, since a node is
-    /// down for longer than this before it starts again.
+    /// Buckets start with the tokens that the rate adds in this time, since a restarting
+    /// node was down for longer than this.
     milliseconds startCredit_ { 400 };
     /// Requests that cost less than this ratio of their organisation's mean cost may
     /// drive the level below zero. Requests that cost more wait until it has recovered:
@@ -51,8 +52,9 @@
     /// How far small requests may drive the level below zero: by the tokens that the rate
     /// adds in this time.
     milliseconds maxSmallDebt_ { 100 };
-    /// Phase from 0 to 1, different on each node, so that nodes that divide the
-    /// remainder of a quota do not all admit their first request simultaneously.
+    /// Share, from 0 to 1, of the first request's cost by which this node's share balance
+    /// is reduced when nodes begin to divide the remainder of a quota. It differs between
+    /// nodes, so that they do not all admit their first request simultaneously.
     double phase_ = 0;
 };
 
@@ -114,7 +116,8 @@
         double othersLong_ = 0;
         /// Mean cost of all requests, admitted or rejected.
         double meanCost_ = 0;
-        /// This node's share, set while the nodes divide the remainder.
+        /// Unused tokens of this node's share of the rate, set while the nodes divide the
+        /// remainder of the quota.
         std::optional<double> shareBalance_;
         /// Tokens charged for unresponsive peers since their last reports.
         std::map<VmId, double> chargedByPeer_;
@@ -130,7 +133,8 @@
         /// Whether the buckets include all of its counts since its start.
         bool isCountedFromStart_ = false;
         std::uint64_t nodes_ = 1;
-        /// Until when its share is already charged, while it is unresponsive.
+        /// The time up to which the buckets are already charged for this peer while it is
+        /// unresponsive.
         SteadyTime chargedUntil_ {};
     };
 
@@ -148,7 +152,8 @@
     /// share and the observed share, since callers stay with the nodes that they are
     /// connected to.
     double shareOf(const Bucket& bucket) const;
-    /// \returns the level, or the share, below which a request of \p cost is rejected.
+    /// \returns the bucket's level, or its share balance, below which a request that
+    /// costs \p cost is rejected.
     double floorFor(const Bucket& bucket, double cost) const;
     /// \returns the seconds since this node's start, plus its start credit.
     double secondsCredited(SteadyTime now) const;
--- a/include/pistachioloom/Routes.h
+++ b/include/pistachioloom/Routes.h
@@ -41,7 +41,7 @@
     bool hasAffinity_ = false;
     /// Maximum number of attempts for one request, each at another backend server.
     unsigned maxAttempts_ = 1;
-    /// Longest time for which a request is kept waiting, from its arrival.
+    /// Time limit of a request, from its arrival to the end of its answer.
     milliseconds timeout_ { 15000 };
     /// The latency objective for a complete answer or a stream's first event.
     milliseconds objective_ { 1000 };
@@ -50,9 +50,9 @@
     /// 0 is the most urgent.
     unsigned priority_ = 0;
     std::vector<SplitShare> split_;
-    /// Longest estimated wait for an engine with which a request is admitted. It is the
-    /// route's objective, but at most twice the objective of any more urgent route to the
-    /// same service, whose requests would wait behind it. Set by RouteTable::build().
+    /// Longest estimated wait for an engine at which a request is still admitted. It is
+    /// the route's objective, but at most twice the objective of any more urgent route to
+    /// the same service, whose requests would wait behind it. Set by RouteTable::build().
     milliseconds maxQueueWait_ {};
 
     /// Whether a request may be sent again after it may have run.
@@ -108,10 +108,13 @@
 
 /// Bounds on what a caller may send.
 struct CallerBounds {
+    /// Maximum size of a request's head.
     ByteCount header_ { 16UL * 1024 };
+    /// Maximum size of a request's body.
     ByteCount body_ { 4UL * 1024 * 1024 };
     /// Time limit for receiving a request's head.
     milliseconds headerTimeout_ { 5000 };
+    /// Time without a request after which a connection is closed.
     milliseconds idleTimeout_ { 15000 };
 };
 
--- a/include/pistachioloom/Routing.h
+++ b/include/pistachioloom/Routing.h
@@ -45,9 +45,9 @@
 };
 
 /// Sets the estimates of \p candidates and returns them with the best first. Candidates
-/// that meet the latency target precede the others. Among them local ones, the highest
-/// rank for the prefix and lower prices take precedence, in this order; otherwise the
-/// shorter estimate does.
+/// that meet the latency target precede the others. Candidates that meet it are ordered
+/// by locality, then by whether they rank highest for the prefix, by price and by
+/// estimate. The others are ordered by estimate only.
 std::vector<EngineCandidate> rankEngines(std::vector<EngineCandidate> candidates, const RoutingParameters& parameters);
 
 /// Returns the candidates among \p engines, without duplicates: the \p topRanked highest
--- a/lib/Admission/Admission.cpp
+++ b/lib/Admission/Admission.cpp
@@ -18,8 +18,9 @@
         return std::nullopt;
     if (std::chrono::duration<double, std::milli>(view.queueWait_) <= view.maxQueueWait_ * settings.queueWaitFactor_)
         return std::nullopt;
-    // The wait falls to half of its bound by then, so that the engine has capacity for
-    // several retries and not only for the first one.
+    // Unless the delay is clamped, the estimated wait falls to half of its bound by the
+    // retry, so that the engine has capacity for several retries and not only for the
+    // first one.
     return std::clamp(view.queueWait_ - view.maxQueueWait_ / 2, settings.minRetryAfter_, settings.maxRetryAfter_);
 }
 
--- a/lib/Backends/Backends.cpp
+++ b/lib/Backends/Backends.cpp
@@ -127,9 +127,10 @@
     double observed = std::clamp(waited / estimated, minSlowness, maxSlowness);
     backend.slowness_ += learningRate * (observed - backend.slowness_);
     std::uint64_t tokens = choice.uncachedTokens_.value_;
-    // Only requests that did not queue are observed. The loads of other requests are
-    // known with a delay, so that prompts already read would count as read during this
-    // wait. The same holds for the wait for a slot.
+    // The prefill rate is learnt only from requests that found a free slot and no queued
+    // prompt tokens. Loads that peers report arrive with a delay: prompts that the engine
+    // has already read would count as read during this wait, and slots that are free
+    // again would count as waited for.
     if (shape.isForEngine_ && !choice.queuedTokensAhead_.value_ && choice.running_ < choice.backend_.slots_)
         estimators_[shape.service_].observeWait(static_cast<double>(tokens), waited);
     return waited / estimated;
--- a/lib/Backends/Choice.cpp
+++ b/lib/Backends/Choice.cpp
@@ -44,8 +44,9 @@
     return !backend.record_.isLeaving_ && backend.ejectedUntil_ <= now;
 }
 
-/// Returns the part that requests share, or nullptr if there is none. It is the last but
-/// one, since the last belongs to the request or its session alone.
+/// Returns the prompt part that other requests may share, or nullptr if there is none. It
+/// is the last part but one, since the last part belongs to the request or its session
+/// alone.
 static const PromptPart* sharedPart(const RequestShape& shape)
 {
     return shape.parts_.size() < 2 ? nullptr : &shape.parts_[shape.parts_.size() - 2];
@@ -101,8 +102,8 @@
     candidates.erase(others + static_cast<std::ptrdiff_t>(taken), candidates.end());
 }
 
-/// Returns the estimated wait for a slot when all are taken. Slots become free at a
-/// constant rate, and requests that wait already go first.
+/// The estimate assumes that slots become free at a constant rate, and requests that wait
+/// already go first.
 double BackendTable::slotWaitMs(const Backend& backend) const
 {
     std::uint64_t slots = std::max<std::uint64_t>(1, backend.record_.slots_);
@@ -139,9 +140,9 @@
     return ahead + own * slowdownFactor(backend);
 }
 
-/// A trial uses only as many of the target's backend servers as give each of them the
-/// load that a server of another version has, since a version may fail only under load.
-/// All nodes use the same servers.
+/// Limits a trial to so few backend servers of the target version that each of them gets
+/// as much load as a server of another version, since a version may fail only under load.
+/// All nodes choose the same servers.
 void BackendTable::applyVersionRule(std::vector<Backend*>& candidates, const VersionRule& rule, const ServiceName& service) const
 {
     auto isAllowed = [&](const Backend* backend) { return rule.isTarget(backend->record_) == rule.usesTarget_; };
@@ -204,8 +205,8 @@
         double estimate = estimateMs(*backend, shape, uncached);
         double suspectPenalty = shape.isSuspect_ ? suspectPenaltyMs * (backend->ownLoad_.running_ + backend->peerLoad_.running_) : 0;
         double score = suspectPenalty + estimate + (backend->record_.dataCentre_ == ownDataCentre_ ? 0 : settings_.remotePenaltyMs_);
-        // A random one of equal candidates is chosen, so that nodes do not all choose the
-        // same one.
+        // Of candidates with equal scores a random one is chosen, so that nodes do not
+        // all choose the same one.
         bool isTie = chosen && score == bestScore;
         tieCount = isTie ? tieCount + 1 : 1;
         if (chosen && (score > bestScore || (isTie && static_cast<double>(randomBits() >> 11) * 0x1p-53 * tieCount >= 1)))
--- a/lib/Backends/Registration.cpp
+++ b/lib/Backends/Registration.cpp
@@ -12,9 +12,11 @@
 namespace pistachioloom {
 
 // Number of removed backend servers whose newest start time is kept. With 2,100 backend
-// servers it is enough for the removals of some minutes. Each takes 100 bytes.
+// servers this number covers the removals of some minutes. Each start time takes 100
+// bytes.
 static constexpr std::size_t maxRemovedNames = 1024;
-// A leaving backend server terminates within a minute.
+// Time for which a removed server is remembered as leaving. A leaving backend server
+// terminates within a minute.
 static constexpr milliseconds leavingRetention { 60000 };
 
 BackendTable::PutResult BackendTable::put(const BackendRecord& record)
--- a/lib/Forward/CallerConnection.cpp
+++ b/lib/Forward/CallerConnection.cpp
@@ -10,13 +10,14 @@
 namespace {
 
     constexpr std::size_t readSize = 8UL * 1024;
-    // The number of bytes that one connection buffers: a few pipelined requests.
+    // The maximum number of bytes that one connection buffers, which is enough for a few
+    // pipelined requests.
     constexpr std::size_t maxBuffered = 64UL * 1024;
     // The time limit for the next bytes of a body, after which the caller is assumed to be
     // gone.
     constexpr milliseconds bodyReadTimeout { 10000 };
-    // The time limit for reading bytes that the socket already has: two iterations of an
-    // event loop that is delayed by half a second.
+    // The time limit for reading bytes that the socket already has. It allows for two
+    // iterations of an event loop that is delayed by half a second in each.
     constexpr milliseconds pendingReadTimeout { 1000 };
 
     Error badRequest(const BadRequest& problem, const std::string& peer)
--- a/lib/Forward/CallerConnection.h
+++ b/lib/Forward/CallerConnection.h
@@ -37,7 +37,7 @@
     /// Records that an answer has announced a part of \p idle to the caller. The connection
     /// then stays open for at least \p idle, even if a newer configuration has a lower limit.
     void setAnnouncedIdle(milliseconds idle) { announcedIdle_ = idle; }
-    /// The number of bytes that were read and belong to no served request.
+    /// The number of bytes that were read but are not part of a request that was served.
     ByteCount unansweredBytes() const { return { input_.size() }; }
     /// The duration of the last wait for a request.
     milliseconds idleTime() const { return idleTime_; }
@@ -60,11 +60,14 @@
 
     asio::ip::tcp::socket socket_;
     std::string input_;
+    /// Set when bytes are added to the input, or the caller disconnects.
     AutoResetEvent inputArrived_;
+    /// Set when bytes are removed from the input.
     AutoResetEvent inputConsumed_;
     std::function<void()> disconnectHook_;
     bool isDisconnected_ = false;
     bool isIdle_ = true;
+    /// The result of isIdle() at the previous call of hasStayedIdle().
     bool wasIdle_ = false;
     milliseconds idleTime_ {};
     milliseconds announcedIdle_ {};
--- a/lib/Forward/ConnectionPool.h
+++ b/lib/Forward/ConnectionPool.h
@@ -33,8 +33,8 @@
     /// requests up to 3.3 s after their callers had disconnected.
     void abort();
 
-    /// Whether no received bytes are unread. A read that starts now then has to wait, and
-    /// its bytes arrive at the moment it completes.
+    /// Whether no received bytes are unread. If so, a read that starts now has to wait,
+    /// and its bytes arrive at the time at which it completes.
     bool isReceiveBufferEmpty() const;
 
     asio::ip::tcp::socket socket_;
@@ -46,7 +46,8 @@
     /// The time after which the connection is not used, as the server may be closing it.
     SteadyTime usableUntil_ {};
     bool isReused_ = false;
-    /// Whether a write of the request is still in progress.
+    /// Whether the write of the request is still in progress or has failed. In both cases
+    /// the connection cannot be reused.
     bool isWriting_ = false;
     /// The number of connections to the same backend server. This connection is counted
     /// until its destruction.
--- a/lib/Forward/EventSplitter.h
+++ b/lib/Forward/EventSplitter.h
@@ -22,8 +22,8 @@
     }
 
     /// Adds \p bytes of the stream and \returns the complete events that are new to the
-    /// caller. Events up to the last one are left out. An event whose predecessor is
-    /// missing sets hasGap().
+    /// caller. Events up to last(), which the caller already has, are left out. An event
+    /// whose predecessor is missing sets hasGap().
     std::string feed(std::string_view bytes);
     /// Discards an incomplete event, because its stream broke off and another follows.
     void dropPartial() { partial_.clear(); }
--- a/lib/Forward/Headers.cpp
+++ b/lib/Forward/Headers.cpp
@@ -103,8 +103,8 @@
 }
 
 /// Announces at most four fifths of the idle timeout, to allow for network queues and delayed
-/// event loops. A caller that sent a request while the close is in flight would lose the
-/// request.
+/// event loops. If a caller sent a request while the close of the connection is in
+/// flight, the request would be lost.
 std::string connectionFields(std::optional<milliseconds> idle)
 {
     std::string fields;
--- a/lib/Forward/Headers.h
+++ b/lib/Forward/Headers.h
@@ -47,7 +47,8 @@
 
 /// Renders the fields Connection and Keep-Alive. They announce a part of \p idle, in full
 /// seconds, as the time for which the caller may keep the connection idle before it is
-/// used again. Without \p idle they announce that the connection closes.
+/// used again. If that part is less than one second, no fields are rendered. Without an
+/// idle timeout the fields announce that the connection closes.
 std::string connectionFields(std::optional<milliseconds> idle);
 
 } // namespace pistachioloom
--- a/lib/Forward/LivenessProbe.h
+++ b/lib/Forward/LivenessProbe.h
@@ -11,8 +11,8 @@
 
 namespace pistachioloom {
 
-/// Connects to \p backend. If the connection is refused, records that the backend server
-/// has terminated.
+/// Connects to \p backend. If the connection is refused although the data centre counts
+/// as reachable, records that the backend server has terminated.
 asio::awaitable<void> probeLiveness(ForwardContext& context, BackendRecord backend);
 
 /// Logs that a crash of \p backend was counted against a request.
--- a/lib/Forward/RequestForwarder.cpp
+++ b/lib/Forward/RequestForwarder.cpp
@@ -17,11 +17,11 @@
     constexpr milliseconds stoppingRetryAfter { 10 };
     // Full backend servers have capacity again after a few answers.
     constexpr milliseconds fullRetryAfter { 150 };
-    // The number of attempts that sent nothing, such as failed connections, after which a request
-    // fails.
+    // The number of attempts after which a request fails if they sent nothing, for
+    // example because the connection failed.
     constexpr unsigned maxUnsentAttempts = 4;
-    // A request with this many crashes is isolated from others, because so many are unlikely
-    // to be a coincidence.
+    // A request during which this many backend servers crashed is isolated from other
+    // requests, because so many crashes are unlikely to be a coincidence.
     constexpr std::size_t crashesToIsolate = 2;
     // The largest urgency value, which is the least urgent.
     constexpr unsigned maxUrgency = 9;
@@ -175,7 +175,7 @@
     return rejection(503, "engines are busy for " + std::to_string(choice.queueWait_.count()) + " ms", *retryAfter);
 }
 
-/// Checks every send: first sends, retries and moved streams.
+/// Called before every send: first sends, retries and moved streams.
 std::optional<RequestForwarder::HeldAnswer> RequestForwarder::rejectQuarantined()
 {
     if (context_.quarantine_.isEmpty())
@@ -253,8 +253,8 @@
         context_.metrics_.add(Counter::Retries);
         logger().info(LogLine("Retrying.").add("id", attemptId_).add("after", attempt.choice_.backend_.id_.value_).add("sends", sendCount_).add("why", attempt.detail_).add("left_ms", timeLeft().count()));
         // No pause is needed: the previous engine detects its closed connection long before
-        // the next one starts, because the close is sent first, over a path that is no longer
-        // than the send's.
+        // the next one starts, because the close is sent before the retry, and its
+        // network path is no longer than that of the retry.
     }
     if (caller_->isDisconnected())
         co_return;
--- a/lib/Forward/RequestForwarder.h
+++ b/lib/Forward/RequestForwarder.h
@@ -76,6 +76,8 @@
         double waitRatio_ = 1;
         /// The id of the last event that the caller had before the attempt.
         std::uint64_t lastEventBefore_ = 0;
+        /// A short reason for the outcome, for logs and rejections; empty if the answer
+        /// was delivered.
         std::string detail_;
     };
     /// A complete answer that is not yet delivered.
@@ -94,6 +96,8 @@
     // Attempts at backend servers.
     asio::awaitable<void> serve();
     asio::awaitable<SendOutcome> send(Attempt& attempt);
+    /// \returns SendOutcome::Held if the attempt has a connection, or the outcome of
+    /// the failed attempt.
     asio::awaitable<SendOutcome> connect(Attempt& attempt);
     bool mayConnect(const BackendId& backend) const;
     asio::awaitable<SendOutcome> receive(Attempt& attempt);
@@ -163,19 +167,28 @@
     const OrganisationPolicy* organisation_ = nullptr;
     RequestShape shape_;
     unsigned urgency_ = 0;
+    /// What the request takes from its organisation's quota, in requests or tokens.
     double quotaCost_ = 0;
     bool hasQuota_ = false;
 
     SteadyTime deadline_ {};
+    /// The end of the wait limit of the current attempt; SteadyTime::max() if it has
+    /// none.
     SteadyTime waitDeadline_ {};
     SteadyTimer timer_;
     StopReason stopReason_ = StopReason::None;
     BackendConnectionPtr currentConnection_;
 
+    /// Backend servers of the attempts so far, which are not chosen again.
     std::set<BackendId> excludedBackends_;
+    /// Sends that count against Route::maxAttempts_.
     unsigned sendCount_ = 0;
+    /// Attempts that sent nothing, for example because the connection failed.
     unsigned unsentAttempts_ = 0;
+    /// Whether a backend server may have run the request.
     bool mayHaveRun_ = false;
+    /// Whether the first byte of an answer has arrived, so that the request counts as
+    /// started.
     bool hasCountedStart_ = false;
     bool hasStartedAnswer_ = false;
     bool isFinished_ = false;
@@ -188,7 +201,10 @@
         {
         }
 
+        /// Set when the move ends.
         AutoResetEvent done_;
+        /// Whether nothing is being copied: the move has ended, or could not be
+        /// started.
         bool isDone_ = false;
         /// Whether the move was cancelled. If it completes later, it has no effect.
         bool isCancelled_ = false;
@@ -199,12 +215,15 @@
     std::shared_ptr<Move> move_;
     /// The location of a KV cache, which only the next attempt sends.
     std::string resumeFrom_;
+    /// The answer to deliver unless a retry succeeds.
     std::optional<HeldAnswer> heldAnswer_;
     /// Computed on first use, because most requests never need it.
     std::optional<RequestFingerprint> fingerprint_;
+    /// Attempt::detail_ of the latest attempt.
     std::string lastDetail_;
     /// The time from the request's arrival to the first byte of an answer.
     milliseconds firstByteLatency_ {};
+    /// The status of the latest answer of a backend server or of this node.
     int finalStatus_ = 0;
 };
 
--- a/lib/Forward/RequestReader.cpp
+++ b/lib/Forward/RequestReader.cpp
@@ -104,7 +104,8 @@
     if (length > bounds_.header_.value_)
         return fail(431, "head larger than " + std::to_string(bounds_.header_.value_) + " bytes");
     if (end == std::string::npos) {
-        // A head with bare line feeds never has the end that is searched for above.
+        // A head with bare line feeds never contains headEnd, so it is rejected here
+        // instead of waiting for more bytes.
         if (auto bad = checkLineEnds(std::string_view(input).substr(0, input.find_last_of('\r'))))
             return fail(bad->status_, bad->reason_);
         return Progress::NeedsMore;
--- a/lib/Forward/RequestReader.h
+++ b/lib/Forward/RequestReader.h
@@ -35,8 +35,9 @@
     std::string reason_;
 };
 
-/// Checks for errors that the library's parser accepts: bad line endings, folded lines,
-/// and more than one statement of the body's length. \p head ends with the blank line.
+/// Checks for errors that the parser of Boost.Beast accepts: bad line endings, folded
+/// lines, and more than one statement of the body's length. \p head ends with the blank
+/// line.
 std::optional<BadRequest> checkRequestHead(std::string_view head);
 
 /// Incremental parser for one request.
--- a/lib/Forward/Sending.cpp
+++ b/lib/Forward/Sending.cpp
@@ -77,8 +77,9 @@
     return head + "\r\n";
 }
 
-/// A backend server resets connections beyond its limit for all nodes together, so each
-/// worker of each node keeps within its share.
+/// Whether this worker may open one more connection to \p backend. A backend server
+/// resets connections beyond its limit, which all nodes share, so each worker of each
+/// node keeps within its share of the limit.
 bool RequestForwarder::mayConnect(const BackendId& backend) const
 {
     const ServicePolicy* service = table_->findService(shape_.service_);
@@ -137,8 +138,8 @@
     });
 }
 
-/// Whether a wait limit applies. If no retry on another backend server is possible, the
-/// current one may use all of the remaining time.
+/// Whether the request may be retried on another backend server. Only then does a wait
+/// limit apply. Otherwise the current server may use all of the remaining time.
 bool RequestForwarder::mayRetryElsewhere(const Attempt& attempt) const
 {
     return route_->mayRepeat() && sendCount_ < route_->maxAttempts_ && attempt.choice_.candidateCount_ > 1;
@@ -225,7 +226,8 @@
 void RequestForwarder::noteBackendState(Attempt& attempt, const Parser& parser)
 {
     const auto& message = parser.get();
-    // Another backend server now has the address of the intended one.
+    // With status 421 another backend server answers, which now has the address of the
+    // intended one.
     if (message.result_int() == 421)
         return;
     std::string_view leaving = view(message[context_.names_.leaving_]);
--- a/lib/Forward/Worker.cpp
+++ b/lib/Forward/Worker.cpp
@@ -13,7 +13,8 @@
 
 namespace {
 
-    // The period at which kept connections that are no longer usable are closed.
+    // The interval at which kept backend connections that are no longer usable are
+    // closed.
     constexpr milliseconds sweepPeriod { 1000 };
     // The pause after a failed accept, for example for lack of file descriptors.
     constexpr milliseconds acceptPause { 20 };
--- a/lib/Limits/FairQueue.cpp
+++ b/lib/Limits/FairQueue.cpp
@@ -1,7 +1,7 @@
 //===- lib/Limits/FairQueue.cpp - order of waiting requests ----------------===//
 ///
 /// \file
-/// Weighted fair queueing with virtual start times inside a class; paid requests
+/// Weighted fair queueing by virtual finish times inside a class; paid requests
 /// precede trial requests.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Limits.h"
--- a/lib/Limits/Grants.cpp
+++ b/lib/Limits/Grants.cpp
@@ -23,8 +23,8 @@
     std::erase_if(nodes, [&](const auto& item) { return item.second.expires_ <= now; });
     std::uint64_t others = grantedToOthers(entry, node, now);
     std::uint64_t available = share > others ? share - others : 0;
-    // Slots in use are counted even beyond the share, since their requests are
-    // already running.
+    // Slots in use are granted even beyond the share, since their requests are already
+    // running.
     std::uint64_t slots = std::max(inUse, std::min(available, std::max(wanted, inUse)));
     nodes[node] = { slots, inUse, now + validity };
     return slots;
@@ -79,7 +79,8 @@
     OutgoingLoan& lent = outgoingLoans_[borrower];
     std::uint64_t before = reservedSlots(lent, now);
     std::uint64_t slots = std::max(request.inUse_, std::min(request.wanted_, free + before));
-    // Grants made before this request may stay valid for their full validity.
+    // Grants that the borrower made before this request may be valid for the full grant
+    // validity from now on.
     lent.outstandingSlots_ = before;
     lent.outstandingUntil_ = now + grantValidity;
     // If the reply is lost, the borrower still assumes its previous loan, capped at
--- a/lib/Orders/Steps.cpp
+++ b/lib/Orders/Steps.cpp
@@ -47,8 +47,9 @@
     return now - *otherReadAt < timing.claimValidity_ + timing.maxPause_;
 }
 
-// If the engine is not loading within the claim's validity after the order, it
-// has not received the order.
+// Whether an order was sent that the engine may still obey. If the engine is
+// not loading within the claim's validity after the order, it has not received
+// the order.
 static bool isOrderTakingEffect(const OrderContext& context, const OrderTiming& timing, SteadyTime now)
 {
     if (!context.orderedAt_)
@@ -62,7 +63,8 @@
     if (isReached && !context.holder_)
         return OrderStep::Settled;
     if (!isOwn(context)) {
-        // Otherwise, two nodes that both assume to be the dispatcher would claim
+        // A recent claim of another node is respected. Otherwise, two nodes
+        // that both assume that they are the dispatcher would claim
         // alternately.
         bool isOtherClaimRecent = context.holder_ && now - context.holder_->readAt_ < timing.claimValidity_;
         return isOtherClaimRecent ? OrderStep::Wait : OrderStep::Claim;
--- a/lib/Quarantine/CrashDetector.cpp
+++ b/lib/Quarantine/CrashDetector.cpp
@@ -7,8 +7,10 @@
 
 namespace pistachioloom {
 
-// The registry removes a crashed backend server after three missed heartbeats, and the
-// nodes learn of the removal a second later.
+// Longest time between the cut-off of an attempt and the time at which this node learns
+// that the backend server has terminated, in either order. The registry removes a crashed
+// backend server after three missed heartbeats, and the nodes learn of the removal a
+// second later.
 static constexpr milliseconds maxTerminationDelay { 10000 };
 
 void CrashDetector::removeExpired(SteadyTime now)
--- a/lib/Quarantine/Quarantine.cpp
+++ b/lib/Quarantine/Quarantine.cpp
@@ -9,12 +9,13 @@
 
 namespace pistachioloom {
 
-// Crashes kept for one request: enough to double its quarantine to more than a day.
+// Maximum number of crashes kept for one request, which is enough to double its
+// quarantine to more than a day.
 static constexpr std::size_t maxCrashesKept = 12;
-// How long reports contain a change: more than one report, since some may be lost.
+// How long reports contain a change. This spans several reports, since some may be lost.
 static constexpr milliseconds changeReportPeriod { 2000 };
-// Requests in one report, so that the report fits into one packet at about 40 bytes per
-// request.
+// Maximum numbers of changed and unchanged requests in one report, so that the report
+// fits into one packet at about 40 bytes per request.
 static constexpr std::size_t maxChangesPerReport = 16;
 static constexpr std::size_t maxUnchangedPerReport = 8;
 // A request with a single crash is reported only when it has changed: most such crashes
--- a/lib/Quota/Quota.cpp
+++ b/lib/Quota/Quota.cpp
@@ -113,7 +113,7 @@
 
 double QuotaLimiter::shareOf(const Bucket& bucket) const
 {
-    // Right after the start, no reports of other nodes have arrived yet, and all
+    // Right after this node's start, no reports of other nodes have arrived yet, and all
     // requests seem to arrive at this node.
     if (bucket.filledAt_ - startedAt_ < settings_.startupTime_)
         return 1 / nodes();
@@ -159,8 +159,8 @@
     return milliseconds(static_cast<std::int64_t>(wait * 1000) + 1);
 }
 
-/// Initialises a bucket with the level that a peer reported, or else as empty at the time
-/// from which this node's start credit counts.
+/// Initialises a bucket with the level that a peer reported, or else as empty at
+/// QuotaSettings::startCredit_ before this node's start.
 void QuotaLimiter::initialise(Bucket& bucket, const OrganisationId& organisation) const
 {
     auto received = receivedLevels_.find(organisation);
--- a/lib/Routes/Routes.cpp
+++ b/lib/Routes/Routes.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-    /// The strictest objective among a service's routes that are at least as urgent as the
-    /// key.
+    /// Maps a priority to the strictest objective among those routes of one service that
+    /// are at least as urgent.
     using ObjectivesByPriority = std::map<unsigned, milliseconds>;
     using ObjectivesByService = std::unordered_map<ServiceName, ObjectivesByPriority>;
 
--- a/lib/Routing/Routing.cpp
+++ b/lib/Routing/Routing.cpp
@@ -37,7 +37,8 @@
         wait = parameters.yieldTime_;
     else if (!free)
         wait = std::max(wait, parameters.serviceTime_ * (1 + candidate.load_.queued_));
-    // Only the highest-ranked engine for the prefix is assumed to have it cached.
+    // Only the highest-ranked engine for the prefix is assumed to have it
+    // cached, so that a quarter of the prefill time is left.
     milliseconds prefill = candidate.prefixRank_ ? parameters.prefillTime_ : parameters.prefillTime_ / 4;
     return wait + prefill + candidate.networkLatency_;
 }
--- a/unittests/Admission/AdmissionTest.cpp
+++ b/unittests/Admission/AdmissionTest.cpp
@@ -20,11 +20,11 @@
     auto row = GENERATE(values<Row>({
         { "no wait", { true, false, milliseconds(0), milliseconds(800) }, std::nullopt },
         { "wait equal to the bound", { true, false, milliseconds(800), milliseconds(800) }, std::nullopt },
-        { "longer wait", { true, false, milliseconds(900), milliseconds(800) }, milliseconds(500) },
-        { "slightly longer wait", { true, false, milliseconds(101), milliseconds(100) }, milliseconds(150) },
-        { "much longer wait", { true, false, milliseconds(60000), milliseconds(800) }, milliseconds(800) },
-        { "started before", { true, true, milliseconds(60000), milliseconds(800) }, std::nullopt },
-        { "a plain service", { false, false, milliseconds(60000), milliseconds(800) }, std::nullopt },
+        { "wait above the bound", { true, false, milliseconds(900), milliseconds(800) }, milliseconds(500) },
+        { "wait just above the bound: minimum retry delay", { true, false, milliseconds(101), milliseconds(100) }, milliseconds(150) },
+        { "wait far above the bound: maximum retry delay", { true, false, milliseconds(60000), milliseconds(800) }, milliseconds(800) },
+        { "a request that was sent before", { true, true, milliseconds(60000), milliseconds(800) }, std::nullopt },
+        { "a request to a plain service", { false, false, milliseconds(60000), milliseconds(800) }, std::nullopt },
     }));
     CAPTURE(row.name_);
     CHECK(retryAfterIfRejected(row.view_, {}) == row.retryAfter_);
--- a/unittests/Backends/BackendsTest.cpp
+++ b/unittests/Backends/BackendsTest.cpp
@@ -506,13 +506,13 @@
     };
     const BackendVersion v2 { "v2" };
     const Row rows[] = {
-        { "other versions", 6, 6, { v2, false, 0.1, true }, 6, false },
+        { "requests for other versions", 6, 6, { v2, false, 0.1, true }, 6, false },
         { "the target on trial, with at least three servers", 6, 6, { v2, true, 0.1, true }, 3, true },
-        { "the target on trial, with servers loaded as the others", 20, 20, { v2, true, 0.3, true }, 6, true },
+        { "the target on trial, with as much load per server as the other versions", 20, 20, { v2, true, 0.3, true }, 6, true },
         { "all requests to the target", 6, 6, { v2, true, 1, true }, 6, true },
         { "no server of the target", 6, 0, { v2, true, 0.1, true }, 6, false },
         { "no server of another version", 0, 6, { v2, false, 0, true }, 6, true },
-        { "no server of another version, reverted", 0, 6, { v2, false, 0, false }, 0, false },
+        { "no server of another version, and no fallback to the target", 0, 6, { v2, false, 0, false }, 0, false },
     };
     for (const Row& row : rows) {
         CAPTURE(row.name_);
--- a/unittests/Quota/QuotaNodes.h
+++ b/unittests/Quota/QuotaNodes.h
@@ -18,7 +18,7 @@
 inline const QuotaLimit limit { 1000, 1000 };
 inline const SteadyTime start { milliseconds(1000000) };
 
-/// Nodes that report their counts to each other every \p gossip.
+/// Nodes that report their counts to each other once per report interval.
 struct Nodes {
     Nodes(std::size_t count, milliseconds gossip)
         : gossip_(gossip)
--- a/unittests/Quota/QuotaRestartTest.cpp
+++ b/unittests/Quota/QuotaRestartTest.cpp
@@ -53,11 +53,13 @@
     DelayedNodes nodes(count, milliseconds(400));
     nodes.restart(start + milliseconds(20000));
     nodes.run(start + milliseconds(20100), milliseconds(800), excess * tokens.ratePerSecond_ / cost, tokens, cost);
-    // Each node may admit one request beyond its share, in addition to the start credit.
+    // The nodes may admit the tokens that the rate adds in the 0.9 s since the restart
+    // and the start credit of 0.4 s. The other 0.3 s allow for the one request that each
+    // node may admit beyond its share.
     CHECK(nodes.maxAdmitted(milliseconds(8000)) <= (0.9 + 0.4 + 0.3) * tokens.ratePerSecond_);
-    // In the next seconds, the nodes receive each other's reports: an excess of a tenth of
-    // the tokens that the rate adds in 8 s, and of those that it adds in one second, is
-    // tolerated.
+    // In the next seconds, the nodes receive each other's reports. Beyond the tokens that
+    // the rate adds in the 4 s since the restart, an excess of 140,000 tokens and of the
+    // tokens of 0.9 s, a tenth of 8 s and of one second, is tolerated.
     nodes.run(start + milliseconds(20900), milliseconds(3100), excess * tokens.ratePerSecond_ / cost, tokens, cost);
     CHECK(nodes.maxAdmitted(milliseconds(8000)) <= (4 + 0.9) * tokens.ratePerSecond_ + 140000);
     // If each of 63 nodes receives one request, a third of them have accumulated enough
--- a/unittests/Reclaim/ReclaimTest.cpp
+++ b/unittests/Reclaim/ReclaimTest.cpp
@@ -75,12 +75,12 @@
     };
     using Action = ReclaimAction;
     auto planCase = GENERATE(values<PlanCase>({
-        { "finishes in time", { stream("a", ServiceClass::Paid, 500, 10) }, cost(100, 9), { { "a", Action::FinishInPlace } } },
-        { "moves", { stream("a", ServiceClass::Paid, 50, 100) }, cost(100, 9), { { "a", Action::MoveCache } } },
+        { "the stream finishes in time", { stream("a", ServiceClass::Paid, 500, 10) }, cost(100, 9), { { "a", Action::FinishInPlace } } },
+        { "the cache can be exported in time", { stream("a", ServiceClass::Paid, 50, 100) }, cost(100, 9), { { "a", Action::MoveCache } } },
         { "no import slot", { stream("a", ServiceClass::Paid, 50, 100) }, cost(100, 0), { { "a", Action::Recompute } } },
         { "not enough time to export", { stream("a", ServiceClass::Paid, 500, 100) }, cost(100, 9), { { "a", Action::Recompute } } },
-        { "paid before a larger trial", { stream("t", ServiceClass::Trial, 90, 100), stream("p", ServiceClass::Paid, 50, 100) }, cost(100, 9), { { "t", Action::Recompute }, { "p", Action::MoveCache } } },
-        { "the only import slot goes to the larger", { stream("a", ServiceClass::Paid, 20, 100), stream("b", ServiceClass::Paid, 40, 100) }, cost(100, 1), { { "a", Action::Recompute }, { "b", Action::MoveCache } } },
+        { "a paid stream before a larger trial stream", { stream("t", ServiceClass::Trial, 90, 100), stream("p", ServiceClass::Paid, 50, 100) }, cost(100, 9), { { "t", Action::Recompute }, { "p", Action::MoveCache } } },
+        { "the only import slot goes to the larger stream", { stream("a", ServiceClass::Paid, 20, 100), stream("b", ServiceClass::Paid, 40, 100) }, cost(100, 1), { { "a", Action::Recompute }, { "b", Action::MoveCache } } },
         { "no notice", { stream("a", ServiceClass::Paid, 1, 1) }, cost(0, 9), { { "a", Action::Recompute } } },
     }));
     INFO(planCase.name_);
