--- a/include/pistachioloom/Backends.h
+++ b/include/pistachioloom/Backends.h
@@ -167,7 +167,7 @@
     double firstEventOverheadMs_ = 30;
     /// Wait that each running request adds, in ms. A batch step takes about a tenth of a
     /// millisecond longer for each request in it.
-    double delayPerRunningMs_ = 0.3;
+    double delayPerRunningRequestMs_ = 0.3;
     /// Time for which a request holds its slot, from its first event to its end, used
     /// until the mean is learnt from answers.
     milliseconds slotHoldTime_ { 500 };
--- a/include/pistachioloom/Reclaim.h
+++ b/include/pistachioloom/Reclaim.h
@@ -28,7 +28,7 @@
     /// Part of the notice that is reserved for messages and unexpected delays.
     milliseconds margin_ { 300 };
     /// Time in which the leaving engine generates one token of a stream.
-    milliseconds perToken_ { 20 };
+    milliseconds timePerToken_ { 20 };
     /// Size of the KV cache of one token, and the bandwidth that all exports share.
     ByteCount kvPerToken_ { 128UL * 1024 };
     ByteCount exportPerSecond_ { 1024UL * 1024 * 1024 };
--- a/lib/Backends/Choice.cpp
+++ b/lib/Backends/Choice.cpp
@@ -128,7 +128,7 @@
     if (!shape.isForEngine_)
         return plainRequestMs * running / static_cast<double>(std::max<std::uint64_t>(1, backend.record_.slots_)) * backend.slowness_;
     auto queued = static_cast<double>(backend.ownLoad_.queuedTokens_ + backend.peerLoad_.queuedTokens_);
-    return (queued / prefillRateOf(shape.service_) + running * settings_.delayPerRunningMs_ + slotWaitMs(backend)) * slowdownFactor(backend);
+    return (queued / prefillRateOf(shape.service_) + running * settings_.delayPerRunningRequestMs_ + slotWaitMs(backend)) * slowdownFactor(backend);
 }
 
 double BackendTable::estimateMs(const Backend& backend, const RequestShape& shape, TokenCount uncached) const
--- a/lib/Forward/Answering.cpp
+++ b/lib/Forward/Answering.cpp
@@ -73,7 +73,7 @@
 asio::awaitable<bool> RequestForwarder::deliver(HeldAnswer answer)
 {
     keepsConnection_ = keepsConnection_ && !context_.isStopping_;
-    finalStatus_ = answer.status_;
+    latestStatus_ = answer.status_;
     hasStartedAnswer_ = true;
     BodySent sent = isHead() ? BodySent::No : BodySent::Yes;
     std::string bytes = renderAnswer(answer.status_, answer.fields_, answer.body_, announcedIdle(), sent);
@@ -85,7 +85,7 @@
 asio::awaitable<bool> RequestForwarder::startEvents(const HeaderFields& fields)
 {
     keepsConnection_ = keepsConnection_ && !context_.isStopping_ && !request_.isHttp10_;
-    std::string head = statusLine(finalStatus_);
+    std::string head = statusLine(latestStatus_);
     appendFields(head, fields);
     if (!request_.isHttp10_)
         appendField(head, "Transfer-Encoding", "chunked");
--- a/lib/Forward/RequestForwarder.cpp
+++ b/lib/Forward/RequestForwarder.cpp
@@ -342,7 +342,7 @@
     SteadyTime now = steadyNow();
     AttemptOutcome observed;
     observed.outcome_ = outcome;
-    observed.isFailure_ = finalStatus_ >= 500;
+    observed.isFailure_ = latestStatus_ >= 500;
     observed.isCutOff_ = attempt.isCutOff_;
     observed.hasFirstByte_ = attempt.hasFirstByte_;
     observed.waitRatio_ = attempt.waitRatio_;
@@ -383,7 +383,7 @@
 {
     const BackendChoice& choice = attempt.choice_;
     LogLine line("Attempt ended.");
-    line.add("id", attemptId_).add("outcome", toString(outcome)).add("why", attempt.detail_).add("status", finalStatus_).add("attempt", sendCount_);
+    line.add("id", attemptId_).add("outcome", toString(outcome)).add("why", attempt.detail_).add("status", latestStatus_).add("attempt", sendCount_);
     line.add("route", route_->name_).add("organisation", organisation_ ? organisation_->name_.value_ : "").add("configuration", static_cast<std::int64_t>(table_->version()));
     line.add("backend", choice.backend_.id_.value_).add("service", shape_.service_.value_).add("data_centre", choice.backend_.dataCentre_.value_).add("candidates", static_cast<std::int64_t>(choice.candidateCount_));
     line.add("estimate_ms", choice.estimate_.count()).add("running", static_cast<std::int64_t>(choice.running_)).add("queued_tokens", static_cast<std::int64_t>(choice.queuedTokensAhead_.value_)).add("uncached_tokens", static_cast<std::int64_t>(choice.uncachedTokens_.value_));
--- a/lib/Forward/RequestForwarder.h
+++ b/lib/Forward/RequestForwarder.h
@@ -224,7 +224,7 @@
     /// The time from the request's arrival to the first byte of an answer.
     milliseconds firstByteLatency_ {};
     /// The status of the latest answer of a backend server or of this node.
-    int finalStatus_ = 0;
+    int latestStatus_ = 0;
 };
 
 /// Whether an answer's body follows its head. It does not for HEAD requests.
--- a/lib/Forward/Sending.cpp
+++ b/lib/Forward/Sending.cpp
@@ -18,7 +18,7 @@
 // The wait limit for the first event, as a multiple of the latency objective. Queueing
 // delays stay below twice the objective even under high load, so a longer wait indicates a
 // fault.
-static constexpr int waitLimitObjectives = 3;
+static constexpr int waitLimitFactor = 3;
 // Replaces a Retry-After value that is not a number, such as a date. Dates are not
 // evaluated, as clocks may differ by more than the length of the pause.
 static constexpr milliseconds defaultPause { 1000 };
@@ -175,7 +175,7 @@
     if (mayRetryElsewhere(attempt)) {
         auto waitLimit = std::chrono::duration_cast<milliseconds>(timeLeft() * context_.settings_.waitLimitShare_);
         if (route_->isStream_)
-            waitLimit = std::min(waitLimit, std::max(waitLimitObjectives * route_->objective_, attempt.choice_.estimate_ * 2));
+            waitLimit = std::min(waitLimit, std::max(waitLimitFactor * route_->objective_, attempt.choice_.estimate_ * 2));
         waitDeadline_ = steadyNow() + waitLimit;
         armTimer();
     }
@@ -333,7 +333,7 @@
     }
     noteFirstByte(attempt);
     HeldAnswer answer { static_cast<int>(parser.get().result_int()), fieldsOf(parser, context_.names_), std::move(body) };
-    finalStatus_ = answer.status_;
+    latestStatus_ = answer.status_;
     releaseConnection(attempt, parser);
     bool isServerFailure = answer.status_ >= 500;
     if (isServerFailure && route_->mayRepeat()) {
@@ -351,7 +351,7 @@
     HeaderFields fields = fieldsOf(parser, context_.names_);
     // The previous engine's stream may have ended within an event.
     eventSplitter_.dropPartial();
-    finalStatus_ = static_cast<int>(parser.get().result_int());
+    latestStatus_ = static_cast<int>(parser.get().result_int());
     while (!parser.is_done()) {
         if (auto code = co_await readSome(attempt, parser)) {
             attempt.isCutOff_ = isDisconnect(code);
--- a/lib/Node/EngineReclaim.cpp
+++ b/lib/Node/EngineReclaim.cpp
@@ -72,7 +72,7 @@
     ReclaimCost cost;
     cost.notice_ = notice;
     cost.importSlots_ = capacityElsewhere(engine);
-    cost.perToken_ = minTimePerToken;
+    cost.timePerToken_ = minTimePerToken;
     for (const RunningStreamPtr& running : streamsOn(engine)) {
         std::uint64_t generated = running->generated_;
         std::uint64_t remaining = running->maxTokens_ > generated ? running->maxTokens_ - generated : 0;
@@ -81,7 +81,7 @@
         // The slowest stream determines the engine's time per token.
         auto elapsed = std::chrono::duration_cast<milliseconds>(steadyNow() - running->startedAt_);
         if (generated)
-            cost.perToken_ = std::max(cost.perToken_, elapsed / static_cast<std::int64_t>(generated));
+            cost.timePerToken_ = std::max(cost.timePerToken_, elapsed / static_cast<std::int64_t>(generated));
     }
     for (const ReclaimStep& step : planReclaim(streams, cost)) {
         RunningStreamPtr running = byRequest[step.request_];
--- a/lib/Reclaim/Reclaim.cpp
+++ b/lib/Reclaim/Reclaim.cpp
@@ -41,7 +41,7 @@
     std::vector<const LeavingStream*> leaving;
     std::vector<ReclaimStep> finishing;
     for (const LeavingStream& stream : streams) {
-        bool finishesInTime = cost.perToken_ * static_cast<std::int64_t>(stream.remainingTokens_) <= available;
+        bool finishesInTime = cost.timePerToken_ * static_cast<std::int64_t>(stream.remainingTokens_) <= available;
         if (finishesInTime)
             finishing.push_back({ stream.request_, ReclaimAction::FinishInPlace, 0 });
         else
--- a/unittests/Limits/LimitsTest.cpp
+++ b/unittests/Limits/LimitsTest.cpp
@@ -168,10 +168,10 @@
     // Slots in use stay lent, even by a new lender that has no record of the loan.
     LoanTable successor;
     CHECK(successor.lend(borrower, 0, { 3, 8 }, loanValidity, grantValidity, start) == 3);
-    LoanTable holder;
-    holder.setBorrowed({ "a" }, 5, start + loanValidity);
-    CHECK(holder.borrowed(start + grantValidity) == 5);
-    CHECK(holder.borrowed(start + loanValidity + milliseconds(1)) == 0);
+    LoanTable borrowerTable;
+    borrowerTable.setBorrowed({ "a" }, 5, start + loanValidity);
+    CHECK(borrowerTable.borrowed(start + grantValidity) == 5);
+    CHECK(borrowerTable.borrowed(start + loanValidity + milliseconds(1)) == 0);
 }
 
 namespace {
@@ -229,10 +229,10 @@
         dataCentres_[dataCentre].grants_.request(entryName, { "node" }, usable(dataCentre), 0, wanted, grantValidity, now_);
     }
 
-    void borrow(std::size_t from, std::size_t lender)
+    void borrow(std::size_t borrower, std::size_t lender)
     {
         std::uint64_t wanted = random_() % (limit_ + 1);
-        dataCentres_[from].loans_.capBorrowed({ std::to_string(lender) }, wanted);
+        dataCentres_[borrower].loans_.capBorrowed({ std::to_string(lender) }, wanted);
         bool isRequestLost = isPartitioned_ || random_() % 10 == 0;
         bool isReplyLost = random_() % 10 == 0;
         if (isRequestLost)
@@ -240,10 +240,10 @@
         DataCentre& other = dataCentres_[lender];
         std::uint64_t used = other.grants_.granted(entryName, now_) + other.loans_.lent(now_);
         std::uint64_t free = shareOf(lender) > used ? shareOf(lender) - used : 0;
-        std::uint64_t slots = other.loans_.lend({ std::to_string(from) }, free, { 0, wanted }, loanValidity, grantValidity, now_);
+        std::uint64_t slots = other.loans_.lend({ std::to_string(borrower) }, free, { 0, wanted }, loanValidity, grantValidity, now_);
         totalBorrowed_ += slots;
         if (!isReplyLost)
-            dataCentres_[from].loans_.setBorrowed({ std::to_string(lender) }, slots, now_ + loanValidity);
+            dataCentres_[borrower].loans_.setBorrowed({ std::to_string(lender) }, slots, now_ + loanValidity);
     }
 
     std::mt19937_64 random_;
--- a/unittests/Orders/OrdersTest.cpp
+++ b/unittests/Orders/OrdersTest.cpp
@@ -53,7 +53,7 @@
         ClaimTable table_;
         SteadyTime claimedAt_;
         std::optional<SteadyTime> orderedAt_;
-        std::optional<OrderStep> pending_;
+        std::optional<OrderStep> pendingStep_;
         FencingToken token_;
         std::int64_t dueAt_ = 0;
     };
@@ -70,10 +70,10 @@
 
     void act(Dispatcher& dispatcher)
     {
-        if (dispatcher.pending_) {
+        if (dispatcher.pendingStep_) {
             if (now_ < dispatcher.dueAt_)
                 return;
-            finish(dispatcher, *std::exchange(dispatcher.pending_, std::nullopt));
+            finish(dispatcher, *std::exchange(dispatcher.pendingStep_, std::nullopt));
             return;
         }
         for (std::size_t i = dispatcher.table_.nextOffset().value_; i < log_.size(); ++i)
@@ -89,7 +89,7 @@
             dispatcher.claimedAt_ = at(now_);
         if (context.holder_)
             dispatcher.token_ = context.holder_->token_;
-        dispatcher.pending_ = next;
+        dispatcher.pendingStep_ = next;
         dispatcher.dueAt_ = now_ + delay();
     }
 
--- a/unittests/Quota/QuotaNodes.h
+++ b/unittests/Quota/QuotaNodes.h
@@ -20,8 +20,8 @@
 
 /// Nodes that report their counts to each other once per report interval.
 struct Nodes {
-    Nodes(std::size_t count, milliseconds gossip)
-        : gossip_(gossip)
+    Nodes(std::size_t count, milliseconds reportInterval)
+        : reportInterval_(reportInterval)
     {
         for (std::size_t i = 0; i < count; ++i)
             limiters_.push_back(std::make_unique<QuotaLimiter>(start));
@@ -43,7 +43,7 @@
     {
         double admitted = 0;
         for (milliseconds t {}; t < duration; t += milliseconds(1)) {
-            if (t.count() % gossip_.count() == 0)
+            if (t.count() % reportInterval_.count() == 0)
                 exchange(from + t);
             for (const auto& limiter : limiters_)
                 admitted += limiter->take(north, limit, cost, from + t) ? 0 : cost;
@@ -51,7 +51,7 @@
         return admitted;
     }
 
-    milliseconds gossip_;
+    milliseconds reportInterval_;
     std::vector<std::unique_ptr<QuotaLimiter>> limiters_;
     std::map<std::size_t, std::uint64_t> incarnations_;
     std::set<std::size_t> unresponsive_;
@@ -69,15 +69,15 @@
     }
 
     /// Sends requests of \p cost at \p perSecond, each to a random node.
-    void run(SteadyTime from, milliseconds duration, double perSecond, const QuotaLimit& bucket, double cost)
+    void run(SteadyTime from, milliseconds duration, double perSecond, const QuotaLimit& quotaLimit, double cost)
     {
         for (milliseconds t {}; t < duration; t += milliseconds(1)) {
             SteadyTime now = from + t;
-            if (t.count() % period == 0)
+            if (t.count() % reportIntervalMs == 0)
                 exchange(now);
             if (std::uniform_real_distribution<>(0, 1)(random_) >= perSecond / 1000)
                 continue;
-            if (!limiters_[random_() % limiters_.size()]->take(north, bucket, cost, now))
+            if (!limiters_[random_() % limiters_.size()]->take(north, quotaLimit, cost, now))
                 admitted_.emplace_back(now, cost);
         }
     }
@@ -117,7 +117,7 @@
     }
 
 private:
-    static constexpr int period = 200;
+    static constexpr int reportIntervalMs = 200;
 
     static QuotaSettings settingsOf(std::size_t i, std::size_t count)
     {
--- a/unittests/Reclaim/ReclaimTest.cpp
+++ b/unittests/Reclaim/ReclaimTest.cpp
@@ -24,7 +24,7 @@
     ReclaimCost result;
     result.notice_ = milliseconds(noticeMs);
     result.margin_ = {};
-    result.perToken_ = milliseconds(10);
+    result.timePerToken_ = milliseconds(10);
     result.kvPerToken_ = { 1000 };
     result.exportPerSecond_ = { 1000UL * 1000 };
     result.importSlots_ = imports;
@@ -53,7 +53,7 @@
             if (chosen >> i & 1U) {
                 exported += cached + 1;
                 ++imports;
-            } else if (cost.perToken_ * static_cast<std::int64_t>(streams[i].remainingTokens_) > cost.notice_) {
+            } else if (cost.timePerToken_ * static_cast<std::int64_t>(streams[i].remainingTokens_) > cost.notice_) {
                 recomputed += cached;
             }
         }
