--- a/include/pistachioloom/Quota.h
+++ b/include/pistachioloom/Quota.h
@@ -31,8 +31,8 @@
     /// An unresponsive node is assumed to have stopped after this time.
     milliseconds forgetAfter_ { 10000 };
     /// Age of the counts of other nodes. It is one report interval of 200 ms and the
-    /// transfer for direct reports (lag_), and three report intervals for reports through
-    /// relays (relayedLag_).
+    /// transfer for direct reports (lag_), and three report intervals and transfers for
+    /// reports through relays (relayedLag_).
     milliseconds lag_ { 300 };
     milliseconds relayedLag_ { 600 };
     /// How long a node admits only its share of the rate after its start, unless other
