--- a/include/pistachioloom/Orders.h
+++ b/include/pistachioloom/Orders.h
@@ -55,8 +55,8 @@
         SteadyTime readAt_;
         /// Position in the queue; a later claim of the same engine and queue keeps it.
         LogOffset queuedAt_;
-        /// When this node last read a claim of another node that the other node
-        /// did not end.
+        /// When this node last read a claim on the engine by a node other than the
+        /// holder, if that node did not end it.
         std::optional<SteadyTime> otherReadAt_;
     };
 
@@ -75,12 +75,12 @@
     void applyClaim(LogOffset offset, EngineClaim claim, SteadyTime now);
     void applyEnd(const EngineClaim& claim);
 
-    std::map<VmId, Holder> open_;
+    std::map<VmId, Holder> openClaims_;
     LogOffset nextOffset_;
 };
 
 struct OrderTiming {
-    /// How long after the start of its append a claim allows orders.
+    /// How long a claim allows orders, counted from the start of its append.
     milliseconds claimValidity_ { 5000 };
     /// Upper bound of the time that a node may be frozen between its last reading
     /// of the clock and its order, for engines that ignore fencing tokens.
@@ -99,14 +99,14 @@
     const ClaimTable::Holder* holder_ = nullptr;
     /// Open claims that precede this node's claim in its queue, and how many
     /// engines of one queue may load simultaneously.
-    std::size_t ahead_ = 0;
+    std::size_t claimsAhead_ = 0;
     std::size_t maxLoading_ = 1;
     /// When the append of this node's claim began.
     SteadyTime claimedAt_;
     /// When this node sent its last order, if it was for `wanted_`.
     std::optional<SteadyTime> orderedAt_;
     /// Requests in progress on the engine.
-    std::uint64_t active_ = 0;
+    std::uint64_t activeRequests_ = 0;
     /// Whether the engine rejects orders with stale fencing tokens.
     bool honoursFencing_ = false;
 };
--- a/lib/Backends/Choice.cpp
+++ b/lib/Backends/Choice.cpp
@@ -44,8 +44,9 @@
     return !backend.record_.isLeaving_ && backend.ejectedUntil_ <= now;
 }
 
-/// Returns the part that requests share, or nullptr if there is none. It is the last but
-/// one, since the last belongs to the request or its session alone.
+/// Returns the prompt part that other requests may share, or nullptr if there is none. It
+/// is the last part but one, since the last part belongs to the request or its session
+/// alone.
 static const PromptPart* sharedPart(const RequestShape& shape)
 {
     return shape.parts_.size() < 2 ? nullptr : &shape.parts_[shape.parts_.size() - 2];
@@ -56,8 +57,8 @@
     const PromptPart* shared = sharedPart(shape);
     if (!shared)
         return shape.promptTokens_;
-    auto sent = backend.cached_.find(shared->id_);
-    bool wasSent = sent != backend.cached_.end() && now - sent->second < settings_.assumedCacheLifetime_;
+    auto sent = backend.partSentAt_.find(shared->id_);
+    bool wasSent = sent != backend.partSentAt_.end() && now - sent->second < settings_.assumedCacheLifetime_;
     if (!wasSent && backend.record_.id_ != affinityBackend)
         return shape.promptTokens_;
     std::uint64_t cached = 0;
@@ -90,8 +91,8 @@
     auto mayCache = [&](const Backend* backend) {
         if (!shared)
             return false;
-        auto sent = backend->cached_.find(shared->id_);
-        return backend->record_.id_ == affinityBackend || (sent != backend->cached_.end() && now - sent->second < settings_.assumedCacheLifetime_);
+        auto sent = backend->partSentAt_.find(shared->id_);
+        return backend->record_.id_ == affinityBackend || (sent != backend->partSentAt_.end() && now - sent->second < settings_.assumedCacheLifetime_);
     };
     auto others = std::partition(candidates.begin(), candidates.end(), mayCache);
     auto left = static_cast<std::size_t>(candidates.end() - others);
@@ -101,12 +102,12 @@
     candidates.erase(others + static_cast<std::ptrdiff_t>(taken), candidates.end());
 }
 
-/// Returns the estimated wait for a slot when all are taken. Slots become free at a
-/// constant rate, and requests that wait already go first.
+/// The estimate assumes that slots become free at a constant rate, and requests that wait
+/// already go first.
 double BackendTable::slotWaitMs(const Backend& backend) const
 {
     std::uint64_t slots = std::max<std::uint64_t>(1, backend.record_.slots_);
-    std::uint64_t running = backend.own_.running_ + backend.peers_.running_;
+    std::uint64_t running = backend.ownLoad_.running_ + backend.peerLoad_.running_;
     if (running < slots)
         return 0;
     auto estimator = estimators_.find(backend.record_.service_);
@@ -123,11 +124,11 @@
 
 double BackendTable::queueWaitMs(const Backend& backend, const RequestShape& shape) const
 {
-    double running = backend.own_.running_ + backend.peers_.running_;
+    double running = backend.ownLoad_.running_ + backend.peerLoad_.running_;
     if (!shape.isForEngine_)
         return plainRequestMs * running / static_cast<double>(std::max<std::uint64_t>(1, backend.record_.slots_)) * backend.slowness_;
-    auto queued = static_cast<double>(backend.own_.queuedTokens_ + backend.peers_.queuedTokens_);
-    return (queued / prefillRateOf(shape.service_) + running * settings_.delayPerRunningMs_ + slotWaitMs(backend)) * slowdownFactor(backend);
+    auto queued = static_cast<double>(backend.ownLoad_.queuedTokens_ + backend.peerLoad_.queuedTokens_);
+    return (queued / prefillRateOf(shape.service_) + running * settings_.delayPerRunningRequestMs_ + slotWaitMs(backend)) * slowdownFactor(backend);
 }
 
 double BackendTable::estimateMs(const Backend& backend, const RequestShape& shape, TokenCount uncached) const
@@ -139,9 +140,9 @@
     return ahead + own * slowdownFactor(backend);
 }
 
-/// A trial uses only as many of the target's backend servers as give each of them the
-/// load that a server of another version has, since a version may fail only under load.
-/// All nodes use the same servers.
+/// Limits a trial to so few backend servers of the target version that each of them gets
+/// as much load as a server of another version, since a version may fail only under load.
+/// All nodes choose the same servers.
 void BackendTable::applyVersionRule(std::vector<Backend*>& candidates, const VersionRule& rule, const ServiceName& service) const
 {
     auto isAllowed = [&](const Backend* backend) { return rule.isTarget(backend->record_) == rule.usesTarget_; };
@@ -192,7 +193,7 @@
         return std::nullopt;
 
     BackendChoice choice;
-    choice.candidates_ = candidates.size();
+    choice.candidateCount_ = candidates.size();
     BackendId affinityBackend = affinityBackendOf(shape, candidates);
     if (candidates.size() > settings_.samplingThreshold_ && !shape.isSuspect_)
         reduceToSample(candidates, shape, affinityBackend, now);
@@ -202,29 +203,29 @@
     for (Backend* backend : candidates) {
         TokenCount uncached = uncachedAt(*backend, shape, affinityBackend, now);
         double estimate = estimateMs(*backend, shape, uncached);
-        double suspectPenalty = shape.isSuspect_ ? suspectPenaltyMs * (backend->own_.running_ + backend->peers_.running_) : 0;
+        double suspectPenalty = shape.isSuspect_ ? suspectPenaltyMs * (backend->ownLoad_.running_ + backend->peerLoad_.running_) : 0;
         double score = suspectPenalty + estimate + (backend->record_.dataCentre_ == ownDataCentre_ ? 0 : settings_.remotePenaltyMs_);
-        // A random one of equal candidates is chosen, so that nodes do not all choose the
-        // same one.
+        // Of candidates with equal scores a random one is chosen, so that nodes do not
+        // all choose the same one.
         bool isTie = chosen && score == bestScore;
         tieCount = isTie ? tieCount + 1 : 1;
         if (chosen && (score > bestScore || (isTie && static_cast<double>(randomBits() >> 11) * 0x1p-53 * tieCount >= 1)))
             continue;
         chosen = backend;
         bestScore = score;
-        choice.uncached_ = uncached;
-        choice.queuedAhead_ = { backend->own_.queuedTokens_ + backend->peers_.queuedTokens_ };
-        choice.running_ = backend->own_.running_ + backend->peers_.running_;
+        choice.uncachedTokens_ = uncached;
+        choice.queuedTokensAhead_ = { backend->ownLoad_.queuedTokens_ + backend->peerLoad_.queuedTokens_ };
+        choice.running_ = backend->ownLoad_.running_ + backend->peerLoad_.running_;
         choice.estimate_ = milliseconds(static_cast<std::int64_t>(estimate));
         choice.queueWait_ = milliseconds(static_cast<std::int64_t>(queueWaitMs(*backend, shape)));
     }
-    chosen->own_.running_ += 1;
-    chosen->own_.queuedTokens_ += choice.uncached_.value_;
+    chosen->ownLoad_.running_ += 1;
+    chosen->ownLoad_.queuedTokens_ += choice.uncachedTokens_.value_;
     if (const PromptPart* shared = sharedPart(shape)) {
-        if (chosen->cached_.size() >= maxRememberedParts)
-            std::erase_if(chosen->cached_, [&](const auto& part) { return now - part.second >= settings_.assumedCacheLifetime_; });
-        if (chosen->cached_.size() < maxRememberedParts)
-            chosen->cached_[shared->id_] = now;
+        if (chosen->partSentAt_.size() >= maxRememberedParts)
+            std::erase_if(chosen->partSentAt_, [&](const auto& part) { return now - part.second >= settings_.assumedCacheLifetime_; });
+        if (chosen->partSentAt_.size() < maxRememberedParts)
+            chosen->partSentAt_[shared->id_] = now;
     }
     choice.backend_ = chosen->record_;
     return choice;
--- a/lib/Forward/EventSplitter.h
+++ b/lib/Forward/EventSplitter.h
@@ -17,18 +17,18 @@
 public:
     /// \p last is the id of the newest event that the caller has, if known.
     explicit EventSplitter(std::optional<std::uint64_t> last)
-        : last_(last)
+        : lastId_(last)
     {
     }
 
     /// Adds \p bytes of the stream and \returns the complete events that are new to the
-    /// caller. Events up to the last one are left out. An event whose predecessor is
-    /// missing sets hasGap().
+    /// caller. Events up to last(), which the caller already has, are left out. An event
+    /// whose predecessor is missing sets hasGap().
     std::string feed(std::string_view bytes);
     /// Discards an incomplete event, because its stream broke off and another follows.
     void dropPartial() { partial_.clear(); }
     /// The id of the newest event that the caller has.
-    std::optional<std::uint64_t> last() const { return last_; }
+    std::optional<std::uint64_t> last() const { return lastId_; }
     /// Whether an incomplete event is buffered.
     bool hasPartial() const { return !partial_.empty(); }
     /// Whether an event is missing. No events are returned after the gap.
@@ -36,7 +36,7 @@
 
 private:
     std::string partial_;
-    std::optional<std::uint64_t> last_;
+    std::optional<std::uint64_t> lastId_;
     bool hasGap_ = false;
 };
 
--- a/lib/Forward/RequestForwarder.h
+++ b/lib/Forward/RequestForwarder.h
@@ -75,7 +75,9 @@
         /// The wait for the first byte as a multiple of its estimate.
         double waitRatio_ = 1;
         /// The id of the last event that the caller had before the attempt.
-        std::uint64_t eventBefore_ = 0;
+        std::uint64_t lastEventBefore_ = 0;
+        /// A short reason for the outcome, for logs and rejections; empty if the answer
+        /// was delivered.
         std::string detail_;
     };
     /// A complete answer that is not yet delivered.
@@ -94,6 +96,8 @@
     // Attempts at backend servers.
     asio::awaitable<void> serve();
     asio::awaitable<SendOutcome> send(Attempt& attempt);
+    /// \returns SendOutcome::Held if the attempt has a connection, or the outcome of
+    /// the failed attempt.
     asio::awaitable<SendOutcome> connect(Attempt& attempt);
     bool mayConnect(const BackendId& backend) const;
     asio::awaitable<SendOutcome> receive(Attempt& attempt);
@@ -156,31 +160,40 @@
     ConnectionPool& pool_;
     std::shared_ptr<CallerConnection> caller_;
     CallerRequest request_;
-    std::string id_;
+    std::string attemptId_;
 
     std::shared_ptr<const RouteTable> table_;
     const Route* route_ = nullptr;
     const OrganisationPolicy* organisation_ = nullptr;
     RequestShape shape_;
     unsigned urgency_ = 0;
-    double cost_ = 0;
+    /// What the request takes from its organisation's quota, in requests or tokens.
+    double quotaCost_ = 0;
     bool hasQuota_ = false;
 
     SteadyTime deadline_ {};
+    /// The end of the wait limit of the current attempt; SteadyTime::max() if it has
+    /// none.
     SteadyTime waitDeadline_ {};
     SteadyTimer timer_;
     StopReason stopReason_ = StopReason::None;
     BackendConnectionPtr currentConnection_;
 
-    std::set<BackendId> excluded_;
+    /// Backend servers of the attempts so far, which are not chosen again.
+    std::set<BackendId> excludedBackends_;
+    /// Sends that count against Route::maxAttempts_.
     unsigned sendCount_ = 0;
+    /// Attempts that sent nothing, for example because the connection failed.
     unsigned unsentAttempts_ = 0;
+    /// Whether a backend server may have run the request.
     bool mayHaveRun_ = false;
+    /// Whether the first byte of an answer has arrived, so that the request counts as
+    /// started.
     bool hasCountedStart_ = false;
     bool hasStartedAnswer_ = false;
     bool isFinished_ = false;
     bool keepsConnection_ = false;
-    EventSplitter events_ { std::nullopt };
+    EventSplitter eventSplitter_ { std::nullopt };
     /// The latest move of the running stream to another engine.
     struct Move {
         explicit Move(const asio::any_io_executor& executor)
@@ -188,24 +201,30 @@
         {
         }
 
+        /// Set when the move ends.
         AutoResetEvent done_;
+        /// Whether nothing is being copied: the move has ended, or could not be
+        /// started.
         bool isDone_ = false;
         /// Whether the move was cancelled. If it completes later, it has no effect.
         bool isCancelled_ = false;
         /// The target, once the stream is stopped and its KV cache is copied.
-        std::optional<BackendChoice> to_;
+        std::optional<BackendChoice> target_;
         std::string resumeFrom_;
     };
     std::shared_ptr<Move> move_;
     /// The location of a KV cache, which only the next attempt sends.
     std::string resumeFrom_;
+    /// The answer to deliver unless a retry succeeds.
     std::optional<HeldAnswer> heldAnswer_;
     /// Computed on first use, because most requests never need it.
     std::optional<RequestFingerprint> fingerprint_;
+    /// Attempt::detail_ of the latest attempt.
     std::string lastDetail_;
     /// The time from the request's arrival to the first byte of an answer.
     milliseconds firstByteLatency_ {};
-    int finalStatus_ = 0;
+    /// The status of the latest answer of a backend server or of this node.
+    int latestStatus_ = 0;
 };
 
 /// Whether an answer's body follows its head. It does not for HEAD requests.
--- a/lib/Forward/Sending.cpp
+++ b/lib/Forward/Sending.cpp
@@ -18,7 +18,7 @@
 // The wait limit for the first event, as a multiple of the latency objective. Queueing
 // delays stay below twice the objective even under high load, so a longer wait indicates a
 // fault.
-static constexpr int waitLimitObjectives = 3;
+static constexpr int waitLimitFactor = 3;
 // Replaces a Retry-After value that is not a number, such as a date. Dates are not
 // evaluated, as clocks may differ by more than the length of the pause.
 static constexpr milliseconds defaultPause { 1000 };
@@ -68,8 +68,8 @@
         appendField(head, names.organisation_, organisation_->name_.value_);
     if (shape_.isForEngine_)
         appendField(head, names.urgency_, std::to_string(urgency_));
-    if (events_.last() && route_->isStream_)
-        appendField(head, names.lastEvent_, std::to_string(*events_.last()));
+    if (eventSplitter_.last() && route_->isStream_)
+        appendField(head, names.lastEvent_, std::to_string(*eventSplitter_.last()));
     if (!resumeFrom_.empty())
         appendField(head, names.resumeFrom_, resumeFrom_);
     if (hadLength || !request_.body_.empty())
@@ -77,8 +77,9 @@
     return head + "\r\n";
 }
 
-/// A backend server resets connections beyond its limit for all nodes together, so each
-/// worker of each node keeps within its share.
+/// Whether this worker may open one more connection to \p backend. A backend server
+/// resets connections beyond its limit, which all nodes share, so each worker of each
+/// node keeps within its share of the limit.
 bool RequestForwarder::mayConnect(const BackendId& backend) const
 {
     const ServicePolicy* service = table_->findService(shape_.service_);
@@ -137,11 +138,11 @@
     });
 }
 
-/// Whether a wait limit applies. If no retry on another backend server is possible, the
-/// current one may use all of the remaining time.
+/// Whether the request may be retried on another backend server. Only then does a wait
+/// limit apply. Otherwise the current server may use all of the remaining time.
 bool RequestForwarder::mayRetryElsewhere(const Attempt& attempt) const
 {
-    return route_->mayRepeat() && sendCount_ < route_->maxAttempts_ && attempt.choice_.candidates_ > 1;
+    return route_->mayRepeat() && sendCount_ < route_->maxAttempts_ && attempt.choice_.candidateCount_ > 1;
 }
 
 asio::awaitable<SendOutcome> RequestForwarder::send(Attempt& attempt)
@@ -170,11 +171,11 @@
     ++sendCount_;
     context_.metrics_.add(Counter::Attempts);
     context_.rollouts_.noteSent(shape_.service_, attempt.choice_.backend_.version_);
-    attempt.eventBefore_ = events_.last().value_or(0);
+    attempt.lastEventBefore_ = eventSplitter_.last().value_or(0);
     if (mayRetryElsewhere(attempt)) {
         auto waitLimit = std::chrono::duration_cast<milliseconds>(timeLeft() * context_.settings_.waitLimitShare_);
         if (route_->isStream_)
-            waitLimit = std::min(waitLimit, std::max(waitLimitObjectives * route_->objective_, attempt.choice_.estimate_ * 2));
+            waitLimit = std::min(waitLimit, std::max(waitLimitFactor * route_->objective_, attempt.choice_.estimate_ * 2));
         waitDeadline_ = steadyNow() + waitLimit;
         armTimer();
     }
@@ -225,7 +226,8 @@
 void RequestForwarder::noteBackendState(Attempt& attempt, const Parser& parser)
 {
     const auto& message = parser.get();
-    // Another backend server now has the address of the intended one.
+    // With status 421 another backend server answers, which now has the address of the
+    // intended one.
     if (message.result_int() == 421)
         return;
     std::string_view leaving = view(message[context_.names_.leaving_]);
@@ -249,7 +251,7 @@
         return SendOutcome::NotRun;
     }
     std::string_view echoed = view(message[context_.names_.attempt_]);
-    bool matchesAttempt = id_.empty() || echoed == id_;
+    bool matchesAttempt = attemptId_.empty() || echoed == attemptId_;
     if (!matchesAttempt && !(echoed.empty() && status >= 400)) {
         attempt.detail_ = "other_answer";
         return SendOutcome::Lost;
@@ -331,7 +333,7 @@
     }
     noteFirstByte(attempt);
     HeldAnswer answer { static_cast<int>(parser.get().result_int()), fieldsOf(parser, context_.names_), std::move(body) };
-    finalStatus_ = answer.status_;
+    latestStatus_ = answer.status_;
     releaseConnection(attempt, parser);
     bool isServerFailure = answer.status_ >= 500;
     if (isServerFailure && route_->mayRepeat()) {
@@ -348,16 +350,16 @@
 {
     HeaderFields fields = fieldsOf(parser, context_.names_);
     // The previous engine's stream may have ended within an event.
-    events_.dropPartial();
-    finalStatus_ = static_cast<int>(parser.get().result_int());
+    eventSplitter_.dropPartial();
+    latestStatus_ = static_cast<int>(parser.get().result_int());
     while (!parser.is_done()) {
         if (auto code = co_await readSome(attempt, parser)) {
             attempt.isCutOff_ = isDisconnect(code);
             co_return co_await handleStreamBreak(attempt, code);
         }
-        std::string events = events_.feed(parser.get().body());
+        std::string events = eventSplitter_.feed(parser.get().body());
         parser.get().body().clear();
-        if (events_.hasGap()) {
+        if (eventSplitter_.hasGap()) {
             attempt.detail_ = "event_missing";
             co_return SendOutcome::Lost;
         }
@@ -378,7 +380,7 @@
         if (shouldMove(attempt))
             startMove(attempt);
     }
-    if (events_.hasPartial()) {
+    if (eventSplitter_.hasPartial()) {
         attempt.detail_ = "event_cut";
         co_return SendOutcome::Lost;
     }
