--- a/include/pistachioloom/Duties.h
+++ b/include/pistachioloom/Duties.h
@@ -149,7 +149,7 @@
 private:
     struct PeerClock {
         std::int64_t offsetMs_ = 0;
-        SteadyTime at_ {};
+        SteadyTime receivedAt_ {};
     };
 
     mutable std::mutex mutex_;
@@ -215,16 +215,16 @@
     };
     struct Source {
         ServiceDemand reported_;
-        SteadyTime at_ {};
+        SteadyTime receivedAt_ {};
     };
     struct Demand {
         /// Cumulative tokens requested from this node, over the last window.
         std::deque<Reading> local_;
         std::map<VmId, Source> sources_;
         /// Tokens a second, summed over all nodes.
-        std::deque<Reading> rates_;
+        std::deque<Reading> rateSamples_;
         /// When demand at any node was first observed.
-        std::optional<SteadyTime> firstAt_;
+        std::optional<SteadyTime> firstObservedAt_;
     };
 
     static double rateOf(const std::deque<Reading>& local);
--- a/include/pistachioloom/Fleet.h
+++ b/include/pistachioloom/Fleet.h
@@ -159,14 +159,14 @@
     struct LastOrder {
         std::uint64_t wanted_ = 0;
         bool isAccepted_ = false;
-        SteadyTime at_ {};
+        SteadyTime notedAt_ {};
     };
     /// Registrations of a service's engines as this node has observed them.
     struct Registrations {
         /// The highest number of on-demand engines observed at one time.
         std::uint64_t maxOnDemand_ = 0;
         /// Engines of either kind have been observed.
-        bool hasAny_ = false;
+        bool hasObservedEngines_ = false;
         /// When `maxOnDemand_` last increased.
         SteadyTime grewAt_ {};
         /// All engines that are running are assumed to have registered; see
@@ -177,7 +177,7 @@
         std::optional<SteadyTime> reclaimedAt_;
     };
     struct Need {
-        SteadyTime at_ {};
+        SteadyTime observedAt_ {};
         std::uint64_t engines_ = 0;
     };
 
@@ -188,11 +188,11 @@
     const FleetSettings settings_;
     std::map<ServiceName, Registrations> registrations_;
     /// The last order for each service, data centre and kind.
-    std::map<std::tuple<ServiceName, DataCentreId, bool>, LastOrder> ordered_;
-    std::map<ServiceName, std::deque<Need>> needs_;
-    std::map<ServiceName, std::uint64_t> needed_;
+    std::map<std::tuple<ServiceName, DataCentreId, bool>, LastOrder> lastOrders_;
+    std::map<ServiceName, std::deque<Need>> recentNeeds_;
+    std::map<ServiceName, std::uint64_t> lastNeeds_;
     /// Services whose need was inherited from the previous holder.
-    std::set<ServiceName> inherited_;
+    std::set<ServiceName> servicesWithInheritedNeed_;
 };
 
 } // namespace pistachioloom
--- a/include/pistachioloom/Gateway.h
+++ b/include/pistachioloom/Gateway.h
@@ -167,7 +167,7 @@
     /// Retries that all nodes together may send in a window in addition to the ratio.
     double retryExtra_ = 0;
     milliseconds retryWindow_ { 10000 };
-    GossipSettings gossiping_;
+    GossipSettings gossipSettings_;
     FeedSettings feed_;
     FleetSettings fleet_;
     ForwardSettings forward_;
--- a/include/pistachioloom/Membership.h
+++ b/include/pistachioloom/Membership.h
@@ -92,7 +92,7 @@
 
 private:
     struct StoredVm {
-        std::string text_;
+        std::string json_;
         Vm vm_;
         std::uint64_t changedVersion_ = 0;
     };
--- a/include/pistachioloom/Rollout.h
+++ b/include/pistachioloom/Rollout.h
@@ -166,11 +166,11 @@
     SteadyTime startedAt() const { return startedAt_; }
 
 private:
-    void set(RolloutPhase phase, double share, std::string reason);
+    void setState(RolloutPhase phase, double share, std::string reason);
     void adjustTrial(const RolloutView& view, SteadyTime now);
     void adjustShift(const RolloutView& view, SteadyTime now);
     bool hasEvidence(const RolloutTally& tally) const;
-    SteadyTime at(double fractionOfPeriod) const;
+    SteadyTime timeAt(double fractionOfPeriod) const;
 
     const RolloutSettings settings_;
     RolloutState state_;
@@ -232,7 +232,7 @@
     explicit RolloutTracker(RolloutSettings settings);
 
     /// Whether there is no order, so that requests are neither restricted nor counted.
-    bool isEmpty() const { return !count_; }
+    bool isEmpty() const { return !orderCount_; }
     /// Applies an operator's order. \returns whether it was new.
     bool applyOrder(const RolloutOrder& order, SteadyTime now);
     /// Applies \p state, which its holder reported at \p reportedAt. \returns whether it
@@ -273,17 +273,17 @@
         /// Mean time between events of other versions, by route.
         std::map<RouteKey, double> usualGapMs_;
         /// Requests by route since the order.
-        RouteRequests requests_;
+        RouteRequests requestsByRoute_;
         /// Requests due to the target on each route. Fractions accumulate until they make up
         /// a request.
-        std::map<RouteKey, double> due_;
+        std::map<RouteKey, double> dueToTarget_;
     };
 
     const RolloutSettings settings_;
     mutable std::mutex mutex_;
     std::map<ServiceName, Entry> entries_;
-    std::map<VmId, RolloutTallies> peers_;
-    std::atomic<std::size_t> count_ { 0 };
+    std::map<VmId, RolloutTallies> peerTallies_;
+    std::atomic<std::size_t> orderCount_ { 0 };
 };
 
 } // namespace pistachioloom
--- a/lib/Duties/Demand.cpp
+++ b/lib/Duties/Demand.cpp
@@ -79,17 +79,17 @@
     for (auto& [service, demand] : demand_) {
         double sum = rateOf(demand.local_);
         for (const auto& [vm, source] : demand.sources_) {
-            if (now - source.at_ <= timing_.validity_)
+            if (now - source.receivedAt_ <= timing_.validity_)
                 sum += source.reported_.tokensPerSecond_;
         }
         // Before the first request the demand is unknown rather than zero.
-        if (sum <= 0 && !demand.firstAt_)
+        if (sum <= 0 && !demand.firstObservedAt_)
             continue;
-        if (!demand.firstAt_)
-            demand.firstAt_ = now;
-        demand.rates_.push_back({ now, sum });
-        while (now - demand.rates_.front().at_ > timing_.peakWindow_)
-            demand.rates_.pop_front();
+        if (!demand.firstObservedAt_)
+            demand.firstObservedAt_ = now;
+        demand.rateSamples_.push_back({ now, sum });
+        while (now - demand.rateSamples_.front().at_ > timing_.peakWindow_)
+            demand.rateSamples_.pop_front();
     }
 }
 
@@ -97,10 +97,10 @@
 {
     std::lock_guard lock(mutex_);
     auto found = demand_.find(service);
-    if (found == demand_.end() || !found->second.firstAt_ || now - *found->second.firstAt_ < timing_.window_)
+    if (found == demand_.end() || !found->second.firstObservedAt_ || now - *found->second.firstObservedAt_ < timing_.window_)
         return std::nullopt;
     double peak = 0;
-    for (const Reading& reading : found->second.rates_)
+    for (const Reading& reading : found->second.rateSamples_)
         peak = std::max(peak, reading.tokens_);
     return peak;
 }
--- a/lib/Duties/Usage.cpp
+++ b/lib/Duties/Usage.cpp
@@ -123,7 +123,7 @@
     std::lock_guard lock(mutex_);
     std::vector<std::int64_t> offsets { 0 };
     for (const auto& [vm, peerClock] : peers_) {
-        if (now - peerClock.at_ <= clockValidity)
+        if (now - peerClock.receivedAt_ <= clockValidity)
             offsets.push_back(peerClock.offsetMs_);
     }
     auto middle = offsets.begin() + static_cast<std::ptrdiff_t>(offsets.size() / 2);
--- a/lib/Fleet/FleetTracker.cpp
+++ b/lib/Fleet/FleetTracker.cpp
@@ -37,26 +37,26 @@
 
 const FleetTracker::LastOrder* FleetTracker::lastOrder(const FleetOrder& order) const
 {
-    auto found = ordered_.find({ order.service_, order.dataCentre_, order.isReclaimable_ });
-    return found == ordered_.end() ? nullptr : &found->second;
+    auto found = lastOrders_.find({ order.service_, order.dataCentre_, order.isReclaimable_ });
+    return found == lastOrders_.end() ? nullptr : &found->second;
 }
 
 void FleetTracker::observe(const FleetView& view, SteadyTime now)
 {
     Registrations& known = registrations_[view.service_];
     // Growth of reclaimable engines is ignored: they register later, as they are ordered.
-    bool isFirst = view.engines() && !known.hasAny_;
+    bool isFirst = view.engines() && !known.hasObservedEngines_;
     if (isFirst || view.onDemand() > known.maxOnDemand_) {
         known.maxOnDemand_ = view.onDemand();
         known.grewAt_ = now;
     }
-    known.hasAny_ |= view.engines() > 0;
+    known.hasObservedEngines_ |= view.engines() > 0;
     // If requests have arrived for long enough to know their rate and no engine has
     // registered, all engines are lost. Reclaimable engines alone settle the list as
     // well: a holder that waited for on-demand ones would order none when all reclaimable
     // ones are reclaimed.
-    bool isLost = !known.hasAny_ && view.tokensPerSecond_;
-    known.isSettled_ |= isLost || (known.hasAny_ && now - known.grewAt_ >= settings_.settleTime_);
+    bool isLost = !known.hasObservedEngines_ && view.tokensPerSecond_;
+    known.isSettled_ |= isLost || (known.hasObservedEngines_ && now - known.grewAt_ >= settings_.settleTime_);
     for (const DataCentreFleet& fleet : view.dataCentres_) {
         std::uint64_t& before = known.reclaimable_[fleet.dataCentre_];
         const LastOrder* ordered = lastOrder({ view.service_, fleet.dataCentre_, true, 0 });
@@ -82,11 +82,11 @@
 /// so that a new holder changes nothing.
 FleetDemand FleetTracker::demandOf(const FleetView& view, SteadyTime now)
 {
-    std::uint64_t& before = needed_[view.service_];
+    std::uint64_t& before = lastNeeds_[view.service_];
     std::uint64_t needed = before;
     // After this node has sent orders, the reclaimable engines present may exceed the need.
-    if (!inherited_.contains(view.service_))
-        needed = std::max(before, ordered_.empty() ? view.engines() : view.onDemand());
+    if (!servicesWithInheritedNeed_.contains(view.service_))
+        needed = std::max(before, lastOrders_.empty() ? view.engines() : view.onDemand());
     if (view.tokensPerSecond_)
         needed = std::max(enginesFor(*view.tokensPerSecond_ * (1 + settings_.growth_), view.prefillPerMs_, settings_.margin_), enginesForSlots(view, settings_.targetUtilisation_));
     // A node that receives few reports would dismiss engines that the other nodes need.
@@ -94,15 +94,15 @@
         needed = std::max(needed, before);
     // The highest recent need is used, so that engines are not dismissed shortly before
     // they are needed again.
-    std::deque<Need>& recent = needs_[view.service_];
+    std::deque<Need>& recent = recentNeeds_[view.service_];
     recent.push_back({ now, needed });
-    while (now - recent.front().at_ > settings_.reclaimableStabilisationWindow_)
+    while (now - recent.front().observedAt_ > settings_.reclaimableStabilisationWindow_)
         recent.pop_front();
     FleetDemand demand { 0, view.bounds_.minEngines_, view.bounds_.maxEngines_, 0, settings_.reserveShare_ };
     std::uint64_t highest = 0;
     for (const Need& need : recent) {
         highest = std::max(highest, need.engines_);
-        if (now - need.at_ <= settings_.stabilisationWindow_)
+        if (now - need.observedAt_ <= settings_.stabilisationWindow_)
             demand.needed_ = std::max(demand.needed_, need.engines_);
     }
     auto reclaimable = static_cast<std::uint64_t>(std::ceil(static_cast<double>(highest) * settings_.reclaimableShare_));
@@ -126,11 +126,11 @@
     if (!last)
         return true;
     // The platform has no engines of this kind now, whatever number is ordered.
-    if (!last->isAccepted_ && order.wanted_ > present && now - last->at_ < settings_.rejectedRepeatInterval_)
+    if (!last->isAccepted_ && order.wanted_ > present && now - last->notedAt_ < settings_.rejectedRepeatInterval_)
         return false;
     // An accepted order needs no repetition yet, since its engines take time to boot.
     bool isSame = last->wanted_ == order.wanted_ && last->isAccepted_;
-    return !isSame || (present != order.wanted_ && now - last->at_ >= settings_.repeatInterval_);
+    return !isSame || (present != order.wanted_ && now - last->notedAt_ >= settings_.repeatInterval_);
 }
 
 std::vector<FleetOrder> FleetTracker::dueOrders(const FleetView& view, SteadyTime now)
@@ -180,20 +180,20 @@
 
 void FleetTracker::inheritNeed(const ServiceName& service, std::uint64_t engines, SteadyTime now)
 {
-    inherited_.insert(service);
-    needed_[service] = engines;
-    needs_[service].push_back({ now, engines });
+    servicesWithInheritedNeed_.insert(service);
+    lastNeeds_[service] = engines;
+    recentNeeds_[service].push_back({ now, engines });
 }
 
 void FleetTracker::noteOrdered(const FleetOrder& order, bool isAccepted, SteadyTime now)
 {
-    ordered_[{ order.service_, order.dataCentre_, order.isReclaimable_ }] = { order.wanted_, isAccepted, now };
+    lastOrders_[{ order.service_, order.dataCentre_, order.isReclaimable_ }] = { order.wanted_, isAccepted, now };
 }
 
 std::uint64_t FleetTracker::needed(const ServiceName& service) const
 {
-    auto found = needed_.find(service);
-    return found == needed_.end() ? 0 : found->second;
+    auto found = lastNeeds_.find(service);
+    return found == lastNeeds_.end() ? 0 : found->second;
 }
 
 } // namespace pistachioloom
--- a/lib/Gateway/DutyRunner.cpp
+++ b/lib/Gateway/DutyRunner.cpp
@@ -72,7 +72,7 @@
     : io_(io)
     , context_(context)
     , lease_(context.settings_.vm_, timingFor(context.settings_.dutyLease_), steadyNow())
-    , fleet_(context.settings_.fleet_)
+    , fleetTracker_(context.settings_.fleet_)
     , rollouts_(context, { [this] { return actingToken(); }, [this](wire::DutyRecord record) { return recordOrRelease(std::move(record)); } })
 {
 }
@@ -108,7 +108,7 @@
 
 asio::awaitable<bool> DutyRunner::recordOrRelease(wire::DutyRecord record)
 {
-    bool isRecorded = co_await this->record(record) == AppendResult::Appended;
+    bool isRecorded = co_await appendRecord(record) == AppendResult::Appended;
     if (!isRecorded)
         releaseDuties("a decision could not be recorded");
     co_return isRecorded;
@@ -187,14 +187,14 @@
     }
     context_.demand_.sample(now);
     for (const FleetView& view : fleetViews(now))
-        fleet_.observe(view, now);
+        fleetTracker_.observe(view, now);
 }
 
 /// Reads the log of duties up to its end. \returns whether this succeeded.
 asio::awaitable<bool> DutyRunner::readLog()
 {
     for (;;) {
-        auto read = co_await context_.platform_.readDutyLog_(end_);
+        auto read = co_await context_.platform_.readDutyLog_(logEnd_);
         if (!read) {
             logger_.warn("Log of duties cannot be read: " + describe(read.error()));
             co_return false;
@@ -210,27 +210,27 @@
             if (record.has_rollout())
                 rollouts_.applyRecord(record.rollout());
             if (record.has_usage())
-                recorded_.merge(usageOf(record));
+                recordedUsage_.merge(usageOf(record));
             else if (!record.orders_size() && !record.has_rollout())
                 newestClaim_ = { { record.vm() }, { offset.value_ + 1 } };
         }
         bool isAtEnd = read.value().records_.empty();
-        end_ = read.value().next_;
+        logEnd_ = read.value().next_;
         if (isAtEnd)
             co_return true;
     }
 }
 
-asio::awaitable<DutyRunner::AppendResult> DutyRunner::record(const wire::DutyRecord& record)
+asio::awaitable<DutyRunner::AppendResult> DutyRunner::appendRecord(const wire::DutyRecord& record)
 {
     std::string bytes = record.SerializeAsString();
     // A record that is appended later than this does not cover its act any more, and a
     // holder that gets no answers from the platform must release the duties for another node.
     SteadyTime until = steadyNow() + timingFor(context_.settings_.dutyLease_).recordValidity_;
     for (int i = 0; i < maxAppendAttempts && steadyNow() < until; ++i) {
-        auto appended = co_await context_.platform_.appendDutyRecord_(end_, bytes);
+        auto appended = co_await context_.platform_.appendDutyRecord_(logEnd_, bytes);
         if (appended) {
-            ++end_.value_;
+            ++logEnd_.value_;
             co_return AppendResult::Appended;
         }
         if (appended.error().code_ != Errc::Conflict) {
@@ -238,10 +238,10 @@
             continue;
         }
         // The record at this offset may be from an earlier attempt to append the same one.
-        LogOffset ownOffset = end_;
+        LogOffset ownOffset = logEnd_;
         auto read = co_await context_.platform_.readDutyLog_(ownOffset);
         if (read && !read.value().records_.empty() && read.value().records_.front().second == bytes) {
-            ++end_.value_;
+            ++logEnd_.value_;
             co_return AppendResult::Appended;
         }
         co_return AppendResult::Superseded;
@@ -269,15 +269,15 @@
     wire::DutyRecord claim;
     claim.set_vm(context_.settings_.vm_.value_);
     claim.set_incarnation(context_.incarnation_);
-    AppendResult recorded = co_await record(claim);
+    AppendResult recorded = co_await appendRecord(claim);
     if (recorded != AppendResult::Appended)
         co_return releaseDuties(recorded == AppendResult::Superseded ? "another record was appended first" : "the outcome of the claim is unknown");
     for (const auto& [service, engines] : recordedNeeds_)
-        fleet_.inheritNeed(service, engines, steadyNow());
+        fleetTracker_.inheritNeed(service, engines, steadyNow());
     std::lock_guard lock(mutex_);
-    // The token is the claim's offset plus one. record() has advanced end_ to this value.
-    lease_.becomeHolder({ end_.value_ }, steadyNow());
-    logger_.info(LogLine("This node holds the duties.").add("token", static_cast<std::int64_t>(end_.value_)));
+    // The token is the claim's offset plus one. appendRecord() has advanced logEnd_ to this value.
+    lease_.becomeHolder({ logEnd_.value_ }, steadyNow());
+    logger_.info(LogLine("This node holds the duties.").add("token", static_cast<std::int64_t>(logEnd_.value_)));
 }
 
 asio::awaitable<void> DutyRunner::act()
@@ -297,15 +297,15 @@
     const UsageTiming& timing = context_.settings_.usageTiming_;
     auto allReportedWithin = [&](milliseconds time) { return reports_->haveAllReportedWithin(time, timing.maxDelay_); };
     auto newest = dueWindow(context_.agreedWallMs(), context_.settings_.usageWindow_, timing, allReportedWithin);
-    if (!newest || reported_.contains(*newest))
+    if (!newest || reportedWindows_.contains(*newest))
         co_return;
     WindowNumber due = *newest;
     UsageCounts counts = context_.usage_.sum(due);
-    auto earlier = recorded_.find(due);
-    if (earlier != recorded_.end())
+    auto earlier = recordedUsage_.find(due);
+    if (earlier != recordedUsage_.end())
         counts = earlier->second;
     if (counts.empty()) {
-        reported_.insert(due);
+        reportedWindows_.insert(due);
         co_return;
     }
     SteadyTime recordedAt = steadyNow();
@@ -315,10 +315,10 @@
     intent.mutable_usage()->set_number(due.value_);
     for (const auto& [organisation, count] : counts)
         (*intent.mutable_usage()->mutable_counts())[organisation.value_] = count;
-    AppendResult recorded = co_await record(intent);
+    AppendResult recorded = co_await appendRecord(intent);
     if (recorded != AppendResult::Appended)
         co_return releaseDuties("usage of window " + std::to_string(due.value_) + " could not be recorded");
-    recorded_[due] = counts;
+    recordedUsage_[due] = counts;
     DutyToken token = heldToken();
     if (!lease_.mayAct(recordedAt, steadyNow()))
         co_return;
@@ -331,9 +331,9 @@
     logger_.info(line);
     if (!sent)
         co_return;
-    reported_.insert(due);
+    reportedWindows_.insert(due);
     context_.usage_.forget({ due.value_ - std::min(due.value_, retainedWindows) });
-    recorded_.erase(recorded_.begin(), recorded_.lower_bound({ due.value_ - std::min(due.value_, retainedWindows) }));
+    recordedUsage_.erase(recordedUsage_.begin(), recordedUsage_.lower_bound({ due.value_ - std::min(due.value_, retainedWindows) }));
 }
 
 /// Returns the engines and the demand of \p service, as this node knows them.
@@ -383,10 +383,10 @@
 {
     std::vector<FleetOrder> due;
     for (const FleetView& view : fleetViews(now)) {
-        std::uint64_t before = fleet_.needed(view.service_);
-        std::vector<FleetOrder> orders = fleet_.dueOrders(view, now);
+        std::uint64_t before = fleetTracker_.needed(view.service_);
+        std::vector<FleetOrder> orders = fleetTracker_.dueOrders(view, now);
         due.insert(due.end(), orders.begin(), orders.end());
-        std::uint64_t needed = fleet_.needed(view.service_);
+        std::uint64_t needed = fleetTracker_.needed(view.service_);
         if (needed == before)
             continue;
         LogLine line("Engines needed.");
@@ -413,9 +413,9 @@
     for (const ServiceName& service : servicesIn(due)) {
         wire::FleetNeed& need = *intent.add_needs();
         need.set_service(service.value_);
-        need.set_engines(fleet_.needed(service));
+        need.set_engines(fleetTracker_.needed(service));
     }
-    if (co_await record(intent) != AppendResult::Appended)
+    if (co_await appendRecord(intent) != AppendResult::Appended)
         co_return releaseDuties("orders could not be recorded");
     for (const wire::FleetNeed& need : intent.needs())
         recordedNeeds_[{ need.service() }] = need.engines();
@@ -423,7 +423,7 @@
         if (!lease_.mayAct(now, steadyNow()))
             co_return;
         auto sent = co_await context_.platform_.orderFleet_(context_.settings_.vm_, heldToken(), order);
-        fleet_.noteOrdered(order, sent.has_value(), steadyNow());
+        fleetTracker_.noteOrdered(order, sent.has_value(), steadyNow());
         LogLine line("Engines are ordered.");
         line.add("service", order.service_.value_).add("data_centre", order.dataCentre_.value_).add("kind", order.isReclaimable_ ? "reclaimable" : "lasting").add("wanted", static_cast<std::int64_t>(order.wanted_));
         line.add("token", static_cast<std::int64_t>(heldToken().value_)).add("error", sent ? "" : describe(sent.error()));
--- a/lib/Gateway/DutyRunner.h
+++ b/lib/Gateway/DutyRunner.h
@@ -61,7 +61,7 @@
     /// \returns whether \p record was appended. If it was not, this node has released the
     /// duties.
     asio::awaitable<bool> recordOrRelease(wire::DutyRecord record);
-    asio::awaitable<AppendResult> record(const wire::DutyRecord& record);
+    asio::awaitable<AppendResult> appendRecord(const wire::DutyRecord& record);
     FleetView viewOf(const ServicePolicy& service, SteadyTime now) const;
     std::vector<FleetView> fleetViews(SteadyTime now) const;
     std::vector<FleetOrder> dueOrders(SteadyTime now);
@@ -75,7 +75,7 @@
     DutyLease lease_;
     DutyToken releasedToken_ {};
     /// The end of the log of duties, as far as this node has read it.
-    LogOffset end_;
+    LogOffset logEnd_;
     /// A record by which a node claims the duties.
     struct Claim {
         VmId vm_;
@@ -84,12 +84,12 @@
     /// The newest claim that this node has read.
     Claim newestClaim_;
     /// Usage that any holder has reported, or may have reported.
-    std::map<WindowNumber, UsageCounts> recorded_;
+    std::map<WindowNumber, UsageCounts> recordedUsage_;
     /// Windows that this node has reported.
-    std::set<WindowNumber> reported_;
+    std::set<WindowNumber> reportedWindows_;
     /// Number of engines that each service needs, by the newest record of any holder.
     std::map<ServiceName, std::uint64_t> recordedNeeds_;
-    FleetTracker fleet_;
+    FleetTracker fleetTracker_;
     RolloutRunner rollouts_;
     SteadyTime fleetCheckedAt_ {};
     Logger logger_ { "duties" };
--- a/lib/Gateway/GatewaySettings.cpp
+++ b/lib/Gateway/GatewaySettings.cpp
@@ -173,7 +173,7 @@
         if (auto section = map.map("quarantine"))
             parseQuarantine(std::move(*section), settings.quarantine_);
         if (auto section = map.map("gossip"))
-            parseGossip(std::move(*section), settings.gossiping_);
+            parseGossip(std::move(*section), settings.gossipSettings_);
         if (auto section = map.map("feed"))
             parseFeed(std::move(*section), settings.feed_);
         if (auto section = map.map("fleet"))
--- a/lib/Gateway/PeerReports.cpp
+++ b/lib/Gateway/PeerReports.cpp
@@ -43,8 +43,8 @@
     : context_(context)
     , hooks_(std::move(hooks))
     , socket_(io)
-    , table_(context.settings_.vm_, context.settings_.dataCentre_, context.settings_.cores_, context.settings_.gossiping_)
-    , discovery_(table_, context.settings_.vm_, context.settings_.dataCentre_, context.settings_.gossiping_)
+    , table_(context.settings_.vm_, context.settings_.dataCentre_, context.settings_.cores_, context.settings_.gossipSettings_)
+    , discovery_(table_, context.settings_.vm_, context.settings_.dataCentre_, context.settings_.gossipSettings_)
     , aggregator_(context.settings_.usageWindow_)
 {
 }
@@ -67,7 +67,7 @@
 
 std::vector<KnownPeer> PeerReports::live() const
 {
-    return reportedWithin(context_.settings_.gossiping_.unresponsiveAfter_);
+    return reportedWithin(context_.settings_.gossipSettings_.unresponsiveAfter_);
 }
 
 std::uint64_t PeerReports::nodesCovered() const
@@ -81,7 +81,7 @@
     // Nodes that were advertised and have never reported may have stopped long ago. They
     // count as known only for a while after the start of this node, in which their first
     // reports may still arrive.
-    bool hasJustStarted = now - startedAt_ < context_.settings_.gossiping_.forgetAfter_;
+    bool hasJustStarted = now - startedAt_ < context_.settings_.gossipSettings_.forgetAfter_;
     std::uint64_t known = peerCounts.reported_ + (hasJustStarted ? peerCounts.advertised_ : 0);
     const wire::NodeSums* sums = others_.current(now);
     std::uint64_t reported = usesRelays_ ? (sums ? sums->nodes() : 0) : live().size();
@@ -180,7 +180,7 @@
             reportToRelays(now);
         else
             reportToAll();
-        co_await sleepFor(context_.settings_.gossiping_.period_);
+        co_await sleepFor(context_.settings_.gossipSettings_.period_);
     }
 }
 
@@ -315,7 +315,7 @@
 {
     for (const VmId& vm : table_.removeUnresponsive(now)) {
         forgetCounts(vm);
-        logger_.info(LogLine("Peer is unresponsive and was removed.").add("peer", vm.value_).add("silent_ms", context_.settings_.gossiping_.forgetAfter_.count()));
+        logger_.info(LogLine("Peer is unresponsive and was removed.").add("peer", vm.value_).add("silent_ms", context_.settings_.gossipSettings_.forgetAfter_.count()));
     }
 }
 
--- a/lib/Gateway/RolloutRunner.cpp
+++ b/lib/Gateway/RolloutRunner.cpp
@@ -28,7 +28,7 @@
         co_await sleepFor(adjustPeriod);
         if (context_.rollouts_.isEmpty())
             continue;
-        DutyToken token = hooks_.token_();
+        DutyToken token = hooks_.actingToken_();
         if (token != token_) {
             orders_.clear();
             token_ = token;
@@ -38,7 +38,7 @@
             continue;
         if (!hasReadNotes_)
             co_await readNotes();
-        if (!hasReadNotes_ || hooks_.token_() != token_)
+        if (!hasReadNotes_ || hooks_.actingToken_() != token_)
             continue;
         SteadyTime now = steadyNow();
         for (const RolloutTracker::ReceivedState& received : context_.rollouts_.states())
@@ -74,7 +74,7 @@
         return;
     }
     if (record.is_told())
-        reported_[state->order_.service_] = std::max(reported_[state->order_.service_], state->order_.number_);
+        reportedOrders_[state->order_.service_] = std::max(reportedOrders_[state->order_.service_], state->order_.number_);
     SteadyTime now = steadyNow();
     if (isFinal(state->phase_) && context_.rollouts_.applyState(*state, now, now))
         logger_.info(LogLine("Decision on a roll-out is read.").add("service", state->order_.service_.value_).add("target", state->order_.target_.value_).add("phase", toString(state->phase_)));
@@ -129,7 +129,7 @@
         if (found == orders_.end())
             continue;
         RolloutState state = found->second.controller_.state();
-        bool isReported = reported_[service] == state.order_.number_;
+        bool isReported = reportedOrders_[service] == state.order_.number_;
         if (isReported)
             continue;
         if (!isFinal(state.phase_) && !found->second.isActiveReported_) {
@@ -168,7 +168,7 @@
     bool isReported = co_await report(decision);
     if (!isReported)
         co_return true;
-    reported_[service] = decision.order_.number_;
+    reportedOrders_[service] = decision.order_.number_;
     wire::RolloutReport stored = toWire(decision);
     stored.set_is_told(true);
     StoredNote note { keyPrefix + service.value_, stored.SerializeAsString() };
@@ -185,12 +185,12 @@
     record.set_incarnation(context_.incarnation_);
     *record.mutable_rollout() = toWire(decision);
     record.mutable_rollout()->set_is_told(isReported);
-    co_return co_await hooks_.record_(std::move(record));
+    co_return co_await hooks_.appendRecord_(std::move(record));
 }
 
 asio::awaitable<bool> RolloutRunner::report(RolloutState state)
 {
-    DutyToken token = hooks_.token_();
+    DutyToken token = hooks_.actingToken_();
     if (!token.value_ || token != token_)
         co_return false;
     auto sent = co_await context_.platform_.reportRollout_(token, reportCount_ + 1, state);
--- a/lib/Gateway/RolloutRunner.h
+++ b/lib/Gateway/RolloutRunner.h
@@ -21,10 +21,10 @@
 public:
     struct Hooks {
         /// Returns the token under which this node holds the duties and may act, or 0.
-        std::function<DutyToken()> token_;
+        std::function<DutyToken()> actingToken_;
         /// Appends a record to the log of duties. \returns whether this node still holds
         /// the duties.
-        std::function<asio::awaitable<bool>(wire::DutyRecord)> record_;
+        std::function<asio::awaitable<bool>(wire::DutyRecord)> appendRecord_;
     };
 
     RolloutRunner(GatewayContext& context, Hooks hooks);
@@ -72,7 +72,7 @@
     std::uint64_t reportCount_ = 0;
     bool hasReadNotes_ = false;
     /// Orders whose final decision was reported to the operator.
-    std::map<ServiceName, RolloutNumber> reported_;
+    std::map<ServiceName, RolloutNumber> reportedOrders_;
     mutable std::mutex reasonsMutex_;
     /// Reason of the last decision on each order.
     std::map<ServiceName, std::string> reasons_;
--- a/lib/Membership/VmList.cpp
+++ b/lib/Membership/VmList.cpp
@@ -84,7 +84,7 @@
         return;
     removed_.erase(vm->id_);
     StoredVm& stored = storedVms_[vm->id_];
-    if (stored.text_ == text)
+    if (stored.json_ == text)
         return;
     stored = { text, std::move(*vm), version };
 }
@@ -151,7 +151,7 @@
         changes.base_ = 0;
     for (const auto& [id, stored] : storedVms_) {
         if (!changes.base_ || stored.changedVersion_ > version)
-            changes.changed_.push_back(stored.text_);
+            changes.changed_.push_back(stored.json_);
     }
     if (!changes.base_)
         return changes;
@@ -166,7 +166,7 @@
 {
     std::uint64_t hash = 0;
     for (const auto& [id, stored] : storedVms_)
-        hash ^= stableHash(stored.text_);
+        hash ^= stableHash(stored.json_);
     return hash;
 }
 
--- a/lib/Rollout/Evaluators.cpp
+++ b/lib/Rollout/Evaluators.cpp
@@ -78,14 +78,14 @@
             evaluatedAt_ = now;
             for (const auto& [cell, answers] : counted.cells_) {
                 if (cell.first == stableBackendKey)
-                    stable_[cell.second].observe(answers, passed);
+                    stableRates_[cell.second].observe(answers, passed);
             }
             std::map<RouteKey, std::uint64_t> ofTarget;
             for (const auto& [cell, answers] : counted.cells_)
                 ofTarget[cell.second] += cell.first == stableBackendKey ? 0 : answers.answers_;
             for (const auto& [cell, answers] : counted.cells_) {
-                if (cell.first != stableBackendKey && stable_[cell.second].outnumbers(ofTarget[cell.second]))
-                    test(cell, answers);
+                if (cell.first != stableBackendKey && stableRates_[cell.second].outnumbers(ofTarget[cell.second]))
+                    updateScore(cell, answers);
             }
             for (RouteKey route : routesOf(tally)) {
                 if (auto why = evaluate(route))
@@ -135,9 +135,9 @@
             std::uint64_t answers_ = 0;
         };
 
-        void test(const std::pair<BackendKey, RouteKey>& cell, const AnswerTally& counted)
+        void updateScore(const std::pair<BackendKey, RouteKey>& cell, const AnswerTally& counted)
         {
-            double baseline = std::min(maxRate - degradation / 2, stable_[cell.second].rate());
+            double baseline = std::min(maxRate - degradation / 2, stableRates_[cell.second].rate());
             double degraded = std::min(maxRate, baseline + degradation);
             double badLogRatio = std::log(degraded / baseline);
             double goodLogRatio = std::log((1 - degraded) / (1 - baseline));
@@ -180,7 +180,7 @@
 
         RolloutTally previousTally_;
         SteadyTime evaluatedAt_ {};
-        std::map<RouteKey, StableRates> stable_;
+        std::map<RouteKey, StableRates> stableRates_;
         std::map<std::pair<BackendKey, RouteKey>, Score> scores_;
     };
 
--- a/lib/Rollout/RolloutController.cpp
+++ b/lib/Rollout/RolloutController.cpp
@@ -36,12 +36,12 @@
     state_.step_ = 1;
 }
 
-SteadyTime RolloutController::at(double fractionOfPeriod) const
+SteadyTime RolloutController::timeAt(double fractionOfPeriod) const
 {
     return startedAt_ + milliseconds(static_cast<std::int64_t>(fractionOfPeriod * static_cast<double>(state_.order_.period_.count())));
 }
 
-void RolloutController::set(RolloutPhase phase, double share, std::string reason)
+void RolloutController::setState(RolloutPhase phase, double share, std::string reason)
 {
     if (state_.phase_ == phase && state_.share_ == share)
         return;
@@ -53,13 +53,13 @@
 
 void RolloutController::complete()
 {
-    set(RolloutPhase::Complete, 1, reason_);
+    setState(RolloutPhase::Complete, 1, reason_);
 }
 
 void RolloutController::revert(std::string why)
 {
     if (!isFinal(state_.phase_))
-        set(RolloutPhase::Reverted, 0, std::move(why));
+        setState(RolloutPhase::Reverted, 0, std::move(why));
 }
 
 /// Whether the target has enough answers in total, and on each route with traffic.
@@ -92,7 +92,7 @@
     else if (targetOnlySince_ == SteadyTime {})
         targetOnlySince_ = now;
     if (isTargetOnly && now - targetOnlySince_ >= minTargetOnlyTime) {
-        set(RolloutPhase::Shifting, 1, "no other version runs");
+        setState(RolloutPhase::Shifting, 1, "no other version runs");
         isReadyToComplete_ = true;
         return state_;
     }
@@ -105,30 +105,30 @@
 
 void RolloutController::adjustTrial(const RolloutView& view, SteadyTime now)
 {
-    if (now >= at(settings_.decisionFraction_))
+    if (now >= timeAt(settings_.decisionFraction_))
         return revert("no verdict within the period");
     // Half of the constant allowance is kept for counts that are still to be reported.
     double allowed = settings_.exposedShare_ * static_cast<double>(view.tally_.requests_) + settings_.exposedExtra_ / 2;
     bool isWithinExposure = static_cast<double>(view.tally_.exposed_) < allowed;
     if (!view.targetServers_ || !isWithinExposure)
-        return set(RolloutPhase::Trial, 0, view.targetServers_ ? "exposure is used up" : "no backend server of the target");
-    if (now >= at(settings_.trialFraction_) && hasEvidence(view.tally_)) {
+        return setState(RolloutPhase::Trial, 0, view.targetServers_ ? "exposure is used up" : "no backend server of the target");
+    if (now >= timeAt(settings_.trialFraction_) && hasEvidence(view.tally_)) {
         shiftedAt_ = now;
-        return set(RolloutPhase::Shifting, 2 * settings_.trialShare_, "not worse for the time of the trial");
+        return setState(RolloutPhase::Shifting, 2 * settings_.trialShare_, "not worse for the time of the trial");
     }
-    set(RolloutPhase::Trial, settings_.trialShare_, "on trial");
+    setState(RolloutPhase::Trial, settings_.trialShare_, "on trial");
 }
 
 void RolloutController::adjustShift(const RolloutView& view, SteadyTime now)
 {
-    if (state_.share_ < 1 && now - shiftedAt_ >= at(settings_.shiftStepFraction_) - startedAt_) {
+    if (state_.share_ < 1 && now - shiftedAt_ >= timeAt(settings_.shiftStepFraction_) - startedAt_) {
         shiftedAt_ = now;
-        return set(RolloutPhase::Shifting, std::min(1.0, 2 * state_.share_), "the rest follows");
+        return setState(RolloutPhase::Shifting, std::min(1.0, 2 * state_.share_), "the rest follows");
     }
     if (state_.share_ < 1 || now - shiftedAt_ < sharePropagation)
         return;
     // Requests that still run at other versions are aborted when those stop.
-    isReadyToComplete_ = !view.stableRunning_ || now >= at(settings_.decisionFraction_);
+    isReadyToComplete_ = !view.stableRunning_ || now >= timeAt(settings_.decisionFraction_);
 }
 
 } // namespace pistachioloom
--- a/lib/Rollout/RolloutTracker.cpp
+++ b/lib/Rollout/RolloutTracker.cpp
@@ -132,11 +132,11 @@
     bool isSameOrder = !isNew && entry.tally_.number_ == state.order_.number_;
     if (!isSameOrder) {
         entry.tally_ = { state.order_.number_, 0, 0, {} };
-        entry.requests_.clear();
-        entry.due_.clear();
+        entry.requestsByRoute_.clear();
+        entry.dueToTarget_.clear();
     }
     entry.received_ = { state, reportedAt, isSameOrder ? entry.received_.orderReceivedAt_ : now };
-    count_ = entries_.size();
+    orderCount_ = entries_.size();
     return true;
 }
 
@@ -201,9 +201,9 @@
         rule.usesTarget_ = rule.share_ >= 1;
         return rule;
     }
-    ++entry.requests_[route];
-    double& due = entry.due_[route];
-    due += state.phase_ == RolloutPhase::Trial ? shareOnRoute(rule.share_, route, entry.requests_) : rule.share_;
+    ++entry.requestsByRoute_[route];
+    double& due = entry.dueToTarget_[route];
+    due += state.phase_ == RolloutPhase::Trial ? shareOnRoute(rule.share_, route, entry.requestsByRoute_) : rule.share_;
     if (due < oneRequest)
         return rule;
     due -= 1;
@@ -261,13 +261,13 @@
     if (isEmpty())
         return;
     std::lock_guard lock(mutex_);
-    peers_[source] = std::move(tallies);
+    peerTallies_[source] = std::move(tallies);
 }
 
 void RolloutTracker::forgetPeer(const VmId& source)
 {
     std::lock_guard lock(mutex_);
-    peers_.erase(source);
+    peerTallies_.erase(source);
 }
 
 RolloutTally RolloutTracker::total(const ServiceName& service) const
@@ -277,7 +277,7 @@
     if (found == entries_.end())
         return {};
     RolloutTally total = found->second.tally_;
-    for (const auto& [source, tallies] : peers_) {
+    for (const auto& [source, tallies] : peerTallies_) {
         auto reported = tallies.find(service);
         if (reported != tallies.end() && reported->second.number_ == total.number_)
             total.add(reported->second);
--- a/unittests/Catalogue/CatalogueTest.cpp
+++ b/unittests/Catalogue/CatalogueTest.cpp
@@ -27,9 +27,9 @@
 
 struct BadEntry {
     std::string name_;
-    std::string from_;
-    std::string to_;
-    std::string expected_;
+    std::string original_;
+    std::string replacement_;
+    std::string expectedError_;
 };
 
 } // namespace
@@ -59,11 +59,11 @@
     }));
     INFO(bad.name_);
     std::string text = goodWorkload;
-    text.replace(text.find(bad.from_), bad.from_.size(), bad.to_);
+    text.replace(text.find(bad.original_), bad.original_.size(), bad.replacement_);
     InputErrors errors;
     CHECK_FALSE(parseEntry(text, "file", errors));
     REQUIRE(!errors.empty());
-    CHECK(errors.front().toString().substr(0, bad.expected_.size()) == bad.expected_);
+    CHECK(errors.front().toString().substr(0, bad.expectedError_.size()) == bad.expectedError_);
 }
 
 TEST_CASE("an engine entry has a target configuration and a paid reserve")
@@ -82,10 +82,10 @@
     }));
     INFO(bad.name_);
     std::string text = good;
-    text.replace(text.find(bad.from_), bad.from_.size(), bad.to_);
+    text.replace(text.find(bad.original_), bad.original_.size(), bad.replacement_);
     CHECK_FALSE(parseEntry(text, "file", errors));
     REQUIRE(!errors.empty());
-    CHECK(errors.front().toString() == bad.expected_);
+    CHECK(errors.front().toString() == bad.expectedError_);
 }
 
 TEST_CASE("of edits with the same base version only the first in the log is accepted")
--- a/unittests/Duties/DutiesTest.cpp
+++ b/unittests/Duties/DutiesTest.cpp
@@ -116,25 +116,25 @@
 
 TEST_CASE("acts of two holders never overlap when nodes freeze or lose their connections", "[duties]")
 {
-    std::size_t changes = 0;
+    std::size_t holderChanges = 0;
     for (std::uint32_t seed = 0; seed < 400; ++seed) {
         std::vector<Act> acts = LeaseSimulation(seed, 4).simulate(milliseconds(60000));
-        std::map<std::size_t, SteadyTime> lastOf;
+        std::map<std::size_t, SteadyTime> lastActAt;
         for (std::size_t i = 1; i < acts.size(); ++i) {
             CAPTURE(seed, i);
             REQUIRE(acts[i].token_ >= acts[i - 1].token_);
             bool isSameHolder = acts[i].node_ == acts[i - 1].node_;
             REQUIRE((acts[i].token_ == acts[i - 1].token_) <= isSameHolder);
-            changes += !isSameHolder;
-            lastOf[acts[i - 1].node_] = acts[i - 1].at_;
+            holderChanges += !isSameHolder;
+            lastActAt[acts[i - 1].node_] = acts[i - 1].at_;
             // A node acts again after another node's act only if more than a lease has passed
             // since its own last act.
-            if (!isSameHolder && lastOf.contains(acts[i].node_))
-                REQUIRE(acts[i].at_ - lastOf[acts[i].node_] > lease);
+            if (!isSameHolder && lastActAt.contains(acts[i].node_))
+                REQUIRE(acts[i].at_ - lastActAt[acts[i].node_] > lease);
         }
     }
-    // The check is vacuous unless the holder changes often.
-    CHECK(changes > 500);
+    // The check is vacuous unless the holder holderChanges often.
+    CHECK(holderChanges > 500);
 }
 
 TEST_CASE("only the first claim ever may act without waiting for a predecessor", "[duties]")
--- a/unittests/Duties/DutyLeaseExplorationTest.cpp
+++ b/unittests/Duties/DutyLeaseExplorationTest.cpp
@@ -93,18 +93,18 @@
 /// Returns what is wrong with the order of acts, or an empty text.
 std::string problemOf(const std::vector<Act>& acts)
 {
-    std::map<int, SteadyTime> lastOf;
+    std::map<int, SteadyTime> lastActAt;
     for (std::size_t i = 1; i < acts.size(); ++i) {
-        const Act& before = acts[i - 1];
-        const Act& now = acts[i];
-        lastOf[before.node_] = before.at_;
-        if (now.token_ < before.token_)
+        const Act& previous = acts[i - 1];
+        const Act& current = acts[i];
+        lastActAt[previous.node_] = previous.at_;
+        if (current.token_ < previous.token_)
             return "the token decreases";
-        if (now.node_ == before.node_)
+        if (current.node_ == previous.node_)
             continue;
-        if (now.token_ == before.token_)
+        if (current.token_ == previous.token_)
             return "two nodes act with one token";
-        if (lastOf.contains(now.node_) && now.at_ - lastOf[now.node_] <= lease)
+        if (lastActAt.contains(current.node_) && current.at_ - lastActAt[current.node_] <= lease)
             return "a node acts again within a lease of another's act";
     }
     return {};
@@ -124,7 +124,7 @@
     int schedules = 1;
     for (int i = 0; i < steps; ++i)
         schedules *= choices * choices;
-    int changes = 0;
+    int holderChanges = 0;
     for (int schedule = 0; schedule < schedules; ++schedule) {
         SystemState system = settled;
         SteadyTime at = now;
@@ -145,13 +145,13 @@
             CAPTURE(schedule);
             FAIL(problem);
         }
-        changes += system.acts_.back().node_ != settled.acts_.front().node_;
+        holderChanges += system.acts_.back().node_ != settled.acts_.front().node_;
         // One of the nodes holds the duties at the end.
         if (at - system.acts_.back().at_ > 2 * step) {
             CAPTURE(schedule);
             FAIL("no node acts after both run again");
         }
     }
-    // The check is vacuous unless the holder changes in enough schedules.
-    CHECK(changes > schedules / 50);
+    // The check is vacuous unless the holder holderChanges in enough schedules.
+    CHECK(holderChanges > schedules / 50);
 }
--- a/unittests/Gateway/GatewaySettingsTest.cpp
+++ b/unittests/Gateway/GatewaySettingsTest.cpp
@@ -58,8 +58,8 @@
 TEST_CASE("errors in settings name the line and the key", "[gateway]")
 {
     struct Row {
-        const char* from_;
-        const char* to_;
+        const char* original_;
+        const char* replacement_;
         const char* expectedError_;
     };
     auto row = GENERATE(values<Row>({
@@ -77,10 +77,10 @@
         { "\"10.0.0.2:70\"", "\"here\"", "gateway.seeds" },
     }));
     std::string text = validSettings;
-    text.replace(text.find(row.from_), std::string(row.from_).size(), row.to_);
+    text.replace(text.find(row.original_), std::string(row.original_).size(), row.replacement_);
     InputErrors errors;
     CHECK_FALSE(parseGatewaySettings(text, "f", errors));
     REQUIRE_FALSE(errors.empty());
-    CAPTURE(row.to_, errors.front().toString());
+    CAPTURE(row.replacement_, errors.front().toString());
     CHECK(errors.front().toString().find(row.expectedError_) != std::string::npos);
 }
--- a/unittests/Gateway/RolloutMessagesTest.cpp
+++ b/unittests/Gateway/RolloutMessagesTest.cpp
@@ -45,7 +45,7 @@
 TEST_CASE("reports of orders with missing or invalid fields are rejected or clamped", "[gateway]")
 {
     struct Row {
-        const char* what_;
+        const char* name_;
         std::function<void(wire::RolloutReport&)> change_;
     };
     const Row rows[] = {
@@ -56,7 +56,7 @@
         { "share is not a number", [](wire::RolloutReport& report) { report.set_share(std::numeric_limits<double>::quiet_NaN()); } },
     };
     for (const Row& row : rows) {
-        CAPTURE(row.what_);
+        CAPTURE(row.name_);
         wire::RolloutReport report = toWire(state);
         row.change_(report);
         CHECK_FALSE(fromWire(report));
--- a/unittests/Ledger/RunOnceModel.cpp
+++ b/unittests/Ledger/RunOnceModel.cpp
@@ -40,7 +40,7 @@
 {
     std::vector<Choice> choices;
     for (std::size_t i = 0; i < calls_.size(); ++i) {
-        if (!calls_[i].isAlive_)
+        if (!calls_[i].isCoordinatorAlive_)
             continue;
         switch (calls_[i].call_.step()) {
         case Step::AppendIntent:
@@ -64,7 +64,7 @@
             break;
         }
     }
-    for (std::size_t i = 0; i < delayed_.size(); ++i)
+    for (std::size_t i = 0; i < delayedItems_.size(); ++i)
         choices.push_back({ Choice::Kind::DelayedArrives, i });
     for (std::size_t coordinator = 0; faults_.crashes_ && coordinator < coordinators_; ++coordinator)
         choices.push_back({ Choice::Kind::CoordinatorCrashes, coordinator });
@@ -104,7 +104,7 @@
 void RunOnceModel::execute(Call& call)
 {
     call.hasExecuted_ = true;
-    executed_.push_back(call.call_.item().attempt_);
+    executedAttempts_.push_back(call.call_.item().attempt_);
 }
 
 void RunOnceModel::apply(const Choice& choice)
@@ -126,12 +126,12 @@
         return;
     case Choice::Kind::AppendDelayed:
         --faults_.appendFaults_;
-        delayed_.push_back(calls_[choice.index_].call_.item());
+        delayedItems_.push_back(calls_[choice.index_].call_.item());
         failAppend(calls_[choice.index_]);
         return;
     case Choice::Kind::DelayedArrives:
-        append(delayed_[choice.index_]);
-        delayed_.erase(delayed_.begin() + static_cast<std::ptrdiff_t>(choice.index_));
+        append(delayedItems_[choice.index_]);
+        delayedItems_.erase(delayedItems_.begin() + static_cast<std::ptrdiff_t>(choice.index_));
         return;
     case Choice::Kind::ReadLog:
         calls_[choice.index_].call_.logRead(readLog());
@@ -158,21 +158,21 @@
     case Choice::Kind::CoordinatorCrashes:
         --faults_.crashes_;
         for (Call& call : calls_)
-            call.isAlive_ &= call.coordinator_ != choice.index_;
+            call.isCoordinatorAlive_ &= call.coordinator_ != choice.index_;
         return;
     }
 }
 
 std::string RunOnceModel::violation() const
 {
-    if (executed_.size() > 1)
-        return "the call was executed " + std::to_string(executed_.size()) + " times";
+    if (executedAttempts_.size() > 1)
+        return "the call was executed " + std::to_string(executedAttempts_.size()) + " times";
     for (const Call& call : calls_) {
         RunOnceCall::Answer answer = call.call_.answer();
         if (answer == RunOnceCall::Answer::NotRun && call.hasExecuted_)
             return "a call reported as not run was executed";
         bool hasOutcome = answer == RunOnceCall::Answer::Executed || answer == RunOnceCall::Answer::Replayed;
-        if (hasOutcome && (executed_.empty() || call.call_.outcome().body_ != executed_.front().value_))
+        if (hasOutcome && (executedAttempts_.empty() || call.call_.outcome().body_ != executedAttempts_.front().value_))
             return "the outcome is not that of the only execution";
     }
     return {};
--- a/unittests/Ledger/RunOnceModel.h
+++ b/unittests/Ledger/RunOnceModel.h
@@ -49,7 +49,7 @@
     void apply(const Choice& choice);
     /// \returns the violated property, or an empty string.
     std::string violation() const;
-    std::size_t executions() const { return executed_.size(); }
+    std::size_t executions() const { return executedAttempts_.size(); }
     bool isFinished() const;
     /// Appends the intent of a new call without faults. \returns whether that
     /// call may be dispatched.
@@ -59,7 +59,7 @@
     struct Call {
         RunOnceCall call_;
         std::size_t coordinator_;
-        bool isAlive_ = true;
+        bool isCoordinatorAlive_ = true;
         bool hasExecuted_ = false;
     };
 
@@ -71,9 +71,9 @@
     LedgerShard readLog() const;
 
     std::vector<LedgerItem> log_;
-    std::vector<LedgerItem> delayed_;
+    std::vector<LedgerItem> delayedItems_;
     std::vector<Call> calls_;
-    std::vector<AttemptId> executed_;
+    std::vector<AttemptId> executedAttempts_;
     FaultBudget faults_;
     std::size_t coordinators_;
 };
--- a/unittests/Rollout/EvaluatorsTest.cpp
+++ b/unittests/Rollout/EvaluatorsTest.cpp
@@ -73,10 +73,10 @@
         failFrom_ = draw(0, 1) < 0.4 ? draw(0, period) : period;
         for (bool& isFailing : targetFails_)
             isFailing = draw(0, 1) < 0.15;
-        phase_ = draw(0, 6.3);
+        loadPhase_ = draw(0, 6.3);
     }
 
-    double load(double now) const { return 1 + 0.4 * std::sin(phase_ + now * 6.28 / 8); }
+    double load(double now) const { return 1 + 0.4 * std::sin(loadPhase_ + now * 6.28 / 8); }
 
     /// Adds the requests of a step at the target's \p share to \p tally.
     void step(double now, double share, RolloutTally& tally)
@@ -152,14 +152,14 @@
     double slowUntil_ = period + 1;
     double slowRate_ = 0;
     double failFrom_ = 0;
-    double phase_ = 0;
+    double loadPhase_ = 0;
     bool targetFails_[targetServers] {};
     std::uint64_t badAnswers_ = 0;
 };
 
 struct Outcome {
     bool isReverted_ = false;
-    double at_ = 0;
+    double decidedAt_ = 0;
     double exposedOverBound_ = 0;
     /// Requests to the target more than `maxRollbackTime` after the 50th bad answer.
     std::uint64_t afterRollback_ = 0;
@@ -176,17 +176,17 @@
     std::deque<double> shares;
     RolloutTally tally { { 1 }, 0, 0, {} };
     Outcome outcome;
-    double fiftiethAt = 1000;
+    double toleranceReachedAt = 1000;
     const auto delay = static_cast<std::size_t>(reportDelay / tick);
     for (double now = 0; now < period; now += tick) {
         shares.push_back(controller.state().share_);
         double share = shares.size() > delay ? shares[shares.size() - 1 - delay] : 0;
         std::uint64_t exposedBefore = tally.exposed_;
         simulation.step(now, share, tally);
-        if (now > fiftiethAt + maxRollbackTime)
+        if (now > toleranceReachedAt + maxRollbackTime)
             outcome.afterRollback_ += tally.exposed_ - exposedBefore;
         if (simulation.badAnswers() >= badTolerated)
-            fiftiethAt = std::min(fiftiethAt, now);
+            toleranceReachedAt = std::min(toleranceReachedAt, now);
         tallies.push_back(tally);
         if (tallies.size() > delay + 1)
             tallies.pop_front();
@@ -197,8 +197,8 @@
             controller.complete();
             isOver = true;
         }
-        if (isOver && outcome.at_ == 0)
-            outcome.at_ = now;
+        if (isOver && outcome.decidedAt_ == 0)
+            outcome.decidedAt_ = now;
     }
     outcome.exposedOverBound_ = static_cast<double>(tally.exposed_) - exposedShare * static_cast<double>(tally.requests_) - exposedExtra;
     return outcome;
@@ -208,7 +208,7 @@
     int reverted_ = 0;
     int overBound_ = 0;
     int afterRollback_ = 0;
-    double meanAt_ = 0;
+    double meanDecisionTime_ = 0;
 };
 
 Summary simulateAll(Fault fault, int orders, const std::function<RolloutEvaluator()>& makeEvaluator)
@@ -219,7 +219,7 @@
         summary.reverted_ += outcome.isReverted_;
         summary.overBound_ += outcome.exposedOverBound_ > 0;
         summary.afterRollback_ += outcome.afterRollback_ > 0;
-        summary.meanAt_ += outcome.at_ / orders;
+        summary.meanDecisionTime_ += outcome.decidedAt_ / orders;
     }
     return summary;
 }
@@ -232,7 +232,7 @@
 {
     Summary good = simulateAll(Fault::None, orders, makeSequentialEvaluator);
     CHECK(good.reverted_ < orders / 100);
-    CHECK(good.meanAt_ < period);
+    CHECK(good.meanDecisionTime_ < period);
 }
 
 TEST_CASE("bad versions get more requests than the bound, or any after the roll-back time", "[rollout]")
@@ -257,7 +257,7 @@
     for (const Method& method : methods) {
         auto show = [&](const char* name, Fault fault) {
             Summary summary = simulateAll(fault, orders, method.make_);
-            std::cout << std::left << std::setw(12) << method.name_ << std::setw(13) << name << std::setw(10) << summary.reverted_ << std::setw(16) << summary.overBound_ << std::setw(17) << summary.afterRollback_ << std::setprecision(3) << summary.meanAt_ << " s\n";
+            std::cout << std::left << std::setw(12) << method.name_ << std::setw(13) << name << std::setw(10) << summary.reverted_ << std::setw(16) << summary.overBound_ << std::setw(17) << summary.afterRollback_ << std::setprecision(3) << summary.meanDecisionTime_ << " s\n";
         };
         show("good", Fault::None);
         for (const FaultRow& row : faults)
--- a/unittests/Rollout/RolloutTest.cpp
+++ b/unittests/Rollout/RolloutTest.cpp
@@ -36,7 +36,7 @@
 }
 
 /// Assigns 100 requests. \returns how many of them go to the target.
-int toTarget(RolloutTracker& tracker, SteadyTime now, RolloutTracker::SendKind send = RolloutTracker::SendKind::First)
+int countToTarget(RolloutTracker& tracker, SteadyTime now, RolloutTracker::SendKind send = RolloutTracker::SendKind::First)
 {
     int count = 0;
     for (int i = 0; i < 100; ++i) {
@@ -64,7 +64,7 @@
     CHECK(tracker.applyOrder(orderOf(1), start));
     CHECK_FALSE(tracker.applyOrder(orderOf(1), start));
     CHECK(tracker.assign(service, route, RolloutTracker::SendKind::First, start));
-    CHECK(toTarget(tracker, start) == 0);
+    CHECK(countToTarget(tracker, start) == 0);
     CHECK_FALSE(tracker.assign({ "other" }, route, RolloutTracker::SendKind::First, start));
 }
 
@@ -74,8 +74,8 @@
         RolloutPhase phase_;
         double share_;
         std::int64_t ageMs_;
-        int first_;
-        int again_;
+        int firstToTarget_;
+        int subsequentToTarget_;
     };
     const Row rows[] = {
         { RolloutPhase::Trial, 0.08, 0, 8, 0 },
@@ -90,8 +90,8 @@
         CAPTURE(toString(row.phase_), row.share_, row.ageMs_);
         RolloutTracker tracker({});
         CHECK(tracker.applyState({ orderOf(1), row.phase_, row.share_, 1, 1 }, start, start));
-        CHECK(toTarget(tracker, after(row.ageMs_)) == row.first_);
-        CHECK(toTarget(tracker, after(row.ageMs_), RolloutTracker::SendKind::Subsequent) == row.again_);
+        CHECK(countToTarget(tracker, after(row.ageMs_)) == row.firstToTarget_);
+        CHECK(countToTarget(tracker, after(row.ageMs_), RolloutTracker::SendKind::Subsequent) == row.subsequentToTarget_);
     }
 }
 
@@ -143,9 +143,9 @@
         AttemptOutcome outcome_;
         std::optional<bool> isBad_;
     };
-    auto with = [](BackendOutcome how, auto change) {
+    auto with = [](BackendOutcome backendOutcome, auto change) {
         AttemptOutcome outcome = served(100, 100);
-        outcome.outcome_ = how;
+        outcome.outcome_ = backendOutcome;
         change(outcome);
         return outcome;
     };
