--- a/lib/Gateway/DutyRunner.cpp
+++ b/lib/Gateway/DutyRunner.cpp
@@ -108,7 +108,7 @@
 
 asio::awaitable<bool> DutyRunner::recordOrRelease(wire::DutyRecord record)
 {
-    bool isRecorded = co_await appendRecord(record) == AppendResult::Appended;
+    bool isRecorded = co_await this->appendRecord(record) == AppendResult::Appended;
     if (!isRecorded)
         releaseDuties("a decision could not be recorded");
     co_return isRecorded;
