--- a/include/pistachioloom/Catalogue.h
+++ b/include/pistachioloom/Catalogue.h
@@ -29,13 +29,14 @@
 struct EntryLimits {
     std::uint64_t requestsInProgress_ = 0;
     std::uint64_t tokensPerSecond_ = 0;
+    /// Tokens that may be used at once after a time without requests.
     std::uint64_t burst_ = 0;
+    /// Requests that may wait for a slot.
     std::uint64_t queueBound_ = 0;
     milliseconds deadline_ {};
     milliseconds latencyTarget_ {};
 
-    /// Largest rate that an entry can state. An entry without a rate limit has
-    /// this rate.
+    /// Maximum of `tokensPerSecond_`, which an entry without a rate limit has.
     static constexpr std::uint64_t maxTokensPerSecond = 100000000;
     bool hasTokenLimit() const { return tokensPerSecond_ && tokensPerSecond_ < maxTokensPerSecond; }
 };
@@ -45,6 +46,7 @@
 struct Workload {
     OrganisationId owner_;
     ServiceClass class_ = ServiceClass::Paid;
+    /// SHA-256 of the API key, in hexadecimal digits.
     std::string apiKeyHash_;
     std::vector<std::string> models_;
     std::vector<std::string> services_;
@@ -107,6 +109,7 @@
 struct CatalogueEdit {
     EditId id_;
     EntryName entry_;
+    /// Version of the entry that the edit is based on; 0 if it adds the entry.
     LogOffset baseVersion_;
     /// New text of the entry; an empty text removes the entry.
     std::string body_;
@@ -144,8 +147,8 @@
 /// Applies the catalogue's log to an in-memory view.
 ///
 /// The offset only increases: a record below nextOffset() is ignored. A record
-/// beyond it, which is read if the log was trimmed, stays pending until a
-/// snapshot that covers the gap arrives, so no record is silently skipped.
+/// beyond it, which is read if earlier ones were trimmed from the log, stays
+/// pending until a snapshot that covers the gap arrives, so no record is silently skipped.
 class CatalogueState {
 public:
     /// Applies one record of the log.
@@ -182,15 +185,20 @@
     void applyEdit(LogOffset offset, const CatalogueEdit& edit);
     void rememberOutcome(const EditId& edit, const EditOutcome& outcome);
     void rememberRecord(LogOffset offset, const std::string& record);
+    /// Adopts \p snapshot if it covers the records below \p minAsOf and is newer than this
+    /// state. \returns whether it was adopted.
     bool adopt(const std::string& snapshot, LogOffset minAsOf);
     void replayPending();
     void rebuildIndex();
 
     CatalogueView view_;
+    /// Outcomes of the newest edits.
     std::map<EditId, EditOutcome> outcomes_;
+    /// The keys of `outcomes_`, oldest first.
     std::deque<EditId> outcomeOrder_;
     std::deque<CatalogueChange> history_;
     std::deque<std::pair<LogOffset, std::string>> recentRecords_;
+    /// Records after a gap in the log; empty if there is no gap.
     std::deque<Pending> pending_;
     LogOffset lastSnapshot_;
 };
--- a/include/pistachioloom/Duties.h
+++ b/include/pistachioloom/Duties.h
@@ -26,6 +26,7 @@
 using DutyToken = Quantity<struct DutyTokenTag>;
 /// Index of a usage window, counted from the Unix epoch.
 using WindowNumber = Quantity<struct WindowNumberTag>;
+/// Requests that started in a window, by organisation.
 using UsageCounts = std::map<OrganisationId, std::uint64_t>;
 
 struct DutyTiming {
@@ -71,7 +72,7 @@
     /// Whether this node may start acts: it is the holder, and the acts of its predecessor
     /// have ended.
     bool mayStartActs(SteadyTime now) const;
-    /// Whether an act is still covered by a record that this node started to append at
+    /// Whether an act may still be performed by a record that this node started to append at
     /// \p recordedAt.
     bool mayAct(SteadyTime recordedAt, SteadyTime now) const;
     /// The holder that this node knows of, itself or a peer; empty if there is none.
@@ -84,9 +85,12 @@
     bool isHolder_ = false;
     DutyToken token_ {};
     SteadyTime claimedAt_ {};
+    /// This node, the peer that reported itself last as the holder, or "unknown" after this
+    /// node's own term or claim has ended; empty if no holder was ever known.
     VmId holder_;
     SteadyTime holderLastSeenAt_ {};
-    /// Reports of holders up to this token are outdated and ignored.
+    /// The newest token that was released. Reports of holders with this token or an older
+    /// one are ignored.
     DutyToken releasedToken_ {};
 };
 
@@ -98,15 +102,16 @@
 
     /// Counts one request at \p wallMs, in ms since the Unix epoch.
     void count(const OrganisationId& organisation, std::int64_t wallMs);
-    /// This node's newest windows, to be sent to its peers.
+    /// This node's counts in its newest windows, to be sent to its peers.
     std::map<WindowNumber, UsageCounts> recent() const;
     /// Merges a peer's counts. They never decrease, so the higher of two counts is kept.
     void setPeer(const VmId& vm, std::uint64_t incarnation, const std::map<WindowNumber, UsageCounts>& windows);
-    /// Removes all counts of \p vm, which are reported through another source from now on.
+    /// Removes all counts of \p vm, which another source, such as a relay, reports from now
+    /// on.
     void forgetPeer(const VmId& vm);
-    /// The sum over all nodes, including those that have left.
+    /// The counts of \p window summed over all nodes, including those that have left.
     UsageCounts sum(WindowNumber window) const;
-    /// All windows, summed over all nodes except one incarnation of one peer.
+    /// The counts of all windows, summed over all nodes except \p incarnation of \p vm.
     std::map<WindowNumber, UsageCounts> sumsExcluding(const VmId& vm, std::uint64_t incarnation) const;
     WindowNumber windowAt(std::int64_t wallMs) const;
     /// Removes all windows before \p oldest.
@@ -114,6 +119,7 @@
     milliseconds window() const { return window_; }
 
 private:
+    /// A node and its incarnation; the VM is empty for this node.
     using Source = std::pair<VmId, std::uint64_t>;
 
     const milliseconds window_;
@@ -123,12 +129,13 @@
 
 /// Delays after which a window's usage is reported, counted from the window's end.
 struct UsageTiming {
-    /// Used if all nodes have reported their counts since the window's end. It covers
+    /// Delay if all nodes have reported their counts since the window's end. It covers
     /// three successive reports through relays, at intervals of 200 ms, and clocks that
     /// differ by a few hundred ms. Counts that wait longer are lost if all nodes are
     /// terminated.
     milliseconds minDelay_ { 1500 };
-    /// Used otherwise, so that partitioned nodes may reconnect in the meantime.
+    /// Delay if some nodes have not reported since then. Partitioned nodes may reconnect
+    /// in the meantime.
     milliseconds maxDelay_ { 5000 };
 };
 
@@ -170,9 +177,9 @@
 /// Demand for a service's engines, as one node or a group of nodes reports it.
 struct ServiceDemand {
     double tokensPerSecond_ = 0;
-    /// Prompt tokens that an engine reads in a millisecond, and the number of answers from
-    /// which this rate was observed.
+    /// Prompt tokens that an engine reads in a millisecond.
     double prefillPerMs_ = 0;
+    /// Number of answers from which `prefillPerMs_` was observed.
     std::uint64_t observations_ = 0;
 };
 
@@ -199,12 +206,13 @@
     /// Prompt tokens that an engine reads in a millisecond: the mean over nodes, weighted
     /// by the answers that each node has observed; \p fallback if there are too few.
     double prefillPerMs(const ServiceName& service, double fallback) const;
-    /// Removes \p vm, which is reported through another source from now on.
+    /// Removes the demand of \p vm, which another source, such as a relay, reports from now
+    /// on.
     void forgetSource(const VmId& vm);
     /// Samples the sum of rates over all nodes; to be called at regular intervals.
     void sample(SteadyTime now);
-    /// The highest rate of the peak window, in tokens a second; nullopt until requests
-    /// have been observed for a complete rate window.
+    /// The highest rate within DemandTiming::peakWindow_, in tokens a second; nullopt until
+    /// DemandTiming::window_ has passed since the first request was observed.
     std::optional<double> peakRate(const ServiceName& service, SteadyTime now) const;
 
 private:
@@ -218,10 +226,12 @@
         SteadyTime receivedAt_ {};
     };
     struct Demand {
-        /// Cumulative tokens requested from this node, over the last window.
+        /// Cumulative tokens requested from this node, sampled over the last
+        /// DemandTiming::window_.
         std::deque<Reading> local_;
         std::map<VmId, Source> sources_;
-        /// Tokens a second, summed over all nodes.
+        /// Samples of the tokens a second summed over all nodes, of the last
+        /// DemandTiming::peakWindow_.
         std::deque<Reading> rateSamples_;
         /// When demand at any node was first observed.
         std::optional<SteadyTime> firstObservedAt_;
--- a/include/pistachioloom/Fleet.h
+++ b/include/pistachioloom/Fleet.h
@@ -17,7 +17,8 @@
 
 namespace pistachioloom {
 
-/// An order that sets the number of engines of one kind in one data centre.
+/// An order that sets the number of reclaimable engines, or that of on-demand engines, of
+/// one service in one data centre.
 struct FleetOrder {
     ServiceName service_;
     DataCentreId dataCentre_;
@@ -29,10 +30,11 @@
 
 struct FleetSettings {
     /// Spare engines in addition to those that the demand keeps busy, as a multiple of
-    /// the square root of the latter. At 1.3, four busy engines are planned for a
-    /// utilisation of 0.6.
+    /// the square root of the number of busy engines. At 1.3, a load that keeps four
+    /// engines busy is planned with 6.6 engines, which is a utilisation of 0.6.
     double margin_ = 1.3;
-    /// Growth of the demand that is expected while engines boot, as a fraction of it.
+    /// Growth of the demand that is expected while engines boot, as a fraction of the
+    /// present demand.
     double growth_ = 0.2;
     /// Fraction of an engine's slots that is planned to be occupied. With all of them
     /// occupied requests would have to wait for a slot.
@@ -40,17 +42,17 @@
     /// Reclaimable engines to order in each data centre, as a fraction of the engines
     /// needed in all data centres together.
     double reclaimableShare_ = 0.7;
-    /// Fraction of the reclaimable engines in the data centre with most of them that the
-    /// plan does not rely on.
+    /// The plan does not rely on this fraction of the reclaimable engines in the data
+    /// centre that has most of them.
     double reserveShare_ = 1;
     /// Interval at which orders are reviewed.
     milliseconds period_ { 500 };
     /// Orders cover the highest need within this time. The demand itself is already a peak
     /// over DemandTiming::peakWindow_.
     milliseconds stabilisationWindow_ { 2000 };
-    /// Orders of reclaimable engines cover the highest need within this time. They cost a
-    /// fraction of on-demand ones, and they are the capacity that remains when those of
-    /// other data centres are reclaimed.
+    /// Orders of reclaimable engines cover the highest need within this time. Reclaimable
+    /// engines cost a fraction of on-demand ones, and those of one data centre are the
+    /// capacity that remains when those of other data centres are reclaimed.
     milliseconds reclaimableStabilisationWindow_ { 15000 };
     /// Only additional reclaimable engines are ordered until this time has passed since
     /// the first engine registered and since the number of on-demand engines last grew.
@@ -76,8 +78,8 @@
     /// Engines that accept new work.
     std::uint64_t onDemand_ = 0;
     std::uint64_t reclaimable_ = 0;
-    /// On-demand engines that were ordered, whether they have registered or not; 0 unless
-    /// an order was accepted.
+    /// On-demand engines of the last order that the platform accepted, whether they have
+    /// registered or not; 0 if it accepted none.
     std::uint64_t onDemandOrdered_ = 0;
     /// On-demand engines of a version that may not receive the service's requests. The
     /// platform counts them with the others, but the plan does not.
@@ -87,13 +89,13 @@
 struct FleetDemand {
     /// Engines that the demand needs, including the margin.
     std::uint64_t needed_ = 0;
-    /// Bounds in each data centre for engines of both kinds together.
+    /// Bounds in each data centre for on-demand and reclaimable engines together.
     std::uint64_t minEngines_ = 0;
     std::uint64_t maxEngines_ = 0;
     /// Reclaimable engines to order in each data centre.
     std::uint64_t reclaimablePerDataCentre_ = 0;
-    /// Fraction of the reclaimable engines in the data centre with most of them that the
-    /// plan does not rely on, since they are all reclaimed together.
+    /// The plan does not rely on this fraction of the reclaimable engines in the data
+    /// centre that has most of them, since they are all reclaimed together.
     double reserveShare_ = 1;
 };
 
@@ -119,14 +121,15 @@
     std::optional<double> tokensPerSecond_;
     /// Prompt tokens that an engine reads in a millisecond.
     double prefillPerMs_ = 0;
-    /// Slots of all engines, and those of them that are occupied.
+    /// Slots of all engines.
     std::uint64_t slots_ = 0;
+    /// Slots that running requests occupy.
     std::uint64_t slotsTaken_ = 0;
-    /// Nearly all nodes reported their demand and occupied slots. Reports of only some
-    /// nodes give a lower bound on the engines needed, but no upper bound.
+    /// Whether nearly all nodes reported their demand and occupied slots. Reports of only
+    /// some nodes give a lower bound on the engines needed, but no upper bound.
     bool isComplete_ = true;
-    /// A new version is being rolled out or removed. Engines are then neither dismissed
-    /// nor ordered beyond the need, since an order does not specify a version.
+    /// Whether a new version is being rolled out or removed. Engines are then neither
+    /// dismissed nor ordered beyond the need, since an order does not specify a version.
     bool isRollingOut_ = false;
 
     std::uint64_t onDemand() const;
@@ -144,7 +147,7 @@
     void observe(const FleetView& view, SteadyTime now);
     /// Orders of one service that are due because the registered engines differ from the
     /// plan. Orders that dismiss engines come first, since the platform's upper bound
-    /// applies to both kinds together.
+    /// applies to on-demand and reclaimable engines together.
     std::vector<FleetOrder> dueOrders(const FleetView& view, SteadyTime now);
     /// Sets the number of engines that the previous holder of the duties found to be
     /// needed; it is used as this node's own last need.
@@ -165,15 +168,17 @@
     struct Registrations {
         /// The highest number of on-demand engines observed at one time.
         std::uint64_t maxOnDemand_ = 0;
-        /// Engines of either kind have been observed.
+        /// Whether any engine, on-demand or reclaimable, has been observed.
         bool hasObservedEngines_ = false;
-        /// When `maxOnDemand_` last increased.
+        /// When `maxOnDemand_` last increased, or when the first engine was observed.
         SteadyTime grewAt_ {};
-        /// All engines that are running are assumed to have registered; see
+        /// Whether all engines that are running are assumed to have registered; see
         /// FleetSettings::settleTime_.
         bool isSettled_ = false;
         /// Reclaimable engines of each data centre at the last observation.
         std::map<DataCentreId, std::uint64_t> reclaimable_;
+        /// When a data centre last lost more than half of its reclaimable engines without an
+        /// order to dismiss them.
         std::optional<SteadyTime> reclaimedAt_;
     };
     struct Need {
@@ -187,9 +192,12 @@
 
     const FleetSettings settings_;
     std::map<ServiceName, Registrations> registrations_;
-    /// The last order for each service, data centre and kind.
+    /// The last order for each service and data centre, and for reclaimable (true) or
+    /// on-demand (false) engines.
     std::map<std::tuple<ServiceName, DataCentreId, bool>, LastOrder> lastOrders_;
+    /// Needs of the last FleetSettings::reclaimableStabilisationWindow_.
     std::map<ServiceName, std::deque<Need>> recentNeeds_;
+    /// Engines that each service needed at the last review of its orders.
     std::map<ServiceName, std::uint64_t> lastNeeds_;
     /// Services whose need was inherited from the previous holder.
     std::set<ServiceName> servicesWithInheritedNeed_;
--- a/include/pistachioloom/Gateway.h
+++ b/include/pistachioloom/Gateway.h
@@ -49,6 +49,7 @@
 /// A node that announced itself on the platform.
 struct AnnouncedNode {
     VmId vm_;
+    /// Where the node receives the datagrams of other nodes.
     Endpoint gossip_;
 };
 
@@ -66,12 +67,14 @@
     /// to \p wait for a change. Errc::NotFound means that the records were removed and
     /// that the caller must read the newest state again.
     std::function<asio::awaitable<Result<ConfigurationRead>>(std::optional<LogOffset> from, milliseconds wait)> readConfiguration_;
-    /// As readConfiguration_, without waiting.
+    /// Reads the registry of backend servers as readConfiguration_ reads the
+    /// configuration, without waiting.
     std::function<asio::awaitable<Result<RegistryRead>>(std::optional<LogOffset> from)> readRegistry_;
     /// Decodes the source text of a configuration. Called outside the event loops.
     std::function<Result<RouteConfiguration>(const std::string& source)> decodeConfiguration_;
     /// Announces this node to the others.
     std::function<asio::awaitable<Result<void>>(AnnouncedNode self)> announce_;
+    /// Lists the nodes that have announced themselves.
     std::function<asio::awaitable<Result<std::vector<AnnouncedNode>>>()> listAnnounced_;
     std::function<asio::awaitable<Result<std::vector<StoredNote>>>()> readNotes_;
     /// Replaces the note with the same key.
@@ -83,7 +86,9 @@
     /// Errc::Conflict if it does not. After an error whose `ran_` is Unknown the record
     /// may still appear.
     std::function<asio::awaitable<Result<void>>(LogOffset end, std::string record)> appendDutyRecord_;
+    /// Reports the usage of \p window, as the holder of the duties by \p token.
     std::function<asio::awaitable<Result<void>>(VmId holder, DutyToken token, WindowNumber window, UsageCounts counts)> reportUsage_;
+    /// Orders engines, as the holder of the duties by \p token.
     std::function<asio::awaitable<Result<void>>(VmId holder, DutyToken token, FleetOrder order)> orderFleet_;
     /// Reports the state of a roll-out order to the operator. Errc::Conflict means that a
     /// holder with a higher token has reported since. \p call numbers the calls under one
@@ -100,10 +105,11 @@
     /// Interval at which a node reports its state to the others.
     milliseconds period_ { 200 };
     /// Number of peers up to which every node reports to every other one: 24 peers take
-    /// 120 datagrams a second. In larger fleets relays aggregate the reports.
+    /// 120 datagrams a second at a period of 200 ms. In larger fleets relays aggregate the
+    /// reports.
     std::uint64_t fanout_ = 24;
-    /// Relays of each data centre in a large fleet: one more than needed, so that no
-    /// report is lost when a relay leaves.
+    /// Relays of each data centre in a fleet with more than `fanout_` peers: one more than
+    /// needed, so that no report is lost when a relay leaves.
     std::uint64_t relays_ = 2;
     /// A node from which no report was received for this time counts as not alive.
     milliseconds unresponsiveAfter_ { 1500 };
@@ -124,13 +130,14 @@
     /// Registrations that are missing after an outage of the platform are kept for this
     /// time, so that their backend servers can renew them.
     milliseconds registrationGrace_ { 2200 };
-    /// Number of readers in addition to one in each data centre. All other nodes fetch
-    /// from readers what the readers read.
+    /// Number of nodes that read from the platform in addition to one in each data centre.
+    /// All other nodes fetch the configuration and the registry from these readers.
     std::uint64_t readers_ = 3;
     /// A reader from which no report was received for this time, which is four reporting
     /// intervals, is replaced by another node.
     milliseconds readerTimeout_ { 800 };
-    /// A node asks its peers after the platform has not answered for this time.
+    /// A reader that has not read the registry from the platform for this time fetches it
+    /// from its peers.
     milliseconds askPeersAfter_ { 1200 };
 };
 
@@ -141,6 +148,8 @@
     /// CPU cores of this VM. Nodes with more cores are preferred as relays and as
     /// readers.
     double cores_ = 1;
+    /// Addresses on which the node accepts callers, readiness probes, connections of
+    /// peers, datagrams of peers, and requests of operators.
     Endpoint callers_;
     Endpoint readiness_;
     Endpoint peers_;
@@ -153,18 +162,22 @@
     /// The platform's service for the duties; port 0 if this deployment has no duties.
     Endpoint duties_;
     std::string peerCredential_;
-    /// Time between the request to stop and the forced termination.
+    /// Time between the signal to stop and the forced termination.
     milliseconds grace_ { 8000 };
     /// The load balancer may send new connections for this time after the node stopped
     /// being ready.
     milliseconds balancerGrace_ { 2500 };
     /// Added to this VM's time of day, to correct a clock with a known offset.
     milliseconds clockOffset_ {};
+    /// Length of a window of which the usage is reported.
     milliseconds usageWindow_ { 5000 };
     UsageTiming usageTiming_;
+    /// Lease on the duties, from which DutyTiming is derived.
     milliseconds dutyLease_ { 3000 };
+    /// Retries allowed for each request of a service.
     double retryRatio_ = 0.2;
-    /// Retries that all nodes together may send in a window in addition to the ratio.
+    /// Retries that all nodes together may send in a `retryWindow_` in addition to those
+    /// that `retryRatio_` allows.
     double retryExtra_ = 0;
     milliseconds retryWindow_ { 10000 };
     GossipSettings gossipSettings_;
--- a/include/pistachioloom/Ledger.h
+++ b/include/pistachioloom/Ledger.h
@@ -3,10 +3,10 @@
 /// \file
 /// The I/O-free part of at-most-once execution. An intent is appended to the
 /// key's shard of the log before the call is dispatched. The attempt with the
-/// first intent in log order dispatches the call; every other attempt reads
-/// from the log that the key is held. Safety does not depend on leases or
-/// clocks: a coordinator that was frozen meanwhile finds another intent
-/// ahead of its own and does not dispatch.
+/// first intent in log order holds the key and dispatches the call; every other
+/// attempt reads from the log that the key is held. Safety does not depend on leases or
+/// clocks: a coordinator that was frozen while another attempt got the key finds
+/// that attempt's intent ahead of its own and does not dispatch.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -58,12 +58,15 @@
 
 /// State of one key, derived from the log.
 struct CallState {
+    /// The attempt that holds the key; empty if none does.
     AttemptId holder_;
+    /// Hash of the request body of the holder's call.
     std::string bodyHash_;
     std::optional<CallOutcome> outcome_;
     /// Released attempts. An intent of a released attempt that is appended
     /// later has no effect.
     std::vector<AttemptId> released_;
+    /// Offset of the newest record of this key.
     LogOffset lastOffset_;
 };
 
@@ -82,6 +85,7 @@
 
 private:
     std::unordered_map<CallKey, CallState> calls_;
+    /// The keys in each record, by the record's offset.
     std::map<std::uint64_t, std::vector<CallKey>> byOffset_;
     LogOffset nextOffset_;
 };
@@ -126,6 +130,7 @@
     /// The item to append in the current step.
     LedgerItem item() const;
 
+    /// The intent is in the log at \p offset.
     void intentAppended(LogOffset offset);
     /// The append failed, though the intent may still reach the log. The
     /// attempt is released.
@@ -137,7 +142,8 @@
     /// not dispatched.
     void intentExpired();
     void dispatched(CallOutcome outcome);
-    /// `ran_` of \p error states whether the call may have been executed.
+    /// The dispatch failed. `ran_` of \p error states whether the call may have been
+    /// executed nevertheless.
     void dispatchFailed(Error error);
     /// The outcome or release was appended, or its append failed; the answer is
     /// final in either case.
--- a/include/pistachioloom/Membership.h
+++ b/include/pistachioloom/Membership.h
@@ -92,8 +92,10 @@
 
 private:
     struct StoredVm {
+        /// The platform's JSON of `vm_`.
         std::string json_;
         Vm vm_;
+        /// Version of the list in which the VM last changed.
         std::uint64_t changedVersion_ = 0;
     };
 
@@ -102,6 +104,7 @@
     void forgetOldestVersion();
 
     std::map<VmId, StoredVm> storedVms_;
+    /// Version of the list in which each VM was removed.
     std::map<VmId, std::uint64_t> removed_;
     std::uint64_t version_ = 0;
     /// Versions that this store has held. A peer at any other version may list
@@ -155,7 +158,7 @@
     NodeDigest& self() { return self_; }
     const NodeDigest& self() const { return self_; }
     /// Adds the nodes of the VM list. A node that never sends a heartbeat is
-    /// suspected after the same time.
+    /// suspected when the suspicion time has passed since it was added.
     void expect(const std::vector<VmId>& nodes, SteadyTime now);
     /// Advances this node's own heartbeat.
     void advanceHeartbeat() { ++self_.heartbeat_; }
--- a/include/pistachioloom/Rollout.h
+++ b/include/pistachioloom/Rollout.h
@@ -62,7 +62,7 @@
     auto operator<=>(const RolloutState&) const = default;
 };
 
-/// Whether \p left replaces \p right. Newer orders replace older ones. Within one order a
+/// Whether the state \p left replaces \p right. Newer orders replace older ones. Within one order a
 /// final phase replaces others, even if an earlier holder decided it: to revert is always
 /// safe, and completion is recorded before it is reported.
 bool supersedes(const RolloutState& left, const RolloutState& right);
@@ -79,17 +79,20 @@
 /// Key that stands for all backend servers that do not run the target.
 inline constexpr BackendKey stableBackendKey = 0;
 
-/// Counts of one node, or the sum over several, since they received an order.
+/// Counts for one order since it was received, by one node or summed over several.
 struct RolloutTally {
     RolloutNumber number_ {};
     /// Requests sent to the service, and those of them sent to the target.
     std::uint64_t requests_ = 0;
     std::uint64_t exposed_ = 0;
-    /// By backend server of the target, or stableBackendKey for all others, and by route.
+    /// Answers by backend server of the target, or stableBackendKey for all other servers,
+    /// and by route.
     std::map<std::pair<BackendKey, RouteKey>, AnswerTally> cells_;
 
+    /// Adds the counts of \p other. Counts of an older order are ignored, and those of a
+    /// newer order replace the present ones.
     void add(const RolloutTally& other);
-    /// Subtracts the counts of \p other.
+    /// Subtracts the counts of \p other, if they are of the same order.
     void remove(const RolloutTally& other);
     /// The increase since \p before; 0 for counts that decreased because a node left.
     RolloutTally since(const RolloutTally& before) const;
@@ -101,19 +104,21 @@
     /// The target's share of the requests during its trial.
     double trialShare_ = 0.08;
     /// Upper bound on the requests that a bad version may get between its order and its
-    /// deadline: a share of the service's requests, plus a constant number.
+    /// deadline: `exposedShare_` of the service's requests, plus `exposedExtra_` requests.
     double exposedShare_ = 0.1;
     double exposedExtra_ = 50;
     /// The trial lasts for at least this fraction of the order's period. Then a target that
     /// was not worse gets the remaining requests in steps. The trial takes as long as the
     /// period allows, since a version may degrade late.
     double trialFraction_ = 0.7;
-    /// The order is decided by the end of this fraction of the period.
+    /// An order that is still in its trial after this fraction of the period is reverted.
+    /// A later phase then does not wait for requests that run at other versions.
     double decisionFraction_ = 0.9;
     /// After the trial, the target's share of the requests doubles at intervals of this
     /// fraction of the period.
     double shiftStepFraction_ = 0.035;
-    /// During a trial a share that was not reported again for this time counts as 0.
+    /// During a trial a share that the holder of the duties has not reported for this time
+    /// counts as 0.
     milliseconds validity_ { 2500 };
     /// Answers of the target that are required on each route with traffic before it may get
     /// the remaining requests.
@@ -121,18 +126,18 @@
 };
 
 /// Returns why the target is worse than the other versions, or nullopt. \p tally is
-/// cumulative. To be called at regular intervals.
+/// cumulative since the order. To be called at regular intervals.
 using RolloutEvaluator = std::function<std::optional<std::string>(const RolloutTally& tally, SteadyTime now)>;
 
 /// Makes an evaluator that runs a cumulative sum test (Page, 1954) for each backend server
 /// of the target on each route. The sum is the log likelihood ratio of a degraded rate of
 /// bad answers against the rate that the other versions have at the same time, and never
 /// falls below 0. The target is worse if most of its backend servers exceed a threshold:
-/// a single server that fails has a fault of its own.
+/// a single server that fails is not evidence against its version.
 RolloutEvaluator makeSequentialEvaluator();
 
-/// Makes an evaluator that compares the rates of bad answers over the last two seconds
-/// and tolerates a fixed difference.
+/// Makes an evaluator that compares the rates of bad answers of the target and of the
+/// other versions over the last two seconds, and tolerates a difference of 0.1.
 RolloutEvaluator makeThresholdEvaluator();
 
 /// A snapshot of an order's counts and servers, as the holder of the duties knows them.
@@ -170,6 +175,7 @@
     void adjustTrial(const RolloutView& view, SteadyTime now);
     void adjustShift(const RolloutView& view, SteadyTime now);
     bool hasEvidence(const RolloutTally& tally) const;
+    /// The time at which this fraction of the order's period has passed.
     SteadyTime timeAt(double fractionOfPeriod) const;
 
     const RolloutSettings settings_;
@@ -179,6 +185,7 @@
     std::string reason_;
     /// When the share of the target last increased.
     SteadyTime shiftedAt_ {};
+    /// Since when only backend servers of the target accept work; the epoch if others do.
     SteadyTime targetOnlySince_ {};
     SteadyTime targetOnlySeenAt_ {};
     bool isReadyToComplete_ = false;
@@ -231,7 +238,8 @@
 public:
     explicit RolloutTracker(RolloutSettings settings);
 
-    /// Whether there is no order, so that requests are neither restricted nor counted.
+    /// Whether no order has been received, so that requests are neither restricted to
+    /// versions nor counted.
     bool isEmpty() const { return !orderCount_; }
     /// Applies an operator's order. \returns whether it was new.
     bool applyOrder(const RolloutOrder& order, SteadyTime now);
@@ -248,6 +256,7 @@
     std::optional<RolloutState> find(const ServiceName& service) const;
 
     enum class SendKind {
+        /// The first attempt of a request.
         First,
         /// Retries and requests that move to another server stay with the stable version
         /// until the target gets all requests.
@@ -260,10 +269,11 @@
     void noteAnswer(const ServiceName& service, const RolloutAnswer& answer);
     /// This node's counts for orders that are not final.
     RolloutTallies tallies() const;
-    /// Sets the counts that \p source reports, which replace its earlier ones.
+    /// Sets the counts that \p source, a peer or a relay, reports. They replace its
+    /// earlier ones.
     void setPeer(const VmId& source, RolloutTallies tallies);
     void forgetPeer(const VmId& source);
-    /// The sum over all nodes.
+    /// The counts for the order of \p service, summed over this node and its peers.
     RolloutTally total(const ServiceName& service) const;
 
 private:
@@ -274,8 +284,8 @@
         std::map<RouteKey, double> usualGapMs_;
         /// Requests by route since the order.
         RouteRequests requestsByRoute_;
-        /// Requests due to the target on each route. Fractions accumulate until they make up
-        /// a request.
+        /// Requests on each route that are due to the target and were not sent to it yet.
+        /// Fractions accumulate until they make up a request.
         std::map<RouteKey, double> dueToTarget_;
     };
 
@@ -283,6 +293,7 @@
     mutable std::mutex mutex_;
     std::map<ServiceName, Entry> entries_;
     std::map<VmId, RolloutTallies> peerTallies_;
+    /// Size of `entries_`, which is read without the mutex.
     std::atomic<std::size_t> orderCount_ { 0 };
 };
 
--- a/lib/Catalogue/CatalogueState.cpp
+++ b/lib/Catalogue/CatalogueState.cpp
@@ -14,6 +14,7 @@
 
 namespace {
 
+    // Numbers of outcomes, changes and applied records that are kept in memory.
     constexpr std::size_t maxOutcomes = 4096;
     constexpr std::size_t maxOutcomesInSnapshot = 256;
     constexpr std::size_t maxHistory = 1024;
@@ -21,6 +22,7 @@
 
     struct Record {
         std::optional<CatalogueEdit> edit_;
+        /// The log offset that a snapshot covers; nullopt for other records.
         std::optional<LogOffset> snapshotAsOf_;
     };
 
--- a/lib/Duties/Demand.cpp
+++ b/lib/Duties/Demand.cpp
@@ -9,12 +9,13 @@
 
 namespace pistachioloom {
 
-// More observed answers than this do not increase the weight of a node's prefill rate.
+// A node's prefill rate is weighted by its number of observed answers, but at most by this.
 static constexpr std::uint64_t maxWeight = 200;
-// Nodes that have observed fewer answers are left out of the mean.
+// Nodes that have observed fewer answers are left out of the mean prefill rate.
 static constexpr std::uint64_t minObservations = 12;
 
-// Rates are taken over at least this span: over a shorter one single requests dominate.
+// A rate is computed over at least this time, in seconds: over a shorter one single
+// requests would dominate it.
 static constexpr double minSpanSeconds = 1;
 
 double DemandEstimator::rateOf(const std::deque<Reading>& local)
--- a/lib/Duties/DutyLease.cpp
+++ b/lib/Duties/DutyLease.cpp
@@ -62,7 +62,8 @@
 {
     isHolder_ = true;
     token_ = token;
-    // This is the first record that the log ever held, so there is no predecessor.
+    // With the first token this claim is the first record that the log ever held, so there
+    // is no predecessor to wait for.
     claimedAt_ = token == firstToken ? now - timing_.actAfterClaim_ : now;
     holder_ = self_;
     holderLastSeenAt_ = now;
--- a/lib/Duties/Usage.cpp
+++ b/lib/Duties/Usage.cpp
@@ -10,10 +10,12 @@
 
 namespace pistachioloom {
 
-// Windows sent to peers: a window's usage is reported within two windows of its end.
+// Number of newest windows sent to peers. A window's usage is reported to the platform
+// within two windows of its end.
 static constexpr std::size_t reportedWindows = 4;
 // An offset that was not reported again within this time is ignored.
 static constexpr milliseconds clockValidity { 5000 };
+// Source of this node's own counts.
 static const VmId ownSource {};
 // Windows kept for each source, which is two minutes at 5 s a window. A window's usage is
 // due within four windows of its end. Without the bound a node that never reports usage
@@ -133,7 +135,8 @@
 
 std::optional<WindowNumber> dueWindow(std::int64_t nowMs, milliseconds window, const UsageTiming& timing, const std::function<bool(milliseconds)>& allReportedWithin)
 {
-    // A node's report covers only what it counted until shortly before it was received.
+    // A node's report covers only what the node counted until this long before the report
+    // was received.
     constexpr milliseconds reportAge { 300 };
     auto newestEnded = [&](milliseconds before) { return static_cast<std::uint64_t>(std::max<std::int64_t>(0, (nowMs - before.count()) / window.count())); };
     std::uint64_t settled = newestEnded(std::min(timing.minDelay_, timing.maxDelay_));
@@ -141,7 +144,7 @@
     milliseconds sinceEnd { nowMs - static_cast<std::int64_t>(settled) * window.count() };
     bool isComplete = sinceEnd > reportAge && allReportedWithin(sinceEnd - reportAge);
     std::uint64_t ended = isComplete ? settled : overdue;
-    // `ended` is the number of the current window, and the one before it has ended.
+    // `ended` windows have ended since the Unix epoch, and they are numbered from 0.
     return ended ? std::optional(WindowNumber { ended - 1 }) : std::nullopt;
 }
 
--- a/lib/Fleet/FleetTracker.cpp
+++ b/lib/Fleet/FleetTracker.cpp
@@ -11,7 +11,8 @@
 namespace pistachioloom {
 
 // A data centre's reclaimable engines count as reclaimed if less than this fraction of
-// them remains: all of them leave together, and the registry shows it within two reads.
+// those at the previous observation remains: all of them leave together, and the registry
+// shows it within two reads.
 static constexpr double reclaimedThreshold = 0.5;
 
 std::uint64_t FleetView::onDemand() const
@@ -52,9 +53,9 @@
     }
     known.hasObservedEngines_ |= view.engines() > 0;
     // If requests have arrived for long enough to know their rate and no engine has
-    // registered, all engines are lost. Reclaimable engines alone settle the list as
-    // well: a holder that waited for on-demand ones would order none when all reclaimable
-    // ones are reclaimed.
+    // registered, all engines are lost. Reclaimable engines alone settle the registrations
+    // as well: a holder that waited for on-demand ones would order none when all
+    // reclaimable ones are reclaimed.
     bool isLost = !known.hasObservedEngines_ && view.tokensPerSecond_;
     known.isSettled_ |= isLost || (known.hasObservedEngines_ && now - known.grewAt_ >= settings_.settleTime_);
     for (const DataCentreFleet& fleet : view.dataCentres_) {
@@ -84,12 +85,14 @@
 {
     std::uint64_t& before = lastNeeds_[view.service_];
     std::uint64_t needed = before;
-    // After this node has sent orders, the reclaimable engines present may exceed the need.
+    // After this node has sent orders, the reclaimable engines present may exceed the need,
+    // so only the on-demand ones are counted.
     if (!servicesWithInheritedNeed_.contains(view.service_))
         needed = std::max(before, lastOrders_.empty() ? view.engines() : view.onDemand());
     if (view.tokensPerSecond_)
         needed = std::max(enginesFor(*view.tokensPerSecond_ * (1 + settings_.growth_), view.prefillPerMs_, settings_.margin_), enginesForSlots(view, settings_.targetUtilisation_));
-    // A node that receives few reports would dismiss engines that the other nodes need.
+    // Without this bound a node that receives few reports would dismiss engines that the
+    // other nodes need.
     if (!view.isComplete_)
         needed = std::max(needed, before);
     // The highest recent need is used, so that engines are not dismissed shortly before
@@ -115,9 +118,10 @@
 bool FleetTracker::isDue(const FleetOrder& order, std::uint64_t present, const Registrations& registrations, SteadyTime now) const
 {
     bool isDismissal = order.wanted_ < present;
-    // An order that is sent before all engines have registered would dismiss the others.
-    // Additional reclaimable engines are exempt: they dismiss nothing and take their boot
-    // time to register.
+    // An order that is sent before all engines have registered would dismiss those that
+    // have not registered yet.
+    // Orders of additional reclaimable engines are exempt: they dismiss nothing, and their
+    // engines take their boot time to register.
     if (!registrations.isSettled_ && (!order.isReclaimable_ || order.wanted_ <= present))
         return false;
     if (!order.isReclaimable_ && isDismissal && registrations.reclaimedAt_ && now - *registrations.reclaimedAt_ < settings_.dismissalCooldown_)
@@ -125,7 +129,8 @@
     const LastOrder* last = lastOrder(order);
     if (!last)
         return true;
-    // The platform has no engines of this kind now, whatever number is ordered.
+    // The rejection means that the platform has no such engines now, so an order of another
+    // number would be rejected as well.
     if (!last->isAccepted_ && order.wanted_ > present && now - last->notedAt_ < settings_.rejectedRepeatInterval_)
         return false;
     // An accepted order needs no repetition yet, since its engines take time to boot.
@@ -136,8 +141,8 @@
 std::vector<FleetOrder> FleetTracker::dueOrders(const FleetView& view, SteadyTime now)
 {
     FleetDemand demand = demandOf(view, now);
-    // The platform applies its bounds to all engines present, including those of a new
-    // version, and would dismiss some of them.
+    // The platform applies its bounds to all engines present, including those of the new
+    // version, so an order could make it dismiss some of them.
     if (view.isRollingOut_ && view.engines() >= demand.needed_)
         return {};
     std::vector<FleetOrder> dismissals;
--- a/lib/Fleet/Plan.cpp
+++ b/lib/Fleet/Plan.cpp
@@ -13,7 +13,7 @@
 
 std::uint64_t enginesFor(double tokensPerSecond, double prefillPerMs, double margin)
 {
-    assert(prefillPerMs > 0 && margin >= 0 && "rates are positive");
+    assert(prefillPerMs > 0 && margin >= 0 && "the prefill rate must be positive and the margin must not be negative");
     double busy = tokensPerSecond / (prefillPerMs * 1000);
     return static_cast<std::uint64_t>(std::ceil(busy + margin * std::sqrt(busy)));
 }
@@ -51,8 +51,8 @@
         share[fleet.dataCentre_] = kept;
         assigned += kept;
     }
-    // The remaining engines are assigned one at a time to the data centre with fewest, so
-    // that no data centre holds most of them.
+    // The remaining engines are assigned one at a time to the data centre with fewest
+    // on-demand engines, so that no data centre holds most of them.
     for (std::uint64_t level = 0; level < demand.maxEngines_; ++level) {
         for (const DataCentreFleet* fleet : byCost) {
             // Only reclaimable engines that are present use up capacity. Those that are
--- a/lib/Gateway/DutyRunner.cpp
+++ b/lib/Gateway/DutyRunner.cpp
@@ -11,12 +11,13 @@
 
 namespace {
 
+    // Interval at which the node checks whether to claim the duties or to act.
     constexpr milliseconds runPeriod { 250 };
-    // Bound on attempts of an append whose outcome is unknown. All attempts have the same
-    // condition, so that the record is appended at most once.
+    // Bound on attempts of an append whose outcome is unknown. All attempts require the same
+    // end of the log, so that the record is appended at most once.
     constexpr int maxAppendAttempts = 4;
-    // Number of usage windows that are kept. Older windows are past the time at which
-    // their usage is due for the report to the platform.
+    // Usage windows that are kept before the one that was reported last. The usage of older
+    // windows is not reported to the platform any more.
     constexpr std::uint64_t retainedWindows = 8;
 
     DutyTiming timingFor(milliseconds lease)
@@ -153,7 +154,7 @@
 asio::awaitable<void> DutyRunner::run()
 {
     // Claims from before this node's start must not count as new ones later. If this read
-    // fails they do, and this node's own claim is delayed by the holder's timeout.
+    // fails, they count as new, and this node's own claim is delayed by the holder's timeout.
     (void)co_await readLog();
     for (;;) {
         co_await sleepFor(runPeriod);
@@ -181,8 +182,8 @@
     SteadyTime now = steadyNow();
     for (const auto& [service, view] : context_.backends_.services()) {
         context_.demand_.recordLocalTokens(service, { view.tokensRequested_ }, now);
-        // These values are averaged with those of the peers. The rate is passed as 0, since
-        // the tokens are recorded above.
+        // The prefill rate and its observations are averaged with those of the peers. The
+        // token rate is passed as 0, since the tokens are recorded above.
         context_.demand_.setSource(context_.settings_.vm_, service, { 0, view.prefillPerMs_, view.observations_ }, now);
     }
     context_.demand_.sample(now);
@@ -196,7 +197,7 @@
     for (;;) {
         auto read = co_await context_.platform_.readDutyLog_(logEnd_);
         if (!read) {
-            logger_.warn("Log of duties cannot be read: " + describe(read.error()));
+            logger_.warn("The log of duties cannot be read: " + describe(read.error()));
             co_return false;
         }
         for (const auto& [offset, bytes] : read.value().records_) {
@@ -224,7 +225,7 @@
 asio::awaitable<DutyRunner::AppendResult> DutyRunner::appendRecord(const wire::DutyRecord& record)
 {
     std::string bytes = record.SerializeAsString();
-    // A record that is appended later than this does not cover its act any more, and a
+    // A record that is appended after its validity does not cover its act any more, and a
     // holder that gets no answers from the platform must release the duties for another node.
     SteadyTime until = steadyNow() + timingFor(context_.settings_.dutyLease_).recordValidity_;
     for (int i = 0; i < maxAppendAttempts && steadyNow() < until; ++i) {
@@ -234,10 +235,10 @@
             co_return AppendResult::Appended;
         }
         if (appended.error().code_ != Errc::Conflict) {
-            logger_.warn("Record may not have been appended to the log of duties: " + describe(appended.error()));
+            logger_.warn("A record may not have been appended to the log of duties: " + describe(appended.error()));
             continue;
         }
-        // The record at this offset may be from an earlier attempt to append the same one.
+        // The record at this offset may be the same record, appended by an earlier attempt.
         LogOffset ownOffset = logEnd_;
         auto read = co_await context_.platform_.readDutyLog_(ownOffset);
         if (read && !read.value().records_.empty() && read.value().records_.front().second == bytes) {
@@ -275,7 +276,8 @@
     for (const auto& [service, engines] : recordedNeeds_)
         fleetTracker_.inheritNeed(service, engines, steadyNow());
     std::lock_guard lock(mutex_);
-    // The token is the claim's offset plus one. appendRecord() has advanced logEnd_ to this value.
+    // The token is the claim's offset plus one. appendRecord() has advanced logEnd_ to this
+    // value.
     lease_.becomeHolder({ logEnd_.value_ }, steadyNow());
     logger_.info(LogLine("This node holds the duties.").add("token", static_cast<std::int64_t>(logEnd_.value_)));
 }
@@ -336,7 +338,7 @@
     recordedUsage_.erase(recordedUsage_.begin(), recordedUsage_.lower_bound({ due.value_ - std::min(due.value_, retainedWindows) }));
 }
 
-/// Returns the engines and the demand of \p service, as this node knows them.
+/// Returns the engines and the demand of \p service, as this node knows them at \p now.
 FleetView DutyRunner::viewOf(const ServicePolicy& service, SteadyTime now) const
 {
     auto rollout = context_.rollouts_.find(service.name_);
@@ -389,7 +391,7 @@
         std::uint64_t needed = fleetTracker_.needed(view.service_);
         if (needed == before)
             continue;
-        LogLine line("Engines needed.");
+        LogLine line("The number of engines needed has changed.");
         line.add("service", view.service_.value_).add("needed", static_cast<std::int64_t>(needed)).add("lasting", static_cast<std::int64_t>(view.onDemand())).add("reclaimable", static_cast<std::int64_t>(view.reclaimable()));
         line.add("tokens_per_s", view.tokensPerSecond_ ? std::to_string(static_cast<std::int64_t>(*view.tokensPerSecond_)) : "").add("prefill_per_ms", std::to_string(view.prefillPerMs_));
         line.add("is_whole", view.isComplete_ ? "yes" : "no");
--- a/lib/Gateway/DutyRunner.h
+++ b/lib/Gateway/DutyRunner.h
@@ -61,6 +61,7 @@
     /// \returns whether \p record was appended. If it was not, this node has released the
     /// duties.
     asio::awaitable<bool> recordOrRelease(wire::DutyRecord record);
+    /// Appends \p record if no record was appended after `logEnd_`.
     asio::awaitable<AppendResult> appendRecord(const wire::DutyRecord& record);
     FleetView viewOf(const ServicePolicy& service, SteadyTime now) const;
     std::vector<FleetView> fleetViews(SteadyTime now) const;
@@ -83,14 +84,15 @@
     };
     /// The newest claim that this node has read.
     Claim newestClaim_;
-    /// Usage that any holder has reported, or may have reported.
+    /// Usage of each window that a holder has recorded, and may have reported.
     std::map<WindowNumber, UsageCounts> recordedUsage_;
-    /// Windows that this node has reported.
+    /// Windows whose usage this node has reported, or which had none.
     std::set<WindowNumber> reportedWindows_;
     /// Number of engines that each service needs, by the newest record of any holder.
     std::map<ServiceName, std::uint64_t> recordedNeeds_;
     FleetTracker fleetTracker_;
     RolloutRunner rollouts_;
+    /// When this node last reviewed the orders of engines.
     SteadyTime fleetCheckedAt_ {};
     Logger logger_ { "duties" };
 };
--- a/lib/Gateway/Gateway.cpp
+++ b/lib/Gateway/Gateway.cpp
@@ -18,9 +18,10 @@
 
 namespace {
 
-    // Interval at which a node without live peers reads the announcements.
+    // Interval at which a node repeats a failed announcement of itself, and at which a node
+    // without live peers reads the announcements of others.
     constexpr milliseconds announcePeriod { 3000 };
-    // Interval at which draining checks whether all connections have ended.
+    // Interval at which a draining node checks whether all connections have ended.
     constexpr milliseconds drainPeriod { 50 };
     // Requests that are still running are aborted this long before the forced termination,
     // so that callers can resume at another node.
@@ -206,7 +207,8 @@
     context_.forward_.isStopping_ = true;
     logger_.info(LogLine("Stopping.").add("running", static_cast<std::int64_t>(context_.forward_.running_)).add("connections", static_cast<std::int64_t>(context_.forward_.connections_)));
     co_await sleepFor(std::min(settings.balancerGrace_, settings.grace_ - drainMargin));
-    // A stream that is accepted later might not end within the grace time.
+    // New requests are rejected from now on: a stream that started later might not end
+    // within the grace time.
     context_.forward_.rejectsNew_ = true;
     while (steadyNow() < stopAt && context_.forward_.connections_) {
         for (const auto& worker : workers_)
--- a/lib/Gateway/GatewayContext.cpp
+++ b/lib/Gateway/GatewayContext.cpp
@@ -29,7 +29,7 @@
 static QuotaSettings quotaSettings(const GatewaySettings& settings)
 {
     QuotaSettings quotas;
-    // Uniformly distributed over the nodes, and unchanged by a restart.
+    // The phases of the nodes are uniformly distributed, and a restart does not change them.
     quotas.phase_ = static_cast<double>(stableHash(settings.vm_.value_)) * 0x1p-64;
     return quotas;
 }
--- a/lib/Gateway/GatewaySettings.cpp
+++ b/lib/Gateway/GatewaySettings.cpp
@@ -17,6 +17,7 @@
     constexpr milliseconds oneDay { 24LL * 3600 * 1000 };
     constexpr milliseconds oneMinute { 60000 };
     constexpr std::uint64_t maxThreads = 64;
+    // The key whose map contains all settings of a gateway except those of its logs.
     constexpr const char* rootKey = "gateway";
 
     Endpoint endpoint(YamlMap& map, const std::string& key)
--- a/lib/Gateway/QuarantineEndpoint.h
+++ b/lib/Gateway/QuarantineEndpoint.h
@@ -14,7 +14,8 @@
 bool isForQuarantineEndpoint(const HttpRequest& request);
 
 /// `GET /quarantine` lists all suspected requests. `DELETE /quarantine/REQUEST` lifts a
-/// quarantine, on all nodes after some reports, and requires the nodes' credential.
+/// quarantine, on other nodes once they receive a report of it, and requires the nodes'
+/// credential.
 HttpResponse quarantineEndpoint(GatewayContext& context, const HttpRequest& request);
 
 } // namespace pistachioloom
--- a/lib/Gateway/QuarantineStore.cpp
+++ b/lib/Gateway/QuarantineStore.cpp
@@ -13,6 +13,7 @@
 
 namespace {
 
+    // Interval at which quarantines are read or written.
     constexpr milliseconds syncPeriod { 500 };
     // Bound on the writes of one period: many requests that are quarantined simultaneously
     // must not delay other calls.
@@ -49,7 +50,7 @@
 {
     auto notes = co_await context_.platform_.readNotes_();
     if (!notes) {
-        logger_.warn("Notes cannot be read: " + describe(notes.error()));
+        logger_.warn("Notes of quarantines cannot be read: " + describe(notes.error()));
         co_return;
     }
     hasRead_ = true;
@@ -66,8 +67,8 @@
         logger_.warn("Note " + note.key_ + " cannot be parsed.");
         return;
     }
-    // A clock that is behind must not make crashes younger than they were when they were
-    // written.
+    // If this node's clock is behind that of the writer, the age is limited to 0, so that
+    // crashes are not younger than they were when they were written.
     std::int64_t age = std::max<std::int64_t>(0, context_.agreedWallMs() - stored.written_ms());
     google::protobuf::RepeatedPtrField<wire::SuspectReport> reports;
     *reports.Add() = stored.suspect();
--- a/lib/Gateway/RolloutEndpoint.cpp
+++ b/lib/Gateway/RolloutEndpoint.cpp
@@ -45,8 +45,8 @@
     return jsonResponse(200, json::serialize(body));
 }
 
-/// All nodes receive the reverted state. The holder of the duties reports it to the
-/// operator.
+/// Reverts the order of the service in the path. This node reports the state to all other
+/// nodes, and the holder of the duties reports it to the operator.
 static HttpResponse revert(GatewayContext& context, const HttpRequest& request)
 {
     const std::string step = "revert roll-out";
--- a/lib/Gateway/RolloutRunner.cpp
+++ b/lib/Gateway/RolloutRunner.cpp
@@ -11,6 +11,7 @@
 
 namespace {
 
+    // Interval at which the orders are adjusted.
     constexpr milliseconds adjustPeriod { 150 };
     const std::string keyPrefix = "rollout/";
 
@@ -46,12 +47,13 @@
     }
 }
 
-/// Reads the stored final decisions. If all nodes stopped, no peer reports them.
+/// Reads the final decisions that the platform stores, since no peer reports them after a
+/// stop of all nodes.
 asio::awaitable<void> RolloutRunner::readNotes()
 {
     auto notes = co_await context_.platform_.readNotes_();
     if (!notes) {
-        logger_.warn("Notes cannot be read: " + describe(notes.error()));
+        logger_.warn("Notes of roll-outs cannot be read: " + describe(notes.error()));
         co_return;
     }
     hasReadNotes_ = true;
@@ -70,7 +72,7 @@
 {
     auto state = fromWire(record);
     if (!state) {
-        logger_.warn("Record of a roll-out is invalid.");
+        logger_.warn("A record of a roll-out is invalid and is ignored.");
         return;
     }
     if (record.is_told())
--- a/lib/Gateway/RolloutRunner.h
+++ b/lib/Gateway/RolloutRunner.h
@@ -35,7 +35,8 @@
     /// Records and reports the decisions that are due. \returns whether this node still holds
     /// the duties.
     asio::awaitable<bool> act();
-    /// Applies a final decision from the log of duties, by any holder.
+    /// Applies the final decision of any holder in \p record, which was read from the log of
+    /// duties or from a note.
     void applyRecord(const wire::RolloutReport& record);
 
     /// An order as shown to operators.
@@ -61,17 +62,20 @@
     asio::awaitable<bool> finalise(ServiceName service, RolloutState decision);
     /// Reports \p state to the operator. \returns whether the platform accepted the report.
     asio::awaitable<bool> report(RolloutState state);
+    /// Appends \p decision to the log of duties. \returns whether this node still holds the
+    /// duties.
     asio::awaitable<bool> recordDecision(RolloutState decision, bool isReported);
 
     GatewayContext& context_;
     Hooks hooks_;
     /// Orders that this node controls under `token_`; cleared when the token changes.
     std::map<ServiceName, Order> orders_;
+    /// The token under which this node last adjusted the orders, or 0.
     DutyToken token_ {};
     /// Number of reports under `token_` that the platform accepted.
     std::uint64_t reportCount_ = 0;
     bool hasReadNotes_ = false;
-    /// Orders whose final decision was reported to the operator.
+    /// The newest order of each service whose final decision was reported to the operator.
     std::map<ServiceName, RolloutNumber> reportedOrders_;
     mutable std::mutex reasonsMutex_;
     /// Reason of the last decision on each order.
--- a/lib/Gateway/SuspectMessages.cpp
+++ b/lib/Gateway/SuspectMessages.cpp
@@ -9,7 +9,7 @@
 
 namespace pistachioloom {
 
-// Number of bits in SuspectReport::cleared.
+// SuspectReport::cleared has this many bits, one for each crash.
 static constexpr int maxCrashesPerMessage = 32;
 // Greater ages are reduced to this one. A crash of this age is no longer kept, and its
 // conversion to a time cannot overflow.
--- a/lib/Gateway/SuspectMessages.h
+++ b/lib/Gateway/SuspectMessages.h
@@ -10,7 +10,8 @@
 
 namespace pistachioloom {
 
-/// Adds \p suspects to \p message, with their times converted to ages.
+/// Adds \p suspects to \p message, with the times of their crashes converted to ages at
+/// \p now.
 void putSuspects(const std::vector<Suspect>& suspects, google::protobuf::RepeatedPtrField<wire::SuspectReport>& message, SteadyTime now);
 
 /// Returns the suspects in \p message. If the arrays of an entry differ in length, all
--- a/lib/Membership/VmList.cpp
+++ b/lib/Membership/VmList.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-    // Number of recent versions that are kept. A peer at one of them is sent only
+    // Number of recent versions that a store keeps. A peer at one of them is sent only
     // the differences; a peer at an older one is sent the full list.
     constexpr std::size_t maxSeenVersions = 1024;
 
--- a/lib/Rollout/Answers.cpp
+++ b/lib/Rollout/Answers.cpp
@@ -7,10 +7,12 @@
 
 namespace pistachioloom {
 
-// Estimates are often off by half, but an answer several times slower is not chance.
+// An answer is slow if it takes more than this multiple of its estimate. Estimates are
+// often off by half, but an answer several times slower is not chance.
 static constexpr double slowRatio = 2.5;
-// Shorter delays beyond the estimate are noise of the network and of the VMs.
+// Delays beyond the estimate up to this one are noise of the network and of the VMs.
 static constexpr milliseconds minDelay { 60 };
+// Likewise for the time between two events of a stream.
 static constexpr double minGapDelayMs = 5;
 
 static bool isSlow(const AttemptOutcome& outcome)
--- a/lib/Rollout/Evaluators.cpp
+++ b/lib/Rollout/Evaluators.cpp
@@ -14,7 +14,8 @@
 
 namespace {
 
-    // Time constants of the exponential decay of the stable version's rates, in ms.
+    // Time constants of the exponential decay of the stable version's long-term and
+    // short-term rates of bad answers, in ms.
     constexpr double longDecayMs = 1000;
     constexpr double shortDecayMs = 20;
 
@@ -97,18 +98,24 @@
     private:
         // A rate of bad answers that exceeds the baseline by this much counts as worse.
         static constexpr double degradation = 0.15;
+        // Upper bound of the degraded rate, so that the logarithms in the ratios are finite.
         static constexpr double maxRate = 0.97;
-        // Limit of one backend server's score: a single server is no evidence against the
-        // version.
+        // Limit of one backend server's score on one route: a single server is no evidence
+        // against the version.
         static constexpr double maxScore = 6;
-        // One bad answer in a dozen raises a score by about 2.
+        // A backend server counts as degraded from this score on. One bad answer in a dozen
+        // raises a score by about 2.
         static constexpr double degradedScore = 1.5;
+        // The target is worse only if the scores of its backend servers on one route sum up
+        // to this, and this fraction of them is degraded.
         static constexpr double scoreToRevert = 12;
         static constexpr double fractionToRevert = 0.8;
+        // Backend servers with fewer answers on the route are left out.
         static constexpr std::uint64_t minAnswers = 4;
+        // Backend servers with enough answers that are required, or all if there are fewer.
         static constexpr std::size_t minServers = 3;
-        // Without this many answers of the stable version per answer of the target at the same
-        // time, the target's answers are no evidence about its version.
+        // Answers of the stable version that are required for each answer of the target at the
+        // same time. With fewer, the target's answers are no evidence about its version.
         static constexpr double minStablePerTarget = 3;
 
         struct StableRates {
@@ -127,7 +134,8 @@
                 double required = minStablePerTarget * static_cast<double>(ofTarget);
                 return longTerm_.answers() >= required && shortTerm_.answers() >= required;
             }
-            // The long-term rate hardly shows a fault that has just started.
+            // The higher of both rates, since the long-term rate hardly shows a fault that has
+            // just started.
             double rate() const { return std::max(longTerm_.upperRate(), shortTerm_.rate()); }
         };
         struct Score {
@@ -209,8 +217,11 @@
         }
 
     private:
+        // Answers within this time are compared.
         static constexpr milliseconds window { 2000 };
+        // Answers of the target that are required on a route.
         static constexpr std::uint64_t minAnswers = 20;
+        // Tolerated difference between the rates of bad answers.
         static constexpr double degradation = 0.1;
 
         static double badRateOf(const AnswerTally& tally)
--- a/lib/Rollout/RolloutController.cpp
+++ b/lib/Rollout/RolloutController.cpp
@@ -15,11 +15,11 @@
     // All nodes receive a new share within this time, which covers three reports through
     // relays.
     constexpr milliseconds sharePropagation { 800 };
-    // If only servers of the target are registered, the order is complete after this time:
-    // backend servers that do not run the target may be about to register.
+    // The order is complete once only backend servers of the target have been registered for
+    // this time. Before that, servers of other versions may be about to register.
     constexpr milliseconds minTargetOnlyTime { 3000 };
-    // A route on which the other versions have fewer answers has too little traffic to
-    // require evidence on it.
+    // Answers of the other versions on a route from which on the target needs evidence on
+    // it. Other routes have too little traffic.
     constexpr std::uint64_t minRouteAnswers = 200;
 
 } // namespace
@@ -85,7 +85,7 @@
         revert(*degradation);
         return state_;
     }
-    // An order for the version that already runs alone needs no trial.
+    // An order for a version needs no trial if no backend server of another version runs.
     bool isTargetOnly = !view.stableServers_ && view.targetServers_;
     if (!isTargetOnly)
         targetOnlySince_ = SteadyTime {};
@@ -107,7 +107,8 @@
 {
     if (now >= timeAt(settings_.decisionFraction_))
         return revert("no verdict within the period");
-    // Half of the constant allowance is kept for counts that are still to be reported.
+    // The other half of `exposedExtra_` allows for requests to the target that nodes have
+    // not reported yet.
     double allowed = settings_.exposedShare_ * static_cast<double>(view.tally_.requests_) + settings_.exposedExtra_ / 2;
     bool isWithinExposure = static_cast<double>(view.tally_.exposed_) < allowed;
     if (!view.targetServers_ || !isWithinExposure)
@@ -127,7 +128,8 @@
     }
     if (state_.share_ < 1 || now - shiftedAt_ < sharePropagation)
         return;
-    // Requests that still run at other versions are aborted when those stop.
+    // Backend servers of other versions stop once the order is complete, which aborts the
+    // requests that still run there.
     isReadyToComplete_ = !view.stableRunning_ || now >= timeAt(settings_.decisionFraction_);
 }
 
--- a/lib/Rollout/RolloutTracker.cpp
+++ b/lib/Rollout/RolloutTracker.cpp
@@ -1,7 +1,7 @@
 //===- lib/Rollout/RolloutTracker.cpp - a node's view of roll-outs --------===//
 ///
 /// \file
-/// States, shares and counts of roll-outs; see pistachioloom/Rollout.h.
+/// See RolloutTracker, RolloutTally, supersedes() and shareOnRoute().
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Rollout.h"
 
@@ -10,7 +10,8 @@
 
 namespace pistachioloom {
 
-// Sums of shares are inexact, so slightly less than 1 counts as a request.
+// The sum of shares at which one more request is due to the target. Floating-point sums
+// are inexact, so it is slightly less than 1.
 static constexpr double oneRequest = 1 - 1e-9;
 // Weight of one stream in the moving average of the time between events.
 static constexpr double gapSmoothing = 0.05;
@@ -190,7 +191,8 @@
     case RolloutPhase::Reverted:
         return rule;
     case RolloutPhase::Trial:
-        // The holder may have failed, or may have decided since that the target is bad.
+        // If the share was not reported for too long, the holder may have failed, or may
+        // have decided meanwhile that the target is bad.
         rule.share_ = now - entry.received_.reportedAt_ > settings_.validity_ ? 0 : state.share_;
         break;
     case RolloutPhase::Shifting:
--- a/unittests/Catalogue/CatalogueTest.cpp
+++ b/unittests/Catalogue/CatalogueTest.cpp
@@ -25,6 +25,7 @@
 const std::string goodWorkload = "name: planograms\nkind: workload\nowner: rede\nclass: paid\napi_key_sha256: " + std::string(64, 'a')
     + "\nmodels: [planogram]\nlimits:\n  requests_in_progress: 8\n  latency_target: 720ms\n";
 
+/// A valid entry in which a text is replaced, and the error that this causes.
 struct BadEntry {
     std::string name_;
     std::string original_;
@@ -47,15 +48,15 @@
 TEST_CASE("an invalid entry is rejected with an error that states the line and field")
 {
     auto bad = GENERATE(values<BadEntry>({
-        { "class", "class: paid", "class: gold", "file:4: class: expected one of paid trial, found 'gold'" },
+        { "unknown class", "class: paid", "class: gold", "file:4: class: expected one of paid trial, found 'gold'" },
         { "missing owner", "owner: rede\n", "", "file:1: owner: missing; expected text" },
-        { "hash", std::string(64, 'a'), "secret", "file:5: api_key_sha256: expected 64 lower-case hexadecimal digits" },
-        { "range", "requests_in_progress: 8", "requests_in_progress: 0", "file:8: limits.requests_in_progress: expected a whole number from 1 to 1000000, found '0'" },
-        { "unit", "720ms", "720", "file:9: limits.latency_target: expected a duration such as 500ms, 2s, 10min or 1h, from 1ms to 86400000ms, found '720'" },
+        { "malformed hash of the API key", std::string(64, 'a'), "secret", "file:5: api_key_sha256: expected 64 lower-case hexadecimal digits" },
+        { "value out of range", "requests_in_progress: 8", "requests_in_progress: 0", "file:8: limits.requests_in_progress: expected a whole number from 1 to 1000000, found '0'" },
+        { "duration without a unit", "720ms", "720", "file:9: limits.latency_target: expected a duration such as 500ms, 2s, 10min or 1h, from 1ms to 86400000ms, found '720'" },
         { "unknown key", "owner:", "colour: red\nowner:", "file:3: colour: unknown key" },
-        { "name", "planograms", "two words", "file:1: name: expected 1 to 64 letters, digits, '-', '_' or '.'" },
-        { "list", "[planogram]", "planogram", "file:6: models: expected a list of texts" },
-        { "syntax", "models: [planogram]", "models: [", "file:8: (root): not valid YAML: " },
+        { "name with a space", "planograms", "two words", "file:1: name: expected 1 to 64 letters, digits, '-', '_' or '.'" },
+        { "text in place of a list", "[planogram]", "planogram", "file:6: models: expected a list of texts" },
+        { "malformed YAML", "models: [planogram]", "models: [", "file:8: (root): not valid YAML: " },
     }));
     INFO(bad.name_);
     std::string text = goodWorkload;
@@ -76,9 +77,9 @@
     CHECK(entry->backend_->maxLoading_ == 2);
     CHECK(entry->backend_->paidReserve_ == 2);
     auto bad = GENERATE(values<BadEntry>({
-        { "version", "version: v3\n", "", "file:1: version: expected the version that goes with 'adapters' and 'role'" },
-        { "reserve", "paid_reserve: 2", "paid_reserve: 16", "file:4: paid_reserve: expected less than 'concurrency'" },
-        { "loading", "most_loading: 2", "most_loading: 0", "file:9: most_loading: expected a whole number from 1 to 1000, found '0'" },
+        { "adapters without a version", "version: v3\n", "", "file:1: version: expected the version that goes with 'adapters' and 'role'" },
+        { "reserve of all slots", "paid_reserve: 2", "paid_reserve: 16", "file:4: paid_reserve: expected less than 'concurrency'" },
+        { "no engine may be loading", "most_loading: 2", "most_loading: 0", "file:9: most_loading: expected a whole number from 1 to 1000, found '0'" },
     }));
     INFO(bad.name_);
     std::string text = good;
@@ -110,7 +111,7 @@
     CHECK(state.history().size() == 1);
 }
 
-TEST_CASE("offsets never decrease")
+TEST_CASE("an older record or snapshot does not replace a newer state")
 {
     CatalogueState state;
     state.apply({ 0 }, edit("e1", "s", 0, service("s", 1)));
@@ -159,7 +160,9 @@
     append(edit("e4", "b", 2, service("b", 4)));
 
     struct Trim {
+        /// The log's first offset after the trim.
         std::size_t first_;
+        /// Whether the snapshot in the log covers the trimmed records.
         bool isCovered_;
     };
     auto trim = GENERATE(values<Trim>({ { 0, true }, { 1, true }, { 2, true }, { 3, false }, { 4, false } }));
--- a/unittests/Duties/DutiesTest.cpp
+++ b/unittests/Duties/DutiesTest.cpp
@@ -26,6 +26,7 @@
     return timing;
 }
 
+/// An act on the platform by the holder of the duties.
 struct Act {
     std::size_t node_ = 0;
     DutyToken token_;
@@ -53,6 +54,7 @@
 private:
     struct Participant {
         DutyLease lease_;
+        /// The log's end as this node knows it.
         std::uint64_t knownEnd_ = 0;
         SteadyTime frozenUntil_;
         SteadyTime partitionedUntil_;
@@ -305,10 +307,10 @@
     };
     // Windows of 5 s; window 199 ends at 1,000,000 ms.
     auto row = GENERATE(values<Row>({
-        { "immediately after its end", 1000500, milliseconds(100), 198 },
-        { "all nodes have reported since", 1001500, milliseconds(200), 199 },
+        { "500 ms after its end", 1000500, milliseconds(100), 198 },
+        { "all nodes have reported since its end", 1001500, milliseconds(200), 199 },
         { "one node last reported before its end", 1001500, milliseconds(1600), 198 },
-        { "one node is unresponsive, and the longest delay has passed", 1005000, milliseconds(9000), 199 },
+        { "one node is unresponsive, and the maximum delay has passed", 1005000, milliseconds(9000), 199 },
         { "all nodes have reported, and the next window has ended", 1006500, milliseconds(200), 200 },
         { "the first window has not ended", 3000, milliseconds(0), std::nullopt },
     }));
--- a/unittests/Duties/DutyLeaseExplorationTest.cpp
+++ b/unittests/Duties/DutyLeaseExplorationTest.cpp
@@ -72,7 +72,7 @@
         return;
     Participant& node = system.nodes_[static_cast<std::size_t>(index)];
     const Participant& peer = system.nodes_[static_cast<std::size_t>(1 - index)];
-    // An act that was pending when the node froze comes first.
+    // An act that was pending when the node froze is the first thing that it does.
     act(system, index, now);
     if (choice != Choice::Partitioned && peer.lease_.isHolder())
         node.lease_.noteHolder({ std::to_string(1 - index) }, peer.lease_.token(), now);
@@ -105,7 +105,7 @@
         if (current.token_ == previous.token_)
             return "two nodes act with one token";
         if (lastActAt.contains(current.node_) && current.at_ - lastActAt[current.node_] <= lease)
-            return "a node acts again within a lease of another's act";
+            return "a node that acts after another one acted less than a lease ago itself";
     }
     return {};
 }
@@ -135,7 +135,7 @@
             run(system, 1, static_cast<Choice>(rest % choices), at);
             rest /= choices;
         }
-        // Afterwards both nodes run without faults for two leases.
+        // Afterwards both nodes run without faults for 7 steps, more than two leases.
         for (int i = 0; i < 7; ++i, at += step) {
             run(system, 0, Choice::Runs, at);
             run(system, 1, Choice::Runs, at);
--- a/unittests/Fleet/FleetTest.cpp
+++ b/unittests/Fleet/FleetTest.cpp
@@ -55,12 +55,12 @@
     };
     auto row = GENERATE(values<Row>({
         { "no engine is present yet", { 12, 1, 12, 6, 1 }, { 0, 0, 0 }, 12 },
-        { "enough without the largest data centre", { 12, 1, 12, 6, 1 }, { 6, 6, 6 }, 0 },
-        { "one data centre lost", { 12, 1, 12, 6, 1 }, { 6, 6, 0 }, 6 },
-        { "nothing reserved", { 12, 1, 12, 6, 0 }, { 6, 6, 0 }, 1 },
-        { "engines of either kind count towards the lower bound", { 4, 2, 12, 6, 1 }, { 6, 1, 0 }, 3 },
-        { "more than the upper bound", { 100, 1, 12, 6, 0 }, { 0, 0, 0 }, 36 },
-        { "nothing needed", { 0, 2, 12, 0, 0 }, { 0, 0, 0 }, 6 },
+        { "reclaimable engines suffice without those of the largest data centre", { 12, 1, 12, 6, 1 }, { 6, 6, 6 }, 0 },
+        { "the reclaimable engines of one data centre are lost", { 12, 1, 12, 6, 1 }, { 6, 6, 0 }, 6 },
+        { "no reclaimable engine is reserved", { 12, 1, 12, 6, 0 }, { 6, 6, 0 }, 1 },
+        { "reclaimable engines count towards the lower bound", { 4, 2, 12, 6, 1 }, { 6, 1, 0 }, 3 },
+        { "the need exceeds the upper bound", { 100, 1, 12, 6, 0 }, { 0, 0, 0 }, 36 },
+        { "no engine is needed, and the lower bound applies", { 0, 2, 12, 0, 0 }, { 0, 0, 0 }, 6 },
     }));
     std::vector<DataCentreFleet> fleets { { { "a" }, 1.2, 0, row.reclaimable_[0] }, { { "b" }, 0.85, 0, row.reclaimable_[1] }, { { "c" }, 1, 0, row.reclaimable_[2] } };
     CAPTURE(row.name_);
@@ -71,7 +71,7 @@
             continue;
         }
         onDemand += order.wanted_;
-        // The platform's bounds apply to both kinds together.
+        // The platform's bounds apply to on-demand and reclaimable engines together.
         auto fleet = std::find_if(fleets.begin(), fleets.end(), [&](const DataCentreFleet& known) { return known.dataCentre_ == order.dataCentre_; });
         CHECK(order.wanted_ + fleet->reclaimable_ >= row.demand_.minEngines_);
         CHECK(order.wanted_ <= row.demand_.maxEngines_);
@@ -151,9 +151,9 @@
 
 TEST_CASE("engines are dismissed before others are ordered", "[fleet]")
 {
-    // The platform's upper bound applies to both kinds together. With 38 reclaimable and 38
-    // on-demand engines, an order of more reclaimable ones had no effect because it was
-    // sent before the on-demand ones were dismissed.
+    // The platform's upper bound applies to on-demand and reclaimable engines together. With
+    // 38 reclaimable and 38 on-demand engines, an order of more reclaimable ones had no
+    // effect because it was sent before the on-demand ones were dismissed.
     FleetTracker tracker({});
     FleetView view = viewOf({ { 8, 6 }, { 8, 6 }, { 8, 6 } }, 500000);
     SteadyTime now = settle(tracker, view);
@@ -228,10 +228,10 @@
         bool isRepeated_;
     };
     auto row = GENERATE(values<Row>({
-        { "accepted, engines are booting", true, milliseconds(4000), false },
-        { "accepted, engines did not register", true, milliseconds(8000), true },
-        { "rejected just now", false, milliseconds(500), false },
-        { "rejected a while ago", false, milliseconds(2000), true },
+        { "accepted 4 s ago, engines are booting", true, milliseconds(4000), false },
+        { "accepted 8 s ago, engines did not register", true, milliseconds(8000), true },
+        { "rejected 0.5 s ago", false, milliseconds(500), false },
+        { "rejected 2 s ago", false, milliseconds(2000), true },
     }));
     CAPTURE(row.name_);
     FleetTracker tracker({});
@@ -248,7 +248,7 @@
         const char* name_;
         std::vector<std::pair<std::uint64_t, std::uint64_t>> before_;
     };
-    // The node starts while only reclaimable engines are present, or none at all.
+    // The node starts while only reclaimable engines are present, or no engine at all.
     auto row = GENERATE(values<Row>({
         { "reclaimable engines were present", { { 0, 9 }, { 0, 9 }, { 0, 9 } } },
         { "no engine was present", { { 0, 0 }, { 0, 0 }, { 0, 0 } } },
--- a/unittests/Gateway/GatewaySettingsTest.cpp
+++ b/unittests/Gateway/GatewaySettingsTest.cpp
@@ -1,8 +1,8 @@
 //===- unittests/Gateway/GatewaySettingsTest.cpp - settings of a gateway --===//
 ///
 /// \file
-/// Valid settings are read completely. Errors in invalid settings name the line and the
-/// key.
+/// Tests that valid settings are read completely, and that errors in invalid settings name
+/// the line and the key.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Gateway.h"
 
--- a/unittests/Gateway/RolloutMessagesTest.cpp
+++ b/unittests/Gateway/RolloutMessagesTest.cpp
@@ -1,8 +1,8 @@
 //===- unittests/Gateway/RolloutMessagesTest.cpp - roll-out messages ------===//
 ///
 /// \file
-/// A node reads the same states and counts of orders that another node sent, also through
-/// relays.
+/// Tests that a node reads the same states and counts of orders that another node sent,
+/// also through relays.
 //===----------------------------------------------------------------------===//
 #include "RolloutMessages.h"
 #include "ReportAggregator.h"
--- a/unittests/Gateway/SuspectMessagesTest.cpp
+++ b/unittests/Gateway/SuspectMessagesTest.cpp
@@ -1,7 +1,7 @@
 //===- unittests/Gateway/SuspectMessagesTest.cpp - suspect messages -------===//
 ///
 /// \file
-/// A node reads the same crashes that another node sent.
+/// Tests that a node reads the same crashes that another node sent.
 //===----------------------------------------------------------------------===//
 #include "SuspectMessages.h"
 
--- a/unittests/Ledger/RunOnceModel.h
+++ b/unittests/Ledger/RunOnceModel.h
@@ -15,21 +15,27 @@
 struct Choice {
     enum class Kind {
         AppendTakesEffect,
+        /// The record is not in the log, and never will be.
         AppendFails,
         /// The record is in the log, but the coordinator receives no response.
         AppendAnswerLost,
         /// The coordinator receives no response, and the record reaches the log
         /// later or never.
         AppendDelayed,
+        /// A delayed record reaches the log.
         DelayedArrives,
         ReadLog,
         ReadFails,
         ServiceRuns,
+        /// The service executes the call, but its response is lost.
         ServiceRunsAnswerLost,
+        /// The service does not execute the call.
         ServiceRejects,
         CoordinatorCrashes,
     };
     Kind kind_;
+    /// Index of the call; of the delayed item for DelayedArrives, and of the coordinator
+    /// for CoordinatorCrashes.
     std::size_t index_ = 0;
 };
 
@@ -50,6 +56,7 @@
     /// \returns the violated property, or an empty string.
     std::string violation() const;
     std::size_t executions() const { return executedAttempts_.size(); }
+    /// Whether no transition is left.
     bool isFinished() const;
     /// Appends the intent of a new call without faults. \returns whether that
     /// call may be dispatched.
@@ -71,8 +78,10 @@
     LedgerShard readLog() const;
 
     std::vector<LedgerItem> log_;
+    /// Items whose append was delayed and which have not reached the log.
     std::vector<LedgerItem> delayedItems_;
     std::vector<Call> calls_;
+    /// Attempts whose call the service executed, in order.
     std::vector<AttemptId> executedAttempts_;
     FaultBudget faults_;
     std::size_t coordinators_;
--- a/unittests/Membership/MembershipTest.cpp
+++ b/unittests/Membership/MembershipTest.cpp
@@ -77,7 +77,7 @@
 
 } // namespace
 
-TEST_CASE("a newer heartbeat wins, and a newer incarnation wins over any heartbeat")
+TEST_CASE("a newer heartbeat replaces an older one, and a newer incarnation replaces any heartbeat of an older one")
 {
     GossipTable table({ "self" }, 1, suspectAfter);
     CHECK(table.merge({ digest("a", 1, 5) }, start));
@@ -160,7 +160,7 @@
 {
     LeavingTable leaving;
     CHECK(leaving.markLeaving({ "a" }, std::nullopt, start));
-    // A stop time that was not known before is an update as well.
+    // A first stop time changes the table, although the VM was marked before.
     CHECK(leaving.markLeaving({ "a" }, start + milliseconds(5), start));
     CHECK(leaving.stopsAt({ "a" }) == start + milliseconds(5));
     CHECK_FALSE(leaving.markLeaving({ "a" }, start + milliseconds(99), start));
@@ -253,7 +253,7 @@
     CHECK_FALSE(store.adoptChanges({ 9, 6, {}, {}, 0 }));
     CHECK(store.adoptChanges({ 6, 5, {}, { { "vm-1" } }, 0 }));
     CHECK(store.list().vms_.size() == 1);
-    // The store never held version 4 and has no removals since then.
+    // The store never held version 4, so it does not know what was removed since then.
     CHECK(store.changesSince(4).base_ == 0);
     CHECK(store.changesSince(5).removed_.size() == 1);
 }
--- a/unittests/Rollout/EvaluatorsTest.cpp
+++ b/unittests/Rollout/EvaluatorsTest.cpp
@@ -19,8 +19,9 @@
 
 namespace {
 
-// The period of an order, and the interval of the controller's decisions, in seconds.
+// The period of an order, in seconds.
 constexpr double period = 14;
+// The interval of the controller's decisions, in seconds.
 constexpr double tick = 0.15;
 // Delay in seconds until the counts of the nodes reach the holder and its new share
 // reaches the nodes.
@@ -30,8 +31,9 @@
 constexpr double firstRouteShare = 0.86;
 constexpr std::size_t targetServers = 5;
 constexpr std::size_t stableServerCount = 60;
-// The bounds that the contract sets on a bad version. After `badTolerated` bad answers,
-// requests may reach it for `maxRollbackTime` seconds.
+// The bounds that a bad version must keep. It may get `exposedShare` of the requests plus
+// `exposedExtra`. After `badTolerated` bad answers, requests may reach it for
+// `maxRollbackTime` seconds.
 constexpr double exposedShare = 0.1;
 constexpr double exposedExtra = 50;
 constexpr std::uint64_t badTolerated = 50;
@@ -89,7 +91,7 @@
             std::uint64_t toTarget = std::binomial_distribution<std::uint64_t>(all, onRoute)(random_);
             tally.requests_ += all;
             tally.exposed_ += toTarget;
-            // 15% of the stable servers fail as well.
+            // While some of the target's servers fail, 15% of the stable servers fail as well.
             double stableBad = baselineBad(now) + (isFailTime(now) ? 0.15 * failRate : 0);
             count(tally.cells_[{ stableBackendKey, route }], all - toTarget, stableBad);
             std::uint64_t left = toTarget;
@@ -159,7 +161,9 @@
 
 struct Outcome {
     bool isReverted_ = false;
+    /// Seconds from the order to its final decision; 0 if there was none.
     double decidedAt_ = 0;
+    /// Requests to the target beyond the bound; negative below it.
     double exposedOverBound_ = 0;
     /// Requests to the target more than `maxRollbackTime` after the 50th bad answer.
     std::uint64_t afterRollback_ = 0;
--- a/unittests/Rollout/RolloutTest.cpp
+++ b/unittests/Rollout/RolloutTest.cpp
@@ -73,13 +73,15 @@
     struct Row {
         RolloutPhase phase_;
         double share_;
+        /// Time since the holder reported the state.
         std::int64_t ageMs_;
+        /// Requests to the target of 100 first attempts, and of 100 subsequent ones.
         int firstToTarget_;
         int subsequentToTarget_;
     };
     const Row rows[] = {
         { RolloutPhase::Trial, 0.08, 0, 8, 0 },
-        // The holder is unresponsive.
+        // The holder has not reported the share for longer than its validity of 2.5 s.
         { RolloutPhase::Trial, 0.08, 3000, 0, 0 },
         { RolloutPhase::Shifting, 0.5, 0, 50, 0 },
         { RolloutPhase::Shifting, 1, 9000, 100, 100 },
@@ -151,21 +153,21 @@
     };
     auto nothing = [](AttemptOutcome&) {};
     const Row rows[] = {
-        { "as expected", served(100, 100), false },
+        { "as fast as estimated", served(100, 100), false },
         { "twice as slow", served(200, 100), false },
         { "four times as slow", served(400, 100), true },
         { "noise on a short wait", served(30, 5), false },
         { "a failure", with(BackendOutcome::Served, [](AttemptOutcome& o) { o.isFailure_ = true; }), true },
         { "a failure that is withheld from the caller", with(BackendOutcome::Failed, nothing), true },
         { "a corrupt answer", with(BackendOutcome::Broken, nothing), true },
-        { "a crash or a cut connection", with(BackendOutcome::Broken, [](AttemptOutcome& o) { o.isCutOff_ = true; }), std::nullopt },
-        { "no capacity", with(BackendOutcome::Full, nothing), std::nullopt },
-        { "another server at its address", with(BackendOutcome::WrongInstance, nothing), std::nullopt },
+        { "a connection that was cut, for example by a crash", with(BackendOutcome::Broken, [](AttemptOutcome& o) { o.isCutOff_ = true; }), std::nullopt },
+        { "a backend server without capacity", with(BackendOutcome::Full, nothing), std::nullopt },
+        { "another server at the backend server's address", with(BackendOutcome::WrongInstance, nothing), std::nullopt },
         { "no connection", with(BackendOutcome::Unreachable, nothing), std::nullopt },
         { "a caller that left", with(BackendOutcome::Abandoned, nothing), std::nullopt },
         { "a caller that left after a long wait", with(BackendOutcome::Abandoned, [](AttemptOutcome& o) { o.hasFirstByte_ = false; o.waited_ = milliseconds(2000); }), true },
-        { "slow events", with(BackendOutcome::Served, [](AttemptOutcome& o) { o.eventGapMs_ = 200; }), true },
-        { "usual events", with(BackendOutcome::Served, [](AttemptOutcome& o) { o.eventGapMs_ = 55; }), false },
+        { "four times the usual gap between events", with(BackendOutcome::Served, [](AttemptOutcome& o) { o.eventGapMs_ = 200; }), true },
+        { "about the usual gap between events", with(BackendOutcome::Served, [](AttemptOutcome& o) { o.eventGapMs_ = 55; }), false },
     };
     for (const Row& row : rows) {
         CAPTURE(row.name_);
