--- a/include/pistachioloom/Duties.h
+++ b/include/pistachioloom/Duties.h
@@ -49,9 +49,9 @@
 public:
     DutyLease(VmId self, DutyTiming timing, SteadyTime startedAt);
 
-    /// Records that a peer reported at \p reportedAt that it holds the duties by \p token. Relays
-    /// forward such reports with a delay; \p reportedAt must be the time of the original
-    /// report, or the takeover from a holder that has failed is delayed.
+    /// Records that \p holder reported at \p reportedAt that it holds the duties by \p token.
+    /// Relays forward such reports with a delay; \p reportedAt must be the time of the
+    /// original report, or the takeover from a holder that has failed is delayed.
     void noteHolder(const VmId& holder, DutyToken token, SteadyTime reportedAt);
     /// Records that the holder by \p token released the duties, so that other nodes may
     /// claim them without waiting for the holder's timeout.
--- a/include/pistachioloom/Gateway.h
+++ b/include/pistachioloom/Gateway.h
@@ -148,12 +148,15 @@
     /// CPU cores of this VM. Nodes with more cores are preferred as relays and as
     /// readers.
     double cores_ = 1;
-    /// Addresses on which the node accepts callers, readiness probes, connections of
-    /// peers, datagrams of peers, and requests of operators.
+    /// Where the node accepts connections of callers.
     Endpoint callers_;
+    /// Where the node answers the load balancer's readiness probes.
     Endpoint readiness_;
+    /// Where the node accepts connections of peers.
     Endpoint peers_;
+    /// Where the node receives datagrams of peers.
     Endpoint gossip_;
+    /// Where the node serves its metrics and the operators' endpoints.
     Endpoint metrics_;
     /// Nodes to contact first. Only their hosts are used, since all nodes have the same
     /// gossip port.
@@ -161,6 +164,7 @@
     Endpoint store_;
     /// The platform's service for the duties; port 0 if this deployment has no duties.
     Endpoint duties_;
+    /// Credential of the nodes among each other, which operators need for changes as well.
     std::string peerCredential_;
     /// Time between the signal to stop and the forced termination.
     milliseconds grace_ { 8000 };
--- a/include/pistachioloom/Rollout.h
+++ b/include/pistachioloom/Rollout.h
@@ -62,9 +62,9 @@
     auto operator<=>(const RolloutState&) const = default;
 };
 
-/// Whether the state \p left replaces \p right. Newer orders replace older ones. Within one order a
-/// final phase replaces others, even if an earlier holder decided it: to revert is always
-/// safe, and completion is recorded before it is reported.
+/// Whether the state \p left replaces \p right. Newer orders replace older ones. Within one
+/// order a final phase replaces others, even if an earlier holder decided it: to revert is
+/// always safe, and completion is recorded before it is reported.
 bool supersedes(const RolloutState& left, const RolloutState& right);
 
 /// Counts of answers from one group of backend servers on one route.
--- a/unittests/Duties/DutyLeaseExplorationTest.cpp
+++ b/unittests/Duties/DutyLeaseExplorationTest.cpp
@@ -105,7 +105,7 @@
         if (current.token_ == previous.token_)
             return "two nodes act with one token";
         if (lastActAt.contains(current.node_) && current.at_ - lastActAt[current.node_] <= lease)
-            return "a node that acts after another one acted less than a lease ago itself";
+            return "a node acts after another node, within a lease of its own last act";
     }
     return {};
 }
--- a/unittests/Fleet/FleetTest.cpp
+++ b/unittests/Fleet/FleetTest.cpp
@@ -320,7 +320,7 @@
     CHECK(dismisses(now + settings.reclaimableStabilisationWindow_ + settings.period_));
 }
 
-TEST_CASE("a new holder does not order engines that are present again as reclaimable ones", "[fleet]")
+TEST_CASE("a new holder does not order reclaimable engines for present ones that are not needed", "[fleet]")
 {
     // After a restart of all nodes the first holder took the 228 engines that were present
     // for the need, although only 115 had been needed, and ordered 160 reclaimable ones in
--- a/unittests/Rollout/EvaluatorsTest.cpp
+++ b/unittests/Rollout/EvaluatorsTest.cpp
@@ -31,8 +31,8 @@
 constexpr double firstRouteShare = 0.86;
 constexpr std::size_t targetServers = 5;
 constexpr std::size_t stableServerCount = 60;
-// The bounds that a bad version must keep. It may get `exposedShare` of the requests plus
-// `exposedExtra`. After `badTolerated` bad answers, requests may reach it for
+// The bounds that the contract sets on a bad version: it may get `exposedShare` of the
+// requests plus `exposedExtra` requests. After `badTolerated` bad answers, requests may reach it for
 // `maxRollbackTime` seconds.
 constexpr double exposedShare = 0.1;
 constexpr double exposedExtra = 50;
