--- a/include/pistachioloom/Gateway.h
+++ b/include/pistachioloom/Gateway.h
@@ -161,8 +161,11 @@
     /// Nodes to contact first. Only their hosts are used, since all nodes have the same
     /// gossip port.
     std::vector<Endpoint> seeds_;
+    /// The platform's store of the configuration, the registry, the announcements of nodes,
+    /// the notes, the log of duties and the states of roll-outs.
     Endpoint store_;
-    /// The platform's service for the duties; port 0 if this deployment has no duties.
+    /// The platform's service for usage reports and orders of engines; port 0 if this
+    /// deployment has no duties.
     Endpoint duties_;
     /// Credential of the nodes among each other, which operators need for changes as well.
     std::string peerCredential_;
--- a/include/pistachioloom/Rollout.h
+++ b/include/pistachioloom/Rollout.h
@@ -55,8 +55,9 @@
     RolloutPhase phase_ = RolloutPhase::Trial;
     /// The target's share of the service's requests, 0 to 1.
     double share_ = 0;
-    /// The holder's fencing token, and the number of its decisions under that token.
+    /// Fencing token of the holder that decided the state; 0 before the first decision.
     std::uint64_t term_ = 0;
+    /// Number of the holder's decisions on the order under that token.
     std::uint64_t step_ = 0;
 
     auto operator<=>(const RolloutState&) const = default;
@@ -82,8 +83,9 @@
 /// Counts for one order since it was received, by one node or summed over several.
 struct RolloutTally {
     RolloutNumber number_ {};
-    /// Requests sent to the service, and those of them sent to the target.
+    /// Requests sent to the service.
     std::uint64_t requests_ = 0;
+    /// Those of them that were sent to the target.
     std::uint64_t exposed_ = 0;
     /// Answers by backend server of the target, or stableBackendKey for all other servers,
     /// and by route.
@@ -143,8 +145,9 @@
 /// A snapshot of an order's counts and servers, as the holder of the duties knows them.
 struct RolloutView {
     RolloutTally tally_;
-    /// Backend servers that accept work: those that run the target, and all others.
+    /// Backend servers that accept work and run the target.
     std::size_t targetServers_ = 0;
+    /// All other backend servers that accept work.
     std::size_t stableServers_ = 0;
     /// Running requests at backend servers that do not run the target.
     std::uint64_t stableRunning_ = 0;
--- a/unittests/Rollout/EvaluatorsTest.cpp
+++ b/unittests/Rollout/EvaluatorsTest.cpp
@@ -147,15 +147,23 @@
     std::mt19937_64 random_;
     RouteRequests requests_;
     Fault fault_;
+    /// Rate of bad answers of the target while its fault lasts.
     double badRate_ = 0;
+    /// When the fault starts, for Fault::Later.
     double badFrom_ = 0;
+    /// The route with the fault, for Fault::OneRoute.
     RouteKey badRoute_ = 0;
+    /// The period in which many answers of all versions are slow, in seconds after the order.
     double slowFrom_ = period + 1;
     double slowUntil_ = period + 1;
     double slowRate_ = 0;
+    /// When single backend servers of all versions start to fail, for 6 s.
     double failFrom_ = 0;
+    /// Phase of the periodic load, in radians.
     double loadPhase_ = 0;
+    /// Whether each backend server of the target fails from `failFrom_` on.
     bool targetFails_[targetServers] {};
+    /// Bad answers of the target while its fault lasts.
     std::uint64_t badAnswers_ = 0;
 };
 
@@ -176,15 +184,18 @@
     auto at = [&](double seconds) { return start + milliseconds(static_cast<std::int64_t>(seconds * 1000)); };
     RolloutOrder order { { 1 }, { "s" }, { "v2" }, milliseconds(static_cast<std::int64_t>(period * 1000)) };
     RolloutController controller({}, { order, RolloutPhase::Trial, 0, 0, 0 }, start, 1, std::move(evaluator));
+    // The counts after each of the last steps, of which the holder has received only the
+    // oldest, and the shares that the holder decided in all steps so far.
     std::deque<RolloutTally> tallies;
     std::deque<double> shares;
     RolloutTally tally { { 1 }, 0, 0, {} };
     Outcome outcome;
+    // When the target has given `badTolerated` bad answers; later than any period before that.
     double toleranceReachedAt = 1000;
-    const auto delay = static_cast<std::size_t>(reportDelay / tick);
+    const auto delaySteps = static_cast<std::size_t>(reportDelay / tick);
     for (double now = 0; now < period; now += tick) {
         shares.push_back(controller.state().share_);
-        double share = shares.size() > delay ? shares[shares.size() - 1 - delay] : 0;
+        double share = shares.size() > delaySteps ? shares[shares.size() - 1 - delaySteps] : 0;
         std::uint64_t exposedBefore = tally.exposed_;
         simulation.step(now, share, tally);
         if (now > toleranceReachedAt + maxRollbackTime)
@@ -192,7 +203,7 @@
         if (simulation.badAnswers() >= badTolerated)
             toleranceReachedAt = std::min(toleranceReachedAt, now);
         tallies.push_back(tally);
-        if (tallies.size() > delay + 1)
+        if (tallies.size() > delaySteps + 1)
             tallies.pop_front();
         controller.adjust({ tallies.front(), targetServers, stableServerCount, share >= 1 ? 0U : 50U }, at(now));
         bool isOver = isFinal(controller.state().phase_);
