--- a/include/pistachioloom/Duties.h
+++ b/include/pistachioloom/Duties.h
@@ -222,7 +222,7 @@
         double tokens_ = 0;
     };
     struct Source {
-        ServiceDemand reported_;
+        ServiceDemand reportedDemand_;
         SteadyTime receivedAt_ {};
     };
     struct Demand {
--- a/lib/Duties/Demand.cpp
+++ b/lib/Duties/Demand.cpp
@@ -64,7 +64,7 @@
     double sum = 0;
     double weights = 0;
     for (const auto& [vm, source] : found->second.sources_) {
-        const ServiceDemand& reported = source.reported_;
+        const ServiceDemand& reported = source.reportedDemand_;
         if (reported.observations_ < minObservations)
             continue;
         auto weight = static_cast<double>(std::min(reported.observations_, maxWeight));
@@ -81,7 +81,7 @@
         double sum = rateOf(demand.local_);
         for (const auto& [vm, source] : demand.sources_) {
             if (now - source.receivedAt_ <= timing_.validity_)
-                sum += source.reported_.tokensPerSecond_;
+                sum += source.reportedDemand_.tokensPerSecond_;
         }
         // Before the first request the demand is unknown rather than zero.
         if (sum <= 0 && !demand.firstObservedAt_)
