--- a/lib/Duties/Demand.cpp
+++ b/lib/Duties/Demand.cpp
@@ -9,12 +9,13 @@
 
 namespace pistachioloom {
 
-// More observed answers than this do not increase the weight of a node's prefill rate.
+// A node's prefill rate is weighted by its number of observed answers, but at most by this.
 static constexpr std::uint64_t maxWeight = 200;
-// Nodes that have observed fewer answers are left out of the mean.
+// Nodes that have observed fewer answers are left out of the mean prefill rate.
 static constexpr std::uint64_t minObservations = 12;
 
-// Rates are taken over at least this span: over a shorter one single requests dominate.
+// A rate is computed over at least this time, in seconds: over a shorter one single
+// requests would dominate it.
 static constexpr double minSpanSeconds = 1;
 
 double DemandEstimator::rateOf(const std::deque<Reading>& local)
@@ -63,7 +64,7 @@
     double sum = 0;
     double weights = 0;
     for (const auto& [vm, source] : found->second.sources_) {
-        const ServiceDemand& reported = source.reported_;
+        const ServiceDemand& reported = source.reportedDemand_;
         if (reported.observations_ < minObservations)
             continue;
         auto weight = static_cast<double>(std::min(reported.observations_, maxWeight));
@@ -79,17 +80,17 @@
     for (auto& [service, demand] : demand_) {
         double sum = rateOf(demand.local_);
         for (const auto& [vm, source] : demand.sources_) {
-            if (now - source.at_ <= timing_.validity_)
-                sum += source.reported_.tokensPerSecond_;
+            if (now - source.receivedAt_ <= timing_.validity_)
+                sum += source.reportedDemand_.tokensPerSecond_;
         }
         // Before the first request the demand is unknown rather than zero.
-        if (sum <= 0 && !demand.firstAt_)
+        if (sum <= 0 && !demand.firstObservedAt_)
             continue;
-        if (!demand.firstAt_)
-            demand.firstAt_ = now;
-        demand.rates_.push_back({ now, sum });
-        while (now - demand.rates_.front().at_ > timing_.peakWindow_)
-            demand.rates_.pop_front();
+        if (!demand.firstObservedAt_)
+            demand.firstObservedAt_ = now;
+        demand.rateSamples_.push_back({ now, sum });
+        while (now - demand.rateSamples_.front().at_ > timing_.peakWindow_)
+            demand.rateSamples_.pop_front();
     }
 }
 
@@ -97,10 +98,10 @@
 {
     std::lock_guard lock(mutex_);
     auto found = demand_.find(service);
-    if (found == demand_.end() || !found->second.firstAt_ || now - *found->second.firstAt_ < timing_.window_)
+    if (found == demand_.end() || !found->second.firstObservedAt_ || now - *found->second.firstObservedAt_ < timing_.window_)
         return std::nullopt;
     double peak = 0;
-    for (const Reading& reading : found->second.rates_)
+    for (const Reading& reading : found->second.rateSamples_)
         peak = std::max(peak, reading.tokens_);
     return peak;
 }
--- a/lib/Gateway/GatewaySettings.cpp
+++ b/lib/Gateway/GatewaySettings.cpp
@@ -17,6 +17,7 @@
     constexpr milliseconds oneDay { 24LL * 3600 * 1000 };
     constexpr milliseconds oneMinute { 60000 };
     constexpr std::uint64_t maxThreads = 64;
+    // The key whose map contains all settings of a gateway except those of its logs.
     constexpr const char* rootKey = "gateway";
 
     Endpoint endpoint(YamlMap& map, const std::string& key)
@@ -173,7 +174,7 @@
         if (auto section = map.map("quarantine"))
             parseQuarantine(std::move(*section), settings.quarantine_);
         if (auto section = map.map("gossip"))
-            parseGossip(std::move(*section), settings.gossiping_);
+            parseGossip(std::move(*section), settings.gossipSettings_);
         if (auto section = map.map("feed"))
             parseFeed(std::move(*section), settings.feed_);
         if (auto section = map.map("fleet"))
--- a/lib/Rollout/RolloutController.cpp
+++ b/lib/Rollout/RolloutController.cpp
@@ -15,11 +15,11 @@
     // All nodes receive a new share within this time, which covers three reports through
     // relays.
     constexpr milliseconds sharePropagation { 800 };
-    // If only servers of the target are registered, the order is complete after this time:
-    // backend servers that do not run the target may be about to register.
+    // The order is complete once only backend servers of the target have been registered for
+    // this time. Before that, servers of other versions may be about to register.
     constexpr milliseconds minTargetOnlyTime { 3000 };
-    // A route on which the other versions have fewer answers has too little traffic to
-    // require evidence on it.
+    // Answers of the other versions on a route from which on the target needs evidence on
+    // it. Other routes have too little traffic.
     constexpr std::uint64_t minRouteAnswers = 200;
 
 } // namespace
@@ -36,12 +36,12 @@
     state_.step_ = 1;
 }
 
-SteadyTime RolloutController::at(double fractionOfPeriod) const
+SteadyTime RolloutController::timeAt(double fractionOfPeriod) const
 {
     return startedAt_ + milliseconds(static_cast<std::int64_t>(fractionOfPeriod * static_cast<double>(state_.order_.period_.count())));
 }
 
-void RolloutController::set(RolloutPhase phase, double share, std::string reason)
+void RolloutController::setState(RolloutPhase phase, double share, std::string reason)
 {
     if (state_.phase_ == phase && state_.share_ == share)
         return;
@@ -53,13 +53,13 @@
 
 void RolloutController::complete()
 {
-    set(RolloutPhase::Complete, 1, reason_);
+    setState(RolloutPhase::Complete, 1, reason_);
 }
 
 void RolloutController::revert(std::string why)
 {
     if (!isFinal(state_.phase_))
-        set(RolloutPhase::Reverted, 0, std::move(why));
+        setState(RolloutPhase::Reverted, 0, std::move(why));
 }
 
 /// Whether the target has enough answers in total, and on each route with traffic.
@@ -85,14 +85,14 @@
         revert(*degradation);
         return state_;
     }
-    // An order for the version that already runs alone needs no trial.
+    // An order for a version needs no trial if no backend server of another version runs.
     bool isTargetOnly = !view.stableServers_ && view.targetServers_;
     if (!isTargetOnly)
         targetOnlySince_ = SteadyTime {};
     else if (targetOnlySince_ == SteadyTime {})
         targetOnlySince_ = now;
     if (isTargetOnly && now - targetOnlySince_ >= minTargetOnlyTime) {
-        set(RolloutPhase::Shifting, 1, "no other version runs");
+        setState(RolloutPhase::Shifting, 1, "no other version runs");
         isReadyToComplete_ = true;
         return state_;
     }
@@ -105,30 +105,32 @@
 
 void RolloutController::adjustTrial(const RolloutView& view, SteadyTime now)
 {
-    if (now >= at(settings_.decisionFraction_))
+    if (now >= timeAt(settings_.decisionFraction_))
         return revert("no verdict within the period");
-    // Half of the constant allowance is kept for counts that are still to be reported.
+    // The other half of `exposedExtra_` allows for requests to the target that nodes have
+    // not reported yet.
     double allowed = settings_.exposedShare_ * static_cast<double>(view.tally_.requests_) + settings_.exposedExtra_ / 2;
     bool isWithinExposure = static_cast<double>(view.tally_.exposed_) < allowed;
     if (!view.targetServers_ || !isWithinExposure)
-        return set(RolloutPhase::Trial, 0, view.targetServers_ ? "exposure is used up" : "no backend server of the target");
-    if (now >= at(settings_.trialFraction_) && hasEvidence(view.tally_)) {
+        return setState(RolloutPhase::Trial, 0, view.targetServers_ ? "exposure is used up" : "no backend server of the target");
+    if (now >= timeAt(settings_.trialFraction_) && hasEvidence(view.tally_)) {
         shiftedAt_ = now;
-        return set(RolloutPhase::Shifting, 2 * settings_.trialShare_, "not worse for the time of the trial");
+        return setState(RolloutPhase::Shifting, 2 * settings_.trialShare_, "not worse for the time of the trial");
     }
-    set(RolloutPhase::Trial, settings_.trialShare_, "on trial");
+    setState(RolloutPhase::Trial, settings_.trialShare_, "on trial");
 }
 
 void RolloutController::adjustShift(const RolloutView& view, SteadyTime now)
 {
-    if (state_.share_ < 1 && now - shiftedAt_ >= at(settings_.shiftStepFraction_) - startedAt_) {
+    if (state_.share_ < 1 && now - shiftedAt_ >= timeAt(settings_.shiftStepFraction_) - startedAt_) {
         shiftedAt_ = now;
-        return set(RolloutPhase::Shifting, std::min(1.0, 2 * state_.share_), "the rest follows");
+        return setState(RolloutPhase::Shifting, std::min(1.0, 2 * state_.share_), "the rest follows");
     }
     if (state_.share_ < 1 || now - shiftedAt_ < sharePropagation)
         return;
-    // Requests that still run at other versions are aborted when those stop.
-    isReadyToComplete_ = !view.stableRunning_ || now >= at(settings_.decisionFraction_);
+    // Backend servers of other versions stop once the order is complete, which aborts the
+    // requests that still run there.
+    isReadyToComplete_ = !view.stableRunning_ || now >= timeAt(settings_.decisionFraction_);
 }
 
 } // namespace pistachioloom
--- a/unittests/Duties/DutiesTest.cpp
+++ b/unittests/Duties/DutiesTest.cpp
@@ -26,6 +26,7 @@
     return timing;
 }
 
+/// An act on the platform by the holder of the duties.
 struct Act {
     std::size_t node_ = 0;
     DutyToken token_;
@@ -53,6 +54,7 @@
 private:
     struct Participant {
         DutyLease lease_;
+        /// The log's end as this node knows it.
         std::uint64_t knownEnd_ = 0;
         SteadyTime frozenUntil_;
         SteadyTime partitionedUntil_;
@@ -116,25 +118,25 @@
 
 TEST_CASE("acts of two holders never overlap when nodes freeze or lose their connections", "[duties]")
 {
-    std::size_t changes = 0;
+    std::size_t holderChanges = 0;
     for (std::uint32_t seed = 0; seed < 400; ++seed) {
         std::vector<Act> acts = LeaseSimulation(seed, 4).simulate(milliseconds(60000));
-        std::map<std::size_t, SteadyTime> lastOf;
+        std::map<std::size_t, SteadyTime> lastActAt;
         for (std::size_t i = 1; i < acts.size(); ++i) {
             CAPTURE(seed, i);
             REQUIRE(acts[i].token_ >= acts[i - 1].token_);
             bool isSameHolder = acts[i].node_ == acts[i - 1].node_;
             REQUIRE((acts[i].token_ == acts[i - 1].token_) <= isSameHolder);
-            changes += !isSameHolder;
-            lastOf[acts[i - 1].node_] = acts[i - 1].at_;
+            holderChanges += !isSameHolder;
+            lastActAt[acts[i - 1].node_] = acts[i - 1].at_;
             // A node acts again after another node's act only if more than a lease has passed
             // since its own last act.
-            if (!isSameHolder && lastOf.contains(acts[i].node_))
-                REQUIRE(acts[i].at_ - lastOf[acts[i].node_] > lease);
+            if (!isSameHolder && lastActAt.contains(acts[i].node_))
+                REQUIRE(acts[i].at_ - lastActAt[acts[i].node_] > lease);
         }
     }
-    // The check is vacuous unless the holder changes often.
-    CHECK(changes > 500);
+    // The check is vacuous unless the holder holderChanges often.
+    CHECK(holderChanges > 500);
 }
 
 TEST_CASE("only the first claim ever may act without waiting for a predecessor", "[duties]")
@@ -305,10 +307,10 @@
     };
     // Windows of 5 s; window 199 ends at 1,000,000 ms.
     auto row = GENERATE(values<Row>({
-        { "immediately after its end", 1000500, milliseconds(100), 198 },
-        { "all nodes have reported since", 1001500, milliseconds(200), 199 },
+        { "500 ms after its end", 1000500, milliseconds(100), 198 },
+        { "all nodes have reported since its end", 1001500, milliseconds(200), 199 },
         { "one node last reported before its end", 1001500, milliseconds(1600), 198 },
-        { "one node is unresponsive, and the longest delay has passed", 1005000, milliseconds(9000), 199 },
+        { "one node is unresponsive, and the maximum delay has passed", 1005000, milliseconds(9000), 199 },
         { "all nodes have reported, and the next window has ended", 1006500, milliseconds(200), 200 },
         { "the first window has not ended", 3000, milliseconds(0), std::nullopt },
     }));
--- a/unittests/Ledger/RunOnceModel.h
+++ b/unittests/Ledger/RunOnceModel.h
@@ -15,21 +15,27 @@
 struct Choice {
     enum class Kind {
         AppendTakesEffect,
+        /// The record is not in the log, and never will be.
         AppendFails,
         /// The record is in the log, but the coordinator receives no response.
         AppendAnswerLost,
         /// The coordinator receives no response, and the record reaches the log
         /// later or never.
         AppendDelayed,
+        /// A delayed record reaches the log.
         DelayedArrives,
         ReadLog,
         ReadFails,
         ServiceRuns,
+        /// The service executes the call, but its response is lost.
         ServiceRunsAnswerLost,
+        /// The service does not execute the call.
         ServiceRejects,
         CoordinatorCrashes,
     };
     Kind kind_;
+    /// Index of the call; of the delayed item for DelayedArrives, and of the coordinator
+    /// for CoordinatorCrashes.
     std::size_t index_ = 0;
 };
 
@@ -49,7 +55,8 @@
     void apply(const Choice& choice);
     /// \returns the violated property, or an empty string.
     std::string violation() const;
-    std::size_t executions() const { return executed_.size(); }
+    std::size_t executions() const { return executedAttempts_.size(); }
+    /// Whether no transition is left.
     bool isFinished() const;
     /// Appends the intent of a new call without faults. \returns whether that
     /// call may be dispatched.
@@ -59,7 +66,7 @@
     struct Call {
         RunOnceCall call_;
         std::size_t coordinator_;
-        bool isAlive_ = true;
+        bool isCoordinatorAlive_ = true;
         bool hasExecuted_ = false;
     };
 
@@ -71,9 +78,11 @@
     LedgerShard readLog() const;
 
     std::vector<LedgerItem> log_;
-    std::vector<LedgerItem> delayed_;
+    /// Items whose append was delayed and which have not reached the log.
+    std::vector<LedgerItem> delayedItems_;
     std::vector<Call> calls_;
-    std::vector<AttemptId> executed_;
+    /// Attempts whose call the service executed, in order.
+    std::vector<AttemptId> executedAttempts_;
     FaultBudget faults_;
     std::size_t coordinators_;
 };
--- a/unittests/Rollout/EvaluatorsTest.cpp
+++ b/unittests/Rollout/EvaluatorsTest.cpp
@@ -19,8 +19,9 @@
 
 namespace {
 
-// The period of an order, and the interval of the controller's decisions, in seconds.
+// The period of an order, in seconds.
 constexpr double period = 14;
+// The interval of the controller's decisions, in seconds.
 constexpr double tick = 0.15;
 // Delay in seconds until the counts of the nodes reach the holder and its new share
 // reaches the nodes.
@@ -30,8 +31,9 @@
 constexpr double firstRouteShare = 0.86;
 constexpr std::size_t targetServers = 5;
 constexpr std::size_t stableServerCount = 60;
-// The bounds that the contract sets on a bad version. After `badTolerated` bad answers,
-// requests may reach it for `maxRollbackTime` seconds.
+// The bounds that the contract sets on a bad version: it may get `exposedShare` of the
+// requests plus `exposedExtra` requests. After `badTolerated` bad answers, requests may reach it for
+// `maxRollbackTime` seconds.
 constexpr double exposedShare = 0.1;
 constexpr double exposedExtra = 50;
 constexpr std::uint64_t badTolerated = 50;
@@ -73,10 +75,10 @@
         failFrom_ = draw(0, 1) < 0.4 ? draw(0, period) : period;
         for (bool& isFailing : targetFails_)
             isFailing = draw(0, 1) < 0.15;
-        phase_ = draw(0, 6.3);
+        loadPhase_ = draw(0, 6.3);
     }
 
-    double load(double now) const { return 1 + 0.4 * std::sin(phase_ + now * 6.28 / 8); }
+    double load(double now) const { return 1 + 0.4 * std::sin(loadPhase_ + now * 6.28 / 8); }
 
     /// Adds the requests of a step at the target's \p share to \p tally.
     void step(double now, double share, RolloutTally& tally)
@@ -89,7 +91,7 @@
             std::uint64_t toTarget = std::binomial_distribution<std::uint64_t>(all, onRoute)(random_);
             tally.requests_ += all;
             tally.exposed_ += toTarget;
-            // 15% of the stable servers fail as well.
+            // While some of the target's servers fail, 15% of the stable servers fail as well.
             double stableBad = baselineBad(now) + (isFailTime(now) ? 0.15 * failRate : 0);
             count(tally.cells_[{ stableBackendKey, route }], all - toTarget, stableBad);
             std::uint64_t left = toTarget;
@@ -145,21 +147,31 @@
     std::mt19937_64 random_;
     RouteRequests requests_;
     Fault fault_;
+    /// Rate of bad answers of the target while its fault lasts.
     double badRate_ = 0;
+    /// When the fault starts, for Fault::Later.
     double badFrom_ = 0;
+    /// The route with the fault, for Fault::OneRoute.
     RouteKey badRoute_ = 0;
+    /// The period in which many answers of all versions are slow, in seconds after the order.
     double slowFrom_ = period + 1;
     double slowUntil_ = period + 1;
     double slowRate_ = 0;
+    /// When single backend servers of all versions start to fail, for 6 s.
     double failFrom_ = 0;
-    double phase_ = 0;
+    /// Phase of the periodic load, in radians.
+    double loadPhase_ = 0;
+    /// Whether each backend server of the target fails from `failFrom_` on.
     bool targetFails_[targetServers] {};
+    /// Bad answers of the target while its fault lasts.
     std::uint64_t badAnswers_ = 0;
 };
 
 struct Outcome {
     bool isReverted_ = false;
-    double at_ = 0;
+    /// Seconds from the order to its final decision; 0 if there was none.
+    double decidedAt_ = 0;
+    /// Requests to the target beyond the bound; negative below it.
     double exposedOverBound_ = 0;
     /// Requests to the target more than `maxRollbackTime` after the 50th bad answer.
     std::uint64_t afterRollback_ = 0;
@@ -172,23 +184,26 @@
     auto at = [&](double seconds) { return start + milliseconds(static_cast<std::int64_t>(seconds * 1000)); };
     RolloutOrder order { { 1 }, { "s" }, { "v2" }, milliseconds(static_cast<std::int64_t>(period * 1000)) };
     RolloutController controller({}, { order, RolloutPhase::Trial, 0, 0, 0 }, start, 1, std::move(evaluator));
+    // The counts after each of the last steps, of which the holder has received only the
+    // oldest, and the shares that the holder decided in all steps so far.
     std::deque<RolloutTally> tallies;
     std::deque<double> shares;
     RolloutTally tally { { 1 }, 0, 0, {} };
     Outcome outcome;
-    double fiftiethAt = 1000;
-    const auto delay = static_cast<std::size_t>(reportDelay / tick);
+    // When the target has given `badTolerated` bad answers; later than any period before that.
+    double toleranceReachedAt = 1000;
+    const auto delaySteps = static_cast<std::size_t>(reportDelay / tick);
     for (double now = 0; now < period; now += tick) {
         shares.push_back(controller.state().share_);
-        double share = shares.size() > delay ? shares[shares.size() - 1 - delay] : 0;
+        double share = shares.size() > delaySteps ? shares[shares.size() - 1 - delaySteps] : 0;
         std::uint64_t exposedBefore = tally.exposed_;
         simulation.step(now, share, tally);
-        if (now > fiftiethAt + maxRollbackTime)
+        if (now > toleranceReachedAt + maxRollbackTime)
             outcome.afterRollback_ += tally.exposed_ - exposedBefore;
         if (simulation.badAnswers() >= badTolerated)
-            fiftiethAt = std::min(fiftiethAt, now);
+            toleranceReachedAt = std::min(toleranceReachedAt, now);
         tallies.push_back(tally);
-        if (tallies.size() > delay + 1)
+        if (tallies.size() > delaySteps + 1)
             tallies.pop_front();
         controller.adjust({ tallies.front(), targetServers, stableServerCount, share >= 1 ? 0U : 50U }, at(now));
         bool isOver = isFinal(controller.state().phase_);
@@ -197,8 +212,8 @@
             controller.complete();
             isOver = true;
         }
-        if (isOver && outcome.at_ == 0)
-            outcome.at_ = now;
+        if (isOver && outcome.decidedAt_ == 0)
+            outcome.decidedAt_ = now;
     }
     outcome.exposedOverBound_ = static_cast<double>(tally.exposed_) - exposedShare * static_cast<double>(tally.requests_) - exposedExtra;
     return outcome;
@@ -208,7 +223,7 @@
     int reverted_ = 0;
     int overBound_ = 0;
     int afterRollback_ = 0;
-    double meanAt_ = 0;
+    double meanDecisionTime_ = 0;
 };
 
 Summary simulateAll(Fault fault, int orders, const std::function<RolloutEvaluator()>& makeEvaluator)
@@ -219,7 +234,7 @@
         summary.reverted_ += outcome.isReverted_;
         summary.overBound_ += outcome.exposedOverBound_ > 0;
         summary.afterRollback_ += outcome.afterRollback_ > 0;
-        summary.meanAt_ += outcome.at_ / orders;
+        summary.meanDecisionTime_ += outcome.decidedAt_ / orders;
     }
     return summary;
 }
@@ -232,7 +247,7 @@
 {
     Summary good = simulateAll(Fault::None, orders, makeSequentialEvaluator);
     CHECK(good.reverted_ < orders / 100);
-    CHECK(good.meanAt_ < period);
+    CHECK(good.meanDecisionTime_ < period);
 }
 
 TEST_CASE("bad versions get more requests than the bound, or any after the roll-back time", "[rollout]")
@@ -257,7 +272,7 @@
     for (const Method& method : methods) {
         auto show = [&](const char* name, Fault fault) {
             Summary summary = simulateAll(fault, orders, method.make_);
-            std::cout << std::left << std::setw(12) << method.name_ << std::setw(13) << name << std::setw(10) << summary.reverted_ << std::setw(16) << summary.overBound_ << std::setw(17) << summary.afterRollback_ << std::setprecision(3) << summary.meanAt_ << " s\n";
+            std::cout << std::left << std::setw(12) << method.name_ << std::setw(13) << name << std::setw(10) << summary.reverted_ << std::setw(16) << summary.overBound_ << std::setw(17) << summary.afterRollback_ << std::setprecision(3) << summary.meanDecisionTime_ << " s\n";
         };
         show("good", Fault::None);
         for (const FaultRow& row : faults)
--- a/unittests/Rollout/RolloutTest.cpp
+++ b/unittests/Rollout/RolloutTest.cpp
@@ -36,7 +36,7 @@
 }
 
 /// Assigns 100 requests. \returns how many of them go to the target.
-int toTarget(RolloutTracker& tracker, SteadyTime now, RolloutTracker::SendKind send = RolloutTracker::SendKind::First)
+int countToTarget(RolloutTracker& tracker, SteadyTime now, RolloutTracker::SendKind send = RolloutTracker::SendKind::First)
 {
     int count = 0;
     for (int i = 0; i < 100; ++i) {
@@ -64,7 +64,7 @@
     CHECK(tracker.applyOrder(orderOf(1), start));
     CHECK_FALSE(tracker.applyOrder(orderOf(1), start));
     CHECK(tracker.assign(service, route, RolloutTracker::SendKind::First, start));
-    CHECK(toTarget(tracker, start) == 0);
+    CHECK(countToTarget(tracker, start) == 0);
     CHECK_FALSE(tracker.assign({ "other" }, route, RolloutTracker::SendKind::First, start));
 }
 
@@ -73,13 +73,15 @@
     struct Row {
         RolloutPhase phase_;
         double share_;
+        /// Time since the holder reported the state.
         std::int64_t ageMs_;
-        int first_;
-        int again_;
+        /// Requests to the target of 100 first attempts, and of 100 subsequent ones.
+        int firstToTarget_;
+        int subsequentToTarget_;
     };
     const Row rows[] = {
         { RolloutPhase::Trial, 0.08, 0, 8, 0 },
-        // The holder is unresponsive.
+        // The holder has not reported the share for longer than its validity of 2.5 s.
         { RolloutPhase::Trial, 0.08, 3000, 0, 0 },
         { RolloutPhase::Shifting, 0.5, 0, 50, 0 },
         { RolloutPhase::Shifting, 1, 9000, 100, 100 },
@@ -90,8 +92,8 @@
         CAPTURE(toString(row.phase_), row.share_, row.ageMs_);
         RolloutTracker tracker({});
         CHECK(tracker.applyState({ orderOf(1), row.phase_, row.share_, 1, 1 }, start, start));
-        CHECK(toTarget(tracker, after(row.ageMs_)) == row.first_);
-        CHECK(toTarget(tracker, after(row.ageMs_), RolloutTracker::SendKind::Subsequent) == row.again_);
+        CHECK(countToTarget(tracker, after(row.ageMs_)) == row.firstToTarget_);
+        CHECK(countToTarget(tracker, after(row.ageMs_), RolloutTracker::SendKind::Subsequent) == row.subsequentToTarget_);
     }
 }
 
@@ -143,29 +145,29 @@
         AttemptOutcome outcome_;
         std::optional<bool> isBad_;
     };
-    auto with = [](BackendOutcome how, auto change) {
+    auto with = [](BackendOutcome backendOutcome, auto change) {
         AttemptOutcome outcome = served(100, 100);
-        outcome.outcome_ = how;
+        outcome.outcome_ = backendOutcome;
         change(outcome);
         return outcome;
     };
     auto nothing = [](AttemptOutcome&) {};
     const Row rows[] = {
-        { "as expected", served(100, 100), false },
+        { "as fast as estimated", served(100, 100), false },
         { "twice as slow", served(200, 100), false },
         { "four times as slow", served(400, 100), true },
         { "noise on a short wait", served(30, 5), false },
         { "a failure", with(BackendOutcome::Served, [](AttemptOutcome& o) { o.isFailure_ = true; }), true },
         { "a failure that is withheld from the caller", with(BackendOutcome::Failed, nothing), true },
         { "a corrupt answer", with(BackendOutcome::Broken, nothing), true },
-        { "a crash or a cut connection", with(BackendOutcome::Broken, [](AttemptOutcome& o) { o.isCutOff_ = true; }), std::nullopt },
-        { "no capacity", with(BackendOutcome::Full, nothing), std::nullopt },
-        { "another server at its address", with(BackendOutcome::WrongInstance, nothing), std::nullopt },
+        { "a connection that was cut, for example by a crash", with(BackendOutcome::Broken, [](AttemptOutcome& o) { o.isCutOff_ = true; }), std::nullopt },
+        { "a backend server without capacity", with(BackendOutcome::Full, nothing), std::nullopt },
+        { "another server at the backend server's address", with(BackendOutcome::WrongInstance, nothing), std::nullopt },
         { "no connection", with(BackendOutcome::Unreachable, nothing), std::nullopt },
         { "a caller that left", with(BackendOutcome::Abandoned, nothing), std::nullopt },
         { "a caller that left after a long wait", with(BackendOutcome::Abandoned, [](AttemptOutcome& o) { o.hasFirstByte_ = false; o.waited_ = milliseconds(2000); }), true },
-        { "slow events", with(BackendOutcome::Served, [](AttemptOutcome& o) { o.eventGapMs_ = 200; }), true },
-        { "usual events", with(BackendOutcome::Served, [](AttemptOutcome& o) { o.eventGapMs_ = 55; }), false },
+        { "four times the usual gap between events", with(BackendOutcome::Served, [](AttemptOutcome& o) { o.eventGapMs_ = 200; }), true },
+        { "about the usual gap between events", with(BackendOutcome::Served, [](AttemptOutcome& o) { o.eventGapMs_ = 55; }), false },
     };
     for (const Row& row : rows) {
         CAPTURE(row.name_);
