--- a/include/pistachioloom/Ledger.h
+++ b/include/pistachioloom/Ledger.h
@@ -126,22 +126,22 @@
     /// The item to append in the current step.
     LedgerItem item() const;
 
-    void intentAppended(LogOffset offset);
+    void noteIntentAppended(LogOffset offset);
     /// The append failed, though the intent may still reach the log. The
     /// attempt is released.
-    void intentFailed(Error error);
+    void noteIntentFailed(Error error);
     /// \p shard must have been read past intentOffset().
-    void logRead(const LedgerShard& shard);
-    void logReadFailed(Error error);
+    void noteLogRead(const LedgerShard& shard);
+    void noteLogReadFailed(Error error);
     /// Too much time has passed since the intent was appended, so the call is
     /// not dispatched.
-    void intentExpired();
-    void dispatched(CallOutcome outcome);
+    void noteIntentExpired();
+    void noteDispatched(CallOutcome outcome);
     /// `ran_` of \p error states whether the call may have been executed.
-    void dispatchFailed(Error error);
+    void noteDispatchFailed(Error error);
     /// The outcome or release was appended, or its append failed; the answer is
     /// final in either case.
-    void recordWritten();
+    void noteRecordWritten();
 
 private:
     void release(Error error);
--- a/include/pistachioloom/Quarantine.h
+++ b/include/pistachioloom/Quarantine.h
@@ -71,7 +71,7 @@
     std::uint64_t crashes_ = 3;
     /// Duration of the first quarantine; each further crash doubles it, up to
     /// `maxDuration_`.
-    milliseconds firstDuration_ { 600'000 };
+    milliseconds initialDuration_ { 600'000 };
     milliseconds maxDuration_ { 24LL * 3600 * 1000 };
     /// How long crashes are kept after the quarantine, or after the last crash if there
     /// is no quarantine.
--- a/lib/Gateway/ConfigurationTransfer.cpp
+++ b/lib/Gateway/ConfigurationTransfer.cpp
@@ -28,7 +28,7 @@
     std::uint64_t own = table ? table->version() : 0;
     std::vector<KnownPeer> local;
     std::vector<KnownPeer> remote;
-    for (const KnownPeer& known : reports_.live()) {
+    for (const KnownPeer& known : peerReports_.live()) {
         if (known.second.configurationVersion_ > own && !busyPeers_.isBusy(known.first, steadyNow()))
             (known.second.dataCentre_ == context_.settings_.dataCentre_ ? local : remote).push_back(known);
     }
@@ -50,7 +50,7 @@
 
 asio::awaitable<Result<wire::Frame>> PlatformFeed::requestConfiguration(Peer peer, wire::Frame request)
 {
-    auto opened = co_await peers_.open(peer.peers_, request, peerTimeout);
+    auto opened = co_await peers_.open(peer.peerEndpoint_, request, peerTimeout);
     if (!opened)
         co_return opened.error();
     auto stream = opened.value();
@@ -80,7 +80,7 @@
         co_return;
     }
     bool isBusy = !reply && reply.error().code_ == Errc::Overloaded;
-    busyPeers_.note(vm, steadyNow() + (isBusy ? reply.error().retryAfter_ : busyRetryDelay));
+    busyPeers_.markBusy(vm, steadyNow() + (isBusy ? reply.error().retryAfter_ : busyRetryDelay));
     // A busy peer logs the rejection itself.
     if (!isBusy)
         logger_.warn("Peer " + vm.value_ + " sent no configuration: " + (reply ? "unexpected frame" : describe(reply.error())));
--- a/lib/Gateway/Discovery.cpp
+++ b/lib/Gateway/Discovery.cpp
@@ -31,9 +31,9 @@
 
 } // namespace
 
-Discovery::Discovery(const PeerTable& table, const VmId& self, DataCentreId own, GossipSettings settings)
+Discovery::Discovery(const PeerTable& table, const VmId& self, DataCentreId ownDataCentre, GossipSettings settings)
     : table_(table)
-    , own_(std::move(own))
+    , ownDataCentre_(std::move(ownDataCentre))
     , settings_(settings)
     , receiverCursor_(stableHash(self.value_))
     , unseenCursor_(receiverCursor_)
@@ -62,7 +62,7 @@
     std::vector<Endpoint> unseen;
     for (const auto& [vm, peer] : peers) {
         if (peer.receivedAt_ == SteadyTime {})
-            unseen.push_back(peer.gossip_);
+            unseen.push_back(peer.gossipEndpoint_);
     }
     std::vector<Endpoint> next;
     for (std::size_t i = 0; i < std::min(firstIntroductionsPerPeriod, unseen.size()); ++i)
@@ -76,7 +76,7 @@
     Receivers receivers { nextUnseen(peers), takeUnanswered() };
     std::vector<Endpoint> all = unseenSeeds;
     for (const auto& [vm, peer] : peers)
-        all.push_back(peer.gossip_);
+        all.push_back(peer.gossipEndpoint_);
     for (std::size_t i = 0; i < std::min(introductionsPerPeriod, all.size()); ++i)
         receivers.introduced_.push_back(all[receiverCursor_++ % all.size()]);
     return receivers;
@@ -93,7 +93,7 @@
 std::vector<KnownPeer> Discovery::relaysToAdvertise(SteadyTime now) const
 {
     std::vector<KnownPeer> relays;
-    addRelays(own_, relays, now);
+    addRelays(ownDataCentre_, relays, now);
     for (const DataCentreId& dataCentre : table_.otherDataCentres())
         addRelays(dataCentre, relays, now);
     return relays;
@@ -105,7 +105,7 @@
     // four reporting periods without a report.
     bool advertisesReaders = ++digestCount_ % 2;
     std::vector<KnownPeer> advertised;
-    addRelays(own_, advertised, now);
+    addRelays(ownDataCentre_, advertised, now);
     auto isAdvertised = [&](const VmId& vm) { return std::any_of(advertised.begin(), advertised.end(), [&](const KnownPeer& known) { return known.first == vm; }); };
     std::vector<KnownPeer> others;
     for (const KnownPeer& known : table_.reportedWithin(settings_.unresponsiveAfter_, now)) {
@@ -113,7 +113,7 @@
             continue;
         if (known.second.isReader_ && advertisesReaders)
             advertised.push_back(known);
-        else if (!known.second.isReader_ && known.second.dataCentre_ == own_)
+        else if (!known.second.isReader_ && known.second.dataCentre_ == ownDataCentre_)
             others.push_back(known);
     }
     for (std::size_t i = 0; i < std::min(membersPerDigest, others.size()); ++i)
--- a/lib/Gateway/Discovery.h
+++ b/lib/Gateway/Discovery.h
@@ -24,7 +24,7 @@
 class Discovery {
 public:
     /// \p table must outlive this object.
-    Discovery(const PeerTable& table, const VmId& self, DataCentreId own, GossipSettings settings);
+    Discovery(const PeerTable& table, const VmId& self, DataCentreId ownDataCentre, GossipSettings settings);
 
     /// Queues an answer to \p vm, which reported for the first time since its start or
     /// the start of this node, or took this node for a relay. The answer introduces
@@ -60,7 +60,7 @@
     std::vector<Endpoint> nextUnseen(const std::vector<KnownPeer>& peers);
 
     const PeerTable& table_;
-    const DataCentreId own_;
+    const DataCentreId ownDataCentre_;
     const GossipSettings settings_;
     /// Holds each node once. Nodes of a small fleet are not answered.
     std::deque<VmId> unanswered_;
--- a/lib/Gateway/DutyRunner.cpp
+++ b/lib/Gateway/DutyRunner.cpp
@@ -79,7 +79,7 @@
 
 void DutyRunner::start(const PeerReports& reports)
 {
-    reports_ = &reports;
+    peerReports_ = &reports;
     if (!context_.settings_.duties_.port_) {
         logger_.info("No duties are configured for this deployment.");
         return;
@@ -164,7 +164,7 @@
         bool shouldClaim = false;
         bool mayStartActs = false;
         {
-            std::size_t rank = reports_->rankFor("duties");
+            std::size_t rank = peerReports_->rankFor("duties");
             std::lock_guard lock(mutex_);
             shouldClaim = context_.table() && lease_.shouldClaim(rank, steadyNow());
             mayStartActs = lease_.mayStartActs(steadyNow());
@@ -258,7 +258,7 @@
     // Without this check many nodes would claim one after the other after a start.
     bool isNewClaim = newestClaim_.token_ > before.token_ && newestClaim_.vm_ != context_.settings_.vm_;
     // A node that is already stopping does not report that it holds the duties.
-    isNewClaim &= !reports_->isStopping(newestClaim_.vm_);
+    isNewClaim &= !peerReports_->isStopping(newestClaim_.vm_);
     if (isNewClaim) {
         std::lock_guard lock(mutex_);
         if (newestClaim_.token_ > lease_.token()) {
@@ -295,7 +295,7 @@
 asio::awaitable<void> DutyRunner::reportUsage()
 {
     const UsageTiming& timing = context_.settings_.usageTiming_;
-    auto allReportedWithin = [&](milliseconds time) { return reports_->haveAllReportedWithin(time, timing.maxDelay_); };
+    auto allReportedWithin = [&](milliseconds time) { return peerReports_->haveAllReportedWithin(time, timing.maxDelay_); };
     auto newest = dueWindow(context_.agreedWallMs(), context_.settings_.usageWindow_, timing, allReportedWithin);
     if (!newest || reported_.contains(*newest))
         co_return;
@@ -360,7 +360,7 @@
     BackendTable::Occupancy occupancy = context_.backends_.occupancy(service.name_);
     view.slots_ = occupancy.slots_;
     view.slotsTaken_ = occupancy.taken_;
-    view.isComplete_ = reports_->coverage(now).isComplete();
+    view.isComplete_ = peerReports_->coverage(now).isComplete();
     bool hasExcluded = std::any_of(view.dataCentres_.begin(), view.dataCentres_.end(), [](const DataCentreFleet& fleet) { return fleet.onDemandExcluded_ > 0; });
     view.isRollingOut_ = rollout && (!isFinal(rollout->phase_) || (rollout->phase_ == RolloutPhase::Reverted && hasExcluded));
     return view;
--- a/lib/Gateway/DutyRunner.h
+++ b/lib/Gateway/DutyRunner.h
@@ -70,7 +70,7 @@
 
     asio::io_context& io_;
     GatewayContext& context_;
-    const PeerReports* reports_ = nullptr;
+    const PeerReports* peerReports_ = nullptr;
     mutable std::mutex mutex_;
     DutyLease lease_;
     DutyToken releasedToken_ {};
--- a/lib/Gateway/Gateway.cpp
+++ b/lib/Gateway/Gateway.cpp
@@ -48,7 +48,7 @@
     // context that its tasks use.
     BackgroundExecutor background_;
     PeerPool peerPool_;
-    PeerReports reports_;
+    PeerReports peerReports_;
     DutyRunner duties_;
     ReachabilityProbe probe_;
     PlatformFeed feed_;
@@ -74,11 +74,11 @@
     , context_(std::move(settings), std::move(platform))
     , ios_(makeContexts(context_.settings_.threads_))
     , peerPool_(ios_[0]->get_executor(), context_.settings_.peerCredential_, [this](const Error& error) { logger_.warn("Peer link failed: " + describe(error)); })
-    , reports_(*ios_[0], context_, { [this] { return duties_.reportedToken(); }, [this] { return duties_.releasedToken(); }, [this](const VmId& vm, DutyToken token, SteadyTime reportedAt) { duties_.noteHolder(vm, token, reportedAt); }, [this](DutyToken token) { duties_.noteReleased(token); }, [this](const VmId& vm) { duties_.noteStopping(vm); }, [this] { return feed_.isReader(); }, [this] { return feed_.isPlatformUnavailable(); } })
+    , peerReports_(*ios_[0], context_, { [this] { return duties_.reportedToken(); }, [this] { return duties_.releasedToken(); }, [this](const VmId& vm, DutyToken token, SteadyTime reportedAt) { duties_.noteHolder(vm, token, reportedAt); }, [this](DutyToken token) { duties_.noteReleased(token); }, [this](const VmId& vm) { duties_.noteStopping(vm); }, [this] { return feed_.isReader(); }, [this] { return feed_.isPlatformUnavailable(); } })
     , duties_(*ios_[0], context_)
     , probe_(context_)
-    , feed_(*ios_[0], context_, reports_, peerPool_, background_)
-    , quarantineStore_(context_, { [this] { return feed_.isReader(); }, [this] { return reports_.rankFor("quarantines") == 0; } })
+    , feed_(*ios_[0], context_, peerReports_, peerPool_, background_)
+    , quarantineStore_(context_, { [this] { return feed_.isReader(); }, [this] { return peerReports_.rankFor("quarantines") == 0; } })
     , peerServer_(
           ios_[0]->get_executor(), context_.settings_.peerCredential_, [this](std::shared_ptr<PeerStream> stream) { return servePeer(std::move(stream)); },
           [this](const Error& error) { logger_.warn("Incoming peer connection failed: " + describe(error)); })
@@ -90,9 +90,9 @@
 {
     context_.forward_.hooks_.onLeaving_ = [this](const BackendId& backend) {
         logger_.info(LogLine("Backend server is leaving.").add("backend", backend.value_).add("from", "its answer"));
-        reports_.noteLeaving(backend);
+        peerReports_.noteLeaving(backend);
     };
-    context_.forward_.hooks_.onTerminated_ = [this](const BackendId& backend) { reports_.noteTerminated(backend); };
+    context_.forward_.hooks_.onTerminated_ = [this](const BackendId& backend) { peerReports_.noteTerminated(backend); };
     for (const auto& io : ios_)
         workers_.push_back(std::make_unique<ForwardWorker>(*io, context_.forward_));
 }
@@ -117,8 +117,8 @@
         { "requests_running", static_cast<double>(context_.forward_.running_) },
         { "configuration_version", table ? static_cast<double>(table->version()) : 0 },
         { "backend_servers", static_cast<double>(context_.backends_.records().size()) },
-        { "peers_live", static_cast<double>(reports_.live().size()) },
-        { "nodes_known_of", static_cast<double>(reports_.nodesCovered()) },
+        { "peers_live", static_cast<double>(peerReports_.live().size()) },
+        { "nodes_known_of", static_cast<double>(peerReports_.nodesCovered()) },
         { "log_lines_dropped", static_cast<double>(droppedLogLines()) },
         { "requests_suspected", static_cast<double>(context_.quarantine_.suspects(steadyNow()).size()) },
         { "requests_in_quarantine", static_cast<double>(context_.quarantine_.quarantined(steadyNow())) },
@@ -157,13 +157,13 @@
             if (!announced)
                 logger_.warn("Announcement failed: " + describe(announced.error()));
         }
-        if (!hasRead || reports_.live().empty()) {
+        if (!hasRead || peerReports_.live().empty()) {
             auto nodes = co_await context_.platform_.listAnnounced_();
             if (nodes) {
                 for (const AnnouncedNode& node : nodes.value())
-                    reports_.addKnown(node.vm_, node.gossip_);
+                    peerReports_.addKnownPeer(node.vm_, node.gossip_);
                 hasRead = true;
-                reports_.noteFleetKnown();
+                peerReports_.noteFleetKnown();
             } else
                 logger_.warn("Announcements cannot be read: " + describe(nodes.error()));
         }
@@ -251,11 +251,11 @@
     auto peers = state_->peerServer_.listen(settings.peers_);
     if (!peers)
         return peers.error();
-    auto reports = state_->reports_.start();
+    auto reports = state_->peerReports_.start();
     if (!reports)
         return reports.error();
     state_->feed_.start();
-    state_->duties_.start(state_->reports_);
+    state_->duties_.start(state_->peerReports_);
     for (const auto& io : state_->ios_)
         asio::co_spawn(*io, watchLoopLag(state_->context_.metrics_), asio::detached);
     asio::co_spawn(*state_->ios_[0], state_->findPeers(), asio::detached);
--- a/lib/Gateway/GatewaySettings.cpp
+++ b/lib/Gateway/GatewaySettings.cpp
@@ -96,7 +96,7 @@
     void parseQuarantine(YamlMap map, QuarantineSettings& settings)
     {
         settings.crashes_ = map.integer("crashes", 1, 12, settings.crashes_);
-        settings.firstDuration_ = map.duration("first", milliseconds(1000), oneDay, settings.firstDuration_);
+        settings.initialDuration_ = map.duration("first", milliseconds(1000), oneDay, settings.initialDuration_);
         settings.maxDuration_ = map.duration("longest", milliseconds(1000), 30 * oneDay, settings.maxDuration_);
         settings.retention_ = map.duration("memory", milliseconds(1000), oneDay, settings.retention_);
         settings.capacity_ = map.integer("capacity", 1, 1'000'000, settings.capacity_);
--- a/lib/Gateway/NodeGroupSums.cpp
+++ b/lib/Gateway/NodeGroupSums.cpp
@@ -41,7 +41,7 @@
 
 } // namespace
 
-bool isFresh(std::uint64_t countedMs)
+bool areCountsFresh(std::uint64_t countedMs)
 {
     // Zero means that a node of an earlier version did not report it.
     return countedMs && milliseconds(countedMs) <= maxFreshCountAge;
@@ -75,13 +75,13 @@
     bool isSameIncarnation = source.receivedAt_ != SteadyTime {} && source.incarnation_ == incarnation;
     // The counts since a node's start are new if no source of the group has reported
     // before, or if the active source is the same node before its restart.
-    bool countsFromStart = isFresh(sums.counted_ms()) && (lastReceivedAt_ == SteadyTime {} || (source.receivedAt_ != SteadyTime {} && activeSource_ == vm));
+    bool countsFromStart = areCountsFresh(sums.counted_ms()) && (lastReceivedAt_ == SteadyTime {} || (source.receivedAt_ != SteadyTime {} && activeSource_ == vm));
     Source before = std::move(source);
     source = { incarnation, now, sums };
     chooseActiveSource(now);
     if (activeSource_ != vm)
         return false;
-    lastNodes_ = sums.nodes();
+    lastNodeCount_ = sums.nodes();
     lastReceivedAt_ = now;
     if (isSameIncarnation)
         addGrowth(admitted_, admittedOf(before.sums_), admittedOf(sums));
@@ -114,7 +114,7 @@
 {
     if (const wire::NodeSums* sums = current(now))
         return sums->silent_nodes();
-    return now - lastReceivedAt_ <= unresponsiveRetention ? lastNodes_ : 0;
+    return now - lastReceivedAt_ <= unresponsiveRetention ? lastNodeCount_ : 0;
 }
 
 std::vector<VmId> NodeGroupSums::liveSources(SteadyTime now) const
--- a/lib/Gateway/NodeGroupSums.h
+++ b/lib/Gateway/NodeGroupSums.h
@@ -21,7 +21,7 @@
 
 /// Returns whether counts that began \p countedMs ago count in full when they are first
 /// received, since they cover the last seconds only.
-bool isFresh(std::uint64_t countedMs);
+bool areCountsFresh(std::uint64_t countedMs);
 
 class NodeGroupSums {
 public:
@@ -54,7 +54,7 @@
 
     std::map<VmId, Source> sources_;
     VmId activeSource_;
-    std::uint64_t lastNodes_ = 0;
+    std::uint64_t lastNodeCount_ = 0;
     SteadyTime lastReceivedAt_ {};
     NamedCounts admitted_;
 };
--- a/lib/Gateway/PeerReports.cpp
+++ b/lib/Gateway/PeerReports.cpp
@@ -82,7 +82,7 @@
     // count as known only for a while after the start of this node, in which their first
     // reports may still arrive.
     bool hasJustStarted = now - startedAt_ < context_.settings_.gossiping_.forgetAfter_;
-    std::uint64_t known = peerCounts.reported_ + (hasJustStarted ? peerCounts.advertised_ : 0);
+    std::uint64_t known = peerCounts.reportedNodes_ + (hasJustStarted ? peerCounts.advertisedNodes_ : 0);
     const wire::NodeSums* sums = others_.current(now);
     std::uint64_t reported = usesRelays_ ? (sums ? sums->nodes() : 0) : live().size();
     return { reported + 1, std::max(known, reported) + 1 };
@@ -103,10 +103,10 @@
     return reportedWithin(time).size() >= reportedWithin(maxAge).size();
 }
 
-void PeerReports::addKnown(const VmId& vm, const Endpoint& gossip)
+void PeerReports::addKnownPeer(const VmId& vm, const Endpoint& gossip)
 {
     if (gossip != context_.settings_.gossip_)
-        table_.addKnown(vm, gossip);
+        table_.addKnownPeer(vm, gossip);
 }
 
 void PeerReports::noteFleetKnown()
@@ -389,7 +389,7 @@
     applyMembers(report.relays(), now);
     for (const wire::KnownNode& known : report.nodes()) {
         if (auto address = parseEndpoint(known.address()))
-            addKnown({ known.vm() }, *address);
+            addKnownPeer({ known.vm() }, *address);
     }
     context_.clocks_.setPeer(vm, report.wall_ms() - context_.localWallMs(), now);
     applyLeaving(report.leaving(), vm);
@@ -419,7 +419,7 @@
         admitted[{ reported.organisation() }] = reported.admitted();
         levels[{ reported.organisation() }] = reported.level();
     }
-    context_.quotas_.setPeer(vm, report.incarnation(), admitted, levels, now, 1, isFresh(report.counted_ms()));
+    context_.quotas_.setPeer(vm, report.incarnation(), admitted, levels, now, 1, areCountsFresh(report.counted_ms()));
     for (const wire::DemandReport& reported : report.demand())
         context_.demand_.setSource(vm, { reported.service() }, { reported.tokens_per_second(), reported.prefill_per_ms(), reported.observations() }, now);
     context_.usage_.setPeer(vm, report.incarnation(), usageOf(report.usage()));
@@ -443,7 +443,7 @@
     if (relay == context_.settings_.vm_)
         return;
     applyMembers(report.members(), now);
-    addKnown(relay, sender);
+    addKnownPeer(relay, sender);
     if (report.is_digest()) {
         table_.noteDigest(relay, now);
         applyDigest(relay, report.incarnation(), report.sums(), now);
@@ -485,7 +485,7 @@
     std::map<OrganisationId, double> levels;
     for (const wire::QuotaReport& reported : sums.quotas())
         levels[{ reported.organisation() }] = reported.level();
-    context_.quotas_.setPeer(allOthers(), context_.incarnation_, admitted, levels, now, sums.nodes(), isFresh(sums.counted_ms()));
+    context_.quotas_.setPeer(allOthers(), context_.incarnation_, admitted, levels, now, sums.nodes(), areCountsFresh(sums.counted_ms()));
     context_.quotas_.setUnresponsiveNodes(sums.silent_nodes(), sums.nodes(), now);
     for (const wire::DemandReport& reported : sums.demand())
         context_.demand_.setSource(allOthers(), { reported.service() }, { reported.tokens_per_second(), reported.prefill_per_ms(), reported.observations() }, now);
--- a/lib/Gateway/PeerReports.h
+++ b/lib/Gateway/PeerReports.h
@@ -60,7 +60,7 @@
     bool isStopping(const VmId& vm) const { return table_.isStopping(vm); }
     /// Adds a node that was announced elsewhere. This node introduces itself to it from
     /// now on.
-    void addKnown(const VmId& vm, const Endpoint& gossip);
+    void addKnownPeer(const VmId& vm, const Endpoint& gossip);
     /// Notes that all announced nodes were added, so that quotas are divided among the
     /// known nodes only.
     void noteFleetKnown();
--- a/lib/Gateway/PeerTable.cpp
+++ b/lib/Gateway/PeerTable.cpp
@@ -32,23 +32,23 @@
 
 bool Coverage::isComplete() const
 {
-    return static_cast<double>(reported_) >= completeShare * static_cast<double>(known_);
+    return static_cast<double>(reportedNodes_) >= completeShare * static_cast<double>(knownNodes_);
 }
 
 bool Coverage::hasMajority() const
 {
-    return 2 * reported_ > known_;
+    return 2 * reportedNodes_ > knownNodes_;
 }
 
-PeerTable::PeerTable(VmId self, DataCentreId own, double cores, GossipSettings settings)
+PeerTable::PeerTable(VmId self, DataCentreId ownDataCentre, double cores, GossipSettings settings)
     : self_(std::move(self))
-    , own_(std::move(own))
+    , ownDataCentre_(std::move(ownDataCentre))
     , cores_(cores)
     , settings_(settings)
 {
 }
 
-void PeerTable::addKnown(const VmId& vm, const Endpoint& gossip)
+void PeerTable::addKnownPeer(const VmId& vm, const Endpoint& gossip)
 {
     if (vm == self_)
         return;
@@ -56,7 +56,7 @@
     auto [found, isNew] = peers_.try_emplace(vm);
     // What a node reports of itself takes precedence over what others report of it.
     if (isNew || found->second.receivedAt_ == SteadyTime {})
-        found->second.gossip_ = gossip;
+        found->second.gossipEndpoint_ = gossip;
 }
 
 PeerTable::ReportKind PeerTable::applyReport(const VmId& vm, Peer peer)
@@ -126,7 +126,7 @@
     std::lock_guard lock(mutex_);
     PeerCounts peerCounts;
     for (const auto& [vm, peer] : peers_)
-        ++(peer.receivedAt_ == SteadyTime {} ? peerCounts.advertised_ : peerCounts.reported_);
+        ++(peer.receivedAt_ == SteadyTime {} ? peerCounts.advertisedNodes_ : peerCounts.reportedNodes_);
     return peerCounts;
 }
 
@@ -171,13 +171,13 @@
     std::lock_guard lock(mutex_);
     std::vector<VmId> candidates { self_ };
     for (const auto& [vm, peer] : peers_) {
-        bool isLocal = peer.dataCentre_ == own_ && !peer.isStopping_ && now - peer.receivedAt_ <= maxRelayCandidateAge;
+        bool isLocal = peer.dataCentre_ == ownDataCentre_ && !peer.isStopping_ && now - peer.receivedAt_ <= maxRelayCandidateAge;
         auto request = relayRequests_.find(vm);
         if (isLocal && (request == relayRequests_.end() || request->second.skippedUntil_ <= now))
             candidates.push_back(vm);
     }
     std::vector<VmId> chosen;
-    for (const VmId& vm : rankRelays(own_, candidates)) {
+    for (const VmId& vm : rankRelays(ownDataCentre_, candidates)) {
         if (chosen.size() >= settings_.relays_)
             break;
         RelayRequest& request = relayRequests_[vm];
@@ -223,7 +223,7 @@
     std::lock_guard lock(mutex_);
     std::set<DataCentreId> found;
     for (const auto& [vm, peer] : peers_) {
-        if (!peer.dataCentre_.isEmpty() && peer.dataCentre_ != own_)
+        if (!peer.dataCentre_.isEmpty() && peer.dataCentre_ != ownDataCentre_)
             found.insert(peer.dataCentre_);
     }
     return { found.begin(), found.end() };
@@ -240,7 +240,7 @@
 {
     std::lock_guard lock(mutex_);
     auto found = peers_.find(vm);
-    return found == peers_.end() ? std::nullopt : std::optional(found->second.gossip_);
+    return found == peers_.end() ? std::nullopt : std::optional(found->second.gossipEndpoint_);
 }
 
 std::optional<Peer> PeerTable::find(const VmId& vm) const
--- a/lib/Gateway/PeerTable.h
+++ b/lib/Gateway/PeerTable.h
@@ -13,8 +13,8 @@
 
 /// State of a node, as the node or a relay reports it.
 struct Peer {
-    Endpoint gossip_;
-    Endpoint peers_;
+    Endpoint gossipEndpoint_;
+    Endpoint peerEndpoint_;
     /// Empty until a report arrived.
     DataCentreId dataCentre_;
     std::uint64_t incarnation_ = 0;
@@ -34,9 +34,9 @@
 /// How much of the fleet this node receives reports of. Both numbers include this node.
 struct Coverage {
     /// Number of nodes whose reports this node receives, directly or in relays' sums.
-    std::uint64_t reported_ = 1;
+    std::uint64_t reportedNodes_ = 1;
     /// Number of nodes that exist as far as this node knows.
-    std::uint64_t known_ = 1;
+    std::uint64_t knownNodes_ = 1;
 
     /// Returns whether this node receives reports of nearly all nodes. The others may be
     /// starting or stopped.
@@ -58,10 +58,10 @@
         Restarted,
     };
 
-    PeerTable(VmId self, DataCentreId own, double cores, GossipSettings settings);
+    PeerTable(VmId self, DataCentreId ownDataCentre, double cores, GossipSettings settings);
 
     /// Adds a node that was advertised, with its gossip endpoint as the only known state.
-    void addKnown(const VmId& vm, const Endpoint& gossip);
+    void addKnownPeer(const VmId& vm, const Endpoint& gossip);
     /// Applies a report of \p vm itself; \p peer holds the time of its arrival.
     ReportKind applyReport(const VmId& vm, Peer peer);
     /// Applies the state of \p vm that a relay reported.
@@ -76,8 +76,8 @@
     std::size_t size() const;
     /// Numbers of nodes that have reported, and of nodes that were only advertised.
     struct PeerCounts {
-        std::size_t reported_ = 0;
-        std::size_t advertised_ = 0;
+        std::size_t reportedNodes_ = 0;
+        std::size_t advertisedNodes_ = 0;
     };
     PeerCounts peerCounts() const;
     /// Returns the nodes that reported within \p maxAge.
@@ -112,7 +112,7 @@
     };
 
     const VmId self_;
-    const DataCentreId own_;
+    const DataCentreId ownDataCentre_;
     const double cores_;
     const GossipSettings settings_;
     mutable std::mutex mutex_;
--- a/lib/Gateway/PlatformFeed.cpp
+++ b/lib/Gateway/PlatformFeed.cpp
@@ -24,7 +24,7 @@
 PlatformFeed::PlatformFeed(asio::io_context& io, GatewayContext& context, PeerReports& reports, PeerPool& peers, BackgroundExecutor& background)
     : io_(io)
     , context_(context)
-    , reports_(reports)
+    , peerReports_(reports)
     , peers_(peers)
     , background_(background)
 {
@@ -43,7 +43,7 @@
 std::vector<ReaderState> PlatformFeed::readerStates() const
 {
     std::vector<ReaderState> states;
-    for (const auto& [vm, peer] : reports_.reportedWithin(context_.settings_.feed_.readerTimeout_))
+    for (const auto& [vm, peer] : peerReports_.reportedWithin(context_.settings_.feed_.readerTimeout_))
         states.push_back({ vm, peer.dataCentre_, peer.isStopping_, peer.isPlatformUnavailable_, peer.isReader_, peer.cores_ });
     return states;
 }
@@ -57,23 +57,23 @@
 
 /// Suspends while other nodes read. By then the offset is too old to continue from, so
 /// that \p from is reset.
-asio::awaitable<void> PlatformFeed::waitUntilReader(std::string reading, std::optional<LogOffset>& from)
+asio::awaitable<void> PlatformFeed::waitUntilReader(std::string resource, std::optional<LogOffset>& from)
 {
     if (!context_.table() || isReader())
         co_return;
-    logger_.info(LogLine("Other nodes read from the platform.").add("reading", reading));
+    logger_.info(LogLine("Other nodes read from the platform.").add("reading", resource));
     while (!isReader())
         co_await sleepFor(readerCheckPeriod);
     from.reset();
-    logger_.info(LogLine("This node reads from the platform.").add("reading", reading));
+    logger_.info(LogLine("This node reads from the platform.").add("reading", resource));
 }
 
 asio::awaitable<void> PlatformFeed::followConfiguration()
 {
     std::optional<LogOffset> from;
-    const std::string reading = "configuration";
+    const std::string resource = "configuration";
     for (;;) {
-        co_await waitUntilReader(reading, from);
+        co_await waitUntilReader(resource, from);
         auto read = co_await context_.platform_.readConfiguration_(from, context_.settings_.feed_.configurationWait_);
         if (isConfigurationUnavailable_.exchange(!read) == read.has_value())
             logAvailability("configuration", read ? nullptr : &read.error());
@@ -97,10 +97,10 @@
     }
 }
 
-void PlatformFeed::logAvailability(const std::string& what, const Error* error) const
+void PlatformFeed::logAvailability(const std::string& resource, const Error* error) const
 {
     LogLine line(error ? "Platform is unavailable." : "Platform is available again.");
-    line.add("reading", what);
+    line.add("reading", resource);
     if (error)
         line.add("error", describe(*error));
     logger_.info(line);
@@ -122,7 +122,7 @@
     // A removal that was found in a peer's list is not reported: other nodes fetch that
     // list themselves.
     if (source == platformSource)
-        reports_.noteLeaving(known->id_);
+        peerReports_.noteLeaving(known->id_);
     context_.backends_.remove(known->id_, steadyNow());
 }
 
@@ -163,7 +163,7 @@
         logger_.info(LogLine(result == BackendTable::PutResult::Restarted ? "Backend server restarted." : "Backend server is registered.").add("backend", record.id_.value_).add("service", record.service_.value_).add("address", record.endpoint_.toString()).add("data_centre", record.dataCentre_.value_).add("version", record.version_.value_).add("reclaimable", record.isReclaimable_).add("leaving", record.isLeaving_));
     if (record.isLeaving_ && (!before || !before->isLeaving_)) {
         logger_.info(LogLine("Backend server is leaving.").add("backend", record.id_.value_).add("from", source));
-        reports_.noteLeaving(record.id_);
+        peerReports_.noteLeaving(record.id_);
     }
 }
 
@@ -201,9 +201,9 @@
 {
     const FeedSettings& settings = context_.settings_.feed_;
     std::optional<LogOffset> from;
-    const std::string reading = "registry";
+    const std::string resource = "registry";
     for (;;) {
-        co_await waitUntilReader(reading, from);
+        co_await waitUntilReader(resource, from);
         auto read = co_await context_.platform_.readRegistry_(from);
         bool wasUnavailable = isRegistryUnavailable_.exchange(!read);
         if (wasUnavailable == read.has_value())
@@ -233,7 +233,7 @@
 std::optional<KnownPeer> PlatformFeed::readerWithDifferentList() const
 {
     std::optional<KnownPeer> chosen;
-    for (const auto& entry : reports_.reportedWithin(context_.settings_.feed_.readerTimeout_)) {
+    for (const auto& entry : peerReports_.reportedWithin(context_.settings_.feed_.readerTimeout_)) {
         const Peer& peer = entry.second;
         if (!peer.isReader_ || peer.isPlatformUnavailable_)
             continue;
@@ -267,7 +267,7 @@
     // A node that starts during an outage of the platform has no backend servers and
     // would reject all requests until the platform is back. Any list is better, since
     // registrations that expire meanwhile are kept until then.
-    std::vector<KnownPeer> live = reports_.live();
+    std::vector<KnownPeer> live = peerReports_.live();
     if (live.empty())
         return std::nullopt;
     return live[randomBits() % live.size()];
@@ -275,7 +275,7 @@
 
 asio::awaitable<std::optional<wire::ConfigurationUpdate>> PlatformFeed::callPeer(VmId vm, Peer peer, wire::Frame request)
 {
-    auto reply = co_await peers_.call(peer.peers_, request, peerTimeout);
+    auto reply = co_await peers_.call(peer.peerEndpoint_, request, peerTimeout);
     if (reply && reply.value().has_configuration_update())
         co_return reply.value().configuration_update();
     logger_.warn("Peer " + vm.value_ + " sent no update: " + (reply ? "unexpected frame" : describe(reply.error())));
@@ -286,7 +286,7 @@
 {
     wire::Frame request;
     request.mutable_configuration_fetch()->set_wants_backends(true);
-    SteadyTime askedAt = steadyNow();
+    SteadyTime requestedAt = steadyNow();
     auto answered = co_await callPeer(vm, peer, request);
     if (!answered)
         co_return;
@@ -299,7 +299,7 @@
     // The peer computes the age after the request was sent, so that the list was read no
     // earlier than this. A list that is older than this node's may lack registrations
     // that are newer.
-    SteadyTime readAt = askedAt - milliseconds(update.backends_age_ms());
+    SteadyTime readAt = requestedAt - milliseconds(update.backends_age_ms());
     if (readAt <= listReadAt_ && !isFirst)
         co_return;
     listReadAt_ = std::max(readAt, SteadyTime { milliseconds(1) });
--- a/lib/Gateway/PlatformFeed.h
+++ b/lib/Gateway/PlatformFeed.h
@@ -54,7 +54,7 @@
     /// Returns the peer to fetch the backend servers from, if this node needs them.
     std::optional<KnownPeer> backendsSource() const;
     asio::awaitable<std::optional<wire::ConfigurationUpdate>> callPeer(VmId vm, Peer peer, wire::Frame request);
-    void logAvailability(const std::string& what, const Error* error) const;
+    void logAvailability(const std::string& resource, const Error* error) const;
     /// \p source is the platform or the peer that sent \p read.
     void apply(const RegistryRead& read, const std::string& source);
     void applyChange(const RegistryChange& change, const std::string& source);
@@ -70,11 +70,11 @@
     std::vector<ReaderState> readerStates() const;
     /// Returns a reader whose list of backend servers differs from this node's.
     std::optional<KnownPeer> readerWithDifferentList() const;
-    asio::awaitable<void> waitUntilReader(std::string reading, std::optional<LogOffset>& from);
+    asio::awaitable<void> waitUntilReader(std::string resource, std::optional<LogOffset>& from);
 
     asio::io_context& io_;
     GatewayContext& context_;
-    PeerReports& reports_;
+    PeerReports& peerReports_;
     PeerPool& peers_;
     BackgroundExecutor& background_;
     std::atomic<SteadyTime> registryReadAt_ { SteadyTime {} };
--- a/lib/Gateway/ReportAggregator.cpp
+++ b/lib/Gateway/ReportAggregator.cpp
@@ -279,8 +279,8 @@
 {
     wire::NodeSums sums = ownTotals(now).toMessage();
     auto found = others_.find(receiver);
-    const wire::NodeSums* theirs = found == others_.end() ? nullptr : found->second.current(now);
-    if (theirs && theirs->duty_token())
+    const wire::NodeSums* receiverSums = found == others_.end() ? nullptr : found->second.current(now);
+    if (receiverSums && receiverSums->duty_token())
         putUsage(newest(ownUsage_.sumsExcluding({}, anyIncarnation)), *sums.mutable_usage());
     else
         sums.clear_rollout_counts();
@@ -298,13 +298,13 @@
 wire::NodeSums ReportAggregator::digestFor(const VmId& receiver, const ReportTotals& totals, SteadyTime now) const
 {
     auto found = nodes_.find(receiver);
-    const wire::NodeSums* own = found == nodes_.end() ? nullptr : found->second.group_.current(now);
-    if (!own)
+    const wire::NodeSums* receiverSums = found == nodes_.end() ? nullptr : found->second.group_.current(now);
+    if (!receiverSums)
         return totals.toMessage();
     ReportTotals rest = totals;
-    rest.remove(*own, found->second.group_);
+    rest.remove(*receiverSums, found->second.group_);
     wire::NodeSums sums = rest.toMessage();
-    if (!own->duty_token()) {
+    if (!receiverSums->duty_token()) {
         sums.clear_rollout_counts();
         return sums;
     }
--- a/lib/Gateway/ReportMessages.cpp
+++ b/lib/Gateway/ReportMessages.cpp
@@ -61,7 +61,7 @@
     for (const auto& [vm, peer] : discovery_.peersToAdvertise(amount, sequence_, now)) {
         wire::KnownNode& entry = *report.add_nodes();
         entry.set_vm(vm.value_);
-        entry.set_address(peer.gossip_.toString());
+        entry.set_address(peer.gossipEndpoint_.toString());
     }
 }
 
@@ -93,8 +93,8 @@
         wire::MemberEntry& entry = *entries.Add();
         entry.set_vm(vm.value_);
         entry.set_data_centre(peer.dataCentre_.value_);
-        entry.set_address(peer.gossip_.toString());
-        entry.set_peers_address(peer.peers_.toString());
+        entry.set_address(peer.gossipEndpoint_.toString());
+        entry.set_peers_address(peer.peerEndpoint_.toString());
         entry.set_incarnation(peer.incarnation_);
         entry.set_configuration_version(peer.configurationVersion_);
         entry.set_is_stopping(peer.isStopping_);
@@ -111,7 +111,7 @@
 {
     std::vector<Endpoint> all = unseenSeeds();
     for (const auto& [vm, peer] : table_.all())
-        all.push_back(peer.gossip_);
+        all.push_back(peer.gossipEndpoint_);
     return all;
 }
 
@@ -119,7 +119,7 @@
 {
     std::set<std::string> hosts { context_.settings_.gossip_.host_ };
     for (const auto& [vm, peer] : table_.all())
-        hosts.insert(peer.gossip_.host_);
+        hosts.insert(peer.gossipEndpoint_.host_);
     std::vector<Endpoint> unseen;
     for (const Endpoint& seed : context_.settings_.seeds_) {
         if (!hosts.contains(seed.host_))
--- a/lib/Gateway/TransferLimiter.cpp
+++ b/lib/Gateway/TransferLimiter.cpp
@@ -14,9 +14,9 @@
         ++busyAnswers_;
         return std::nullopt;
     }
-    ++last_.value_;
-    startTimes_.emplace(last_, now);
-    return last_;
+    ++lastTransfer_.value_;
+    startTimes_.emplace(lastTransfer_, now);
+    return lastTransfer_;
 }
 
 void TransferLimiter::end(TransferId transfer)
@@ -35,7 +35,7 @@
     return std::exchange(busyAnswers_, 0);
 }
 
-void BusyPeers::note(const VmId& peer, SteadyTime until)
+void BusyPeers::markBusy(const VmId& peer, SteadyTime until)
 {
     busyUntil_[peer] = until;
 }
--- a/lib/Gateway/TransferLimiter.h
+++ b/lib/Gateway/TransferLimiter.h
@@ -47,7 +47,7 @@
 
 private:
     std::map<TransferId, SteadyTime> startTimes_;
-    TransferId last_ {};
+    TransferId lastTransfer_ {};
     std::uint64_t busyAnswers_ = 0;
     std::optional<SteadyTime> loggedAt_;
 };
@@ -56,7 +56,7 @@
 /// configuration asks others meanwhile.
 class BusyPeers {
 public:
-    void note(const VmId& peer, SteadyTime until);
+    void markBusy(const VmId& peer, SteadyTime until);
     bool isBusy(const VmId& peer, SteadyTime now) const;
 
 private:
--- a/lib/Ledger/RunOnceCall.cpp
+++ b/lib/Ledger/RunOnceCall.cpp
@@ -47,7 +47,7 @@
     return { type, key_, attempt_, bodyHash_, outcome_ };
 }
 
-void RunOnceCall::intentAppended(LogOffset offset)
+void RunOnceCall::noteIntentAppended(LogOffset offset)
 {
     assert(step_ == Step::AppendIntent && "the intent has already been appended");
     intentOffset_ = offset;
@@ -62,19 +62,19 @@
     step_ = Step::AppendRelease;
 }
 
-void RunOnceCall::intentFailed(Error error)
+void RunOnceCall::noteIntentFailed(Error error)
 {
     assert(step_ == Step::AppendIntent && "no intent is being appended");
     release(std::move(error));
 }
 
-void RunOnceCall::logReadFailed(Error error)
+void RunOnceCall::noteLogReadFailed(Error error)
 {
     assert(step_ == Step::ReadLog && "the log is not being read");
     release(std::move(error));
 }
 
-void RunOnceCall::logRead(const LedgerShard& shard)
+void RunOnceCall::noteLogRead(const LedgerShard& shard)
 {
     assert(step_ == Step::ReadLog && "the log is read only after the intent is appended");
     assert(shard.nextOffset() > intentOffset_ && "the shard must cover the intent");
@@ -101,13 +101,13 @@
     answer_ = Answer::Replayed;
 }
 
-void RunOnceCall::intentExpired()
+void RunOnceCall::noteIntentExpired()
 {
     assert(step_ == Step::Dispatch && "only a call that is ready for dispatch can expire");
     release({ Errc::Timeout, "dispatch", {}, "too long between intent and dispatch", Ran::No, {} });
 }
 
-void RunOnceCall::dispatched(CallOutcome outcome)
+void RunOnceCall::noteDispatched(CallOutcome outcome)
 {
     assert(step_ == Step::Dispatch && "the call is not ready for dispatch");
     outcome_ = std::move(outcome);
@@ -115,7 +115,7 @@
     step_ = Step::AppendOutcome;
 }
 
-void RunOnceCall::dispatchFailed(Error error)
+void RunOnceCall::noteDispatchFailed(Error error)
 {
     assert(step_ == Step::Dispatch && "the call is not being dispatched");
     if (error.ran_ == Ran::No) {
@@ -127,7 +127,7 @@
     step_ = Step::Done;
 }
 
-void RunOnceCall::recordWritten()
+void RunOnceCall::noteRecordWritten()
 {
     assert((step_ == Step::AppendOutcome || step_ == Step::AppendRelease) && "no outcome or release is being appended");
     step_ = Step::Done;
--- a/lib/Node/BackendDispatcher.cpp
+++ b/lib/Node/BackendDispatcher.cpp
@@ -110,7 +110,7 @@
     running->yields_ = record.yields();
     running->promptTokens_ = promptTokens(record.prompt());
     running->maxTokens_ = record.max_tokens();
-    running->generated_ = static_cast<std::uint64_t>(record.tokens_size());
+    running->generatedTokens_ = static_cast<std::uint64_t>(record.tokens_size());
     running->startedAt_ = steadyNow();
     return running;
 }
@@ -210,7 +210,7 @@
                 *end.mutable_failure() = toWire({ Errc::Conflict, "read engine stream", running->engine_.value_, "a newer attempt took the stream", Ran::Unknown, {} });
             break;
         }
-        running->generated_ = event.value().position_ + 1;
+        running->generatedTokens_ = event.value().position_ + 1;
         wire::Frame chunk;
         chunk.mutable_tokens()->set_request_id(record.request_id());
         chunk.mutable_tokens()->set_attempt(record.attempt());
--- a/lib/Node/BackendDispatcher.h
+++ b/lib/Node/BackendDispatcher.h
@@ -82,7 +82,7 @@
         std::uint32_t yields_ = 0;
         std::uint64_t promptTokens_ = 0;
         std::uint64_t maxTokens_ = 0;
-        std::atomic<std::uint64_t> generated_ { 0 };
+        std::atomic<std::uint64_t> generatedTokens_ { 0 };
         std::atomic<EndReason> endReason_ { EndReason::None };
         std::function<void()> close_;
         SteadyTime startedAt_;
--- a/lib/Node/ControlPlane.cpp
+++ b/lib/Node/ControlPlane.cpp
@@ -35,7 +35,7 @@
     , loads_(std::move(loads))
     , logger_("control")
     , gossip_(context.self(), makeIncarnation(), context.settings_.membership_.suspectAfter_)
-    , snapshotSeenAt_(steadyNow())
+    , lastSnapshotAt_(steadyNow())
     , catalogueCurrentAt_(steadyNow())
 {
 }
@@ -197,9 +197,9 @@
         for (const auto& [offset, record] : records)
             catalogue_.apply(offset, record);
         hasAdvanced = catalogue_.nextOffset() > before;
-        if (catalogue_.lastSnapshot() != snapshotSeen_) {
-            snapshotSeen_ = catalogue_.lastSnapshot();
-            snapshotSeenAt_ = steadyNow();
+        if (catalogue_.lastSnapshot() != lastSnapshotOffset_) {
+            lastSnapshotOffset_ = catalogue_.lastSnapshot();
+            lastSnapshotAt_ = steadyNow();
         }
         if (!catalogue_.hasGap())
             catalogueCurrentAt_ = steadyNow();
@@ -256,11 +256,11 @@
         // one relay usually appends first, and the others read its snapshot
         // before their own is due.
         auto interval = context_.settings_.catalogue_.snapshotInterval_;
-        bool isDue = steadyNow() - snapshotSeenAt_ > jitter(interval, randomBits()) + interval / 2;
+        bool isDue = steadyNow() - lastSnapshotAt_ > jitter(interval, randomBits()) + interval / 2;
         if (!isDue || catalogue_.hasGap() || !catalogue_.nextOffset().value_)
             co_return;
         snapshot = catalogue_.encodeSnapshot();
-        snapshotSeenAt_ = steadyNow();
+        lastSnapshotAt_ = steadyNow();
     }
     context_.metrics_.add(Counter::LogAppends);
     auto appended = co_await context_.log_.append_(catalogueStream, snapshot, appendTimeout);
--- a/lib/Node/ControlPlane.h
+++ b/lib/Node/ControlPlane.h
@@ -110,8 +110,8 @@
     std::shared_ptr<const VmIndex> vmIndex_ = std::make_shared<const VmIndex>();
     VmListStore vmList_;
     CatalogueState catalogue_;
-    SteadyTime snapshotSeenAt_;
-    LogOffset snapshotSeen_;
+    SteadyTime lastSnapshotAt_;
+    LogOffset lastSnapshotOffset_;
     SteadyTime catalogueCurrentAt_;
     std::size_t nextContact_ = 0;
     bool isVmListReachable_ = true;
--- a/lib/Node/EngineOrders.h
+++ b/lib/Node/EngineOrders.h
@@ -23,7 +23,7 @@
     /// State of one of this node's engines.
     struct Status {
         std::string version_;
-        std::string wanted_;
+        std::string wantedVersion_;
         OrderStep step_ = OrderStep::Settled;
     };
     /// \returns nullopt for an engine that has not been reconciled yet or for which the
--- a/lib/Node/EngineReclaim.cpp
+++ b/lib/Node/EngineReclaim.cpp
@@ -74,7 +74,7 @@
     cost.importSlots_ = capacityElsewhere(engine);
     cost.perToken_ = minTimePerToken;
     for (const RunningStreamPtr& running : streamsOn(engine)) {
-        std::uint64_t generated = running->generated_;
+        std::uint64_t generated = running->generatedTokens_;
         std::uint64_t remaining = running->maxTokens_ > generated ? running->maxTokens_ - generated : 0;
         streams.push_back({ { running->requestId_ }, running->class_, running->promptTokens_, generated, remaining });
         byRequest[{ running->requestId_ }] = running;
@@ -125,7 +125,7 @@
     // Prefers the trial request that has yielded least often, so that none starves,
     // and then the one that loses the fewest tokens.
     auto shouldYieldBefore = [](const RunningStream& left, const RunningStream& right) {
-        return std::pair(left.yields_, left.generated_.load()) < std::pair(right.yields_, right.generated_.load());
+        return std::pair(left.yields_, left.generatedTokens_.load()) < std::pair(right.yields_, right.generatedTokens_.load());
     };
     RunningStreamPtr chosen;
     for (const RunningStreamPtr& running : streamsOn(engine)) {
--- a/lib/Node/EventStream.cpp
+++ b/lib/Node/EventStream.cpp
@@ -85,12 +85,12 @@
         bool isSameText = position_.tokens_ == resume_->tokens_ && position_.textHash_ == resume_->textHash_;
         if (isSameText)
             skipped_.clear();
-        events += flushSkipped();
+        events += finishResume();
     }
     return events;
 }
 
-std::string EventWriter::flushSkipped()
+std::string EventWriter::finishResume()
 {
     resume_.reset();
     if (skipped_.empty())
@@ -112,7 +112,7 @@
     // An answer with fewer tokens than the caller's event id states is a different
     // text.
     bool callerHasNothing = resume_ && !resume_->tokens_;
-    std::string events = resume_ && !callerHasNothing ? flushSkipped() : std::string();
+    std::string events = resume_ && !callerHasNothing ? finishResume() : std::string();
     return events + event({}, {}, "[DONE]");
 }
 
--- a/lib/Node/EventStream.h
+++ b/lib/Node/EventStream.h
@@ -44,7 +44,7 @@
 private:
     /// Stops skipping tokens. \returns a restart event and the skipped tokens, or an
     /// empty string if none are kept because the caller has the same text.
-    std::string flushSkipped();
+    std::string finishResume();
 
     std::string requestId_;
     std::optional<EventId> resume_;
--- a/lib/Node/Generation.cpp
+++ b/lib/Node/Generation.cpp
@@ -52,7 +52,7 @@
     , startedAt_(steadyNow())
     , executor_(std::move(executor))
     , record_(std::make_unique<wire::GenerationRecord>(record))
-    , lastRead_(steadyNow())
+    , lastReadAt_(steadyNow())
     , changedAt_(steadyNow())
 {
 }
@@ -100,7 +100,7 @@
 AnswerPart Generation::read(std::size_t from) const
 {
     std::lock_guard lock(mutex_);
-    lastRead_ = steadyNow();
+    lastReadAt_ = steadyNow();
     auto count = static_cast<std::size_t>(record_->tokens_size());
     std::size_t readable = isReadableToEnd() ? count : std::min(readableTokens_, count);
     if (handedOverTokens_)
@@ -318,10 +318,10 @@
     return progress;
 }
 
-SteadyTime Generation::lastRead() const
+SteadyTime Generation::lastReadAt() const
 {
     std::lock_guard lock(mutex_);
-    return lastRead_;
+    return lastReadAt_;
 }
 
 SteadyTime Generation::changedAt() const
--- a/lib/Node/Generation.h
+++ b/lib/Node/Generation.h
@@ -101,7 +101,7 @@
     };
     Progress progressSince(std::size_t from) const;
     SteadyTime deadline() const { return deadline_; }
-    SteadyTime lastRead() const;
+    SteadyTime lastReadAt() const;
     SteadyTime changedAt() const;
     SteadyTime startedAt() const { return startedAt_; }
     std::uint64_t maxTokens() const { return maxTokens_; }
@@ -123,7 +123,7 @@
     std::unique_ptr<wire::GenerationRecord> record_;
     std::vector<std::weak_ptr<Signal>> readers_;
     std::vector<std::weak_ptr<Signal>> watchers_;
-    mutable SteadyTime lastRead_;
+    mutable SteadyTime lastReadAt_;
     SteadyTime changedAt_;
     std::size_t readableTokens_ = 0;
     /// Number of tokens in the record that is being handed over.
--- a/lib/Node/GenerationOwner.cpp
+++ b/lib/Node/GenerationOwner.cpp
@@ -229,7 +229,7 @@
 
 asio::awaitable<GenerationOwner::AttemptOutcome> GenerationOwner::receiveTokens(GenerationPtr generation, std::shared_ptr<PeerStream> stream, VmId engine, VmId dispatcher, Preference& preference)
 {
-    SteadyTime last = steadyNow();
+    SteadyTime lastTokenAt = steadyNow();
     for (;;) {
         auto frame = co_await stream->receiveWithin(tokenTimeout);
         if (generation->hasEnded())
@@ -256,8 +256,8 @@
         if (isFirst)
             context_.metrics_.observe(Histogram::FirstToken, steadyNow() - generation->startedAt());
         else
-            context_.metrics_.observe(Histogram::BetweenTokens, steadyNow() - last);
-        last = steadyNow();
+            context_.metrics_.observe(Histogram::BetweenTokens, steadyNow() - lastTokenAt);
+        lastTokenAt = steadyNow();
     }
 }
 
@@ -297,7 +297,7 @@
                 generations_.erase(generation->id());
                 continue;
             }
-            bool isAbandoned = !generation->hasEnded() && !generation->hasReaders() && steadyNow() - generation->lastRead() > settings.reconnectGrace_;
+            bool isAbandoned = !generation->hasEnded() && !generation->hasReaders() && steadyNow() - generation->lastReadAt() > settings.reconnectGrace_;
             if (isAbandoned && generation->isAccepted())
                 generation->fail({ Errc::Cancelled, "wait for caller", {}, "the caller went away and did not come back", Ran::Unknown, {} });
         }
--- a/lib/Node/LimitCoordinator.cpp
+++ b/lib/Node/LimitCoordinator.cpp
@@ -15,7 +15,7 @@
 
     // Validity of a loan as a multiple of the grant validity. A loan lasts
     // longer than a grant, so that grants can be made on it while it is renewed.
-    constexpr int grantsPerLoan = 3;
+    constexpr int loanValidityFactor = 3;
 
 } // namespace
 
@@ -40,7 +40,7 @@
 
 milliseconds LimitCoordinator::loanValidity() const
 {
-    return grantValidity() * grantsPerLoan;
+    return grantValidity() * loanValidityFactor;
 }
 
 std::pair<std::size_t, std::size_t> LimitCoordinator::rankOfDataCentre() const
--- a/lib/Node/OperatorApi.cpp
+++ b/lib/Node/OperatorApi.cpp
@@ -189,8 +189,8 @@
             { "queued", load.load_.queued_ },
             { "wait_ms", load.load_.wait_.count() },
             { "version", status.version_ },
-            { "wanted", status.wanted_ },
-            { "order", status.wanted_.empty() ? "" : toString(status.step_) },
+            { "wanted", status.wantedVersion_ },
+            { "order", status.wantedVersion_.empty() ? "" : toString(status.step_) },
         });
     }
     return ok(json::object { { "home", context_.self().value_ }, { "engines", std::move(engines) } });
--- a/lib/Node/RecordCopying.cpp
+++ b/lib/Node/RecordCopying.cpp
@@ -14,7 +14,7 @@
 
     constexpr std::size_t maxReplicasTried = 3;
     // Interval between attempts to find a replica if no node accepts one.
-    constexpr milliseconds replicaRetry { 1000 };
+    constexpr milliseconds replicaRetryDelay { 1000 };
 
     wire::Frame progressFrame(const std::string& requestId, const VmId& owner, const Generation::Progress& progress, std::size_t firstPosition)
     {
@@ -66,7 +66,7 @@
         generation->setReadableToEnd();
         if (generation->hasEnded())
             co_return;
-        co_await sleepFor(replicaRetry);
+        co_await sleepFor(replicaRetryDelay);
         failed.clear();
     }
 }
--- a/lib/Node/RunOnceCoordinator.cpp
+++ b/lib/Node/RunOnceCoordinator.cpp
@@ -44,7 +44,7 @@
     bool needsRead_;
     // Set before done_ is signalled.
     Result<LogOffset> offset_ = Error {};
-    Result<void> read_ = Error {};
+    Result<void> readResult_ = Error {};
     asio::experimental::concurrent_channel<void(boost::system::error_code)> done_;
 };
 
@@ -186,7 +186,7 @@
             read = co_await readUpTo(shard, stream, offset.value());
         for (const auto& append : batch) {
             append->offset_ = offset;
-            append->read_ = read;
+            append->readResult_ = read;
             append->done_.try_send(boost::system::error_code {});
         }
     }
@@ -227,32 +227,32 @@
     auto append = enqueue(shard, run.item(), true);
     co_await append->done_.async_receive(asTuple);
     if (!append->offset_) {
-        run.intentFailed(append->offset_.error());
+        run.noteIntentFailed(append->offset_.error());
         co_return;
     }
-    run.intentAppended(append->offset_.value());
-    if (!append->read_) {
-        run.logReadFailed(append->read_.error());
+    run.noteIntentAppended(append->offset_.value());
+    if (!append->readResult_) {
+        run.noteLogReadFailed(append->readResult_.error());
         co_return;
     }
     std::lock_guard lock(shards_[shard]->mutex_);
-    run.logRead(shards_[shard]->state_);
+    run.noteLogRead(shards_[shard]->state_);
 }
 
 asio::awaitable<void> RunOnceCoordinator::dispatch(RunOnceCall& run, const wire::ServiceCall& call, SteadyTime receivedAt)
 {
     if (steadyNow() - receivedAt > context_.settings_.ledger_.dispatchGuard_) {
-        run.intentExpired();
+        run.noteIntentExpired();
         co_return;
     }
     auto reply = co_await dispatch_(call);
     if (reply.has_answer()) {
         CallOutcome outcome { reply.answer().status(), reply.answer().content_type(), reply.answer().body() };
-        run.dispatched(std::move(outcome));
+        run.noteDispatched(std::move(outcome));
         co_return;
     }
     Error failure = reply.has_failure() ? fromWire(reply.failure()) : Error { Errc::Protocol, "dispatch", {}, "unexpected frame", Ran::Unknown, {} };
-    run.dispatchFailed(std::move(failure));
+    run.noteDispatchFailed(std::move(failure));
 }
 
 asio::awaitable<void> RunOnceCoordinator::writeFinalRecord(RunOnceCall& run, std::uint32_t shard)
@@ -269,7 +269,7 @@
             append->done_.try_send(boost::system::error_code {});
     });
     co_await append->done_.async_receive(asTuple);
-    run.recordWritten();
+    run.noteRecordWritten();
 }
 
 wire::Frame RunOnceCoordinator::makeAnswer(const RunOnceCall& run) const
--- a/lib/Quarantine/Quarantine.cpp
+++ b/lib/Quarantine/Quarantine.cpp
@@ -51,7 +51,7 @@
     std::size_t active = countActive(crashes);
     if (active < settings_.crashes_)
         return std::nullopt;
-    milliseconds length = settings_.firstDuration_;
+    milliseconds length = settings_.initialDuration_;
     for (std::size_t i = settings_.crashes_; i < active && length < settings_.maxDuration_; ++i)
         length *= 2;
     return lastActiveCrash(crashes) + std::min(length, settings_.maxDuration_);
--- a/unittests/Gateway/BackgroundExecutorTest.cpp
+++ b/unittests/Gateway/BackgroundExecutorTest.cpp
@@ -87,12 +87,12 @@
 {
     asio::io_context io(1);
     BackgroundExecutor background;
-    constexpr int pieces = 200;
+    constexpr int itemCount = 200;
     std::atomic<int> running { 0 };
     bool hasOverlapped = false;
     std::vector<int> order;
     std::vector<int> expected;
-    for (int i = 0; i < pieces; ++i) {
+    for (int i = 0; i < itemCount; ++i) {
         expected.push_back(i);
         auto work = [&, i] {
             hasOverlapped |= ++running > 1;
--- a/unittests/Gateway/DiscoveryTest.cpp
+++ b/unittests/Gateway/DiscoveryTest.cpp
@@ -37,7 +37,7 @@
     /// Whether all nodes are announced on the platform and know each other; otherwise
     /// they know the seeds only.
     bool areAnnounced_;
-    milliseconds bound_;
+    milliseconds maxTime_;
 };
 
 struct Node {
@@ -87,7 +87,7 @@
         }
         for (auto& node : nodes_) {
             for (std::size_t i = 0; shape.areAnnounced_ && i < nodes_.size(); ++i)
-                node->table_.addKnown(nodes_[i]->vm_, nodes_[i]->address_);
+                node->table_.addKnownPeer(nodes_[i]->vm_, nodes_[i]->address_);
         }
     }
 
@@ -151,7 +151,7 @@
         for (const auto& [vm, peer] : node.discovery_.peersToAdvertise(amount, node.sequence_, now)) {
             wire::KnownNode& entry = *report.add_nodes();
             entry.set_vm(vm.value_);
-            entry.set_address(peer.gossip_.toString());
+            entry.set_address(peer.gossipEndpoint_.toString());
         }
     }
 
@@ -221,7 +221,7 @@
         if (message.datagram_.has_report())
             return receiveReport(node, message.datagram_.report(), now);
         const wire::RelayReport& relayed = message.datagram_.relayed();
-        node.table_.addKnown({ relayed.vm() }, message.from_);
+        node.table_.addKnownPeer({ relayed.vm() }, message.from_);
         if (!relayed.is_digest()) {
             if (!node.isRelay_)
                 node.discovery_.queueAnswer({ relayed.vm() });
@@ -234,7 +234,7 @@
     static void receiveReport(Node& node, const wire::NodeReport& report, SteadyTime now)
     {
         Peer peer;
-        peer.gossip_ = *parseEndpoint(report.address());
+        peer.gossipEndpoint_ = *parseEndpoint(report.address());
         peer.dataCentre_ = { report.data_centre() };
         peer.incarnation_ = report.incarnation();
         peer.sequence_ = report.sequence();
@@ -246,7 +246,7 @@
         if (kind == PeerTable::ReportKind::Restarted)
             node.discovery_.queueAnswer({ report.vm() });
         for (const wire::KnownNode& known : report.nodes())
-            node.table_.addKnown({ known.vm() }, *parseEndpoint(known.address()));
+            node.table_.addKnownPeer({ known.vm() }, *parseEndpoint(known.address()));
         if (report.wants_digest())
             node.aggregator_.applyReport(report, now);
     }
@@ -274,7 +274,7 @@
     }));
     CAPTURE(shape.name_);
     StartingFleet fleet(shape);
-    CHECK(fleet.run(milliseconds(6000)).count() <= shape.bound_.count());
+    CHECK(fleet.run(milliseconds(6000)).count() <= shape.maxTime_.count());
     // Every other node contacts a seed once per period at most; the other datagrams are
     // spread over all nodes.
     CHECK(fleet.maxReceived() <= shape.nodes_ + 64);
--- a/unittests/Gateway/GatewaySettingsTest.cpp
+++ b/unittests/Gateway/GatewaySettingsTest.cpp
@@ -48,7 +48,7 @@
     CHECK(settings->seeds_.size() == 2);
     CHECK(settings->usageWindow_ == milliseconds(2500));
     CHECK(settings->quarantine_.crashes_ == 4);
-    CHECK(settings->quarantine_.firstDuration_ == milliseconds(20000));
+    CHECK(settings->quarantine_.initialDuration_ == milliseconds(20000));
     CHECK(settings->quarantine_.organisationCapacity_ == 64);
     CHECK(settings->rollout_.exposedExtra_ == 50);
     CHECK(settings->rollout_.trialFraction_ == 0.6);
--- a/unittests/Gateway/PeerTableTest.cpp
+++ b/unittests/Gateway/PeerTableTest.cpp
@@ -26,7 +26,7 @@
 Peer peerAt(const DataCentreId& dataCentre, double cores, SteadyTime receivedAt, std::uint64_t sequence)
 {
     Peer peer;
-    peer.gossip_ = { "10.0.0.1", 7500 };
+    peer.gossipEndpoint_ = { "10.0.0.1", 7500 };
     peer.dataCentre_ = dataCentre;
     peer.incarnation_ = 1;
     peer.sequence_ = sequence;
@@ -130,7 +130,7 @@
 TEST_CASE("nodes that are unresponsive for long are removed", "[peers]")
 {
     PeerTable table(vmOf(0), near, 1, {});
-    table.addKnown(vmOf(9), { "10.0.0.9", 7500 });
+    table.addKnownPeer(vmOf(9), { "10.0.0.9", 7500 });
     (void)table.applyReport(vmOf(1), peerAt(near, 1, start, 1));
     CHECK(table.removeUnresponsive(start + milliseconds(29000)).empty());
     CHECK(table.removeUnresponsive(start + milliseconds(31000)) == std::vector<VmId> { vmOf(1) });
@@ -141,8 +141,8 @@
 TEST_CASE("coverage of a few nodes is distinguished from coverage of all", "[peers]")
 {
     struct Row {
-        std::uint64_t reported_;
-        std::uint64_t known_;
+        std::uint64_t reportedNodes_;
+        std::uint64_t knownNodes_;
         bool isComplete_;
         bool hasMajority_;
     };
@@ -155,7 +155,7 @@
         { 195, 195, true, true },
         { 1, 2, false, false },
     }));
-    CAPTURE(row.reported_, row.known_);
-    CHECK(Coverage { row.reported_, row.known_ }.isComplete() == row.isComplete_);
-    CHECK(Coverage { row.reported_, row.known_ }.hasMajority() == row.hasMajority_);
+    CAPTURE(row.reportedNodes_, row.knownNodes_);
+    CHECK(Coverage { row.reportedNodes_, row.knownNodes_ }.isComplete() == row.isComplete_);
+    CHECK(Coverage { row.reportedNodes_, row.knownNodes_ }.hasMajority() == row.hasMajority_);
 }
--- a/unittests/Gateway/TransferLimiterTest.cpp
+++ b/unittests/Gateway/TransferLimiterTest.cpp
@@ -87,7 +87,7 @@
     const VmId busy { "busy" };
     BusyPeers peers;
     CHECK_FALSE(peers.isBusy(busy, start));
-    peers.note(busy, start + busyRetryDelay);
+    peers.markBusy(busy, start + busyRetryDelay);
     CHECK(peers.isBusy(busy, start));
     CHECK(peers.isBusy(busy, start + busyRetryDelay - milliseconds(1)));
     CHECK_FALSE(peers.isBusy(busy, start + busyRetryDelay));
--- a/unittests/Ledger/LedgerTest.cpp
+++ b/unittests/Ledger/LedgerTest.cpp
@@ -91,8 +91,8 @@
     shard.apply({ 0 }, { item(LedgerItem::Type::Intent, "a") });
     RunOnceCall call(key, { "b" }, "another body");
     shard.apply({ 1 }, { call.item() });
-    call.intentAppended({ 1 });
-    call.logRead(shard);
+    call.noteIntentAppended({ 1 });
+    call.noteLogRead(shard);
     CHECK(call.answer() == RunOnceCall::Answer::KeyReused);
 }
 
--- a/unittests/Ledger/RunOnceModel.cpp
+++ b/unittests/Ledger/RunOnceModel.cpp
@@ -88,17 +88,17 @@
 void RunOnceModel::finishAppend(Call& call, LogOffset offset)
 {
     if (call.call_.step() == Step::AppendIntent)
-        call.call_.intentAppended(offset);
+        call.call_.noteIntentAppended(offset);
     else
-        call.call_.recordWritten();
+        call.call_.noteRecordWritten();
 }
 
 void RunOnceModel::failAppend(Call& call)
 {
     if (call.call_.step() == Step::AppendIntent)
-        call.call_.intentFailed({ Errc::Timeout, "append", {}, {}, Ran::Unknown, {} });
+        call.call_.noteIntentFailed({ Errc::Timeout, "append", {}, {}, Ran::Unknown, {} });
     else
-        call.call_.recordWritten();
+        call.call_.noteRecordWritten();
 }
 
 void RunOnceModel::execute(Call& call)
@@ -134,26 +134,26 @@
         delayed_.erase(delayed_.begin() + static_cast<std::ptrdiff_t>(choice.index_));
         return;
     case Choice::Kind::ReadLog:
-        calls_[choice.index_].call_.logRead(readLog());
+        calls_[choice.index_].call_.noteLogRead(readLog());
         return;
     case Choice::Kind::ReadFails:
         --faults_.readFaults_;
-        calls_[choice.index_].call_.logReadFailed({ Errc::Unavailable, "read", {}, {}, Ran::No, {} });
+        calls_[choice.index_].call_.noteLogReadFailed({ Errc::Unavailable, "read", {}, {}, Ran::No, {} });
         return;
     case Choice::Kind::ServiceRuns: {
         Call& call = calls_[choice.index_];
         execute(call);
-        call.call_.dispatched({ 200, "text", call.call_.item().attempt_.value_ });
+        call.call_.noteDispatched({ 200, "text", call.call_.item().attempt_.value_ });
         return;
     }
     case Choice::Kind::ServiceRunsAnswerLost:
         --faults_.serviceFaults_;
         execute(calls_[choice.index_]);
-        calls_[choice.index_].call_.dispatchFailed({ Errc::Reset, "dispatch", {}, {}, Ran::Unknown, {} });
+        calls_[choice.index_].call_.noteDispatchFailed({ Errc::Reset, "dispatch", {}, {}, Ran::Unknown, {} });
         return;
     case Choice::Kind::ServiceRejects:
         --faults_.serviceFaults_;
-        calls_[choice.index_].call_.dispatchFailed({ Errc::Leaving, "dispatch", {}, {}, Ran::No, {} });
+        calls_[choice.index_].call_.noteDispatchFailed({ Errc::Leaving, "dispatch", {}, {}, Ran::No, {} });
         return;
     case Choice::Kind::CoordinatorCrashes:
         --faults_.crashes_;
@@ -186,8 +186,8 @@
 bool RunOnceModel::canRunNewCall()
 {
     RunOnceCall call(key, { "late" }, "body");
-    call.intentAppended(append(call.item()));
-    call.logRead(readLog());
+    call.noteIntentAppended(append(call.item()));
+    call.noteLogRead(readLog());
     return call.step() == Step::Dispatch;
 }
 
