--- a/lib/Gateway/ConfigurationTransfer.cpp
+++ b/lib/Gateway/ConfigurationTransfer.cpp
@@ -16,8 +16,9 @@
     // Assumed duration of a transfer to a peer of an older version, which does not
     // acknowledge a configuration: two transfers of 100 KB take 160 ms at 10 Mbit/s.
     constexpr milliseconds assumedTransferTime { 200 };
-    // Processing a configuration of 780 KB occupies the thread of the peer links for tenths
-    // of a second on a small VM. The pause lets the acknowledgement leave before that.
+    // Processing a configuration of 780 KB occupies the thread of the peer links for
+    // tenths of a second on a small VM. This pause lets the acknowledgement leave before
+    // the processing starts.
     constexpr milliseconds acknowledgementDelay { 2 };
 
 } // namespace
@@ -100,7 +101,7 @@
     return table && fetch.wants_configuration() && table->version() > fetch.known_version();
 }
 
-/// Returns a Failure, which nodes of all versions understand.
+/// Returns a wire::Failure, which nodes of all versions understand.
 wire::Frame PlatformFeed::busyAnswer()
 {
     SteadyTime now = steadyNow();
@@ -126,8 +127,9 @@
     transfers_.end(*transfer);
 }
 
-/// That the frame was sent does not mean that it has arrived: the kernel buffers 100 KB
-/// immediately, and the link is busy until the peer has received them.
+/// Waits for the acknowledgement of the peer, since the end of send() does not mean that
+/// the frame has arrived: the kernel buffers 100 KB immediately, and the link is busy
+/// until the peer has received them.
 asio::awaitable<void> PlatformFeed::sendConfiguration(std::shared_ptr<PeerStream> stream, wire::Frame request)
 {
     SteadyTime startedAt = steadyNow();
--- a/lib/Gateway/Discovery.cpp
+++ b/lib/Gateway/Discovery.cpp
@@ -11,21 +11,23 @@
 
 namespace {
 
-    // Number of nodes to which this node introduces itself again in a period. Each of 370
-    // nodes receives an introduction within 25 s; urgent changes arrive by digests.
+    // Number of nodes to which this node introduces itself again in each period, in
+    // rotation. In a fleet of 370 nodes, each one receives an introduction within 25 s;
+    // urgent changes arrive earlier, in digests.
     constexpr std::size_t introductionsPerPeriod = 3;
-    // Number of nodes that have not reported yet to which this node introduces itself in a
-    // period. Each of 200 such nodes receives an introduction within 1.7 s.
+    // Maximum number of nodes that have not reported yet to which this node introduces
+    // itself in a period. Each of 200 such nodes receives an introduction within 1.7 s.
     constexpr std::size_t firstIntroductionsPerPeriod = 24;
-    // Number of answers, of 2 to 4 KB each, that this node sends in a period. A seed that
-    // hundreds of nodes contact when all start simultaneously uses a third of a link of
-    // 20 Mbit/s for its answers.
+    // Maximum number of answers, of 2 to 4 KB each, that this node sends in a period. A
+    // seed that hundreds of nodes contact when all start simultaneously uses a third of a
+    // link of 20 Mbit/s for its answers.
     constexpr std::size_t answersPerPeriod = 48;
     // Number of nodes of its own data centre that a digest advertises in rotation: 26
     // nodes are advertised within seven periods, 1.4 s.
     constexpr std::size_t membersPerDigest = 4;
-    // Number of nodes advertised in a report: many in a small fleet and to a new node,
-    // few in the reports that nodes of a large fleet send in each period.
+    // Maximum numbers of nodes that a report advertises: manyPeers in a small fleet and
+    // in answers to new nodes, fewPeers in the reports that nodes of a large fleet send
+    // in each period.
     constexpr std::size_t manyPeers = 24;
     constexpr std::size_t fewPeers = 3;
 
@@ -134,7 +136,8 @@
 std::set<VmId> Discovery::summaryReceivers(const DataCentreId& dataCentre, const std::vector<VmId>& reporting, SteadyTime now) const
 {
     std::vector<VmId> likely = table_.likelyRelays(dataCentre, digestCount_, now);
-    // Other candidates are tried in rotation only while no relay is known.
+    // While no relay of the data centre is known to send sums, likelyRelays() also adds
+    // another candidate in rotation.
     if (!reporting.empty())
         likely.resize(std::min<std::size_t>(likely.size(), settings_.relays_));
     std::set<VmId> receivers(reporting.begin(), reporting.end());
--- a/lib/Gateway/Discovery.h
+++ b/lib/Gateway/Discovery.h
@@ -15,7 +15,7 @@
 
 namespace pistachioloom {
 
-/// Number of other nodes that a report advertises.
+/// How many other nodes a report advertises; Discovery.cpp defines the numbers.
 enum class AdvertisedPeers {
     Few,
     Many,
@@ -43,8 +43,8 @@
     /// relays of its data centre among them, whichever node it asks.
     std::vector<KnownPeer> relaysToAdvertise(SteadyTime now) const;
     /// Returns the nodes to advertise in a digest: all readers, the relays of this data
-    /// centre, and its other nodes in rotation. A node that asks a node which is no relay
-    /// learns the relays from the answer.
+    /// centre, and its other nodes in rotation. A node that requests digests from a node
+    /// that is no relay learns the relays from its digest.
     std::vector<KnownPeer> membersToAdvertise(SteadyTime now);
     /// Returns the nodes to advertise in a report. They rotate as \p cursor grows, so
     /// that nodes which know different peers find each other.
@@ -56,13 +56,16 @@
 
 private:
     void addRelays(const DataCentreId& dataCentre, std::vector<KnownPeer>& relays, SteadyTime now) const;
+    /// Removes the next nodes from the queue of answers, and returns their endpoints.
     std::vector<Endpoint> takeUnanswered();
+    /// Returns endpoints of nodes among \p peers that have not reported yet, in rotation.
     std::vector<Endpoint> nextUnseen(const std::vector<KnownPeer>& peers);
 
     const PeerTable& table_;
     const DataCentreId ownDataCentre_;
     const GossipSettings settings_;
-    /// Holds each node once. Nodes of a small fleet are not answered.
+    /// Nodes to which an answer is due, each of them once. They are answered only while
+    /// the fleet is large.
     std::deque<VmId> unanswered_;
     /// Start offsets into lists that are the same on all nodes. They differ by node: if
     /// all nodes began with the same entries, the last ones would receive no introduction
--- a/lib/Gateway/LoopLag.h
+++ b/lib/Gateway/LoopLag.h
@@ -16,10 +16,10 @@
 /// which is 0.5% of the CPU time of a VM with 0.12 cores; halving the period would double
 /// that.
 constexpr milliseconds loopLagPeriod { 100 };
-/// Lag above which the loop is logged: the first bytes to callers are delayed by as much,
-/// and the latency objectives of urgent routes are some hundred ms.
+/// Lag above which a log line is written. A lag delays the first bytes to callers by the
+/// same time, and the latency objectives of urgent routes are some hundred ms.
 constexpr milliseconds loopLagLogThreshold { 200 };
-/// Minimum time between two such log lines.
+/// Minimum time between two log lines about lag.
 constexpr milliseconds minLoopLagLogPeriod { 1000 };
 
 /// Decides which measurements of lag are logged.
--- a/lib/Gateway/NodeGroupSums.cpp
+++ b/lib/Gateway/NodeGroupSums.cpp
@@ -19,8 +19,9 @@
     constexpr milliseconds maxFreshCountAge { 3000 };
     // A group that is unresponsive for longer has stopped, rather than being cut off.
     constexpr milliseconds unresponsiveRetention { 10000 };
-    // A source becomes the active one if it sums this many times the nodes of the active
-    // source, which then receives the reports of a part of them only.
+    // A source replaces the active one if its sums contain more than this many times the
+    // nodes of the active source, which then receives the reports of only a part of the
+    // nodes.
     constexpr double replacementRatio = 1.25;
 
     NamedCounts admittedOf(const wire::NodeSums& sums)
@@ -43,7 +44,7 @@
 
 bool areCountsFresh(std::uint64_t countedMs)
 {
-    // Zero means that a node of an earlier version did not report it.
+    // Zero means that a node of an earlier version did not report the time.
     return countedMs && milliseconds(countedMs) <= maxFreshCountAge;
 }
 
@@ -70,8 +71,7 @@
 {
     std::erase_if(sources_, [&](const auto& entry) { return !isLive(entry.second, now) && entry.first != vm; });
     Source& source = sources_[vm];
-    // The counts of a source that has reported for the first time have no earlier counts
-    // to compare with.
+    // At the first report of a source there are no earlier counts of it to compare with.
     bool isSameIncarnation = source.receivedAt_ != SteadyTime {} && source.incarnation_ == incarnation;
     // The counts since a node's start are new if no source of the group has reported
     // before, or if the active source is the same node before its restart.
--- a/lib/Gateway/NodeGroupSums.h
+++ b/lib/Gateway/NodeGroupSums.h
@@ -28,11 +28,12 @@
     /// Applies the sums of \p source, whose \p incarnation changes with its restart.
     /// \returns whether it is the active source now.
     bool applySums(const VmId& source, std::uint64_t incarnation, const wire::NodeSums& sums, SteadyTime now);
-    /// Drops sources that are not among \p requested: their counts no longer grow.
+    /// Drops sources that are not among \p requested, the relays to which this node
+    /// reports; the counts of other relays no longer grow.
     void keepOnly(const std::vector<VmId>& requested, SteadyTime now);
     /// Returns the latest sums of the active source, or nullptr if it is unresponsive.
     const wire::NodeSums* current(SteadyTime now) const;
-    /// Returns when those sums were received.
+    /// Returns when the latest sums of the active source were received.
     SteadyTime currentReceivedAt() const;
     /// Returns the number of nodes of the group that became unresponsive recently.
     std::uint64_t unresponsiveNodes(SteadyTime now) const;
@@ -54,6 +55,7 @@
 
     std::map<VmId, Source> sources_;
     VmId activeSource_;
+    /// Number of nodes in the latest sums of the group, and when they were received.
     std::uint64_t lastNodeCount_ = 0;
     SteadyTime lastReceivedAt_ {};
     NamedCounts admitted_;
--- a/lib/Gateway/PeerReports.cpp
+++ b/lib/Gateway/PeerReports.cpp
@@ -18,9 +18,9 @@
 
     // Maximum size of a UDP datagram.
     constexpr std::size_t maxDatagramSize = 64UL * 1024;
-    // Added to the rank of a node that receives reports of less than half of the fleet.
-    // A node whose reports do not arrive may hold the duties, and with this rank the node
-    // waits longer than a lease before it claims them.
+    // Added to the rank of a node that receives reports of at most half of the fleet. The
+    // duties may be held by another node whose reports do not arrive at this one. With
+    // the added rank this node waits longer than a lease before it claims the duties.
     constexpr std::size_t rankPenalty = 8;
 
     /// Identifies the peer that represents all other nodes in the tables of a large
@@ -79,8 +79,8 @@
 {
     PeerTable::PeerCounts peerCounts = table_.peerCounts();
     // Nodes that were advertised and have never reported may have stopped long ago. They
-    // count as known only for a while after the start of this node, in which their first
-    // reports may still arrive.
+    // count as known only until forgetAfter_ has passed since the start of this node,
+    // since their first reports may arrive until then.
     bool hasJustStarted = now - startedAt_ < context_.settings_.gossiping_.forgetAfter_;
     std::uint64_t known = peerCounts.reportedNodes_ + (hasJustStarted ? peerCounts.advertisedNodes_ : 0);
     const wire::NodeSums* sums = others_.current(now);
@@ -98,8 +98,8 @@
 {
     if (usesRelays_)
         return !unresponsiveNodes_ && coverage(steadyNow()).isComplete();
-    // A node that is unresponsive for longer is not waited for: its counts have arrived
-    // or never will.
+    // Nodes that have been unresponsive for longer than \p maxAge are not waited for:
+    // their counts have arrived already or never will.
     return reportedWithin(time).size() >= reportedWithin(maxAge).size();
 }
 
@@ -148,8 +148,8 @@
     for (const Endpoint& receiver : receivers) {
         boost::system::error_code code;
         udp::endpoint address(asio::ip::make_address(receiver.host_, code), receiver.port_);
-        // A full socket buffer or a missing route loses this datagram; the next one
-        // replaces it.
+        // If the socket buffer is full or a route is missing, this datagram is lost, and
+        // the next one replaces it.
         if (!code)
             socket_.send_to(asio::buffer(bytes), address, 0, code);
         context_.metrics_.add(code ? Counter::PeerErrors : Counter::GossipMessages);
@@ -449,7 +449,8 @@
         applyDigest(relay, report.incarnation(), report.sums(), now);
         return;
     }
-    // The sender does not know the relays of this data centre yet.
+    // A relay of another data centre sent its sums to this node, which is no relay. The
+    // answer reports the relays of this data centre to it.
     if (!isRelay_)
         discovery_.queueAnswer(relay);
     applyLeaving(report.sums().leaving(), relay);
--- a/lib/Gateway/PeerReports.h
+++ b/lib/Gateway/PeerReports.h
@@ -28,14 +28,17 @@
         /// Returns the token under which this node held the duties before it released
         /// them, or 0.
         std::function<DutyToken()> releasedToken_;
-        /// A peer held the duties at the given time.
+        /// Called when a report states that a peer held the duties under a token at the
+        /// given time.
         std::function<void(const VmId&, DutyToken, SteadyTime)> onHolder_;
-        /// The holder under this token released the duties.
+        /// Called when a report states that the holder under this token released the
+        /// duties.
         std::function<void(DutyToken)> onReleased_;
-        /// A peer started to stop.
+        /// Called when a peer reports for the first time that it is stopping.
         std::function<void(const VmId&)> onStopping_;
-        /// Return whether this node reads from the platform, and whether its reads fail.
+        /// Returns whether this node reads from the platform.
         std::function<bool()> isReader_;
+        /// Returns whether this node's reads from the platform fail.
         std::function<bool()> isPlatformUnavailable_;
     };
 
@@ -58,8 +61,8 @@
     Coverage coverage(SteadyTime now) const;
     /// Returns whether \p vm reported that it is stopping.
     bool isStopping(const VmId& vm) const { return table_.isStopping(vm); }
-    /// Adds a node that was announced elsewhere. This node introduces itself to it from
-    /// now on.
+    /// Adds a node that was announced on the platform or advertised by a peer. This node
+    /// introduces itself to the added node from now on.
     void addKnownPeer(const VmId& vm, const Endpoint& gossip);
     /// Notes that all announced nodes were added, so that quotas are divided among the
     /// known nodes only.
@@ -68,15 +71,16 @@
     void noteLeaving(const BackendId& id);
     /// Reports to peers for some seconds that a backend server has terminated.
     void noteTerminated(const BackendId& id);
-    /// Returns this node's rank among live nodes in the order for \p key. A node that
-    /// receives reports of less than half of the others ranks behind nodes that receive
-    /// more. Must be called on the event loop.
+    /// Returns this node's rank among live nodes, ordered by rendezvous hashing of \p
+    /// key; 0 is the first. A node that receives reports of at most half of the known
+    /// nodes ranks behind nodes that receive more. Must be called on the event loop.
     std::size_t rankFor(const std::string& key) const;
 
 private:
     asio::awaitable<void> sendReports();
     asio::awaitable<void> receiveDatagrams();
-    /// Returns the time since this node's counts began, in ms.
+    /// Returns the time over which this node has counted, that is, since its start, in
+    /// ms.
     std::uint64_t countedMs(SteadyTime now) const;
     void reportToAll();
     void reportToRelays(SteadyTime now);
@@ -115,13 +119,17 @@
     ReportAggregator aggregator_;
     /// The sums of all other nodes, as relays report them.
     NodeGroupSums others_;
+    /// The relay whose sums are in use, and the number of nodes in them.
     VmId activeRelay_;
     std::atomic<std::uint64_t> relayedNodes_ { 0 };
     /// Number of nodes that became unresponsive recently, as relays report it.
     std::atomic<std::uint64_t> unresponsiveNodes_ { 0 };
+    /// Guards leaving_ and terminated_.
     std::mutex leavingMutex_;
+    /// Backend servers that are reported as leaving, and when each was added.
     std::deque<std::pair<SteadyTime, BackendId>> leaving_;
-    /// Guarded by leavingMutex_. Holds each backend server once.
+    /// Backend servers that are reported as terminated, each of them once, and when each
+    /// was added.
     std::deque<std::pair<SteadyTime, BackendId>> terminated_;
     std::uint64_t sequence_ = 0;
     std::atomic<bool> usesRelays_ { false };
--- a/lib/Gateway/PeerTable.cpp
+++ b/lib/Gateway/PeerTable.cpp
@@ -12,11 +12,12 @@
 
 namespace {
 
-    // Maximum age of the last report of a relay candidate: if all relays of a data centre
-    // stop simultaneously, no reports arrive for a while.
+    // Maximum age of the last report of a relay candidate. It is much longer than a
+    // reporting period because no reports arrive for a while if all relays of a data
+    // centre stop simultaneously.
     constexpr milliseconds maxRelayCandidateAge { 10000 };
-    // A relay sends its sums in each period of 200 ms. Three missing ones in a row are
-    // not explained by a lost datagram.
+    // A relay sends its sums in each period of 200 ms. If three in a row are missing, the
+    // cause is not a lost datagram.
     constexpr milliseconds relayTimeout { 600 };
     // Time after which an unresponsive relay is tried again.
     constexpr milliseconds relayRetryDelay { 2000 };
@@ -209,9 +210,9 @@
     std::vector<VmId> likely = rankRelays(dataCentre, candidates);
     if (likely.size() <= settings_.relays_)
         return likely;
-    // The first ones are always included, since they are the relays as soon as all nodes
-    // of the data centre know them. One other candidate is added in rotation, in case the
-    // first ones have stopped.
+    // The first settings_.relays_ candidates are always included, since they are the
+    // relays as soon as all nodes of the data centre know them. One other candidate is
+    // added in rotation, in case those have stopped.
     VmId rotated = likely[settings_.relays_ + cursor % (likely.size() - settings_.relays_)];
     likely.resize(settings_.relays_);
     likely.push_back(rotated);
--- a/lib/Gateway/PeerTable.h
+++ b/lib/Gateway/PeerTable.h
@@ -13,7 +13,9 @@
 
 /// State of a node, as the node or a relay reports it.
 struct Peer {
+    /// Where the node receives reports as datagrams.
     Endpoint gossipEndpoint_;
+    /// Where the node accepts connections of peers.
     Endpoint peerEndpoint_;
     /// Empty until a report arrived.
     DataCentreId dataCentre_;
@@ -26,6 +28,8 @@
     std::uint64_t registryFingerprint_ = 0;
     /// CPU cores of its VM.
     double cores_ = 0;
+    /// When the latest report of the node arrived here or at the relay that forwarded it;
+    /// zero before the first one.
     SteadyTime receivedAt_ {};
 };
 
@@ -35,7 +39,7 @@
 struct Coverage {
     /// Number of nodes whose reports this node receives, directly or in relays' sums.
     std::uint64_t reportedNodes_ = 1;
-    /// Number of nodes that exist as far as this node knows.
+    /// Number of nodes that this node knows.
     std::uint64_t knownNodes_ = 1;
 
     /// Returns whether this node receives reports of nearly all nodes. The others may be
@@ -60,7 +64,7 @@
 
     PeerTable(VmId self, DataCentreId ownDataCentre, double cores, GossipSettings settings);
 
-    /// Adds a node that was advertised, with its gossip endpoint as the only known state.
+    /// Adds a node of which only the gossip endpoint is known.
     void addKnownPeer(const VmId& vm, const Endpoint& gossip);
     /// Applies a report of \p vm itself; \p peer holds the time of its arrival.
     ReportKind applyReport(const VmId& vm, Peer peer);
@@ -83,14 +87,15 @@
     /// Returns the nodes that reported within \p maxAge.
     std::vector<KnownPeer> reportedWithin(milliseconds maxAge, SteadyTime now) const;
     std::vector<KnownPeer> all() const;
-    /// Returns this node's rank among live nodes in the order for \p key.
+    /// Returns this node's rank among live nodes that are not stopping, ordered by
+    /// rendezvous hashing of \p key; 0 is the first.
     std::size_t rankFor(const std::string& key, SteadyTime now) const;
-    /// Returns the relays of this node's data centre, possibly with this node itself. A
+    /// Returns the relays of this node's data centre; this node may be one of them. A
     /// node that has sent no sums for a while after it was asked to relay is skipped.
     std::vector<VmId> chooseRelays(SteadyTime now);
-    /// Returns nodes that may be relays of \p dataCentre: the first ones in the order in
-    /// which its own nodes choose, and one of the others, selected by \p cursor in
-    /// rotation.
+    /// Returns nodes that may be relays of \p dataCentre: the first candidates in the
+    /// order in which the nodes there choose relays, and one of the other candidates,
+    /// selected by \p cursor in rotation.
     std::vector<VmId> likelyRelays(const DataCentreId& dataCentre, std::size_t cursor, SteadyTime now) const;
     /// Returns the data centres of known nodes except this node's.
     std::vector<DataCentreId> otherDataCentres() const;
@@ -106,8 +111,10 @@
 
     /// State of the requests to a node to act as a relay.
     struct RelayRequest {
+        /// Zero while the node is not chosen as a relay.
         SteadyTime requestedSince_ {};
         SteadyTime digestReceivedAt_ {};
+        /// The node sent no sums in time, and is not chosen before this time.
         SteadyTime skippedUntil_ {};
     };
 
--- a/lib/Gateway/PlatformFeed.cpp
+++ b/lib/Gateway/PlatformFeed.cpp
@@ -12,9 +12,10 @@
 
 namespace {
 
-    // How often a node that does not read checks whether it has become a reader.
+    // How often a node that does not read from the platform checks whether it has become
+    // a reader.
     constexpr milliseconds readerCheckPeriod { 150 };
-    // Source of changes that were read from the platform, as logged.
+    // Name of the platform as a source of changes, as opposed to the name of a peer.
     const std::string platformSource = "platform";
     // Maximum age of a peer's list of backend servers that is still used.
     constexpr std::uint64_t maxListAgeMs = 1500;
@@ -34,8 +35,8 @@
 {
     asio::co_spawn(io_, followConfiguration(), asio::detached);
     asio::co_spawn(io_, followRegistry(), asio::detached);
-    // Both run in coroutines of their own, since fetching a configuration may take
-    // seconds.
+    // Fetching from peers runs in separate coroutines, since fetching a configuration
+    // may take seconds.
     asio::co_spawn(io_, fetchConfigurationFromPeers(), asio::detached);
     asio::co_spawn(io_, fetchBackendsFromPeers(), asio::detached);
 }
@@ -55,8 +56,8 @@
     return isPlatformUnavailable() || shouldRead(self, readerStates(), settings.feed_.readers_);
 }
 
-/// Suspends while other nodes read. By then the offset is too old to continue from, so
-/// that \p from is reset.
+/// Suspends while other nodes read \p resource from the platform. After that, \p from is
+/// too old to continue from and is reset.
 asio::awaitable<void> PlatformFeed::waitUntilReader(std::string resource, std::optional<LogOffset>& from)
 {
     if (!context_.table() || isReader())
@@ -115,7 +116,8 @@
         pendingRemovals_.insert(name);
         return;
     }
-    // A backend server that crashes never announces that it leaves.
+    // A backend server that disappears without an announcement that it leaves has
+    // crashed.
     if (!known->isLeaving_)
         noteBackendTerminated(context_.forward_, known->id_);
     logger_.info(LogLine("Backend server was removed.").add("backend", known->id_.value_).add("from", source));
@@ -126,9 +128,9 @@
     context_.backends_.remove(known->id_, steadyNow());
 }
 
-/// Heartbeats repeat an invalid registration, so that its error is logged once. The
-/// backend server that had the name is removed, but is not reported as leaving: its next
-/// heartbeat may restore it.
+/// Heartbeats repeat an invalid registration, so its error is logged and counted only
+/// when it changes. The backend server that had the name is removed, but is not reported
+/// as leaving, since its next heartbeat may restore it.
 void PlatformFeed::rejectRegistration(const RegistryChange& change, const std::string& source)
 {
     std::string& before = registrationErrors_[change.name_];
@@ -265,8 +267,9 @@
     if (reader || hasList)
         return reader;
     // A node that starts during an outage of the platform has no backend servers and
-    // would reject all requests until the platform is back. Any list is better, since
-    // registrations that expire meanwhile are kept until then.
+    // would reject all requests until the platform is back. A list of any age is better
+    // than none, since registrations that expire during the outage are kept until the
+    // platform is available again.
     std::vector<KnownPeer> live = peerReports_.live();
     if (live.empty())
         return std::nullopt;
@@ -291,14 +294,15 @@
     if (!answered)
         co_return;
     const wire::ConfigurationUpdate& update = *answered;
-    // Nodes that do not read use a reader's list, and so do readers that cannot read.
+    // Nodes that are not readers use the list of a peer, and so do readers that cannot
+    // read from the platform.
     bool mayUse = !isReader() || isRegistryStale();
     bool isFirst = listReadAt_ == SteadyTime {} && update.backends_size();
     if (!mayUse || (update.backends_age_ms() > maxListAgeMs && !isFirst))
         co_return;
     // The peer computes the age after the request was sent, so that the list was read no
-    // earlier than this. A list that is older than this node's may lack registrations
-    // that are newer.
+    // earlier than this. A list that is older than this node's list may lack newer
+    // registrations.
     SteadyTime readAt = requestedAt - milliseconds(update.backends_age_ms());
     if (readAt <= listReadAt_ && !isFirst)
         co_return;
@@ -321,7 +325,8 @@
     auto table = context_.table();
     if (table) {
         update.set_version(table->version());
-        // The source belongs to this table: another one may be published meanwhile.
+        // Version and source are taken from the same table, since another table may be
+        // published meanwhile.
         if (fetch.wants_configuration() && table->version() > fetch.known_version())
             update.set_compressed_source(table->configuration().compressedSource_);
     }
--- a/lib/Gateway/PlatformFeed.h
+++ b/lib/Gateway/PlatformFeed.h
@@ -14,8 +14,8 @@
 
 namespace pistachioloom {
 
-/// Timeout of an answer from a peer, which composes it from memory. For a configuration,
-/// the maximum time between two parts of the answer.
+/// Timeout of an answer from a peer. The peer composes the answer from memory. For a
+/// configuration, the maximum time between two parts of the answer.
 inline constexpr milliseconds peerTimeout { 500 };
 /// How often a node checks whether it has to fetch from peers.
 inline constexpr milliseconds peerCheckPeriod { 150 };
@@ -25,13 +25,14 @@
     PlatformFeed(asio::io_context& io, GatewayContext& context, PeerReports& reports, PeerPool& peers, BackgroundExecutor& background);
 
     void start();
-    /// Returns whether this node reads from the platform now: it is the first of its data
-    /// centre, or one of the first of all data centres, among the nodes that the platform
-    /// serves. A node whose reads fail continues to try.
+    /// Returns whether this node reads from the platform now: shouldRead() selects it
+    /// (Readers.h), or its latest read failed. A node whose reads fail continues to read
+    /// until the platform serves it again.
     bool isReader() const;
     bool isPlatformUnavailable() const { return isRegistryUnavailable_ || isConfigurationUnavailable_; }
     /// Answers a peer that fetches what this node has read from the platform. A peer that
-    /// fetches the configuration while others receive it is asked to retry later.
+    /// fetches the configuration while maxTransfers other peers receive it is asked to
+    /// retry later.
     asio::awaitable<void> serve(std::shared_ptr<PeerStream> stream, wire::Frame request);
 
 private:
@@ -77,6 +78,7 @@
     PeerReports& peerReports_;
     PeerPool& peers_;
     BackgroundExecutor& background_;
+    /// When this node last read the registry from the platform.
     std::atomic<SteadyTime> registryReadAt_ { SteadyTime {} };
     /// When the list in use was read from the platform, by this node or by a peer.
     SteadyTime listReadAt_ {};
@@ -86,6 +88,8 @@
     SteadyTime removalGraceEnd_ {};
     TransferLimiter transfers_;
     BusyPeers busyPeers_;
+    /// Backend servers whose registration is missing. They are removed after
+    /// removalGraceEnd_, unless they register again.
     std::set<BackendName> pendingRemovals_;
     /// The latest error of each invalid registration.
     std::map<BackendName, std::string> registrationErrors_;
--- a/lib/Gateway/ReachabilityProbe.cpp
+++ b/lib/Gateway/ReachabilityProbe.cpp
@@ -12,7 +12,8 @@
     // A data centre receives requests within this time and a round trip after it is
     // reachable again.
     constexpr milliseconds probePeriod { 250 };
-    // A connection within a region is established within 10 ms.
+    // Twenty times the 10 ms within which a connection inside a region is
+    // established.
     constexpr milliseconds probeTimeout { 200 };
 
 } // namespace
--- a/lib/Gateway/Readers.cpp
+++ b/lib/Gateway/Readers.cpp
@@ -12,9 +12,9 @@
 
 // Key of the rendezvous order of readers.
 static constexpr std::string_view readersKey = "readers";
-// Number of rejected nodes from which on the platform counts as unavailable, rather than
-// the nodes as faulty. No further node tries then: otherwise all nodes of a large fleet
-// would call a platform that is overloaded.
+// If the platform rejects at least this many nodes, the platform counts as unavailable,
+// and the nodes do not count as faulty. No further node reads in that case: otherwise all
+// nodes of a large fleet would call an overloaded platform.
 static constexpr std::size_t maxFailedReaders = 6;
 
 static std::vector<VmId> rankByHash(const std::map<VmId, ReaderState>& candidates)
@@ -25,7 +25,8 @@
     return rankByRendezvous(readersKey, vms);
 }
 
-/// Ranks the nodes of \p candidates, best first.
+/// Ranks the nodes of \p candidates by CPU cores and then by rendezvous hashing, best
+/// first.
 static std::vector<VmId> rankReaders(const std::map<VmId, ReaderState>& candidates)
 {
     std::vector<VmId> ranked = rankByHash(candidates);
@@ -35,8 +36,9 @@
 
 /// Returns whether \p self reads for its data centre. A node of an older version ranks by
 /// rendezvous hashing alone, so that the best node may be such a node and not know that
-/// it is the best. The first node by hashing reads then. Otherwise a fleet of both
-/// versions could be without a reader.
+/// it is the best. While the best node does not report that it reads, the first node by
+/// hashing reads. Otherwise a data centre with nodes of both versions could be without a
+/// reader.
 static bool isDataCentreReader(const VmId& self, const std::map<VmId, ReaderState>& local)
 {
     VmId best = rankReaders(local).front();
--- a/lib/Gateway/ReportAggregator.cpp
+++ b/lib/Gateway/ReportAggregator.cpp
@@ -16,12 +16,13 @@
     // Time after which a stopped node is removed. Its usage is reported within four
     // windows of 5 s.
     constexpr milliseconds nodeRetention { 60000 };
-    // The incarnation under which the usage of another data centre is stored: its relays
-    // send the same sums, and the higher ones count.
+    // Incarnation under which the usage of another data centre is stored. The relays of
+    // that data centre send sums of the same nodes, and UsageTracker keeps the highest of
+    // them.
     constexpr std::uint64_t anyIncarnation = 0;
 
-    // Maximum number of usage windows in a message. The third newest is the next one that
-    // is reported to the platform.
+    // Maximum number of usage windows in a message. The third newest window is the next
+    // one that is reported to the platform.
     constexpr std::size_t maxReportedWindows = 6;
 
     std::map<WindowNumber, UsageCounts> newest(std::map<WindowNumber, UsageCounts> windows)
@@ -226,7 +227,7 @@
         const Node& node = entry.second;
         if (now - node.receivedAt_ <= nodeRetention)
             return false;
-        // Its counts stay in the totals, which never decrease.
+        // The counts of a removed node stay in the totals, which never decrease.
         addCounts(removedNodesAdmitted_, node.group_.admitted());
         ownUsage_.forgetPeer(entry.first);
         return true;
--- a/lib/Gateway/ReportAggregator.h
+++ b/lib/Gateway/ReportAggregator.h
@@ -31,12 +31,12 @@
 
     /// Adds a group: its current sums, and its counts even if it is unresponsive.
     void add(const NodeGroupSums& group, SteadyTime now);
-    /// Subtracts the sums of one node.
+    /// Subtracts the sums of one node, whose counts are in \p group.
     void remove(const wire::NodeSums& sums, const NodeGroupSums& group);
     wire::NodeSums toMessage() const;
 
     /// Adds current state: loads, levels, rates, backend servers that are leaving, and
-    /// the holder of the duties. It was received \p age ago.
+    /// the holder of the duties. \p age is the time since \p sums was received.
     void addCurrent(const wire::NodeSums& sums, milliseconds age);
 
     void addRollouts(const wire::NodeSums& sums, milliseconds age);
@@ -74,13 +74,15 @@
     std::vector<VmId> receivers(SteadyTime now) const;
     /// Returns the relays of another data centre that sent sums recently.
     std::vector<VmId> relaysOf(const DataCentreId& dataCentre, SteadyTime now) const;
-    /// Returns the sums of this data centre's nodes, for a relay of \p receiver. Usage is
-    /// included only for the data centre of the node that reports it to the platform.
+    /// Returns the sums of this data centre's nodes, for a relay of \p receiver. Usage
+    /// and roll-out counts are included only for the data centre of the node that holds
+    /// the duties and reports usage to the platform.
     wire::NodeSums summaryFor(const DataCentreId& receiver, SteadyTime now) const;
     /// Returns the totals of all data centres, for digestFor().
     ReportTotals totals(SteadyTime now) const;
-    /// Returns the sums of all nodes except \p receiver. Usage is included only for the
-    /// node that reports it to the platform.
+    /// Returns the sums of all nodes except \p receiver. Usage and roll-out counts are
+    /// included only for the node that holds the duties and reports usage to the
+    /// platform.
     wire::NodeSums digestFor(const VmId& receiver, const ReportTotals& totals, SteadyTime now) const;
 
 private:
@@ -93,11 +95,13 @@
     ReportTotals ownTotals(SteadyTime now) const;
     void removeUnresponsive(SteadyTime now);
 
+    /// Nodes of this data centre that report to this relay.
     std::map<VmId, Node> nodes_;
+    /// Sums of the other data centres.
     std::map<DataCentreId, NodeGroupSums> others_;
     UsageTracker ownUsage_;
     UsageTracker othersUsage_;
-    /// Counts of nodes that were removed.
+    /// What the removed nodes had admitted, by organisation.
     NamedCounts removedNodesAdmitted_;
 };
 
--- a/lib/Gateway/ReportMessages.cpp
+++ b/lib/Gateway/ReportMessages.cpp
@@ -106,7 +106,7 @@
     }
 }
 
-/// In a small fleet these are all nodes. Seeds are included until they report.
+/// Returns the addresses of all known nodes, and of seeds until they report.
 std::vector<Endpoint> PeerReports::knownAddresses()
 {
     std::vector<Endpoint> all = unseenSeeds();
--- a/lib/Gateway/TransferLimiter.h
+++ b/lib/Gateway/TransferLimiter.h
@@ -21,7 +21,7 @@
 /// Time after which both sides abort a transfer: twelve times the 160 ms that two
 /// transfers of 100 KB take on an idle link of 10 Mbit/s.
 inline constexpr milliseconds transferTimeout { 2000 };
-/// Time after which a busy node is asked again. By then two transfers of 100 KB have
+/// Time after which a peer retries at a busy node. By then two transfers of 100 KB have
 /// ended on a link of 10 Mbit/s (160 ms), and their receivers have reported the new
 /// version (every 200 ms).
 inline constexpr milliseconds busyRetryDelay { 250 };
@@ -33,11 +33,11 @@
 /// Limits the transfers of a node that has the configuration.
 class TransferLimiter {
 public:
-    /// Starts a transfer to a peer. Returns nullopt if the peer has to ask elsewhere, and
-    /// counts that busy answer.
+    /// Starts a transfer to a peer. Returns nullopt if maxTransfers are running, and
+    /// counts the busy answer that the peer receives then.
     std::optional<TransferId> begin(SteadyTime now);
-    /// Ends a transfer that the peer has received or cancelled. A transfer that was
-    /// aborted is ignored.
+    /// Ends a transfer that the peer has received or cancelled. Has no effect on a
+    /// transfer that was aborted after transferTimeout.
     void end(TransferId transfer);
     std::size_t activeTransfers() const { return startTimes_.size(); }
     /// Returns whether busy answers are to be logged now.
@@ -52,8 +52,8 @@
     std::optional<SteadyTime> loggedAt_;
 };
 
-/// Tracks the peers that were busy or sent nothing. The node that fetches the
-/// configuration asks others meanwhile.
+/// Tracks the peers that were busy or sent nothing when this node fetched the
+/// configuration. This node fetches it from others meanwhile.
 class BusyPeers {
 public:
     void markBusy(const VmId& peer, SteadyTime until);
--- a/lib/Node/BackendDispatcher.h
+++ b/lib/Node/BackendDispatcher.h
@@ -68,22 +68,29 @@
     /// Why this dispatcher ends a running stream.
     enum class EndReason {
         None,
+        /// The KV cache of the stream moves to another engine.
         MoveCache,
+        /// Another engine computes the KV cache again.
         Recompute,
+        /// This node stops; the owner attaches to the engine through another
+        /// dispatcher.
         HandOver,
+        /// A trial request yields its slot to a paid one.
         Preempted,
     };
 
     struct RunningStream {
         std::string requestId_;
         VmId engine_;
-        /// Trial if the stream may be made to yield.
+        /// Trial if the stream has to yield its slot to a paid request on demand.
         ServiceClass class_ = ServiceClass::Paid;
+        /// How often the request has yielded its slot.
         std::uint32_t yields_ = 0;
         std::uint64_t promptTokens_ = 0;
         std::uint64_t maxTokens_ = 0;
         std::atomic<std::uint64_t> generatedTokens_ { 0 };
         std::atomic<EndReason> endReason_ { EndReason::None };
+        /// Closes the stream from the engine.
         std::function<void()> close_;
         SteadyTime startedAt_;
     };
@@ -103,7 +110,10 @@
     void endStream(RunningStream& running, EndReason reason);
     void preemptTrial(const VmId& engine);
     std::vector<RunningStreamPtr> streamsOn(const VmId& engine) const;
+    /// \returns the number of requests that other engines of the same models can run.
     std::size_t capacityElsewhere(const VmId& engine) const;
+    /// \returns the slots per server of \p backend that are reserved for paid
+    /// requests.
     std::uint64_t paidReserveOf(std::string_view backend) const;
     std::uint64_t concurrencyOf(std::string_view backend) const;
     bool isDispatcherOf(const VmId& server) const;
@@ -117,6 +127,7 @@
     SlotTable slots_;
     mutable std::mutex mutex_;
     std::vector<RunningStreamPtr> running_;
+    /// Engines to which nothing is dispatched at present; see Admission.
     std::set<VmId> closedEngines_;
 };
 
--- a/lib/Node/ControlPlane.cpp
+++ b/lib/Node/ControlPlane.cpp
@@ -1,8 +1,8 @@
 //===- lib/Node/ControlPlane.cpp - membership and catalogue of a node -----===//
 ///
 /// \file
-/// Reads the platform on the relay, publishes membership and catalogue, marks
-/// leaving VMs and appends catalogue edits.
+/// Reads from the platform while this node is the relay, publishes membership
+/// and catalogue, marks leaving VMs and appends catalogue edits.
 //===----------------------------------------------------------------------===//
 #include "ControlPlane.h"
 
--- a/lib/Node/ControlPlane.h
+++ b/lib/Node/ControlPlane.h
@@ -44,8 +44,8 @@
         std::optional<milliseconds> remaining_;
     };
 
-    /// Marks VMs as leaving, after a reclaim notice or a report of the VM
-    /// itself, and gossips it if this changed the table of leaving VMs.
+    /// Marks VMs as leaving, after a reclaim notice or a report of the VM itself.
+    /// Gossips the change if the table of leaving VMs changed.
     void markLeaving(const std::vector<LeavingVm>& vms);
     /// Time until a leaving VM stops: from its notice, or otherwise the default
     /// notice counted from the time at which the VM was marked. nullopt for a
@@ -90,11 +90,12 @@
     /// Merges \p gossip into this node's state. \returns whether this changed the
     /// table of leaving VMs.
     bool mergeGossip(const wire::Gossip& gossip);
-    /// Pulls catalogue and VM list from the sender if its versions are newer.
+    /// Pulls the catalogue and the VM list from the sender of \p gossip where its
+    /// versions are newer.
     void pullUpdates(const wire::Gossip& gossip);
     void applyRecords(const std::vector<std::pair<LogOffset, std::string>>& records);
-    /// Calls \p adopt on the store. If it changed the list, publishes the
-    /// membership and, on the relay, gossips it.
+    /// Calls \p adopt on the store. If the list changed, publishes the membership
+    /// and, on the relay, gossips the new version.
     void adoptVmList(const std::function<bool(VmListStore&)>& adopt);
     void adoptVmChanges(const wire::VmListUpdate& update);
     void publishMembership();
@@ -110,9 +111,13 @@
     std::shared_ptr<const VmIndex> vmIndex_ = std::make_shared<const VmIndex>();
     VmListStore vmList_;
     CatalogueState catalogue_;
+    /// When this node last read a new catalogue snapshot or was due to append
+    /// one, and the offset of the latest snapshot that it read.
     SteadyTime lastSnapshotAt_;
     LogOffset lastSnapshotOffset_;
+    /// When records were last applied without a gap in the catalogue.
     SteadyTime catalogueCurrentAt_;
+    /// Start of the next rotation in nextContacts().
     std::size_t nextContact_ = 0;
     bool isVmListReachable_ = true;
     bool isSyncingCatalogue_ = false;
--- a/lib/Node/EngineOrders.cpp
+++ b/lib/Node/EngineOrders.cpp
@@ -198,8 +198,8 @@
             managed_[engine].orderedAt_.reset();
     }
     context_.metrics_.add(Counter::LogAppends);
-    // If the append is not confirmed, the next read of the log shows whether the
-    // claim was written. A second claim of this node has no effect.
+    // If the append is not confirmed, the claim may have been written nevertheless,
+    // which the next read of the log shows. A second claim of this node has no effect.
     auto appended = co_await context_.log_.append_(claimsStream, encodeClaim(claim), appendTimeout);
     if (!appended)
         logger_.warn("Claim on engine " + engine.value_ + " may not have been written: " + describe(appended.error()) + ".");
--- a/lib/Node/EngineOrders.h
+++ b/lib/Node/EngineOrders.h
@@ -22,7 +22,9 @@
 
     /// State of one of this node's engines.
     struct Status {
+        /// Version that the engine ran when its state was last read.
         std::string version_;
+        /// Version that the catalogue states.
         std::string wantedVersion_;
         OrderStep step_ = OrderStep::Settled;
     };
@@ -35,6 +37,7 @@
     struct ManagedEngine {
         EngineConfiguration wanted_;
         SteadyTime claimedAt_;
+        /// When the last order was sent, while its claim is open.
         std::optional<SteadyTime> orderedAt_;
         SteadyTime reconciledAt_;
         bool isReconciling_ = false;
@@ -46,11 +49,16 @@
     /// \returns the engines that are due for reconciliation, marked as reconciling.
     std::vector<VmId> takeDueEngines();
     asio::awaitable<void> reconcile(VmId engine);
+    /// Reads the state of \p engine and performs the next step towards its wanted
+    /// configuration.
     asio::awaitable<void> advance(VmId engine, Endpoint endpoint, std::shared_ptr<const CatalogueEntry> entry);
+    /// \returns the next step, and opens or closes the engine's admission accordingly.
+    /// Sets \p token to the token of the claim on the engine, if there is one.
     OrderStep decideStep(const VmId& engine, const CatalogueEntry& entry, const EngineState& state, FencingToken& token);
     asio::awaitable<void> performStep(VmId engine, Endpoint endpoint, OrderStep step, FencingToken token, const CatalogueEntry& entry);
     asio::awaitable<void> appendClaim(VmId engine, std::string model, bool isEnd);
     asio::awaitable<void> order(VmId engine, Endpoint endpoint, FencingToken token, EngineConfiguration wanted);
+    /// Reads the claims up to the end of the log. \returns whether that succeeded.
     asio::awaitable<bool> readClaims();
     std::shared_ptr<const CatalogueEntry> entryOf(const VmId& engine) const;
 
--- a/lib/Node/EngineRouter.h
+++ b/lib/Node/EngineRouter.h
@@ -57,6 +57,7 @@
     mutable std::mutex mutex_;
     std::map<std::pair<VmId, std::string>, SentCount> sent_;
     std::map<std::string, std::string> explanations_;
+    /// Requests in explanations_, the oldest first.
     std::deque<std::string> explanationOrder_;
 };
 
--- a/lib/Node/EventStream.h
+++ b/lib/Node/EventStream.h
@@ -29,6 +29,7 @@
 /// Turns the tokens of an answer into events and skips those that the caller has.
 class EventWriter {
 public:
+    /// \p resume is the last event id that the caller received, if it reconnects.
     EventWriter(std::string requestId, std::optional<EventId> resume);
 
     std::string accepted(const std::string& engine);
@@ -42,14 +43,17 @@
     std::string failed(const Error& error);
 
 private:
-    /// Stops skipping tokens. \returns a restart event and the skipped tokens, or an
-    /// empty string if none are kept because the caller has the same text.
+    /// Ends the check of the caller's text. \returns a restart event and the skipped
+    /// tokens, or an empty string if skipped_ is empty because the caller has the same
+    /// text.
     std::string finishResume();
 
     std::string requestId_;
+    /// Set until the text of the caller's event id has been checked.
     std::optional<EventId> resume_;
     EventId position_;
-    /// Tokens that the caller should have, kept until the hash of its id is checked.
+    /// Tokens that the caller has if its text is the same; kept until the hash of its
+    /// event id is checked.
     std::vector<std::string> skipped_;
 };
 
--- a/lib/Node/Generation.h
+++ b/lib/Node/Generation.h
@@ -54,17 +54,18 @@
     AnswerPart read(std::size_t from) const;
     /// Waits for new tokens or the end, and returns what read() does.
     asio::awaitable<AnswerPart> next(Reader reader, std::size_t from);
-    /// Waits until an engine has started the request and a replica has the record or
-    /// none is available. \returns the failure if the generation fails before that.
+    /// Waits until an engine has started the request and a replica has the record or no
+    /// node accepts a replica. \returns the failure if the generation fails before that.
     asio::awaitable<std::optional<Error>> waitAccepted(Reader reader);
     bool hasReaders() const;
 
-    // Functions for the owner.
+    // The functions below are called by the owner of the generation.
     wire::GenerationRecord record() const;
     /// \returns the record to hand over. Until cancelHandover() is called, readers get
     /// no tokens beyond this record, since the successor may compute different ones.
     wire::GenerationRecord beginHandover();
     void cancelHandover();
+    /// \returns the number of the new attempt.
     std::uint32_t startAttempt();
     void countYield();
     /// Appends the tokens of \p chunk that the record does not have yet. \returns their
@@ -101,6 +102,7 @@
     };
     Progress progressSince(std::size_t from) const;
     SteadyTime deadline() const { return deadline_; }
+    /// \returns when read() was last called, directly or by next().
     SteadyTime lastReadAt() const;
     SteadyTime changedAt() const;
     SteadyTime startedAt() const { return startedAt_; }
@@ -146,6 +148,7 @@
 /// Runs generations and keeps their answers for a limited time.
 class GenerationOwner {
 public:
+    /// Called when a generation that this node admitted has ended.
     using FinishedHook = std::function<void(const std::string& entry, std::uint64_t unusedTokens)>;
 
     GenerationOwner(NodeContext& context, EngineRouter& router, FinishedHook onFinished);
@@ -191,13 +194,17 @@
 
     void insert(const GenerationPtr& generation);
     asio::awaitable<void> run(GenerationPtr generation, Preference preference, Origin origin);
+    /// Tries the preferred engine, and then the candidates of the router.
     asio::awaitable<AttemptOutcome> attempt(GenerationPtr generation, Preference& preference);
     asio::awaitable<AttemptOutcome> tryEngine(GenerationPtr generation, VmId engine, VmId dispatcher, bool mayQueue, Preference& preference, Error& rejection);
     asio::awaitable<AttemptOutcome> receiveTokens(GenerationPtr generation, std::shared_ptr<PeerStream> stream, VmId engine, VmId dispatcher, Preference& preference);
     AttemptOutcome endAttempt(const GenerationPtr& generation, const wire::AttemptEnd& end, const VmId& engine, Preference& preference);
+    /// Maintains a replica of the record until the generation has ended or moved.
     asio::awaitable<void> copyLoop(GenerationPtr generation);
     asio::awaitable<bool> copyTo(GenerationPtr generation, VmId replica);
     std::vector<VmId> replicaCandidates(const std::string& requestId, const std::set<VmId>& failed) const;
+    /// Fails generations that their callers abandoned, and removes answers after their
+    /// retention.
     asio::awaitable<void> reapLoop();
     asio::awaitable<void> handOverGeneration(GenerationPtr generation);
 
--- a/lib/Node/GenerationOwner.cpp
+++ b/lib/Node/GenerationOwner.cpp
@@ -20,8 +20,9 @@
     constexpr milliseconds tokenTimeout { 40000 };
     constexpr milliseconds retryDelay { 100 };
     constexpr milliseconds reapPeriod { 250 };
-    // Added to the attempt number on a takeover, so that the new owner's attempts have
-    // greater numbers than any that the old owner did not report to its replica.
+    // Added to the attempt number on a takeover. The old owner may have started
+    // attempts that it did not report to its replica; the numbers of the new owner's
+    // attempts are greater than those.
     constexpr std::uint32_t takeoverAttempts = 1000;
 
     milliseconds timeLeft(const Generation& generation)
@@ -154,8 +155,8 @@
         candidates.resize(maxEnginesTried);
     preference.excluded_.clear();
     Error rejection { Errc::Unavailable, "choose engine", {}, "no engine serves the model", Ran::No, milliseconds(1000) };
-    // The first pass accepts only free slots. The second one allows queueing, starting
-    // with the best candidate.
+    // The first pass over the candidates accepts only free slots. The second pass
+    // allows queueing; both start with the best candidate.
     for (bool mayQueue : { false, true }) {
         for (const EngineCandidate& candidate : candidates) {
             router_.countSent(candidate.dispatcher_, generation->model());
--- a/lib/Node/Gossiping.cpp
+++ b/lib/Node/Gossiping.cpp
@@ -1,8 +1,8 @@
 //===- lib/Node/Gossiping.cpp - gossip of the control plane ---------------===//
 ///
 /// \file
-/// The control plane towards peers: heartbeats, digests, and pulls of catalogue
-/// and VM list from peers with newer versions.
+/// Implements what the control plane exchanges with peers: heartbeats, digests,
+/// and pulls of catalogue and VM list from peers with newer versions.
 //===----------------------------------------------------------------------===//
 #include "ControlPlane.h"
 
--- a/lib/Node/Lending.cpp
+++ b/lib/Node/Lending.cpp
@@ -1,8 +1,9 @@
 //===- lib/Node/Lending.cpp - limits lent between data centres ------------===//
 ///
 /// \file
-/// The limit coordinator towards the coordinators of other data centres:
-/// borrows what its own nodes are short of, and lends what they do not use.
+/// Implements the loans between the limit coordinators of different data
+/// centres: a coordinator borrows what the nodes of its data centre lack, and
+/// lends what they do not use.
 //===----------------------------------------------------------------------===//
 #include "LimitTable.h"
 
@@ -17,8 +18,8 @@
     // Time for which no loan is requested from a data centre that did not reply.
     constexpr milliseconds unreachableBackoff { 5000 };
     // Minimum time between two rounds of loan requests for an entry. It limits
-    // the requests when no data centre lends anything, and the transfers of
-    // tokens.
+    // the rate of loan requests when no data centre lends anything, and the rate
+    // of token transfers.
     constexpr milliseconds minBorrowInterval { 50 };
     constexpr std::size_t maxLendersAsked = 4;
     // A data centre that uses its share keeps one part in this many of its slots
@@ -132,15 +133,16 @@
         co_return;
     }
     const wire::LoanReply& loan = reply.value().loan_reply();
-    // The validity counts from the time of sending, so that the loan expires
-    // here before it expires at the lender.
+    // The validity counts from the time of sending, so that the loan expires at
+    // this borrower before it expires at the lender.
     table->loans_.setBorrowed(lender, loan.slots(), sentAt + milliseconds(loan.valid_ms()));
     if (table->tokens_)
         table->tokens_->giveBack(loan.tokens());
 }
 
 // A request that arrives after a newer one of the same coordinator is ignored,
-// because it no longer limits what the borrower uses.
+// because the borrower no longer keeps to the slots that the older request
+// states.
 bool LimitCoordinator::isNewest(LimitTable& table, const wire::LoanRequest& request)
 {
     std::uint64_t& last = table.lastSequence_[{ request.node() }];
--- a/lib/Node/LimitClient.h
+++ b/lib/Node/LimitClient.h
@@ -3,8 +3,8 @@
 /// \file
 /// The node's side of the limits: requests slots and tokens from the limit
 /// coordinators of entries, a few in advance, and admits requests within what
-/// it holds. At most one request for an entry is pending at a time. Callers
-/// that need more meanwhile wait for its reply.
+/// it holds. At most one request for an entry is pending at a time. Requests
+/// of callers that need more slots or tokens meanwhile wait for the reply.
 //===----------------------------------------------------------------------===//
 #pragma once
 
--- a/lib/Node/LimitCoordinator.cpp
+++ b/lib/Node/LimitCoordinator.cpp
@@ -1,7 +1,8 @@
 //===- lib/Node/LimitCoordinator.cpp - limits of a data centre ------------===//
 ///
 /// \file
-/// Tables and grants; see Lending.cpp for the loans.
+/// Implements the tables of entries and the grants; Lending.cpp implements the
+/// loans.
 //===----------------------------------------------------------------------===//
 #include "LimitCoordinator.h"
 
@@ -94,7 +95,8 @@
     auto [rank, count] = rankOfDataCentre();
     std::uint64_t rate = std::max<std::uint64_t>(1, guaranteedShare(limits.tokensPerSecond_, rank, count));
     std::uint64_t burst = std::max<std::uint64_t>(1, guaranteedShare(limits.burst_, rank, count));
-    // The previous coordinator may already have granted the burst.
+    // The previous coordinator may already have granted the burst, so a new
+    // table starts with at most the tokens of one second.
     if (!table->tokens_)
         table->tokens_.emplace(rate, std::min(rate, burst), steadyNow());
     table->tokens_->setRate(rate, burst);
@@ -109,7 +111,7 @@
         return (share > lent ? share - lent : 0) + table.loans_.borrowed(now + grantValidity());
     }
     // Until the previous coordinator's grants have expired, every node gets an
-    // equal part.
+    // equal part of the share.
     auto view = context_.membership();
     auto rank = std::find(view->localNodes_.begin(), view->localNodes_.end(), node) - view->localNodes_.begin();
     std::uint64_t part = guaranteedShare(share, static_cast<std::size_t>(rank), view->localNodes_.size());
@@ -147,8 +149,8 @@
     std::uint64_t taken = wanted ? table.tokens_->takeForRequests(first, wanted, now) : 0;
     grant.set_tokens(before + taken);
     grant.set_token_wait_ms(taken < first ? static_cast<std::uint64_t>(table.tokens_->wait(now).count()) : 0);
-    // Requests at least the tokens of a quarter of a second, not only the
-    // missing tokens, so that requests can continue meanwhile.
+    // Borrows at least the tokens of a quarter of a second, not only the missing
+    // tokens, so that further requests can be admitted until the next loan.
     constexpr std::uint64_t transfersPerSecond = 4;
     if (taken < wanted)
         shortage.tokens_ = std::max(wanted - taken, entry.workload_->limits_.tokensPerSecond_ / transfersPerSecond);
--- a/lib/Node/LimitCoordinator.h
+++ b/lib/Node/LimitCoordinator.h
@@ -64,6 +64,8 @@
     /// Detects a change of nodes, and removes the tables of entries that this
     /// node no longer coordinates.
     void updateNodes();
+    /// The slots of the entry that may be granted to \p node, including those
+    /// that other nodes hold.
     std::uint64_t usableSlots(const CatalogueEntry& entry, const LimitTable& table, const VmId& node, SteadyTime now) const;
     /// Fills \p grant for the demand of \p node.
     Shortage fillGrant(const EntryPtr& entry, const VmId& node, const wire::EntryDemand& demand, wire::EntryGrant& grant);
--- a/lib/Node/Node.cpp
+++ b/lib/Node/Node.cpp
@@ -1,7 +1,8 @@
 //===- lib/Node/Node.cpp - the node's daemon ------------------------------===//
 ///
 /// \file
-/// Connects the parts of a node and drains them in order.
+/// Constructs and connects the parts of a node, dispatches the requests of peers
+/// to them, and drains them in order.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Node.h"
 
--- a/lib/Node/OperatorApi.h
+++ b/lib/Node/OperatorApi.h
@@ -15,8 +15,8 @@
 /// Handles the requests of operators.
 class OperatorApi {
 public:
-    /// Called to drain the node. The duration is the remaining time; nullopt
-    /// means the drain timeout of the settings.
+    /// Called to drain the node. The duration is the time until the node has
+    /// to stop; nullopt means the drain timeout of the settings.
     using DrainHook = std::function<void(std::optional<milliseconds>)>;
 
     OperatorApi(NodeContext& context, ControlPlane& control, BackendDispatcher& dispatcher, EngineOrders& orders, GenerationOwner& owner, LimitClient& limits, EngineRouter& router, DrainHook drain, CallerApi::GaugesHook gauges);
--- a/lib/Node/RecordCopying.cpp
+++ b/lib/Node/RecordCopying.cpp
@@ -124,7 +124,8 @@
 
 asio::awaitable<void> GenerationOwner::handOverGeneration(GenerationPtr generation)
 {
-    // The replica's node is tried first, since it has most of the record.
+    // The node that holds the replica is tried first, since it has most of the
+    // record.
     std::vector<VmId> candidates { { generation->replica() } };
     for (const VmId& node : replicaCandidates(generation->id(), {}))
         candidates.push_back(node);
--- a/lib/Node/ReplicaStore.cpp
+++ b/lib/Node/ReplicaStore.cpp
@@ -80,8 +80,9 @@
         if (!frame)
             break;
         if (replica->isTakenOver_) {
-            // The previous owner is responsive again. The reset makes it choose another
-            // replica; it stops if an attempt of the new owner supersedes its own.
+            // The previous owner is responsive again. The reset of the stream makes that
+            // owner choose another replica. It stops once an attempt of the new owner
+            // supersedes its own.
             stream->cancel();
             co_return;
         }
@@ -251,7 +252,8 @@
     });
 }
 
-// A frozen owner keeps its connections open, so only missing progress reveals it.
+// A frozen owner keeps its connections open, so only missing progress shows that it is
+// frozen.
 asio::awaitable<void> ReplicaStore::checkLoop()
 {
     for (;;) {
--- a/lib/Node/ReplicaStore.h
+++ b/lib/Node/ReplicaStore.h
@@ -41,8 +41,12 @@
     ReplicaPtr find(const std::string& requestId) const;
     /// \returns false if the progress does not continue the record.
     bool applyProgress(Replica& replica, const wire::Frame& frame);
+    /// After a grace time, takes over the record unless the owner replies that it has
+    /// it.
     asio::awaitable<void> takeOverIfOrphaned(ReplicaPtr replica);
     asio::awaitable<bool> ownerHasRecord(std::string owner, std::string requestId);
+    /// Sends a summary of \p generation and, if \p isFollowing, its tokens until the
+    /// end.
     asio::awaitable<void> sendAnswer(std::shared_ptr<PeerStream> stream, GenerationPtr generation, bool isFollowing);
     asio::awaitable<void> checkLoop();
     /// \returns unfinished replicas without progress for the configured time.
--- a/lib/Node/RunOnceCoordinator.cpp
+++ b/lib/Node/RunOnceCoordinator.cpp
@@ -58,7 +58,8 @@
     void apply(const LogRead& read)
     {
         std::lock_guard lock(mutex_);
-        // Trimmed records are older than the retention window of keys.
+        // The log has trimmed the records before read.first_; they are older
+        // than the retention window of keys.
         state_.trim(read.first_);
         for (const auto& [position, record] : read.records_)
             state_.apply(position, decodeLedgerRecord(record));
@@ -260,8 +261,8 @@
     LedgerItem item = run.item();
     if (item.outcome_.body_.size() > maxStoredBodySize)
         item.outcome_.body_ = "{\"note\":\"the answer was too large to be kept\"}";
-    // The append continues if the timer expires and the caller gets its answer
-    // first.
+    // If the timer expires, the caller gets its answer and the append
+    // continues.
     auto append = enqueue(shard, item, false);
     SteadyTimer timer(co_await asio::this_coro::executor, finalRecordWaitLimit);
     timer.async_wait([append](boost::system::error_code code) {
--- a/lib/Node/RunOnceCoordinator.h
+++ b/lib/Node/RunOnceCoordinator.h
@@ -1,10 +1,10 @@
 //===- lib/Node/RunOnceCoordinator.h - at-most-once calls -----------------===//
 ///
 /// \file
-/// Drives RunOnceCall against the log. A coordinator appends the pending
-/// intents of a shard as one record, reads the shard up to that record and
-/// passes the result to each call. Any number of coordinators of one shard,
-/// frozen or not, are safe together.
+/// Runs each call at most once by performing the steps of its RunOnceCall. A
+/// coordinator appends the pending intents of a shard as one record, reads the
+/// shard up to that record and passes the result to each call. Any number of
+/// coordinators of one shard, frozen or not, are safe together.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -50,6 +50,7 @@
     /// Appends the pending items of a shard until none is left.
     asio::awaitable<void> flushLoop(std::uint32_t index);
     asio::awaitable<Result<LogOffset>> appendRecord(const std::string& stream, const std::string& record);
+    /// Reads the log of \p shard up to and including \p offset.
     asio::awaitable<Result<void>> readUpTo(Shard& shard, const std::string& stream, LogOffset offset);
     asio::awaitable<void> writeIntent(RunOnceCall& run, std::uint32_t shard);
     asio::awaitable<void> dispatch(RunOnceCall& run, const wire::ServiceCall& call, SteadyTime receivedAt);
--- a/lib/Node/ServiceRouter.cpp
+++ b/lib/Node/ServiceRouter.cpp
@@ -13,12 +13,15 @@
 
     constexpr std::size_t maxBackendsTried = 3;
     constexpr std::size_t maxCoordinatorsTried = 3;
-    // One retry for every five calls, with a burst of ten.
+    // The retry budget allows one retry for every five calls, with a burst of
+    // ten.
     constexpr double retryRatio = 0.2;
     constexpr double retryReserve = 10;
-    // After at least this time without a reply, another coordinator gets the
-    // call. This is safe because the log decides which attempt may run.
+    // Minimum time to wait for the reply of a coordinator. After that, another
+    // coordinator gets the call. This is safe because the log decides which
+    // attempt may run.
     constexpr milliseconds coordinatorTimeout { 8000 };
+    // Added to the timeout of a call for each hop between nodes.
     constexpr milliseconds hopMargin { 500 };
     constexpr milliseconds serviceRetryAfter { 1000 };
 
--- a/lib/Node/ServiceRouter.h
+++ b/lib/Node/ServiceRouter.h
@@ -1,9 +1,8 @@
 //===- lib/Node/ServiceRouter.h - calls to plain services -----------------===//
 ///
 /// \file
-/// The entry VM's side of service calls. A repeatable call goes to the
-/// dispatcher of a backend server, any other call to the coordinator of its
-/// key.
+/// Sends service calls from the entry VM: a repeatable call to the dispatcher
+/// of a backend server, any other call to the coordinator of its key.
 //===----------------------------------------------------------------------===//
 #pragma once
 
--- a/lib/Node/SlotTable.h
+++ b/lib/Node/SlotTable.h
@@ -45,9 +45,13 @@
     EntryName entry_;
     ServiceClass class_ = ServiceClass::Paid;
     std::uint64_t weight_ = 1;
+    /// Cost in fair queueing: the tokens of the prompt and the maximum of the answer,
+    /// or 1 for a service call.
     std::uint64_t cost_ = 1;
     bool mayQueue_ = false;
+    /// Maximum number of requests queued ahead of this one.
     std::uint64_t queueBound_ = 0;
+    /// Maximum time in the queue.
     milliseconds waitLimit_ {};
 };
 
@@ -72,6 +76,7 @@
     struct PendingRequest;
     struct Server {
         std::uint64_t active_ = 0;
+        /// Number of trial requests among the active_ ones.
         std::uint64_t trialActive_ = 0;
         std::uint64_t capacity_ = 1;
         std::uint64_t paidReserve_ = 0;
--- a/unittests/Gateway/BackgroundExecutorTest.cpp
+++ b/unittests/Gateway/BackgroundExecutorTest.cpp
@@ -128,7 +128,7 @@
 
 TEST_CASE("destruction waits for running work, drops queued work, and leaks no coroutine", "[background]")
 {
-    // Whether the loop is stopped before the work has ended, or after.
+    // Slow work is still running when the loop is stopped; other work has ended by then.
     auto isSlow = GENERATE(true, false);
     std::atomic<int> destroyed { 0 };
     std::atomic<int> resumed { 0 };
--- a/unittests/Gateway/DiscoveryTest.cpp
+++ b/unittests/Gateway/DiscoveryTest.cpp
@@ -37,6 +37,7 @@
     /// Whether all nodes are announced on the platform and know each other; otherwise
     /// they know the seeds only.
     bool areAnnounced_;
+    /// Maximum time until all nodes are informed.
     milliseconds maxTime_;
 };
 
@@ -68,6 +69,7 @@
     Endpoint from_;
     Endpoint to_;
     wire::Datagram datagram_;
+    /// Nodes that the message advertises with their state.
     std::vector<KnownPeer> members_;
 };
 
@@ -261,8 +263,8 @@
 
 TEST_CASE("nodes that start at the same time receive the sums of all others in time", "[peers]")
 {
-    // Nodes claim duties from firstClaim on. Without the platform no node claims them, but
-    // quotas are divided equally until equalDivision at most.
+    // Nodes claim duties from firstClaim on. While the platform is unavailable, no node
+    // claims duties, but quotas are divided equally until equalDivision at most.
     milliseconds firstClaim = DutyTiming {}.firstClaimAfter_;
     milliseconds equalDivision = QuotaSettings {}.startupTime_;
     auto shape = GENERATE_COPY(values<Shape>({
--- a/unittests/Gateway/PeerTableTest.cpp
+++ b/unittests/Gateway/PeerTableTest.cpp
@@ -96,7 +96,7 @@
     PeerTable table(vmOf(0), near, 0.1, {});
     for (int i = 1; i <= 4; ++i)
         (void)table.applyReport(vmOf(i), peerAt(near, 10 - i, start, 1));
-    // Only nodes 3 and 4 still run; no node reports directly.
+    // Only nodes 3 and 4 still run; no node reports to this one directly.
     SteadyTime now = start;
     std::vector<VmId> chosen;
     for (; now <= start + milliseconds(1000); now += period) {
--- a/unittests/Gateway/ReadersTest.cpp
+++ b/unittests/Gateway/ReadersTest.cpp
@@ -25,6 +25,7 @@
     return nodes;
 }
 
+/// Returns whether the node at \p index reads from the platform.
 bool reads(const std::vector<ReaderState>& all, std::size_t index)
 {
     std::vector<ReaderState> peers = all;
@@ -127,6 +128,7 @@
 
 TEST_CASE("every data centre has a reader while some nodes are of a version that ignores cores", "[readers]")
 {
+    // About this many of the nine nodes are of the newer version, which considers cores.
     auto newer = GENERATE(0U, 1U, 2U, 3U, 5U, 8U);
     auto seed = GENERATE(range(0U, 20U));
     constexpr std::size_t count = 9;
@@ -135,7 +137,7 @@
     for (std::size_t i = 0; i < count; ++i)
         all[i].cores_ = static_cast<double>(stableHash(all[i].vm_.value_, seed) % 3);
     auto isNewer = [&](std::size_t i) { return stableHash(all[i].vm_.value_ + "version", seed) % count < newer; };
-    // Each node receives what all reported in the round before.
+    // Each node receives what all nodes reported in the previous round.
     for (int round = 0; round < rounds; ++round) {
         std::vector<bool> willRead;
         for (std::size_t i = 0; i < count; ++i) {
--- a/unittests/Gateway/ReportAggregatorTest.cpp
+++ b/unittests/Gateway/ReportAggregatorTest.cpp
@@ -162,8 +162,9 @@
     wire::NodeSums digest = aggregator.digestFor({ "near" }, aggregator.totals(now), now);
     CHECK(digest.nodes() == 1);
     CHECK(loadsOf(digest.loads()).at(7).running_ == 2);
-    // Only what was admitted before the second relay became the active source may be
-    // missing: one second without reports, at 50 a second.
+    // Only what was admitted between the last sums of the first relay and the change of
+    // the active source may be missing: one second without reports, at a rate of 50 a
+    // second.
     CHECK(admittedIn(digest) <= last);
     CHECK(admittedIn(digest) >= last - 60);
 }
