--- a/lib/Gateway/PeerReports.h
+++ b/lib/Gateway/PeerReports.h
@@ -71,9 +71,9 @@
     void noteLeaving(const BackendId& id);
     /// Reports to peers for some seconds that a backend server has terminated.
     void noteTerminated(const BackendId& id);
-    /// Returns this node's rank among live nodes, ordered by rendezvous hashing of \p
-    /// key; 0 is the first. A node that receives reports of at most half of the known
-    /// nodes ranks behind nodes that receive more. Must be called on the event loop.
+    /// Returns this node's rank among live nodes, with 0 for the first in the rendezvous
+    /// order for \p key. A node that receives reports of at most half of the known nodes
+    /// ranks behind nodes that receive more. Must be called on the event loop.
     std::size_t rankFor(const std::string& key) const;
 
 private:
--- a/lib/Gateway/PeerTable.h
+++ b/lib/Gateway/PeerTable.h
@@ -39,7 +39,7 @@
 struct Coverage {
     /// Number of nodes whose reports this node receives, directly or in relays' sums.
     std::uint64_t reportedNodes_ = 1;
-    /// Number of nodes that this node knows.
+    /// Number of nodes that exist as far as this node knows, whether they report or not.
     std::uint64_t knownNodes_ = 1;
 
     /// Returns whether this node receives reports of nearly all nodes. The others may be
--- a/lib/Gateway/ReachabilityProbe.cpp
+++ b/lib/Gateway/ReachabilityProbe.cpp
@@ -12,8 +12,7 @@
     // A data centre receives requests within this time and a round trip after it is
     // reachable again.
     constexpr milliseconds probePeriod { 250 };
-    // Twenty times the 10 ms within which a connection inside a region is
-    // established.
+    // Twenty times the 10 ms that establishing a connection inside a region takes.
     constexpr milliseconds probeTimeout { 200 };
 
 } // namespace
