--- a/lib/Node/SlotTable.h
+++ b/lib/Node/SlotTable.h
@@ -49,9 +49,9 @@
     /// or 1 for a service call.
     std::uint64_t cost_ = 1;
     bool mayQueue_ = false;
-    /// Maximum number of requests queued ahead of this one.
+    /// The request is rejected if at least this many requests are queued ahead of it.
     std::uint64_t queueBound_ = 0;
-    /// Maximum time in the queue.
+    /// Maximum time in the queue, estimated or elapsed.
     milliseconds waitLimit_ {};
 };
 
