--- a/lib/Gateway/ConfigurationTransfer.cpp
+++ b/lib/Gateway/ConfigurationTransfer.cpp
@@ -16,8 +16,9 @@
     // Assumed duration of a transfer to a peer of an older version, which does not
     // acknowledge a configuration: two transfers of 100 KB take 160 ms at 10 Mbit/s.
     constexpr milliseconds assumedTransferTime { 200 };
-    // Processing a configuration of 780 KB occupies the thread of the peer links for tenths
-    // of a second on a small VM. The pause lets the acknowledgement leave before that.
+    // Processing a configuration of 780 KB occupies the thread of the peer links for
+    // tenths of a second on a small VM. This pause lets the acknowledgement leave before
+    // the processing starts.
     constexpr milliseconds acknowledgementDelay { 2 };
 
 } // namespace
@@ -28,7 +29,7 @@
     std::uint64_t own = table ? table->version() : 0;
     std::vector<KnownPeer> local;
     std::vector<KnownPeer> remote;
-    for (const KnownPeer& known : reports_.live()) {
+    for (const KnownPeer& known : peerReports_.live()) {
         if (known.second.configurationVersion_ > own && !busyPeers_.isBusy(known.first, steadyNow()))
             (known.second.dataCentre_ == context_.settings_.dataCentre_ ? local : remote).push_back(known);
     }
@@ -50,7 +51,7 @@
 
 asio::awaitable<Result<wire::Frame>> PlatformFeed::requestConfiguration(Peer peer, wire::Frame request)
 {
-    auto opened = co_await peers_.open(peer.peers_, request, peerTimeout);
+    auto opened = co_await peers_.open(peer.peerEndpoint_, request, peerTimeout);
     if (!opened)
         co_return opened.error();
     auto stream = opened.value();
@@ -80,7 +81,7 @@
         co_return;
     }
     bool isBusy = !reply && reply.error().code_ == Errc::Overloaded;
-    busyPeers_.note(vm, steadyNow() + (isBusy ? reply.error().retryAfter_ : busyRetryDelay));
+    busyPeers_.markBusy(vm, steadyNow() + (isBusy ? reply.error().retryAfter_ : busyRetryDelay));
     // A busy peer logs the rejection itself.
     if (!isBusy)
         logger_.warn("Peer " + vm.value_ + " sent no configuration: " + (reply ? "unexpected frame" : describe(reply.error())));
@@ -100,7 +101,7 @@
     return table && fetch.wants_configuration() && table->version() > fetch.known_version();
 }
 
-/// Returns a Failure, which nodes of all versions understand.
+/// Returns a wire::Failure, which nodes of all versions understand.
 wire::Frame PlatformFeed::busyAnswer()
 {
     SteadyTime now = steadyNow();
@@ -126,8 +127,9 @@
     transfers_.end(*transfer);
 }
 
-/// That the frame was sent does not mean that it has arrived: the kernel buffers 100 KB
-/// immediately, and the link is busy until the peer has received them.
+/// Waits for the acknowledgement of the peer, since the end of send() does not mean that
+/// the frame has arrived: the kernel buffers 100 KB immediately, and the link is busy
+/// until the peer has received them.
 asio::awaitable<void> PlatformFeed::sendConfiguration(std::shared_ptr<PeerStream> stream, wire::Frame request)
 {
     SteadyTime startedAt = steadyNow();
--- a/lib/Gateway/Discovery.cpp
+++ b/lib/Gateway/Discovery.cpp
@@ -11,29 +11,31 @@
 
 namespace {
 
-    // Number of nodes to which this node introduces itself again in a period. Each of 370
-    // nodes receives an introduction within 25 s; urgent changes arrive by digests.
+    // Number of nodes to which this node introduces itself again in each period, in
+    // rotation. In a fleet of 370 nodes, each one receives an introduction within 25 s;
+    // urgent changes arrive earlier, in digests.
     constexpr std::size_t introductionsPerPeriod = 3;
-    // Number of nodes that have not reported yet to which this node introduces itself in a
-    // period. Each of 200 such nodes receives an introduction within 1.7 s.
+    // Maximum number of nodes that have not reported yet to which this node introduces
+    // itself in a period. Each of 200 such nodes receives an introduction within 1.7 s.
     constexpr std::size_t firstIntroductionsPerPeriod = 24;
-    // Number of answers, of 2 to 4 KB each, that this node sends in a period. A seed that
-    // hundreds of nodes contact when all start simultaneously uses a third of a link of
-    // 20 Mbit/s for its answers.
+    // Maximum number of answers, of 2 to 4 KB each, that this node sends in a period. A
+    // seed that hundreds of nodes contact when all start simultaneously uses a third of a
+    // link of 20 Mbit/s for its answers.
     constexpr std::size_t answersPerPeriod = 48;
     // Number of nodes of its own data centre that a digest advertises in rotation: 26
     // nodes are advertised within seven periods, 1.4 s.
     constexpr std::size_t membersPerDigest = 4;
-    // Number of nodes advertised in a report: many in a small fleet and to a new node,
-    // few in the reports that nodes of a large fleet send in each period.
+    // Maximum numbers of nodes that a report advertises: manyPeers in a small fleet and
+    // in answers to new nodes, fewPeers in the reports that nodes of a large fleet send
+    // in each period.
     constexpr std::size_t manyPeers = 24;
     constexpr std::size_t fewPeers = 3;
 
 } // namespace
 
-Discovery::Discovery(const PeerTable& table, const VmId& self, DataCentreId own, GossipSettings settings)
+Discovery::Discovery(const PeerTable& table, const VmId& self, DataCentreId ownDataCentre, GossipSettings settings)
     : table_(table)
-    , own_(std::move(own))
+    , ownDataCentre_(std::move(ownDataCentre))
     , settings_(settings)
     , receiverCursor_(stableHash(self.value_))
     , unseenCursor_(receiverCursor_)
@@ -62,7 +64,7 @@
     std::vector<Endpoint> unseen;
     for (const auto& [vm, peer] : peers) {
         if (peer.receivedAt_ == SteadyTime {})
-            unseen.push_back(peer.gossip_);
+            unseen.push_back(peer.gossipEndpoint_);
     }
     std::vector<Endpoint> next;
     for (std::size_t i = 0; i < std::min(firstIntroductionsPerPeriod, unseen.size()); ++i)
@@ -76,7 +78,7 @@
     Receivers receivers { nextUnseen(peers), takeUnanswered() };
     std::vector<Endpoint> all = unseenSeeds;
     for (const auto& [vm, peer] : peers)
-        all.push_back(peer.gossip_);
+        all.push_back(peer.gossipEndpoint_);
     for (std::size_t i = 0; i < std::min(introductionsPerPeriod, all.size()); ++i)
         receivers.introduced_.push_back(all[receiverCursor_++ % all.size()]);
     return receivers;
@@ -93,7 +95,7 @@
 std::vector<KnownPeer> Discovery::relaysToAdvertise(SteadyTime now) const
 {
     std::vector<KnownPeer> relays;
-    addRelays(own_, relays, now);
+    addRelays(ownDataCentre_, relays, now);
     for (const DataCentreId& dataCentre : table_.otherDataCentres())
         addRelays(dataCentre, relays, now);
     return relays;
@@ -105,7 +107,7 @@
     // four reporting periods without a report.
     bool advertisesReaders = ++digestCount_ % 2;
     std::vector<KnownPeer> advertised;
-    addRelays(own_, advertised, now);
+    addRelays(ownDataCentre_, advertised, now);
     auto isAdvertised = [&](const VmId& vm) { return std::any_of(advertised.begin(), advertised.end(), [&](const KnownPeer& known) { return known.first == vm; }); };
     std::vector<KnownPeer> others;
     for (const KnownPeer& known : table_.reportedWithin(settings_.unresponsiveAfter_, now)) {
@@ -113,7 +115,7 @@
             continue;
         if (known.second.isReader_ && advertisesReaders)
             advertised.push_back(known);
-        else if (!known.second.isReader_ && known.second.dataCentre_ == own_)
+        else if (!known.second.isReader_ && known.second.dataCentre_ == ownDataCentre_)
             others.push_back(known);
     }
     for (std::size_t i = 0; i < std::min(membersPerDigest, others.size()); ++i)
@@ -134,7 +136,8 @@
 std::set<VmId> Discovery::summaryReceivers(const DataCentreId& dataCentre, const std::vector<VmId>& reporting, SteadyTime now) const
 {
     std::vector<VmId> likely = table_.likelyRelays(dataCentre, digestCount_, now);
-    // Other candidates are tried in rotation only while no relay is known.
+    // While no relay of the data centre is known to send sums, likelyRelays() also adds
+    // another candidate in rotation.
     if (!reporting.empty())
         likely.resize(std::min<std::size_t>(likely.size(), settings_.relays_));
     std::set<VmId> receivers(reporting.begin(), reporting.end());
--- a/lib/Gateway/PeerReports.cpp
+++ b/lib/Gateway/PeerReports.cpp
@@ -18,9 +18,9 @@
 
     // Maximum size of a UDP datagram.
     constexpr std::size_t maxDatagramSize = 64UL * 1024;
-    // Added to the rank of a node that receives reports of less than half of the fleet.
-    // A node whose reports do not arrive may hold the duties, and with this rank the node
-    // waits longer than a lease before it claims them.
+    // Added to the rank of a node that receives reports of at most half of the fleet. The
+    // duties may be held by another node whose reports do not arrive at this one. With
+    // the added rank this node waits longer than a lease before it claims the duties.
     constexpr std::size_t rankPenalty = 8;
 
     /// Identifies the peer that represents all other nodes in the tables of a large
@@ -79,10 +79,10 @@
 {
     PeerTable::PeerCounts peerCounts = table_.peerCounts();
     // Nodes that were advertised and have never reported may have stopped long ago. They
-    // count as known only for a while after the start of this node, in which their first
-    // reports may still arrive.
+    // count as known only until forgetAfter_ has passed since the start of this node,
+    // since their first reports may arrive until then.
     bool hasJustStarted = now - startedAt_ < context_.settings_.gossipSettings_.forgetAfter_;
-    std::uint64_t known = peerCounts.reported_ + (hasJustStarted ? peerCounts.advertised_ : 0);
+    std::uint64_t known = peerCounts.reportedNodes_ + (hasJustStarted ? peerCounts.advertisedNodes_ : 0);
     const wire::NodeSums* sums = others_.current(now);
     std::uint64_t reported = usesRelays_ ? (sums ? sums->nodes() : 0) : live().size();
     return { reported + 1, std::max(known, reported) + 1 };
@@ -98,15 +98,15 @@
 {
     if (usesRelays_)
         return !unresponsiveNodes_ && coverage(steadyNow()).isComplete();
-    // A node that is unresponsive for longer is not waited for: its counts have arrived
-    // or never will.
+    // Nodes that have been unresponsive for longer than \p maxAge are not waited for:
+    // their counts have arrived already or never will.
     return reportedWithin(time).size() >= reportedWithin(maxAge).size();
 }
 
-void PeerReports::addKnown(const VmId& vm, const Endpoint& gossip)
+void PeerReports::addKnownPeer(const VmId& vm, const Endpoint& gossip)
 {
     if (gossip != context_.settings_.gossip_)
-        table_.addKnown(vm, gossip);
+        table_.addKnownPeer(vm, gossip);
 }
 
 void PeerReports::noteFleetKnown()
@@ -148,8 +148,8 @@
     for (const Endpoint& receiver : receivers) {
         boost::system::error_code code;
         udp::endpoint address(asio::ip::make_address(receiver.host_, code), receiver.port_);
-        // A full socket buffer or a missing route loses this datagram; the next one
-        // replaces it.
+        // If the socket buffer is full or a route is missing, this datagram is lost, and
+        // the next one replaces it.
         if (!code)
             socket_.send_to(asio::buffer(bytes), address, 0, code);
         context_.metrics_.add(code ? Counter::PeerErrors : Counter::GossipMessages);
@@ -389,7 +389,7 @@
     applyMembers(report.relays(), now);
     for (const wire::KnownNode& known : report.nodes()) {
         if (auto address = parseEndpoint(known.address()))
-            addKnown({ known.vm() }, *address);
+            addKnownPeer({ known.vm() }, *address);
     }
     context_.clocks_.setPeer(vm, report.wall_ms() - context_.localWallMs(), now);
     applyLeaving(report.leaving(), vm);
@@ -419,7 +419,7 @@
         admitted[{ reported.organisation() }] = reported.admitted();
         levels[{ reported.organisation() }] = reported.level();
     }
-    context_.quotas_.setPeer(vm, report.incarnation(), admitted, levels, now, 1, isFresh(report.counted_ms()));
+    context_.quotas_.setPeer(vm, report.incarnation(), admitted, levels, now, 1, areCountsFresh(report.counted_ms()));
     for (const wire::DemandReport& reported : report.demand())
         context_.demand_.setSource(vm, { reported.service() }, { reported.tokens_per_second(), reported.prefill_per_ms(), reported.observations() }, now);
     context_.usage_.setPeer(vm, report.incarnation(), usageOf(report.usage()));
@@ -443,13 +443,14 @@
     if (relay == context_.settings_.vm_)
         return;
     applyMembers(report.members(), now);
-    addKnown(relay, sender);
+    addKnownPeer(relay, sender);
     if (report.is_digest()) {
         table_.noteDigest(relay, now);
         applyDigest(relay, report.incarnation(), report.sums(), now);
         return;
     }
-    // The sender does not know the relays of this data centre yet.
+    // A relay of another data centre sent its sums to this node, which is no relay. The
+    // answer reports the relays of this data centre to it.
     if (!isRelay_)
         discovery_.queueAnswer(relay);
     applyLeaving(report.sums().leaving(), relay);
@@ -485,7 +486,7 @@
     std::map<OrganisationId, double> levels;
     for (const wire::QuotaReport& reported : sums.quotas())
         levels[{ reported.organisation() }] = reported.level();
-    context_.quotas_.setPeer(allOthers(), context_.incarnation_, admitted, levels, now, sums.nodes(), isFresh(sums.counted_ms()));
+    context_.quotas_.setPeer(allOthers(), context_.incarnation_, admitted, levels, now, sums.nodes(), areCountsFresh(sums.counted_ms()));
     context_.quotas_.setUnresponsiveNodes(sums.silent_nodes(), sums.nodes(), now);
     for (const wire::DemandReport& reported : sums.demand())
         context_.demand_.setSource(allOthers(), { reported.service() }, { reported.tokens_per_second(), reported.prefill_per_ms(), reported.observations() }, now);
--- a/lib/Gateway/PeerTable.cpp
+++ b/lib/Gateway/PeerTable.cpp
@@ -12,11 +12,12 @@
 
 namespace {
 
-    // Maximum age of the last report of a relay candidate: if all relays of a data centre
-    // stop simultaneously, no reports arrive for a while.
+    // Maximum age of the last report of a relay candidate. It is much longer than a
+    // reporting period because no reports arrive for a while if all relays of a data
+    // centre stop simultaneously.
     constexpr milliseconds maxRelayCandidateAge { 10000 };
-    // A relay sends its sums in each period of 200 ms. Three missing ones in a row are
-    // not explained by a lost datagram.
+    // A relay sends its sums in each period of 200 ms. If three in a row are missing, the
+    // cause is not a lost datagram.
     constexpr milliseconds relayTimeout { 600 };
     // Time after which an unresponsive relay is tried again.
     constexpr milliseconds relayRetryDelay { 2000 };
@@ -32,23 +33,23 @@
 
 bool Coverage::isComplete() const
 {
-    return static_cast<double>(reported_) >= completeShare * static_cast<double>(known_);
+    return static_cast<double>(reportedNodes_) >= completeShare * static_cast<double>(knownNodes_);
 }
 
 bool Coverage::hasMajority() const
 {
-    return 2 * reported_ > known_;
+    return 2 * reportedNodes_ > knownNodes_;
 }
 
-PeerTable::PeerTable(VmId self, DataCentreId own, double cores, GossipSettings settings)
+PeerTable::PeerTable(VmId self, DataCentreId ownDataCentre, double cores, GossipSettings settings)
     : self_(std::move(self))
-    , own_(std::move(own))
+    , ownDataCentre_(std::move(ownDataCentre))
     , cores_(cores)
     , settings_(settings)
 {
 }
 
-void PeerTable::addKnown(const VmId& vm, const Endpoint& gossip)
+void PeerTable::addKnownPeer(const VmId& vm, const Endpoint& gossip)
 {
     if (vm == self_)
         return;
@@ -56,7 +57,7 @@
     auto [found, isNew] = peers_.try_emplace(vm);
     // What a node reports of itself takes precedence over what others report of it.
     if (isNew || found->second.receivedAt_ == SteadyTime {})
-        found->second.gossip_ = gossip;
+        found->second.gossipEndpoint_ = gossip;
 }
 
 PeerTable::ReportKind PeerTable::applyReport(const VmId& vm, Peer peer)
@@ -126,7 +127,7 @@
     std::lock_guard lock(mutex_);
     PeerCounts peerCounts;
     for (const auto& [vm, peer] : peers_)
-        ++(peer.receivedAt_ == SteadyTime {} ? peerCounts.advertised_ : peerCounts.reported_);
+        ++(peer.receivedAt_ == SteadyTime {} ? peerCounts.advertisedNodes_ : peerCounts.reportedNodes_);
     return peerCounts;
 }
 
@@ -171,13 +172,13 @@
     std::lock_guard lock(mutex_);
     std::vector<VmId> candidates { self_ };
     for (const auto& [vm, peer] : peers_) {
-        bool isLocal = peer.dataCentre_ == own_ && !peer.isStopping_ && now - peer.receivedAt_ <= maxRelayCandidateAge;
+        bool isLocal = peer.dataCentre_ == ownDataCentre_ && !peer.isStopping_ && now - peer.receivedAt_ <= maxRelayCandidateAge;
         auto request = relayRequests_.find(vm);
         if (isLocal && (request == relayRequests_.end() || request->second.skippedUntil_ <= now))
             candidates.push_back(vm);
     }
     std::vector<VmId> chosen;
-    for (const VmId& vm : rankRelays(own_, candidates)) {
+    for (const VmId& vm : rankRelays(ownDataCentre_, candidates)) {
         if (chosen.size() >= settings_.relays_)
             break;
         RelayRequest& request = relayRequests_[vm];
@@ -209,9 +210,9 @@
     std::vector<VmId> likely = rankRelays(dataCentre, candidates);
     if (likely.size() <= settings_.relays_)
         return likely;
-    // The first ones are always included, since they are the relays as soon as all nodes
-    // of the data centre know them. One other candidate is added in rotation, in case the
-    // first ones have stopped.
+    // The first settings_.relays_ candidates are always included, since they are the
+    // relays as soon as all nodes of the data centre know them. One other candidate is
+    // added in rotation, in case those have stopped.
     VmId rotated = likely[settings_.relays_ + cursor % (likely.size() - settings_.relays_)];
     likely.resize(settings_.relays_);
     likely.push_back(rotated);
@@ -223,7 +224,7 @@
     std::lock_guard lock(mutex_);
     std::set<DataCentreId> found;
     for (const auto& [vm, peer] : peers_) {
-        if (!peer.dataCentre_.isEmpty() && peer.dataCentre_ != own_)
+        if (!peer.dataCentre_.isEmpty() && peer.dataCentre_ != ownDataCentre_)
             found.insert(peer.dataCentre_);
     }
     return { found.begin(), found.end() };
@@ -240,7 +241,7 @@
 {
     std::lock_guard lock(mutex_);
     auto found = peers_.find(vm);
-    return found == peers_.end() ? std::nullopt : std::optional(found->second.gossip_);
+    return found == peers_.end() ? std::nullopt : std::optional(found->second.gossipEndpoint_);
 }
 
 std::optional<Peer> PeerTable::find(const VmId& vm) const
--- a/lib/Gateway/PeerTable.h
+++ b/lib/Gateway/PeerTable.h
@@ -13,8 +13,10 @@
 
 /// State of a node, as the node or a relay reports it.
 struct Peer {
-    Endpoint gossip_;
-    Endpoint peers_;
+    /// Where the node receives reports as datagrams.
+    Endpoint gossipEndpoint_;
+    /// Where the node accepts connections of peers.
+    Endpoint peerEndpoint_;
     /// Empty until a report arrived.
     DataCentreId dataCentre_;
     std::uint64_t incarnation_ = 0;
@@ -26,6 +28,8 @@
     std::uint64_t registryFingerprint_ = 0;
     /// CPU cores of its VM.
     double cores_ = 0;
+    /// When the latest report of the node arrived here or at the relay that forwarded it;
+    /// zero before the first one.
     SteadyTime receivedAt_ {};
 };
 
@@ -34,9 +38,9 @@
 /// How much of the fleet this node receives reports of. Both numbers include this node.
 struct Coverage {
     /// Number of nodes whose reports this node receives, directly or in relays' sums.
-    std::uint64_t reported_ = 1;
-    /// Number of nodes that exist as far as this node knows.
-    std::uint64_t known_ = 1;
+    std::uint64_t reportedNodes_ = 1;
+    /// Number of nodes that exist as far as this node knows, whether they report or not.
+    std::uint64_t knownNodes_ = 1;
 
     /// Returns whether this node receives reports of nearly all nodes. The others may be
     /// starting or stopped.
@@ -58,10 +62,10 @@
         Restarted,
     };
 
-    PeerTable(VmId self, DataCentreId own, double cores, GossipSettings settings);
+    PeerTable(VmId self, DataCentreId ownDataCentre, double cores, GossipSettings settings);
 
-    /// Adds a node that was advertised, with its gossip endpoint as the only known state.
-    void addKnown(const VmId& vm, const Endpoint& gossip);
+    /// Adds a node of which only the gossip endpoint is known.
+    void addKnownPeer(const VmId& vm, const Endpoint& gossip);
     /// Applies a report of \p vm itself; \p peer holds the time of its arrival.
     ReportKind applyReport(const VmId& vm, Peer peer);
     /// Applies the state of \p vm that a relay reported.
@@ -76,21 +80,22 @@
     std::size_t size() const;
     /// Numbers of nodes that have reported, and of nodes that were only advertised.
     struct PeerCounts {
-        std::size_t reported_ = 0;
-        std::size_t advertised_ = 0;
+        std::size_t reportedNodes_ = 0;
+        std::size_t advertisedNodes_ = 0;
     };
     PeerCounts peerCounts() const;
     /// Returns the nodes that reported within \p maxAge.
     std::vector<KnownPeer> reportedWithin(milliseconds maxAge, SteadyTime now) const;
     std::vector<KnownPeer> all() const;
-    /// Returns this node's rank among live nodes in the order for \p key.
+    /// Returns this node's rank among live nodes that are not stopping, ordered by
+    /// rendezvous hashing of \p key; 0 is the first.
     std::size_t rankFor(const std::string& key, SteadyTime now) const;
-    /// Returns the relays of this node's data centre, possibly with this node itself. A
+    /// Returns the relays of this node's data centre; this node may be one of them. A
     /// node that has sent no sums for a while after it was asked to relay is skipped.
     std::vector<VmId> chooseRelays(SteadyTime now);
-    /// Returns nodes that may be relays of \p dataCentre: the first ones in the order in
-    /// which its own nodes choose, and one of the others, selected by \p cursor in
-    /// rotation.
+    /// Returns nodes that may be relays of \p dataCentre: the first candidates in the
+    /// order in which the nodes there choose relays, and one of the other candidates,
+    /// selected by \p cursor in rotation.
     std::vector<VmId> likelyRelays(const DataCentreId& dataCentre, std::size_t cursor, SteadyTime now) const;
     /// Returns the data centres of known nodes except this node's.
     std::vector<DataCentreId> otherDataCentres() const;
@@ -106,13 +111,15 @@
 
     /// State of the requests to a node to act as a relay.
     struct RelayRequest {
+        /// Zero while the node is not chosen as a relay.
         SteadyTime requestedSince_ {};
         SteadyTime digestReceivedAt_ {};
+        /// The node sent no sums in time, and is not chosen before this time.
         SteadyTime skippedUntil_ {};
     };
 
     const VmId self_;
-    const DataCentreId own_;
+    const DataCentreId ownDataCentre_;
     const double cores_;
     const GossipSettings settings_;
     mutable std::mutex mutex_;
--- a/lib/Gateway/PlatformFeed.cpp
+++ b/lib/Gateway/PlatformFeed.cpp
@@ -12,9 +12,10 @@
 
 namespace {
 
-    // How often a node that does not read checks whether it has become a reader.
+    // How often a node that does not read from the platform checks whether it has become
+    // a reader.
     constexpr milliseconds readerCheckPeriod { 150 };
-    // Source of changes that were read from the platform, as logged.
+    // Name of the platform as a source of changes, as opposed to the name of a peer.
     const std::string platformSource = "platform";
     // Maximum age of a peer's list of backend servers that is still used.
     constexpr std::uint64_t maxListAgeMs = 1500;
@@ -24,7 +25,7 @@
 PlatformFeed::PlatformFeed(asio::io_context& io, GatewayContext& context, PeerReports& reports, PeerPool& peers, BackgroundExecutor& background)
     : io_(io)
     , context_(context)
-    , reports_(reports)
+    , peerReports_(reports)
     , peers_(peers)
     , background_(background)
 {
@@ -34,8 +35,8 @@
 {
     asio::co_spawn(io_, followConfiguration(), asio::detached);
     asio::co_spawn(io_, followRegistry(), asio::detached);
-    // Both run in coroutines of their own, since fetching a configuration may take
-    // seconds.
+    // Fetching from peers runs in separate coroutines, since fetching a configuration
+    // may take seconds.
     asio::co_spawn(io_, fetchConfigurationFromPeers(), asio::detached);
     asio::co_spawn(io_, fetchBackendsFromPeers(), asio::detached);
 }
@@ -43,7 +44,7 @@
 std::vector<ReaderState> PlatformFeed::readerStates() const
 {
     std::vector<ReaderState> states;
-    for (const auto& [vm, peer] : reports_.reportedWithin(context_.settings_.feed_.readerTimeout_))
+    for (const auto& [vm, peer] : peerReports_.reportedWithin(context_.settings_.feed_.readerTimeout_))
         states.push_back({ vm, peer.dataCentre_, peer.isStopping_, peer.isPlatformUnavailable_, peer.isReader_, peer.cores_ });
     return states;
 }
@@ -55,25 +56,25 @@
     return isPlatformUnavailable() || shouldRead(self, readerStates(), settings.feed_.readers_);
 }
 
-/// Suspends while other nodes read. By then the offset is too old to continue from, so
-/// that \p from is reset.
-asio::awaitable<void> PlatformFeed::waitUntilReader(std::string reading, std::optional<LogOffset>& from)
+/// Suspends while other nodes read \p resource from the platform. After that, \p from is
+/// too old to continue from and is reset.
+asio::awaitable<void> PlatformFeed::waitUntilReader(std::string resource, std::optional<LogOffset>& from)
 {
     if (!context_.table() || isReader())
         co_return;
-    logger_.info(LogLine("Other nodes read from the platform.").add("reading", reading));
+    logger_.info(LogLine("Other nodes read from the platform.").add("reading", resource));
     while (!isReader())
         co_await sleepFor(readerCheckPeriod);
     from.reset();
-    logger_.info(LogLine("This node reads from the platform.").add("reading", reading));
+    logger_.info(LogLine("This node reads from the platform.").add("reading", resource));
 }
 
 asio::awaitable<void> PlatformFeed::followConfiguration()
 {
     std::optional<LogOffset> from;
-    const std::string reading = "configuration";
+    const std::string resource = "configuration";
     for (;;) {
-        co_await waitUntilReader(reading, from);
+        co_await waitUntilReader(resource, from);
         auto read = co_await context_.platform_.readConfiguration_(from, context_.settings_.feed_.configurationWait_);
         if (isConfigurationUnavailable_.exchange(!read) == read.has_value())
             logAvailability("configuration", read ? nullptr : &read.error());
@@ -97,10 +98,10 @@
     }
 }
 
-void PlatformFeed::logAvailability(const std::string& what, const Error* error) const
+void PlatformFeed::logAvailability(const std::string& resource, const Error* error) const
 {
     LogLine line(error ? "Platform is unavailable." : "Platform is available again.");
-    line.add("reading", what);
+    line.add("reading", resource);
     if (error)
         line.add("error", describe(*error));
     logger_.info(line);
@@ -115,20 +116,21 @@
         pendingRemovals_.insert(name);
         return;
     }
-    // A backend server that crashes never announces that it leaves.
+    // A backend server that disappears without an announcement that it leaves has
+    // crashed.
     if (!known->isLeaving_)
         noteBackendTerminated(context_.forward_, known->id_);
     logger_.info(LogLine("Backend server was removed.").add("backend", known->id_.value_).add("from", source));
     // A removal that was found in a peer's list is not reported: other nodes fetch that
     // list themselves.
     if (source == platformSource)
-        reports_.noteLeaving(known->id_);
+        peerReports_.noteLeaving(known->id_);
     context_.backends_.remove(known->id_, steadyNow());
 }
 
-/// Heartbeats repeat an invalid registration, so that its error is logged once. The
-/// backend server that had the name is removed, but is not reported as leaving: its next
-/// heartbeat may restore it.
+/// Heartbeats repeat an invalid registration, so its error is logged and counted only
+/// when it changes. The backend server that had the name is removed, but is not reported
+/// as leaving, since its next heartbeat may restore it.
 void PlatformFeed::rejectRegistration(const RegistryChange& change, const std::string& source)
 {
     std::string& before = registrationErrors_[change.name_];
@@ -163,7 +165,7 @@
         logger_.info(LogLine(result == BackendTable::PutResult::Restarted ? "Backend server restarted." : "Backend server is registered.").add("backend", record.id_.value_).add("service", record.service_.value_).add("address", record.endpoint_.toString()).add("data_centre", record.dataCentre_.value_).add("version", record.version_.value_).add("reclaimable", record.isReclaimable_).add("leaving", record.isLeaving_));
     if (record.isLeaving_ && (!before || !before->isLeaving_)) {
         logger_.info(LogLine("Backend server is leaving.").add("backend", record.id_.value_).add("from", source));
-        reports_.noteLeaving(record.id_);
+        peerReports_.noteLeaving(record.id_);
     }
 }
 
@@ -201,9 +203,9 @@
 {
     const FeedSettings& settings = context_.settings_.feed_;
     std::optional<LogOffset> from;
-    const std::string reading = "registry";
+    const std::string resource = "registry";
     for (;;) {
-        co_await waitUntilReader(reading, from);
+        co_await waitUntilReader(resource, from);
         auto read = co_await context_.platform_.readRegistry_(from);
         bool wasUnavailable = isRegistryUnavailable_.exchange(!read);
         if (wasUnavailable == read.has_value())
@@ -233,7 +235,7 @@
 std::optional<KnownPeer> PlatformFeed::readerWithDifferentList() const
 {
     std::optional<KnownPeer> chosen;
-    for (const auto& entry : reports_.reportedWithin(context_.settings_.feed_.readerTimeout_)) {
+    for (const auto& entry : peerReports_.reportedWithin(context_.settings_.feed_.readerTimeout_)) {
         const Peer& peer = entry.second;
         if (!peer.isReader_ || peer.isPlatformUnavailable_)
             continue;
@@ -265,9 +267,10 @@
     if (reader || hasList)
         return reader;
     // A node that starts during an outage of the platform has no backend servers and
-    // would reject all requests until the platform is back. Any list is better, since
-    // registrations that expire meanwhile are kept until then.
-    std::vector<KnownPeer> live = reports_.live();
+    // would reject all requests until the platform is back. A list of any age is better
+    // than none, since registrations that expire during the outage are kept until the
+    // platform is available again.
+    std::vector<KnownPeer> live = peerReports_.live();
     if (live.empty())
         return std::nullopt;
     return live[randomBits() % live.size()];
@@ -275,7 +278,7 @@
 
 asio::awaitable<std::optional<wire::ConfigurationUpdate>> PlatformFeed::callPeer(VmId vm, Peer peer, wire::Frame request)
 {
-    auto reply = co_await peers_.call(peer.peers_, request, peerTimeout);
+    auto reply = co_await peers_.call(peer.peerEndpoint_, request, peerTimeout);
     if (reply && reply.value().has_configuration_update())
         co_return reply.value().configuration_update();
     logger_.warn("Peer " + vm.value_ + " sent no update: " + (reply ? "unexpected frame" : describe(reply.error())));
@@ -286,20 +289,21 @@
 {
     wire::Frame request;
     request.mutable_configuration_fetch()->set_wants_backends(true);
-    SteadyTime askedAt = steadyNow();
+    SteadyTime requestedAt = steadyNow();
     auto answered = co_await callPeer(vm, peer, request);
     if (!answered)
         co_return;
     const wire::ConfigurationUpdate& update = *answered;
-    // Nodes that do not read use a reader's list, and so do readers that cannot read.
+    // Nodes that are not readers use the list of a peer, and so do readers that cannot
+    // read from the platform.
     bool mayUse = !isReader() || isRegistryStale();
     bool isFirst = listReadAt_ == SteadyTime {} && update.backends_size();
     if (!mayUse || (update.backends_age_ms() > maxListAgeMs && !isFirst))
         co_return;
     // The peer computes the age after the request was sent, so that the list was read no
-    // earlier than this. A list that is older than this node's may lack registrations
-    // that are newer.
-    SteadyTime readAt = askedAt - milliseconds(update.backends_age_ms());
+    // earlier than this. A list that is older than this node's list may lack newer
+    // registrations.
+    SteadyTime readAt = requestedAt - milliseconds(update.backends_age_ms());
     if (readAt <= listReadAt_ && !isFirst)
         co_return;
     listReadAt_ = std::max(readAt, SteadyTime { milliseconds(1) });
@@ -321,7 +325,8 @@
     auto table = context_.table();
     if (table) {
         update.set_version(table->version());
-        // The source belongs to this table: another one may be published meanwhile.
+        // Version and source are taken from the same table, since another table may be
+        // published meanwhile.
         if (fetch.wants_configuration() && table->version() > fetch.known_version())
             update.set_compressed_source(table->configuration().compressedSource_);
     }
--- a/lib/Gateway/ReportAggregator.cpp
+++ b/lib/Gateway/ReportAggregator.cpp
@@ -16,12 +16,13 @@
     // Time after which a stopped node is removed. Its usage is reported within four
     // windows of 5 s.
     constexpr milliseconds nodeRetention { 60000 };
-    // The incarnation under which the usage of another data centre is stored: its relays
-    // send the same sums, and the higher ones count.
+    // Incarnation under which the usage of another data centre is stored. The relays of
+    // that data centre send sums of the same nodes, and UsageTracker keeps the highest of
+    // them.
     constexpr std::uint64_t anyIncarnation = 0;
 
-    // Maximum number of usage windows in a message. The third newest is the next one that
-    // is reported to the platform.
+    // Maximum number of usage windows in a message. The third newest window is the next
+    // one that is reported to the platform.
     constexpr std::size_t maxReportedWindows = 6;
 
     std::map<WindowNumber, UsageCounts> newest(std::map<WindowNumber, UsageCounts> windows)
@@ -226,7 +227,7 @@
         const Node& node = entry.second;
         if (now - node.receivedAt_ <= nodeRetention)
             return false;
-        // Its counts stay in the totals, which never decrease.
+        // The counts of a removed node stay in the totals, which never decrease.
         addCounts(removedNodesAdmitted_, node.group_.admitted());
         ownUsage_.forgetPeer(entry.first);
         return true;
@@ -279,8 +280,8 @@
 {
     wire::NodeSums sums = ownTotals(now).toMessage();
     auto found = others_.find(receiver);
-    const wire::NodeSums* theirs = found == others_.end() ? nullptr : found->second.current(now);
-    if (theirs && theirs->duty_token())
+    const wire::NodeSums* receiverSums = found == others_.end() ? nullptr : found->second.current(now);
+    if (receiverSums && receiverSums->duty_token())
         putUsage(newest(ownUsage_.sumsExcluding({}, anyIncarnation)), *sums.mutable_usage());
     else
         sums.clear_rollout_counts();
@@ -298,13 +299,13 @@
 wire::NodeSums ReportAggregator::digestFor(const VmId& receiver, const ReportTotals& totals, SteadyTime now) const
 {
     auto found = nodes_.find(receiver);
-    const wire::NodeSums* own = found == nodes_.end() ? nullptr : found->second.group_.current(now);
-    if (!own)
+    const wire::NodeSums* receiverSums = found == nodes_.end() ? nullptr : found->second.group_.current(now);
+    if (!receiverSums)
         return totals.toMessage();
     ReportTotals rest = totals;
-    rest.remove(*own, found->second.group_);
+    rest.remove(*receiverSums, found->second.group_);
     wire::NodeSums sums = rest.toMessage();
-    if (!own->duty_token()) {
+    if (!receiverSums->duty_token()) {
         sums.clear_rollout_counts();
         return sums;
     }
--- a/lib/Node/GenerationOwner.cpp
+++ b/lib/Node/GenerationOwner.cpp
@@ -20,8 +20,9 @@
     constexpr milliseconds tokenTimeout { 40000 };
     constexpr milliseconds retryDelay { 100 };
     constexpr milliseconds reapPeriod { 250 };
-    // Added to the attempt number on a takeover, so that the new owner's attempts have
-    // greater numbers than any that the old owner did not report to its replica.
+    // Added to the attempt number on a takeover. The old owner may have started
+    // attempts that it did not report to its replica; the numbers of the new owner's
+    // attempts are greater than those.
     constexpr std::uint32_t takeoverAttempts = 1000;
 
     milliseconds timeLeft(const Generation& generation)
@@ -154,8 +155,8 @@
         candidates.resize(maxEnginesTried);
     preference.excluded_.clear();
     Error rejection { Errc::Unavailable, "choose engine", {}, "no engine serves the model", Ran::No, milliseconds(1000) };
-    // The first pass accepts only free slots. The second one allows queueing, starting
-    // with the best candidate.
+    // The first pass over the candidates accepts only free slots. The second pass
+    // allows queueing; both start with the best candidate.
     for (bool mayQueue : { false, true }) {
         for (const EngineCandidate& candidate : candidates) {
             router_.countSent(candidate.dispatcher_, generation->model());
@@ -229,7 +230,7 @@
 
 asio::awaitable<GenerationOwner::AttemptOutcome> GenerationOwner::receiveTokens(GenerationPtr generation, std::shared_ptr<PeerStream> stream, VmId engine, VmId dispatcher, Preference& preference)
 {
-    SteadyTime last = steadyNow();
+    SteadyTime lastTokenAt = steadyNow();
     for (;;) {
         auto frame = co_await stream->receiveWithin(tokenTimeout);
         if (generation->hasEnded())
@@ -256,8 +257,8 @@
         if (isFirst)
             context_.metrics_.observe(Histogram::FirstToken, steadyNow() - generation->startedAt());
         else
-            context_.metrics_.observe(Histogram::BetweenTokens, steadyNow() - last);
-        last = steadyNow();
+            context_.metrics_.observe(Histogram::BetweenTokens, steadyNow() - lastTokenAt);
+        lastTokenAt = steadyNow();
     }
 }
 
@@ -297,7 +298,7 @@
                 generations_.erase(generation->id());
                 continue;
             }
-            bool isAbandoned = !generation->hasEnded() && !generation->hasReaders() && steadyNow() - generation->lastRead() > settings.reconnectGrace_;
+            bool isAbandoned = !generation->hasEnded() && !generation->hasReaders() && steadyNow() - generation->lastReadAt() > settings.reconnectGrace_;
             if (isAbandoned && generation->isAccepted())
                 generation->fail({ Errc::Cancelled, "wait for caller", {}, "the caller went away and did not come back", Ran::Unknown, {} });
         }
--- a/lib/Node/RecordCopying.cpp
+++ b/lib/Node/RecordCopying.cpp
@@ -14,7 +14,7 @@
 
     constexpr std::size_t maxReplicasTried = 3;
     // Interval between attempts to find a replica if no node accepts one.
-    constexpr milliseconds replicaRetry { 1000 };
+    constexpr milliseconds replicaRetryDelay { 1000 };
 
     wire::Frame progressFrame(const std::string& requestId, const VmId& owner, const Generation::Progress& progress, std::size_t firstPosition)
     {
@@ -66,7 +66,7 @@
         generation->setReadableToEnd();
         if (generation->hasEnded())
             co_return;
-        co_await sleepFor(replicaRetry);
+        co_await sleepFor(replicaRetryDelay);
         failed.clear();
     }
 }
@@ -124,7 +124,8 @@
 
 asio::awaitable<void> GenerationOwner::handOverGeneration(GenerationPtr generation)
 {
-    // The replica's node is tried first, since it has most of the record.
+    // The node that holds the replica is tried first, since it has most of the
+    // record.
     std::vector<VmId> candidates { { generation->replica() } };
     for (const VmId& node : replicaCandidates(generation->id(), {}))
         candidates.push_back(node);
--- a/unittests/Gateway/BackgroundExecutorTest.cpp
+++ b/unittests/Gateway/BackgroundExecutorTest.cpp
@@ -87,12 +87,12 @@
 {
     asio::io_context io(1);
     BackgroundExecutor background;
-    constexpr int pieces = 200;
+    constexpr int itemCount = 200;
     std::atomic<int> running { 0 };
     bool hasOverlapped = false;
     std::vector<int> order;
     std::vector<int> expected;
-    for (int i = 0; i < pieces; ++i) {
+    for (int i = 0; i < itemCount; ++i) {
         expected.push_back(i);
         auto work = [&, i] {
             hasOverlapped |= ++running > 1;
@@ -128,7 +128,7 @@
 
 TEST_CASE("destruction waits for running work, drops queued work, and leaks no coroutine", "[background]")
 {
-    // Whether the loop is stopped before the work has ended, or after.
+    // Slow work is still running when the loop is stopped; other work has ended by then.
     auto isSlow = GENERATE(true, false);
     std::atomic<int> destroyed { 0 };
     std::atomic<int> resumed { 0 };
