--- a/benchmarks/ControlBenchmark.cpp
+++ b/benchmarks/ControlBenchmark.cpp
@@ -241,7 +241,7 @@
         for (std::size_t i = 0; i < dataCentres; ++i)
             options.dataCentres_.push_back("dc-" + std::to_string(i));
         options.nodesPerDataCentre_ = size;
-        options.settings_ = "logs:\n  level: warn\n";
+        options.nodeSettings_ = "logs:\n  level: warn\n";
         if (entries)
             options.engineArguments_ = { "--decode_us", "60000000", "--slots", "4096" };
         Deployment deployment(options);
--- a/benchmarks/FloodBenchmark.cpp
+++ b/benchmarks/FloodBenchmark.cpp
@@ -32,7 +32,7 @@
 constexpr double trialLoad = 10;
 /// Upper bound on the p99 time to first token of paid requests under trial load,
 /// relative to the p99 without it.
-constexpr double maxGrowth = 1.05;
+constexpr double maxLatencyRatio = 1.05;
 /// Latency that the machine itself adds under this load.
 constexpr double noiseMs = 5;
 
@@ -129,7 +129,7 @@
     options.nodesPerDataCentre_ = 1;
     options.enginesPerDataCentre_ = { { "planogram", engines / 3 } };
     options.engineArguments_ = { "--decode_us", std::to_string(microsPerToken), "--slots", std::to_string(slotsPerEngine) };
-    options.settings_ = "logs:\n  level: error\n";
+    options.nodeSettings_ = "logs:\n  level: error\n";
     Deployment deployment(options);
     deployment.applyCatalogue(catalogue(paidReserve));
     constexpr milliseconds warmUp { 3000 };
@@ -145,7 +145,7 @@
     std::printf("trials yielded %.0f times, %.0f tokens were computed again\n", deployment.metricOfAll("trials_yielded_total"), deployment.metricOfAll("tokens_recomputed_total"));
     double baselineP99 = percentile(baseline.paid_.timeToFirstToken_, 0.99);
     double floodedP99 = percentile(flooded.paid_.timeToFirstToken_, 0.99);
-    bool isWithin = floodedP99 <= baselineP99 * maxGrowth + noiseMs && !flooded.paid_.rejected_ && !flooded.paid_.failed_;
+    bool isWithin = floodedP99 <= baselineP99 * maxLatencyRatio + noiseMs && !flooded.paid_.rejected_ && !flooded.paid_.failed_;
     std::printf("paid time to first token p99: %.0f ms alone, %.0f ms under trial load: %s\n", baselineP99, floodedP99, isWithin ? "within its bound" : "past its bound");
     return isWithin ? 0 : 1;
 }
--- a/benchmarks/PathBenchmark.cpp
+++ b/benchmarks/PathBenchmark.cpp
@@ -110,7 +110,7 @@
     options.nodesPerDataCentre_ = 1;
     options.enginesPerDataCentre_ = { { "planogram", 2 } };
     options.engineArguments_ = { "--decode_us", "5000", "--slots", "2000", "--prefill_us", "0" };
-    options.settings_ = "logs:\n  level: warn\n";
+    options.nodeSettings_ = "logs:\n  level: warn\n";
     Deployment deployment(options);
     std::string catalogue = Deployment::standardCatalogue();
     std::string from = "name: planogram\nkind: engine\nconcurrency: 64";
--- a/include/pistachioloom/Http.h
+++ b/include/pistachioloom/Http.h
@@ -70,7 +70,7 @@
     ByteCount body_ { 1024UL * 1024 };
     /// Time without a request after which the server closes the connection. Responses
     /// announce it, see keepAliveValue().
-    milliseconds idle_ { 60000 };
+    milliseconds idleTimeout_ { 60000 };
 };
 
 /// A request and the response to it. Only the handler's coroutine may use it.
--- a/include/pistachioloom/Telemetry.h
+++ b/include/pistachioloom/Telemetry.h
@@ -33,7 +33,7 @@
     /// per line, 500 lines per second limit the volume to 150 KB/s.
     std::uint64_t linesPerSecond_ = 500;
     /// Levels of single components by their log prefix, in place of `level_`.
-    std::map<std::string, LogLevel> parts_;
+    std::map<std::string, LogLevel> levelByPart_;
     bool isJson_ = false;
 };
 
--- a/lib/Http/Server.cpp
+++ b/lib/Http/Server.cpp
@@ -56,7 +56,7 @@
             announceConnection(message);
             message.body() = std::move(response.body_);
             message.prepare_payload();
-            stream_.expires_after(state_.bounds_.idle_);
+            stream_.expires_after(state_.bounds_.idleTimeout_);
             auto [code, count] = co_await http::async_write(stream_, message, asTuple);
             if (code)
                 co_return failed(code);
@@ -72,7 +72,7 @@
             announceConnection(message);
             message.chunked(true);
             http::response_serializer<http::empty_body> serializer(message);
-            stream_.expires_after(state_.bounds_.idle_);
+            stream_.expires_after(state_.bounds_.idleTimeout_);
             auto [code, count] = co_await http::async_write_header(stream_, serializer, asTuple);
             if (code)
                 co_return failed(code);
@@ -81,7 +81,7 @@
 
         asio::awaitable<Result<void>> writeChunk(std::string chunk) override
         {
-            stream_.expires_after(state_.bounds_.idle_);
+            stream_.expires_after(state_.bounds_.idleTimeout_);
             auto [code, count] = co_await asio::async_write(stream_, http::make_chunk(asio::buffer(chunk)), asTuple);
             if (code)
                 co_return failed(code);
@@ -115,7 +115,7 @@
                 message.erase(http::field::keep_alive);
                 return;
             }
-            std::string value = keepAliveValue(state_.bounds_.idle_);
+            std::string value = keepAliveValue(state_.bounds_.idleTimeout_);
             if (!value.empty() && message.find(http::field::keep_alive) == message.end())
                 message.set(http::field::keep_alive, value);
             // `Keep-Alive` concerns this connection only, so `Connection` must list it
@@ -173,7 +173,7 @@
         http::request_parser<http::string_body> parser;
         parser.header_limit(static_cast<std::uint32_t>(state->bounds_.header_.value_));
         parser.body_limit(state->bounds_.body_.value_);
-        stream.expires_after(state->bounds_.idle_);
+        stream.expires_after(state->bounds_.idleTimeout_);
         auto [code, count] = co_await http::async_read(stream, buffer, parser, asTuple);
         if (code == http::error::end_of_stream || code == beast::error::timeout || code == asio::error::operation_aborted)
             break;
--- a/lib/Settings/Settings.cpp
+++ b/lib/Settings/Settings.cpp
@@ -101,7 +101,7 @@
     {
         settings.bounds_.header_ = map.size("header", { 1024 }, { 1024UL * 1024 }, settings.bounds_.header_);
         settings.bounds_.body_ = map.size("body", { 1024 }, { 64UL * 1024 * 1024 }, settings.bounds_.body_);
-        settings.bounds_.idle_ = map.duration("idle", milliseconds(100), milliseconds(3600000), settings.bounds_.idle_);
+        settings.bounds_.idleTimeout_ = map.duration("idle", milliseconds(100), milliseconds(3600000), settings.bounds_.idleTimeout_);
         settings.reconnectGrace_ = map.duration("reconnect_grace", milliseconds(0), oneDay, settings.reconnectGrace_);
         settings.answerRetention_ = map.duration("answers_kept", milliseconds(100), oneDay, settings.answerRetention_);
         settings.maxTokens_ = map.integer("most_tokens", 1, 1000000, settings.maxTokens_);
@@ -165,7 +165,7 @@
         if (found == levels.end())
             map.addError("parts", "expected one of debug info warn error for part '" + part + "'");
         else
-            settings.parts_[part] = static_cast<LogLevel>(found - levels.begin());
+            settings.levelByPart_[part] = static_cast<LogLevel>(found - levels.begin());
     }
     map.reportUnknownKeys();
 }
--- a/lib/Telemetry/Logs.cpp
+++ b/lib/Telemetry/Logs.cpp
@@ -48,7 +48,7 @@
     root.removeAllAppenders();
     root.addAppender(appender);
     root.setLogLevel(toLog4cplus(settings.level_));
-    for (const auto& [part, level] : settings.parts_)
+    for (const auto& [part, level] : settings.levelByPart_)
         loggerOf(part).setLogLevel(toLog4cplus(level));
 }
 
--- a/lib/Wire/LinkStream.cpp
+++ b/lib/Wire/LinkStream.cpp
@@ -31,15 +31,15 @@
 
 LinkStream::LinkStream(std::shared_ptr<PeerLink> link, const asio::any_io_executor& executor)
     : link_(std::move(link))
-    , frames_(executor, maxUnreadFrames)
-    , credits_(executor, maxUnsentFrames)
+    , receivedFrames_(executor, maxUnreadFrames)
+    , sendCredits_(executor, maxUnsentFrames)
 {
 }
 
 asio::awaitable<Result<void>> LinkStream::send(const wire::Frame& frame)
 {
     std::string bytes = encode(frame);
-    auto [code] = co_await credits_.async_send(boost::system::error_code {}, asTuple);
+    auto [code] = co_await sendCredits_.async_send(boost::system::error_code {}, asTuple);
     if (code)
         co_return Error { isCancelled_ ? Errc::Cancelled : Errc::Reset, "send to peer", peer(), "stream is closed", isRefused_ ? Ran::No : Ran::Unknown, {} };
     asio::post(link_->executor(), [self = shared_from_this(), bytes = std::move(bytes)]() mutable {
@@ -53,8 +53,8 @@
 
 void LinkStream::endFrames()
 {
-    if (!frames_.try_send(asio::error::eof, std::string()))
-        frames_.close();
+    if (!receivedFrames_.try_send(asio::error::eof, std::string()))
+        receivedFrames_.close();
 }
 
 asio::awaitable<Result<wire::Frame>> LinkStream::receive()
@@ -62,7 +62,7 @@
     boost::system::error_code code = asio::error::eof;
     std::string bytes;
     if (!hasReachedEnd_)
-        std::tie(code, bytes) = co_await frames_.async_receive(asTuple);
+        std::tie(code, bytes) = co_await receivedFrames_.async_receive(asTuple);
     if (code) {
         hasReachedEnd_ = true;
         if (isCancelled_)
@@ -71,7 +71,7 @@
             co_return Error { Errc::NotFound, "receive from peer", peer(), "peer ended the stream", Ran::Unknown, {} };
         co_return Error { Errc::Reset, "receive from peer", peer(), "stream was reset", isRefused_ ? Ran::No : Ran::Unknown, {} };
     }
-    asio::post(link_->executor(), [self = shared_from_this(), count = bytes.size() + 4] { self->link_->consumed(*self, count); });
+    asio::post(link_->executor(), [self = shared_from_this(), count = bytes.size() + 4] { self->link_->returnToWindow(*self, count); });
     wire::Frame frame;
     if (frame.ParseFromString(bytes) && frame.body_case() != wire::Frame::BODY_NOT_SET)
         co_return frame;
--- a/lib/Wire/PeerLink.cpp
+++ b/lib/Wire/PeerLink.cpp
@@ -128,7 +128,7 @@
             close(code.message());
             co_return;
         }
-        counters_->received_ += count;
+        counters_->bytesReceived_ += count;
         idleIntervals_ = 0;
         ssize_t taken = nghttp2_session_mem_recv(session_, buffer.data(), count);
         if (taken < 0) {
@@ -164,7 +164,7 @@
         }
         if (batch.empty())
             break;
-        counters_->sent_ += batch.size();
+        counters_->bytesSent_ += batch.size();
         auto [code, count] = co_await asio::async_write(socket_, asio::buffer(batch), asTuple);
         if (code) {
             isWriting_ = false;
@@ -238,12 +238,12 @@
     endStream(stream, errorCode);
 }
 
-void PeerLink::consumed(LinkStream& stream, std::size_t bytes)
+void PeerLink::returnToWindow(LinkStream& stream, std::size_t bytes)
 {
     if (!socket_.is_open() || stream.isClosed_)
         return;
-    std::size_t early = std::min(bytes, stream.earlyConsumed_);
-    stream.earlyConsumed_ -= early;
+    std::size_t early = std::min(bytes, stream.returnedEarly_);
+    stream.returnedEarly_ -= early;
     nghttp2_session_consume_stream(session_, stream.id_, bytes - early);
     startWriting();
 }
@@ -296,7 +296,7 @@
         stream.isCancelled_ = true;
     stream.isFailed_ = errorCode != NGHTTP2_NO_ERROR;
     stream.endFrames();
-    stream.credits_.close();
+    stream.sendCredits_.close();
 }
 
 void PeerLink::decodeFrames(LinkStream& stream, std::string_view data)
@@ -314,7 +314,7 @@
             break;
         std::string frame = stream.input_.substr(position + frameHeaderSize, length);
         position += frameHeaderSize + length;
-        if (!stream.frames_.try_send(boost::system::error_code {}, std::move(frame))) {
+        if (!stream.receivedFrames_.try_send(boost::system::error_code {}, std::move(frame))) {
             report("read frame", "too many unread frames");
             resetStream(stream, NGHTTP2_FLOW_CONTROL_ERROR);
             return;
@@ -327,7 +327,7 @@
     if (stream.input_.size() < largeInput)
         return;
     nghttp2_session_consume_stream(session_, stream.id_, data.size());
-    stream.earlyConsumed_ += data.size();
+    stream.returnedEarly_ += data.size();
 }
 
 void PeerLink::handleRequestHeaders(std::int32_t streamId)
@@ -437,7 +437,7 @@
             break;
         stream->output_.pop_front();
         stream->outputOffset_ = 0;
-        stream->credits_.try_receive([](boost::system::error_code) {});
+        stream->sendCredits_.try_receive([](boost::system::error_code) {});
     }
     if (stream->output_.empty() && stream->isOutputEnded_) {
         *flags |= NGHTTP2_DATA_FLAG_EOF;
--- a/lib/Wire/PeerLink.h
+++ b/lib/Wire/PeerLink.h
@@ -21,8 +21,8 @@
 
 /// Counts the bytes sent and received by all links of one pool or server.
 struct WireCounters {
-    std::atomic<std::uint64_t> sent_ { 0 };
-    std::atomic<std::uint64_t> received_ { 0 };
+    std::atomic<std::uint64_t> bytesSent_ { 0 };
+    std::atomic<std::uint64_t> bytesReceived_ { 0 };
 };
 
 /// One stream of a link. Members without a comment are used only on the link's strand.
@@ -69,7 +69,7 @@
     bool isHandlerStarted_ = false;
     std::string input_;
     // Bytes returned to the flow control window before their frame was received.
-    std::size_t earlyConsumed_ = 0;
+    std::size_t returnedEarly_ = 0;
     std::deque<std::string> output_;
     std::size_t outputOffset_ = 0;
     bool isOutputEnded_ = false;
@@ -77,8 +77,8 @@
     // Used on any strand: the received frames, and one credit for each unsent frame.
     // An error at the end of the frames marks their end, since closing the channel
     // would drop unread frames.
-    asio::experimental::concurrent_channel<void(boost::system::error_code, std::string)> frames_;
-    asio::experimental::concurrent_channel<void(boost::system::error_code)> credits_;
+    asio::experimental::concurrent_channel<void(boost::system::error_code, std::string)> receivedFrames_;
+    asio::experimental::concurrent_channel<void(boost::system::error_code)> sendCredits_;
     // Used only by the receiving coroutine: receive() has reached the end mark.
     bool hasReachedEnd_ = false;
     // Written on the link's strand, read on any strand.
@@ -120,7 +120,7 @@
     void resetStream(LinkStream& stream, std::uint32_t errorCode);
     /// Returns \p bytes of a received frame to the stream's flow control window, less
     /// those that were returned before the frame was complete.
-    void consumed(LinkStream& stream, std::size_t bytes);
+    void returnToWindow(LinkStream& stream, std::size_t bytes);
     void refuseNewStreams();
     void close(std::string_view reason);
 
--- a/lib/Wire/Peers.cpp
+++ b/lib/Wire/Peers.cpp
@@ -72,8 +72,8 @@
     state_->links_.clear();
 }
 
-ByteCount PeerPool::bytesSent() const { return { state_->counters_->sent_ }; }
-ByteCount PeerPool::bytesReceived() const { return { state_->counters_->received_ }; }
+ByteCount PeerPool::bytesSent() const { return { state_->counters_->bytesSent_ }; }
+ByteCount PeerPool::bytesReceived() const { return { state_->counters_->bytesReceived_ }; }
 
 static std::shared_ptr<PeerLink> findUsableLink(PeerPool::State& state, const Endpoint& peer)
 {
@@ -229,8 +229,8 @@
     return port;
 }
 
-ByteCount PeerServer::bytesSent() const { return { state_->counters_->sent_ }; }
-ByteCount PeerServer::bytesReceived() const { return { state_->counters_->received_ }; }
+ByteCount PeerServer::bytesSent() const { return { state_->counters_->bytesSent_ }; }
+ByteCount PeerServer::bytesReceived() const { return { state_->counters_->bytesReceived_ }; }
 
 void PeerServer::refuseNewStreams()
 {
--- a/test/AnswersTest.cpp
+++ b/test/AnswersTest.cpp
@@ -22,7 +22,7 @@
     options.nodesPerDataCentre_ = 2;
     options.enginesPerDataCentre_ = { { "planogram", 2 } };
     options.engineArguments_ = { "--decode_us", "3000", "--slots", "400" };
-    options.settings_ = "callers:\n  reconnect_grace: 1s\n  body: 64KiB\n";
+    options.nodeSettings_ = "callers:\n  reconnect_grace: 1s\n  body: 64KiB\n";
     return options;
 }
 
--- a/test/AtMostOnceTest.cpp
+++ b/test/AtMostOnceTest.cpp
@@ -23,7 +23,7 @@
     options.enginesPerDataCentre_ = {};
     options.servicesPerDataCentre_ = 1;
     options.nodesPerDataCentre_ = 2;
-    options.settings_ = "ledger:\n  append_timeout: 500ms\n  append_patience: 1200ms\n";
+    options.nodeSettings_ = "ledger:\n  append_timeout: 500ms\n  append_patience: 1200ms\n";
     return options;
 }
 
--- a/test/CatalogueTest.cpp
+++ b/test/CatalogueTest.cpp
@@ -22,7 +22,7 @@
     DeploymentOptions options;
     options.enginesPerDataCentre_ = {};
     options.nodesPerDataCentre_ = 2;
-    options.settings_ = "catalogue:\n  snapshot_interval: 1h\n";
+    options.nodeSettings_ = "catalogue:\n  snapshot_interval: 1h\n";
     return options;
 }
 
@@ -129,7 +129,7 @@
 TEST_CASE("an accepted change survives a trim and a restart of every node")
 {
     auto options = catalogueOptions();
-    options.settings_ = "catalogue:\n  snapshot_interval: 200ms\n";
+    options.nodeSettings_ = "catalogue:\n  snapshot_interval: 200ms\n";
     Deployment deployment(options);
     REQUIRE(applyEntry(deployment, deployment.nodes()[0], "s.yaml", service("s", 1)).first == 0);
     REQUIRE(applyEntry(deployment, deployment.nodes()[0], "s.yaml", service("s", 2)).first == 0);
--- a/test/Demo.cpp
+++ b/test/Demo.cpp
@@ -81,7 +81,7 @@
     DeploymentOptions options;
     options.enginesPerDataCentre_ = { { "planogram", 2 }, { "store", 1 } };
     options.servicesPerDataCentre_ = 1;
-    options.settings_ = "drain:\n  balancer_grace: 200ms\nlogs:\n  level: info\n";
+    options.nodeSettings_ = "drain:\n  balancer_grace: 200ms\nlogs:\n  level: info\n";
     std::cout << "starting stand-ins and nine nodes in three data centres" << std::endl;
     Deployment deployment(options);
     deployment.applyCatalogue(Deployment::standardCatalogue());
--- a/test/DraftsTest.cpp
+++ b/test/GenerationsTest.cpp
@@ -1,4 +1,4 @@
-//===- test/DraftsTest.cpp - generations survive failures -----------------===//
+//===- test/GenerationsTest.cpp - generations survive failures -----------------===//
 ///
 /// \file
 /// Reclaims, kills and freezes the processes that work on an accepted request to
@@ -23,7 +23,7 @@
     options.nodesPerDataCentre_ = 2;
     options.enginesPerDataCentre_ = { { "planogram", 2 } };
     options.engineArguments_ = { "--decode_us", "8000" };
-    options.settings_ = "replica:\n  takeover_grace: 500ms\n  owner_silence: 1s\nmembership:\n  suspect_after: 1500ms\n";
+    options.nodeSettings_ = "replica:\n  takeover_grace: 500ms\n  owner_silence: 1s\nmembership:\n  suspect_after: 1500ms\n";
     return options;
 }
 
--- a/test/Harness/Deployment.cpp
+++ b/test/Harness/Deployment.cpp
@@ -164,7 +164,7 @@
          << "listen:\n  callers: 127.0.0.1:0\n  peers: 127.0.0.1:0\n  operators: 127.0.0.1:0\n"
          << "platform:\n  log: " << platform_.toString() << "\n  vm_list: " << platform_.toString() << "\n"
          << "credentials:\n  peers: " << peerCredential << "\n  operators: " << operatorCredential << "\n"
-         << options_.settings_;
+         << options_.nodeSettings_;
 }
 
 void Deployment::launch(NodeProcess& node)
--- a/test/Harness/Deployment.h
+++ b/test/Harness/Deployment.h
@@ -28,7 +28,7 @@
     /// a network partition.
     bool hasProxies_ = false;
     /// YAML sections added to every node's settings.
-    std::string settings_;
+    std::string nodeSettings_;
 };
 
 class Deployment {
--- a/test/LeavingTest.cpp
+++ b/test/LeavingTest.cpp
@@ -26,7 +26,7 @@
     options.nodesPerDataCentre_ = 2;
     options.enginesPerDataCentre_ = { { "planogram", 2 } };
     options.engineArguments_ = { "--decode_us", "2000" };
-    options.settings_ = "drain:\n  balancer_grace: 500ms\n";
+    options.nodeSettings_ = "drain:\n  balancer_grace: 500ms\n";
     return options;
 }
 
@@ -180,7 +180,7 @@
     options.dataCentres_ = { "caxias-a", "caxias-b" };
     options.nodesPerDataCentre_ = 1;
     options.engineArguments_ = { "--decode_us", "5000" };
-    options.settings_ = "drain:\n  balancer_grace: 50ms\n  handover_margin: 400ms\n";
+    options.nodeSettings_ = "drain:\n  balancer_grace: 50ms\n  handover_margin: 400ms\n";
     Deployment deployment(options);
     deployment.applyCatalogue(Deployment::standardCatalogue());
     auto& leaving = deployment.node("caxias-a-1");
@@ -210,7 +210,7 @@
     INFO("attaching takes " << attachDelay.count() << " ms more");
     auto options = twoEngines();
     options.engineArguments_ = { "--decode_us", "10000" };
-    options.settings_ = "drain:\n  balancer_grace: 200ms\n  handover_margin: 800ms\n";
+    options.nodeSettings_ = "drain:\n  balancer_grace: 200ms\n  handover_margin: 800ms\n";
     Deployment deployment(options);
     deployment.applyCatalogue(Deployment::standardCatalogue());
     auto& leaving = deployment.node("caxias-a-1");
--- a/test/OrdersTest.cpp
+++ b/test/OrdersTest.cpp
@@ -41,7 +41,7 @@
     options.nodesPerDataCentre_ = 2;
     options.enginesPerDataCentre_ = { { "planogram", 3 } };
     options.engineArguments_ = { "--decode_us", "2000", "--load_ms", "400" };
-    options.settings_ = "orders:\n  period: 100ms\n";
+    options.nodeSettings_ = "orders:\n  period: 100ms\n";
     Deployment deployment(options);
     deployment.applyCatalogue(Deployment::standardCatalogue());
     std::atomic<bool> isOver { false };
@@ -106,7 +106,7 @@
     options.dataCentres_ = { "caxias-a" };
     options.nodesPerDataCentre_ = 3;
     options.engineArguments_ = { "--honours_fencing", honoursFencing ? "1" : "0" };
-    options.settings_ = "orders:\n  period: 50ms\n  claim_validity: 500ms\n  pause_bound: 6s\n";
+    options.nodeSettings_ = "orders:\n  period: 50ms\n  claim_validity: 500ms\n  pause_bound: 6s\n";
     Deployment deployment(options);
     deployment.applyCatalogue(Deployment::standardCatalogue());
     auto& engine = deployment.engines().front();
--- a/test/CutsTest.cpp
+++ b/test/PartitionsTest.cpp
@@ -1,4 +1,4 @@
-//===- test/CutsTest.cpp - partitioned data centres -----------------------===//
+//===- test/PartitionsTest.cpp - partitioned data centres -----------------------===//
 ///
 /// \file
 /// Checks what a data centre still serves while it is partitioned from the others,
@@ -57,7 +57,7 @@
     options.servicesPerDataCentre_ = 1;
     options.hasProxies_ = true;
     options.engineArguments_ = { "--decode_us", "4000" };
-    options.settings_ = "replica:\n  takeover_grace: 400ms\n  owner_silence: 800ms\nledger:\n  append_timeout: 300ms\n  append_patience: 600ms\n";
+    options.nodeSettings_ = "replica:\n  takeover_grace: 400ms\n  owner_silence: 800ms\nledger:\n  append_timeout: 300ms\n  append_patience: 600ms\n";
     Deployment deployment(options);
     deployment.applyCatalogue(Deployment::standardCatalogue());
     auto& inside = deployment.node("bento-c-1");
--- a/test/Platform/Soak/InvariantChecker.cpp
+++ b/test/Platform/Soak/InvariantChecker.cpp
@@ -21,7 +21,7 @@
 
     bool mayRepeat(RequestKind kind)
     {
-        return kind == RequestKind::Safe || kind == RequestKind::Draft || kind == RequestKind::Limited;
+        return kind == RequestKind::Safe || kind == RequestKind::ResumableStream || kind == RequestKind::Limited;
     }
 
     /// Whether \p status states that the request has not run and never will.
--- a/test/Platform/Soak/SoakCaller.cpp
+++ b/test/Platform/Soak/SoakCaller.cpp
@@ -50,9 +50,9 @@
         case RequestKind::Safe:
         case RequestKind::Limited:
             return "/safe/";
-        case RequestKind::Draft:
+        case RequestKind::ResumableStream:
             return "/draft/stream/";
-        case RequestKind::Ask:
+        case RequestKind::UnresumableStream:
             return "/ask/stream/";
         case RequestKind::Crashing:
             return "/draft/stream/crash";
@@ -134,7 +134,7 @@
 
 std::string expectedBody(const Call& call, int events)
 {
-    bool isStream = call.kind_ == RequestKind::Draft || call.kind_ == RequestKind::Ask;
+    bool isStream = call.kind_ == RequestKind::ResumableStream || call.kind_ == RequestKind::UnresumableStream;
     if (!isStream)
         return std::string("POST ") + pathOf(call.kind_) + call.id_ + " body of " + call.id_;
     std::string body;
@@ -168,7 +168,7 @@
     std::mt19937_64 random(seed);
     auto executor = co_await asio::this_coro::executor;
     std::shared_ptr<Connection> connection;
-    constexpr RequestKind kinds[] = { RequestKind::Unsafe, RequestKind::Safe, RequestKind::Draft, RequestKind::Ask, RequestKind::Limited };
+    constexpr RequestKind kinds[] = { RequestKind::Unsafe, RequestKind::Safe, RequestKind::ResumableStream, RequestKind::UnresumableStream, RequestKind::Limited };
     int requestsOnConnection = 0;
     for (int sent = 0; !hooks.isOver_(); ++sent) {
         if (!connection || !connection->isOpen_ || requestsOnConnection >= maxRequestsPerConnection) {
--- a/test/Platform/Soak/SoakCaller.h
+++ b/test/Platform/Soak/SoakCaller.h
@@ -20,9 +20,9 @@
     /// May be repeated.
     Safe,
     /// An event stream that may be resumed.
-    Draft,
+    ResumableStream,
     /// An event stream that may not be resumed.
-    Ask,
+    UnresumableStream,
     /// A safe request of an organisation with a small quota.
     Limited,
     /// Crashes each engine that starts to run it. All calls of this kind are attempts at
--- a/tools/standins/Engine.cpp
+++ b/tools/standins/Engine.cpp
@@ -28,7 +28,7 @@
     if (path == "/v1/cancel")
         co_await cancel(std::move(body));
     json::object load;
-    load["active"] = active_;
+    load["active"] = activeStreams_;
     co_await reply(exchange, 200, load);
 }
 
--- a/tools/standins/Engine.h
+++ b/tools/standins/Engine.h
@@ -56,25 +56,25 @@
     /// The sampling run of each imported KV cache, by request id.
     std::map<std::string, std::string> importedRuns_;
     std::uint64_t samplingRunCount_ = 0;
-    std::int64_t started_ = 0;
+    std::int64_t startedStreams_ = 0;
     /// Number of requests to generate that were rejected because the engine was leaving.
-    std::int64_t startRequestsWhileLeaving_ = 0;
+    std::int64_t rejectedWhileLeaving_ = 0;
     std::int64_t tokens_ = 0;
-    std::int64_t prefilled_ = 0;
-    std::int64_t active_ = 0;
-    std::int64_t maxActive_ = 0;
-    std::int64_t cancelled_ = 0;
+    std::int64_t prefilledTokens_ = 0;
+    std::int64_t activeStreams_ = 0;
+    std::int64_t maxActiveStreams_ = 0;
+    std::int64_t cancelledStreams_ = 0;
     boost::json::object configuration_ { { "version", "v1" }, { "role", "" }, { "adapters", boost::json::array {} } };
     std::uint64_t loadCount_ = 0;
     bool isLoading_ = false;
-    std::uint64_t newestToken_ = 0;
+    std::uint64_t newestFencingToken_ = 0;
     std::int64_t ordersReceived_ = 0;
     std::int64_t ordersApplied_ = 0;
-    std::int64_t staleRejected_ = 0;
-    std::int64_t staleApplied_ = 0;
-    std::int64_t appliedWhileActive_ = 0;
+    std::int64_t staleOrdersRejected_ = 0;
+    std::int64_t staleOrdersApplied_ = 0;
+    std::int64_t ordersAppliedWhileActive_ = 0;
     /// Number of requests to generate that were rejected because the engine was loading.
-    std::int64_t startRequestsWhileLoading_ = 0;
+    std::int64_t rejectedWhileLoading_ = 0;
 };
 
 } // namespace pistachioloom::standin
--- a/tools/standins/EngineGenerate.cpp
+++ b/tools/standins/EngineGenerate.cpp
@@ -12,11 +12,11 @@
 std::optional<Error> Engine::startRejection(const GenerateRequest& request)
 {
     if (isLoading_) {
-        ++startRequestsWhileLoading_;
+        ++rejectedWhileLoading_;
         return rejection(Errc::Unavailable, "start generation", "this engine is loading");
     }
     if (controls_["leaving"]) {
-        ++startRequestsWhileLeaving_;
+        ++rejectedWhileLeaving_;
         return rejection(Errc::Leaving, "start generation", "this engine is leaving");
     }
     auto old = streams_.find(request.requestId_);
@@ -52,7 +52,7 @@
     stream->promptTokens_ = promptTokens(request.prompt_);
     std::uint64_t prefill = hasCache ? 0 : cache_.addPrompt(request.prompt_) + request.prefix_.size();
     stream->recomputedTokens_ = request.prefix_.empty() ? 0 : prefill;
-    ++started_;
+    ++startedStreams_;
     asio::co_spawn(io_, decode(stream, request.requestId_, prefill), asio::detached);
     return stream;
 }
@@ -76,12 +76,12 @@
 
 asio::awaitable<void> Engine::decode(StreamPtr stream, std::string requestId, std::uint64_t prefill)
 {
-    while (active_ >= controls_["slots"])
+    while (activeStreams_ >= controls_["slots"])
         co_await pause(milliseconds(1));
-    maxActive_ = std::max(maxActive_, ++active_);
+    maxActiveStreams_ = std::max(maxActiveStreams_, ++activeStreams_);
     co_await computePrompt(prefill);
     co_await produceTokens(stream);
-    --active_;
+    --activeStreams_;
     if (stream->state_ == Stream::State::Running)
         stream->state_ = Stream::State::Done;
     stream->notifyWriter();
@@ -93,7 +93,7 @@
 
 asio::awaitable<void> Engine::computePrompt(std::uint64_t prefill)
 {
-    prefilled_ += static_cast<std::int64_t>(prefill);
+    prefilledTokens_ += static_cast<std::int64_t>(prefill);
     std::int64_t prefillMicros = static_cast<std::int64_t>(prefill) * controls_["prefill_us"];
     if (prefillMicros)
         co_await pause(milliseconds(prefillMicros / 1000 + 1));
@@ -167,7 +167,7 @@
     auto found = streams_.find(textField(body, "request"));
     bool isStale = found != streams_.end() && body.contains("attempt") && numberField(body, "attempt") < found->second->attempt_;
     if (found != streams_.end() && found->second->state_ == Stream::State::Running && !isStale) {
-        ++cancelled_;
+        ++cancelledStreams_;
         found->second->state_ = Stream::State::Cancelled;
         found->second->notifyWriter();
     }
--- a/tools/standins/EngineOrders.cpp
+++ b/tools/standins/EngineOrders.cpp
@@ -16,14 +16,14 @@
     if (controls_["order_delay_ms"])
         co_await pause(milliseconds(controls_["order_delay_ms"]));
     std::uint64_t token = numberField(body, "token");
-    bool isStale = token < newestToken_;
+    bool isStale = token < newestFencingToken_;
     if (isStale && controls_["honours_fencing"]) {
-        ++staleRejected_;
+        ++staleOrdersRejected_;
         co_return co_await reject(exchange, Errc::Conflict, "take order", "a newer token is known");
     }
-    newestToken_ = std::max(newestToken_, token);
-    staleApplied_ += isStale ? 1 : 0;
-    appliedWhileActive_ += active_ ? 1 : 0;
+    newestFencingToken_ = std::max(newestFencingToken_, token);
+    staleOrdersApplied_ += isStale ? 1 : 0;
+    ordersAppliedWhileActive_ += activeStreams_ ? 1 : 0;
     ++ordersApplied_;
     body.erase("token");
     asio::co_spawn(io_, load(std::move(body)), asio::detached);
@@ -62,21 +62,21 @@
 json::object Engine::counts()
 {
     json::object answer;
-    answer["started"] = started_;
-    answer["started_while_leaving"] = startRequestsWhileLeaving_;
+    answer["started"] = startedStreams_;
+    answer["started_while_leaving"] = rejectedWhileLeaving_;
     answer["tokens"] = tokens_;
-    answer["prefilled"] = prefilled_;
-    answer["active"] = active_;
-    answer["most_active"] = maxActive_;
-    answer["cancelled"] = cancelled_;
+    answer["prefilled"] = prefilledTokens_;
+    answer["active"] = activeStreams_;
+    answer["most_active"] = maxActiveStreams_;
+    answer["cancelled"] = cancelledStreams_;
     answer["version"] = configuration_["version"];
     answer["loading"] = isLoading_ ? 1 : 0;
     answer["orders_received"] = ordersReceived_;
     answer["orders_obeyed"] = ordersApplied_;
-    answer["stale_refused"] = staleRejected_;
-    answer["stale_obeyed"] = staleApplied_;
-    answer["obeyed_while_active"] = appliedWhileActive_;
-    answer["started_while_loading"] = startRequestsWhileLoading_;
+    answer["stale_refused"] = staleOrdersRejected_;
+    answer["stale_obeyed"] = staleOrdersApplied_;
+    answer["obeyed_while_active"] = ordersAppliedWhileActive_;
+    answer["started_while_loading"] = rejectedWhileLoading_;
     return answer;
 }
 
--- a/tools/standins/FleetStandin.cpp
+++ b/tools/standins/FleetStandin.cpp
@@ -85,7 +85,7 @@
     /// \p idleTimeout is 0, uses a default that is not advertised.
     Backend(asio::io_context& io, std::string id, std::chrono::seconds idleTimeout)
         : id_(std::move(id))
-        , advertisedIdleTimeout_(idleTimeout)
+        , announcedIdleTimeout_(idleTimeout)
         , server_(
               io.get_executor(), HttpBounds { { 64UL * 1024 }, { 64UL * 1024 * 1024 }, idleTimeout.count() ? milliseconds(idleTimeout) : defaultIdleTimeout }, [this](HttpExchange& exchange) { return handle(exchange); }, errorResponse)
     {
@@ -125,8 +125,8 @@
             co_return co_await reply(exchange, 200, json::object {});
         }
         HttpResponse answer { 200, { { sealHeader, "seal-" + id_ }, { attemptIdHeader, request.header("x-pistachioloom-attempt-id") } }, {} };
-        if (advertisedIdleTimeout_.count())
-            answer.headers_["Keep-Alive"] = "timeout=" + std::to_string(advertisedIdleTimeout_.count());
+        if (announcedIdleTimeout_.count())
+            answer.headers_["Keep-Alive"] = "timeout=" + std::to_string(announcedIdleTimeout_.count());
         if (request.header("x-pistachioloom-expect-instance") != id_) {
             answer.status_ = 421;
             (void)co_await exchange.respond(std::move(answer));
@@ -265,7 +265,7 @@
     }
 
     std::string id_;
-    std::chrono::seconds advertisedIdleTimeout_;
+    std::chrono::seconds announcedIdleTimeout_;
     bool isCrashed_ = false;
     std::function<void(const HttpRequest&)> onRun_;
     std::set<HttpExchange*> running_;
@@ -335,20 +335,20 @@
             ports[textField(spec, "id")] = startBackend(spec);
         for (const json::object& entry : objectsField(body, "put"))
             log_.put(textField(entry, "topic"), textField(entry, "key"), textField(entry, "value"));
-        auto reclaimed = entries_.find(textField(body, "reclaim"));
-        if (reclaimed != entries_.end()) {
+        auto reclaimed = registrations_.find(textField(body, "reclaim"));
+        if (reclaimed != registrations_.end()) {
             reclaimed->second["phase"] = "draining";
             reclaimed->second["spot"] = true;
             log_.put("keyed.servers", reclaimed->first, json::serialize(reclaimed->second));
         }
-        if (entries_.contains(textField(body, "restart")))
+        if (registrations_.contains(textField(body, "restart")))
             restart(textField(body, "restart"));
         if (body.contains("crash_text"))
             crashText_ = textField(body, "crash_text");
         if (Backend* chosen = find(textField(body, "backend")))
             answer = chosen->control(body);
-        auto queried = entries_.find(textField(body, "born"));
-        if (queried != entries_.end())
+        auto queried = registrations_.find(textField(body, "born"));
+        if (queried != registrations_.end())
             answer["born"] = queried->second.at("born");
         answer["duties"] = recordedDutyCalls_;
         answer["crashes"] = crashes_;
@@ -364,21 +364,21 @@
         auto running = backends_.find(id);
         if (running != backends_.end())
             return running->second.get();
-        auto crashed = std::find_if(crashed_.rbegin(), crashed_.rend(), [&](const auto& backend) { return backend->id() == id; });
-        return crashed == crashed_.rend() ? nullptr : crashed->get();
+        auto crashed = std::find_if(crashedBackends_.rbegin(), crashedBackends_.rend(), [&](const auto& backend) { return backend->id() == id; });
+        return crashed == crashedBackends_.rend() ? nullptr : crashed->get();
     }
 
     /// Crashes the backend server of \p id and starts another with the same id on another
     /// port.
     void restart(const std::string& id)
     {
-        json::object spec = entries_[id];
+        json::object spec = registrations_[id];
         spec["id"] = id;
         spec["phase"] = "up";
         // The crashed server is kept because its handlers may still be suspended. It receives
         // no more requests.
-        crashed_.push_back(std::move(backends_[id]));
-        crashed_.back()->crash();
+        crashedBackends_.push_back(std::move(backends_[id]));
+        crashedBackends_.back()->crash();
         startBackend(spec);
     }
 
@@ -396,7 +396,7 @@
         entry["born"] = std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count();
         if (!entry.contains("unregistered"))
             log_.put("keyed.servers", id, json::serialize(entry));
-        entries_[id] = std::move(entry);
+        registrations_[id] = std::move(entry);
         backend->setRunHook([this, id](const HttpRequest& request) { crashIfMatching(id, request); });
         backends_[id] = std::move(backend);
         return port;
@@ -408,9 +408,9 @@
         if (crashText_.empty() || request.body_.find(crashText_) == std::string::npos)
             return;
         crashes_.push_back(json::object { { "backend", id }, { "at_ms", std::chrono::duration_cast<milliseconds>(steadyNow().time_since_epoch()).count() }, { "request", request.header("x-pistachioloom-attempt-id") } });
-        crashed_.push_back(std::move(backends_[id]));
+        crashedBackends_.push_back(std::move(backends_[id]));
         backends_.erase(id);
-        crashed_.back()->crash();
+        crashedBackends_.back()->crash();
         asio::co_spawn(io_, replaceCrashed(id), asio::detached);
     }
 
@@ -418,9 +418,9 @@
     asio::awaitable<void> replaceCrashed(std::string id)
     {
         co_await pause(milliseconds(controls_["restart_ms"]));
-        json::object spec = entries_[id];
+        json::object spec = registrations_[id];
         spec["id"] = id + "'";
-        entries_.erase(id);
+        registrations_.erase(id);
         log_.put("keyed.servers", id, "");
         startBackend(spec);
     }
@@ -509,9 +509,9 @@
     Controls controls_ { { { "down", 0 }, { "lose_appends", 0 }, { "restart_ms", 1000 } } };
     std::map<std::string, std::unique_ptr<Backend>> backends_;
     /// Crashed backend servers, oldest first.
-    std::vector<std::unique_ptr<Backend>> crashed_;
+    std::vector<std::unique_ptr<Backend>> crashedBackends_;
     /// The registration of each backend server, by id.
-    std::map<std::string, json::object> entries_;
+    std::map<std::string, json::object> registrations_;
     json::array recordedDutyCalls_;
     std::string crashText_;
     json::array crashes_;
--- a/tools/standins/PlatformStandin.cpp
+++ b/tools/standins/PlatformStandin.cpp
@@ -51,28 +51,28 @@
     } };
     std::map<std::string, Stream> streams_;
     std::map<std::string, json::object> vms_;
-    std::uint64_t version_ = 1;
+    std::uint64_t vmListVersion_ = 1;
     std::vector<json::object> notices_;
     std::set<std::string> partitionedDataCentres_;
     // Peer ports as each data centre sees them, keyed by "data centre/VM".
-    std::map<std::string, std::uint64_t> portViews_;
-    std::uint64_t appends_ = 0;
-    std::uint64_t reads_ = 0;
-    std::uint64_t lists_ = 0;
+    std::map<std::string, std::uint64_t> peerPorts_;
+    std::uint64_t appendCalls_ = 0;
+    std::uint64_t readCalls_ = 0;
+    std::uint64_t listCalls_ = 0;
 };
 
 json::object Platform::viewOf(const json::object& vm, const std::string& dataCentre) const
 {
     json::object seen = vm;
-    auto found = portViews_.find(dataCentre + "/" + textField(vm, "id"));
-    if (found != portViews_.end())
+    auto found = peerPorts_.find(dataCentre + "/" + textField(vm, "id"));
+    if (found != peerPorts_.end())
         seen["port"] = found->second;
     return seen;
 }
 
 asio::awaitable<void> Platform::append(HttpExchange& exchange, std::string name)
 {
-    ++appends_;
+    ++appendCalls_;
     co_await pause(milliseconds(controls_["log_delay_ms"]));
     if (controls_["fail_appends"] > 0) {
         controls_.set("fail_appends", controls_["fail_appends"] - 1);
@@ -95,7 +95,7 @@
 
 asio::awaitable<void> Platform::read(HttpExchange& exchange, std::string name)
 {
-    ++reads_;
+    ++readCalls_;
     std::uint64_t from = std::strtoull(exchange.request().query("from").c_str(), nullptr, 10);
     milliseconds wait(std::strtoll(exchange.request().query("wait_ms").c_str(), nullptr, 10));
     auto deadline = steadyNow() + wait;
@@ -118,9 +118,9 @@
 
 asio::awaitable<void> Platform::list(HttpExchange& exchange)
 {
-    ++lists_;
+    ++listCalls_;
     std::uint64_t known = std::strtoull(exchange.request().query("known_version").c_str(), nullptr, 10);
-    if (known == version_) {
+    if (known == vmListVersion_) {
         HttpResponse unchanged { 304, {}, {} };
         (void)co_await exchange.respond(std::move(unchanged));
         co_return;
@@ -129,7 +129,7 @@
     for (const auto& [id, vm] : vms_)
         vms.push_back(viewOf(vm, exchange.request().header("x-data-centre")));
     json::object answer;
-    answer["version"] = version_;
+    answer["version"] = vmListVersion_;
     answer["vms"] = vms;
     co_await reply(exchange, 200, answer);
 }
@@ -159,7 +159,7 @@
     // between the two.
     if (changesList) {
         co_await pause(milliseconds(controls_["list_lag_ms"]));
-        ++version_;
+        ++vmListVersion_;
     }
     for (const json::object& vm : objectsField(body, "put_vms"))
         vms_[textField(vm, "id")] = vm;
@@ -168,7 +168,7 @@
             vms_.erase(std::string(id.as_string()));
     }
     for (const json::object& view : objectsField(body, "port_views"))
-        portViews_[textField(view, "from") + "/" + textField(view, "vm")] = numberField(view, "port");
+        peerPorts_[textField(view, "from") + "/" + textField(view, "vm")] = numberField(view, "port");
     for (const json::object& notice : objectsField(body, "notices"))
         notices_.push_back(notice);
     if (const json::array* cut = arrayField(body, "cut_data_centres")) {
@@ -185,10 +185,10 @@
         stream.first_ += count;
     }
     json::object answer;
-    answer["version"] = version_;
-    answer["appends"] = appends_;
-    answer["reads"] = reads_;
-    answer["lists"] = lists_;
+    answer["version"] = vmListVersion_;
+    answer["appends"] = appendCalls_;
+    answer["reads"] = readCalls_;
+    answer["lists"] = listCalls_;
     json::object nextOffsets;
     for (const auto& [name, stream] : streams_)
         nextOffsets[name] = stream.next();
--- a/tools/standins/ServiceStandin.cpp
+++ b/tools/standins/ServiceStandin.cpp
@@ -29,7 +29,7 @@
         { "lose_answers", 0 },
     } };
     std::map<std::string, std::int64_t> executions_;
-    std::int64_t total_ = 0;
+    std::int64_t totalExecutions_ = 0;
     std::int64_t requestsWhileLeaving_ = 0;
 };
 
@@ -40,7 +40,7 @@
     for (const auto& [key, count] : executions_)
         executions[key] = count;
     json::object answer;
-    answer["total"] = total_;
+    answer["total"] = totalExecutions_;
     answer["asked_while_leaving"] = requestsWhileLeaving_;
     answer["executions"] = executions;
     co_await reply(exchange, 200, answer);
@@ -61,7 +61,7 @@
         co_return;
     }
     std::int64_t count = ++executions_[request.header("idempotency-key")];
-    ++total_;
+    ++totalExecutions_;
     co_await pause(milliseconds(controls_["delay_ms"]));
     if (controls_["lose_answers"] > 0) {
         controls_.set("lose_answers", controls_["lose_answers"] - 1);
@@ -71,7 +71,7 @@
     json::object answer;
     answer["path"] = request.target_;
     answer["execution"] = count;
-    answer["total"] = total_;
+    answer["total"] = totalExecutions_;
     answer["body"] = request.body_;
     co_await reply(exchange, 200, answer);
 }
--- a/unittests/Fuzz/FuzzTest.cpp
+++ b/unittests/Fuzz/FuzzTest.cpp
@@ -35,16 +35,16 @@
     return fuzzSetting("PISTACHIOLOOM_FUZZ_SEED", defaultSeed);
 }
 
-struct Parsed {
+struct ParseResult {
     RequestReader::Progress progress_ = RequestReader::Progress::NeedsMore;
     CallerRequest request_;
     int status_ = 0;
-    std::string rest_;
+    std::string unparsed_;
 };
 
-Parsed parse(const std::vector<std::string>& pieces, const CallerBounds& bounds)
+ParseResult parse(const std::vector<std::string>& pieces, const CallerBounds& bounds)
 {
-    Parsed parsed;
+    ParseResult parsed;
     RequestReader reader(bounds, SteadyTime {});
     std::string input;
     for (const std::string& piece : pieces) {
@@ -56,7 +56,7 @@
         parsed.request_ = reader.take();
     if (parsed.progress_ == RequestReader::Progress::Bad)
         parsed.status_ = reader.problem().status_;
-    parsed.rest_ = input;
+    parsed.unparsed_ = input;
     return parsed;
 }
 
@@ -87,8 +87,8 @@
     bounds.body_ = { 60 };
     for (std::uint64_t run = 0; run < runCount(); ++run) {
         std::string bytes = mutator.next();
-        Parsed unsplit = parse({ bytes }, bounds);
-        Parsed split = parse(mutator.splitRandomly(bytes), bounds);
+        ParseResult unsplit = parse({ bytes }, bounds);
+        ParseResult split = parse(mutator.splitRandomly(bytes), bounds);
         CAPTURE(run, bytes);
         REQUIRE(unsplit.progress_ == split.progress_);
         REQUIRE(unsplit.request_.method_ == split.request_.method_);
@@ -96,7 +96,7 @@
         REQUIRE(unsplit.request_.body_ == split.request_.body_);
         REQUIRE(unsplit.request_.body_.size() <= bounds.body_.value_);
         if (unsplit.progress_ == RequestReader::Progress::Done)
-            REQUIRE(unsplit.rest_ == split.rest_);
+            REQUIRE(unsplit.unparsed_ == split.unparsed_);
         if (unsplit.progress_ == RequestReader::Progress::Bad)
             REQUIRE(unsplit.status_ / 100 == 4);
     }
--- a/unittests/Http/ServerTest.cpp
+++ b/unittests/Http/ServerTest.cpp
@@ -16,7 +16,7 @@
 TEST_CASE("the Keep-Alive header announces four fifths of the idle time in whole seconds", "[http]")
 {
     struct Row {
-        std::int64_t idle_;
+        std::int64_t idleTimeout_;
         const char* value_;
     };
     auto row = GENERATE(values<Row>({
@@ -28,8 +28,8 @@
         { 60000, "timeout=48" },
         { 3600000, "timeout=2880" },
     }));
-    CAPTURE(row.idle_);
-    CHECK(keepAliveValue(milliseconds(row.idle_)) == row.value_);
+    CAPTURE(row.idleTimeout_);
+    CHECK(keepAliveValue(milliseconds(row.idleTimeout_)) == row.value_);
 }
 
 namespace {
@@ -81,7 +81,7 @@
     struct Row {
         const char* name_;
         HttpHandler handler_;
-        std::int64_t idle_;
+        std::int64_t idleTimeout_;
         const char* connection_;
         const char* keepAlive_;
     };
@@ -97,7 +97,7 @@
     }));
     CAPTURE(row.name_);
     HttpBounds bounds;
-    bounds.idle_ = milliseconds(row.idle_);
+    bounds.idleTimeout_ = milliseconds(row.idleTimeout_);
     std::string connection = row.connection_;
     std::string request = "GET / HTTP/1.1\r\nHost: h\r\n" + (connection.empty() ? "" : "Connection: " + connection + "\r\n") + "\r\n";
     std::string head = fetchHead(bounds, row.handler_, request);
--- a/unittests/Settings/SettingsTest.cpp
+++ b/unittests/Settings/SettingsTest.cpp
@@ -22,7 +22,7 @@
     return text.str();
 }
 
-struct Mistake {
+struct InvalidSetting {
     std::string from_;
     std::string to_;
     std::string key_;
@@ -41,12 +41,12 @@
     CHECK(settings->vm_.value_ == "caxias-a-1");
     CHECK(settings->membership_.heartbeat_ == milliseconds(500));
     CHECK(settings->caller_.bounds_.body_ == ByteCount { 1024UL * 1024 });
-    CHECK(settings->logs_.parts_.at("wire") == LogLevel::Warn);
+    CHECK(settings->logs_.levelByPart_.at("wire") == LogLevel::Warn);
 }
 
 TEST_CASE("each mistake is reported with its line, its key and the expected value")
 {
-    auto mistake = GENERATE(values<Mistake>({
+    auto mistake = GENERATE(values<InvalidSetting>({
         { "data_centre: caxias-a", "data_center: caxias-a", "node.data_centre", "missing; expected text" },
         { "threads: 2", "threads: many", "node.threads", "expected a whole number from 1 to 256, found 'many'" },
         { "threads: 2", "threads: 0", "node.threads", "expected a whole number from 1 to 256, found '0'" },
