--- a/benchmarks/ConfigurationBenchmark.cpp
+++ b/benchmarks/ConfigurationBenchmark.cpp
@@ -143,7 +143,8 @@
         "compress", [&]() -> const std::string& { return text; }, [](const std::string& source) { return compress(source); });
     report(
         "decompress", [&]() -> const std::string& { return compressed; }, [](const std::string& bytes) { return decompress(bytes, maxTextSize); });
-    // Under `taskset -c` with one core, the loop and the thread share that core.
+    // If `taskset -c` restricts the process to one core, the event loop and the background
+    // thread share that core.
     std::printf("maximum delay of the event loop meanwhile, in ms\n");
     reportLag("on loop", ExecutionPlace::OnLoop, text);
     reportLag("on thread", ExecutionPlace::OnThread, text);
--- a/benchmarks/DecisionBenchmark.cpp
+++ b/benchmarks/DecisionBenchmark.cpp
@@ -44,11 +44,11 @@
     return mallinfo2().uordblks;
 }
 
-void checkBound(const char* what, double value, double maxValue)
+void checkBound(const char* quantity, double value, double maxValue)
 {
     bool hasPassed = value <= maxValue;
     isWithinBounds &= hasPassed;
-    std::printf("  bound: %s is %.2f, at most %.2f: %s\n", what, value, maxValue, hasPassed ? "ok" : "FAILED");
+    std::printf("  bound: %s is %.2f, at most %.2f: %s\n", quantity, value, maxValue, hasPassed ? "ok" : "FAILED");
 }
 
 VmList makeList(std::size_t dataCentres, std::size_t nodes, std::size_t engines)
--- a/benchmarks/FloodBenchmark.cpp
+++ b/benchmarks/FloodBenchmark.cpp
@@ -30,10 +30,11 @@
 /// Offered load of each class, relative to the capacity.
 constexpr double paidLoad = 0.5;
 constexpr double trialLoad = 10;
-/// Upper bound on the p99 time to first token of paid requests under trial load,
-/// relative to the p99 without it.
+/// Upper bound on the p99 time to first token of paid requests under trial load, as a
+/// multiple of the p99 without trial load.
 constexpr double maxLatencyRatio = 1.05;
-/// Latency that the machine itself adds under this load.
+/// Latency in milliseconds that the machine itself may add under this load; the bound is
+/// raised by it.
 constexpr double noiseMs = 5;
 
 /// Counts and latencies, in milliseconds, of the answers to one class of requests.
--- a/benchmarks/Percentile.h
+++ b/benchmarks/Percentile.h
@@ -10,8 +10,8 @@
 
 namespace pistachioloom::test {
 
-/// Returns the smallest of \p values such that a fraction \p share of them are at most as
-/// large, or 0 if there are none.
+/// Returns the element of the sorted \p values whose index is \p share times the last index,
+/// rounded down; \p share is from 0 (minimum) to 1 (maximum). Returns 0 if there are none.
 inline double percentile(std::vector<double> values, double share)
 {
     std::sort(values.begin(), values.end());
--- a/benchmarks/RelayBenchmark.cpp
+++ b/benchmarks/RelayBenchmark.cpp
@@ -122,11 +122,11 @@
     return measurements;
 }
 
-void checkBound(const char* what, double value, double maxValue)
+void checkBound(const char* quantity, double value, double maxValue)
 {
     bool hasPassed = value <= maxValue;
     isWithinBounds &= hasPassed;
-    std::printf("  bound: %s is %.2f, at most %.2f: %s\n", what, value, maxValue, hasPassed ? "ok" : "FAILED");
+    std::printf("  bound: %s is %.2f, at most %.2f: %s\n", quantity, value, maxValue, hasPassed ? "ok" : "FAILED");
 }
 
 } // namespace
--- a/include/pistachioloom/Http.h
+++ b/include/pistachioloom/Http.h
@@ -64,12 +64,14 @@
     std::string body_;
 };
 
-/// Limits on what a server reads from one connection.
+/// Limits that a server applies to each connection.
 struct HttpBounds {
+    /// Maximum size of a request's head.
     ByteCount header_ { 16UL * 1024 };
+    /// Maximum size of a request's body.
     ByteCount body_ { 1024UL * 1024 };
     /// Time without a request after which the server closes the connection. Responses
-    /// announce it, see keepAliveValue().
+    /// announce it, see keepAliveValue(). A write that takes longer fails.
     milliseconds idleTimeout_ { 60000 };
 };
 
@@ -79,7 +81,7 @@
     virtual ~HttpExchange() = default;
 
     const HttpRequest& request() const { return request_; }
-    /// Whether any part of the response has been written.
+    /// Whether the handler has started to write a response.
     bool hasStartedAnswer() const { return hasStartedAnswer_; }
 
     /// Writes a complete response.
@@ -115,7 +117,8 @@
     /// \returns the bound port.
     Result<std::uint16_t> listen(const Endpoint& endpoint);
     /// Stops accepting connections. Requests in progress complete, and each connection
-    /// closes after its current response.
+    /// closes after its current response. An idle connection closes after the response to
+    /// its next request, or at its idle timeout.
     void stopAccepting();
     /// Returns the number of open connections.
     std::size_t connections() const;
@@ -131,9 +134,10 @@
     int status() const { return status_; }
     const HttpHeaders& headers() const { return headers_; }
     /// Returns the next line without its newline, or nullopt at the regular end of the
-    /// body. An error means that the body is incomplete.
+    /// body. An error means that the body is incomplete. \p timeout limits each read from
+    /// the connection.
     virtual asio::awaitable<Result<std::optional<std::string>>> readLine(milliseconds timeout) = 0;
-    /// Reads the rest of the body.
+    /// Reads the rest of the body. \p timeout limits each read from the connection.
     virtual asio::awaitable<Result<std::string>> readAll(milliseconds timeout) = 0;
     /// Closes the connection. May be called from any thread.
     virtual void cancel() = 0;
@@ -143,13 +147,14 @@
     HttpHeaders headers_;
 };
 
-/// Connects, sends \p request and reads the status line and headers of the response.
+/// Connects, sends \p request and reads the status line and headers of the response, all
+/// within \p timeout.
 /// The calling coroutine must run on a strand (or a single thread); the connection uses
 /// the same executor. The error's `ran_` is No if no connection was made, and Unknown
 /// once writing has started.
 asio::awaitable<Result<std::shared_ptr<HttpBodyReader>>> openHttp(Endpoint endpoint, HttpRequest request, milliseconds timeout);
 
-/// Combines openHttp() and readAll().
+/// Combines openHttp() and readAll(). \p timeout applies to each of them.
 asio::awaitable<Result<HttpResponse>> callHttp(Endpoint endpoint, HttpRequest request, milliseconds timeout);
 
 /// Runs callHttp() to completion on the calling thread, for tools and tests.
--- a/include/pistachioloom/Support.h
+++ b/include/pistachioloom/Support.h
@@ -24,7 +24,7 @@
 namespace pistachioloom {
 
 /// An identifier string with a type of its own for each kind of entity, so that the
-/// compiler rejects mixed-up kinds.
+/// compiler rejects an id of one kind where another kind is expected.
 template <typename Tag>
 struct Id {
     std::string value_;
--- a/include/pistachioloom/Telemetry.h
+++ b/include/pistachioloom/Telemetry.h
@@ -32,7 +32,7 @@
     /// Maximum rate of lines; lines above it are dropped and counted. With 300 bytes
     /// per line, 500 lines per second limit the volume to 150 KB/s.
     std::uint64_t linesPerSecond_ = 500;
-    /// Levels of single components by their log prefix, in place of `level_`.
+    /// Levels that override `level_` for single components, by the prefix of their lines.
     std::map<std::string, LogLevel> levelByPart_;
     bool isJson_ = false;
 };
@@ -147,7 +147,7 @@
 /// Creates the context of a child span of \p parent.
 TraceContext childOf(const TraceContext& parent);
 
-/// One hop of a request.
+/// The record of one hop of a request: what was done, at which peer, when, and its outcome.
 struct Span {
     TraceContext context_;
     std::string parentSpanId_;
@@ -156,6 +156,7 @@
     std::string requestId_;
     std::uint32_t attempt_ = 0;
     milliseconds queued_ {};
+    /// Wall-clock time since the Unix epoch.
     std::chrono::microseconds start_ {};
     std::chrono::microseconds duration_ {};
     std::string outcome_ = "ok";
--- a/include/pistachioloom/Wire.h
+++ b/include/pistachioloom/Wire.h
@@ -105,7 +105,8 @@
     PeerPool(const PeerPool&) = delete;
     PeerPool& operator=(const PeerPool&) = delete;
 
-    /// Opens a stream and sends \p first on it. The `ran_` of an error is No.
+    /// Opens a stream and sends \p first on it. Connecting may take up to 1 s, whatever
+    /// \p timeout is. The `ran_` of an error is No.
     asio::awaitable<Result<std::shared_ptr<PeerStream>>> open(Endpoint peer, const wire::Frame& first, milliseconds timeout);
     /// Sends one frame and receives one frame. A Failure frame is returned as Error.
     asio::awaitable<Result<wire::Frame>> call(Endpoint peer, const wire::Frame& request, milliseconds timeout);
--- a/include/pistachioloom/Yaml.h
+++ b/include/pistachioloom/Yaml.h
@@ -53,7 +53,7 @@
     milliseconds duration(const std::string& key, milliseconds min, milliseconds max, std::optional<milliseconds> fallback = std::nullopt);
     /// Reads a size with its unit: `512B`, `64KiB`, `32MiB`.
     ByteCount size(const std::string& key, ByteCount min, ByteCount max, std::optional<ByteCount> fallback = std::nullopt);
-    /// Reads one of \p allowed. \returns its index.
+    /// Reads a text that must be one of \p allowed. \returns its index in \p allowed.
     std::size_t choice(const std::string& key, const std::vector<std::string>& allowed, std::optional<std::size_t> fallback = std::nullopt);
     std::vector<std::string> list(const std::string& key, bool isRequired = false);
     std::optional<YamlMap> map(const std::string& key, bool isRequired = false);
--- a/lib/Http/Client.cpp
+++ b/lib/Http/Client.cpp
@@ -125,6 +125,8 @@
         beast::flat_buffer buffer_;
         http::response_parser<http::buffer_body> parser_;
         std::string chunk_;
+        // Received bytes of the body. The bytes before consumed_ have been returned, and there
+        // is no newline from consumed_ to scanned_.
         std::string pending_;
         std::size_t consumed_ = 0;
         std::size_t scanned_ = 0;
--- a/lib/Platform/LogService.cpp
+++ b/lib/Platform/LogService.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-    // Added to the requested wait to get the time limit of a read.
+    // A read may take this much longer than the requested wait.
     constexpr milliseconds readMargin { 1000 };
 
     asio::awaitable<Result<LogOffset>> append(Endpoint endpoint, std::string dataCentre, std::string stream, std::string record, milliseconds timeout)
--- a/lib/Platform/VmListService.cpp
+++ b/lib/Platform/VmListService.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-    // Also added to the requested wait to get the time limit of a read of notices.
+    // Time limit of reading the VM list. Reading notices may take this much longer than the
+    // requested wait.
     constexpr milliseconds listTimeout { 2000 };
     constexpr int notModified = 304;
 
--- a/lib/Telemetry/LogOutput.cpp
+++ b/lib/Telemetry/LogOutput.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-    // Size of a burst: the lines that the rate permits in this many seconds.
+    // A burst may contain as many lines as the rate permits in this many seconds.
     constexpr double burstSeconds = 2;
     // A pipe that polls as writable accepts PIPE_BUF bytes without blocking.
     constexpr std::size_t maxAtomicWrite = 4096;
--- a/lib/Telemetry/LogOutput.h
+++ b/lib/Telemetry/LogOutput.h
@@ -50,12 +50,14 @@
     void append(const log4cplus::spi::InternalLoggingEvent& event) override;
 
 private:
-    /// Takes one line from the allowance. \returns false if the allowance is used up.
+    /// Takes one line from the allowance, which warnings and errors may overdraw by the lines
+    /// of one second. \returns false if the allowance is used up.
     bool tryConsumeAllowance(const log4cplus::spi::InternalLoggingEvent& event);
     void write(const std::string& line);
 
     const int descriptor_;
     const double linesPerSecond_;
+    /// Number of lines that may be written now; may be negative, see tryConsumeAllowance().
     double allowance_;
     SteadyTime refilledAt_;
 };
--- a/lib/Wire/LinkStream.cpp
+++ b/lib/Wire/LinkStream.cpp
@@ -13,7 +13,8 @@
 namespace {
 
     constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
-    // The flow control window limits the bytes, this constant the number of small frames.
+    // The flow control window limits the bytes of unread frames. This constant limits their
+    // number, since the window admits many small frames.
     constexpr std::size_t maxUnreadFrames = 64UL * 1024;
     constexpr std::size_t maxUnsentFrames = 16;
 
--- a/lib/Wire/PeerLink.cpp
+++ b/lib/Wire/PeerLink.cpp
@@ -95,8 +95,9 @@
     asio::post(executor(), [self = shared_from_this()] { self->startWriting(); });
 }
 
-// Counts intervals instead of time, so that a process that was itself frozen reads
-// the input that has arrived meanwhile before it closes its connections.
+// Counts intervals instead of time: a process that was itself frozen must first read the
+// input that arrived during the freeze, and must not close its connections because of the
+// time that has passed.
 asio::awaitable<void> PeerLink::keepAliveLoop()
 {
     auto self = shared_from_this();
--- a/lib/Wire/PeerLink.h
+++ b/lib/Wire/PeerLink.h
@@ -68,7 +68,7 @@
     bool isPathKnown_ = false;
     bool isHandlerStarted_ = false;
     std::string input_;
-    // Bytes returned to the flow control window before their frame was received.
+    // Bytes that were returned to the flow control window before their frame was complete.
     std::size_t returnedEarly_ = 0;
     std::deque<std::string> output_;
     std::size_t outputOffset_ = 0;
@@ -94,7 +94,7 @@
 };
 
 /// One connection with its nghttp2 session. start() is called once; all other members
-/// except executor(), isUsable(), peer() and report() are called on the link's strand.
+/// except executor(), isUsable(), peer() and reportError() are called on the link's strand.
 class PeerLink : public std::enable_shared_from_this<PeerLink> {
 public:
     enum class Side {
--- a/test/AnswersTest.cpp
+++ b/test/AnswersTest.cpp
@@ -124,7 +124,7 @@
         CHECK(resumed.restarts_ == 0);
         CHECK(checkAnswer(resumed, completion) == "");
     }
-    // Text that does not belong to this answer is never continued: the stream restarts.
+    // An event id whose hash does not match this answer's text restarts the stream.
     partial.lastEventId_ = "5-123";
     asio::io_context io;
     Answer restarted;
@@ -240,10 +240,11 @@
         if (&node != dispatcher)
             entries.push_back(node.callers_);
     }
-    // More requests than both engines accept; every caller follows its answer to the end.
+    // The callers send more requests than both engines accept, and each reads its answer to
+    // the end.
     std::vector<Completion> completions;
     for (int i = 0; i < 40; ++i)
-        completions.push_back({ Deployment::apiKey("rede"), "planogram", "two homes " + std::to_string(i), 500 });
+        completions.push_back({ Deployment::apiKey("rede"), "planogram", "two dispatchers " + std::to_string(i), 500 });
     asio::io_context io;
     std::vector<Answer> answers(completions.size());
     for (std::size_t i = 0; i < completions.size(); ++i) {
--- a/test/AtMostOnceTest.cpp
+++ b/test/AtMostOnceTest.cpp
@@ -1,7 +1,8 @@
 //===- test/AtMostOnceTest.cpp - calls that must run at most once ---------===//
 ///
 /// \file
-/// Runs nodes as processes; the stand-in service counts the executions of each key.
+/// Runs nodes as processes, and kills or freezes the node that coordinates a call, or makes
+/// the log fail. The stand-in service counts the executions of each idempotency key.
 //===----------------------------------------------------------------------===//
 #include "Harness/Deployment.h"
 #include "pistachioloom/Ledger.h"
@@ -115,6 +116,7 @@
     else
         controlServices(deployment, { { "delay_ms", 600 } });
     auto call = confirmAsync(other.callers_, key);
+    // The standard catalogue takes six appends. The next one is the intent of the call.
     if (isKilledDuringAppend)
         REQUIRE(waitUntil([&] { return deployment.metric(coordinator, "log_appends_total") > 0 || deployment.metric(other, "log_appends_total") > 6; }));
     else
@@ -143,7 +145,8 @@
     auto& coordinator = deployment.node(coordinators[0].value_);
     auto& other = deployment.node(coordinators[1].value_);
     // The coordinator is frozen while the append of its intent is pending. When it
-    // resumes, the append has been answered and all of its other state is stale.
+    // resumes, the append has been answered and all of its other state is stale. The standard
+    // catalogue takes six appends, so the seventh is the intent.
     deployment.controlPlatform({ { "log_delay_ms", 400 } });
     auto first = confirmAsync(other.callers_, key);
     REQUIRE(waitUntil([&] { return numberField(deployment.controlPlatform(), "appends") > 6; }));
--- a/test/ConfigurationSpreadTest.cpp
+++ b/test/ConfigurationSpreadTest.cpp
@@ -23,8 +23,8 @@
 // Maximum number of concurrent transfers from one gateway, and the timeout of each.
 constexpr std::size_t maxTransfers = 2;
 constexpr milliseconds transferTimeout { 2000 };
-// Tolerance of the time bounds. A gateway detects a lost connection or a reset stream
-// within it.
+// Tolerance of the time bounds: a gateway may take this long to detect a lost connection
+// or a reset stream.
 constexpr milliseconds slack { 1000 };
 constexpr milliseconds replyTimeout { 1500 };
 
@@ -176,7 +176,7 @@
     { "acknowledged", [](ConfigurationFetcher& fetcher) { fetcher.acknowledgeAll(); }, slack },
     { "cancelled", [](ConfigurationFetcher& fetcher) { fetcher.cancelAll(); }, slack },
     { "link lost", [](ConfigurationFetcher& fetcher) { fetcher.dropLink(); }, slack },
-    { "never", [](ConfigurationFetcher&) {}, transferTimeout + slack },
+    { "never ended", [](ConfigurationFetcher&) {}, transferTimeout + slack },
 };
 
 } // namespace
--- a/test/CrashingRequestsTest.cpp
+++ b/test/CrashingRequestsTest.cpp
@@ -17,6 +17,8 @@
 
 // The platform's contact time: within it, all gateways learn what one has observed.
 constexpr milliseconds propagationTime { 3000 };
+// Engines that may still crash later than the propagation time after the request has
+// reached the crash threshold.
 constexpr std::size_t maxLateCrashes = 3;
 constexpr std::size_t crashThreshold = 3;
 constexpr milliseconds repeatInterval { 250 };
--- a/test/GenerationsTest.cpp
+++ b/test/GenerationsTest.cpp
@@ -62,8 +62,8 @@
     std::vector<std::future<Answer>> answers_;
 };
 
-/// The engine of \p dataCentre with the most active requests; requires that it has at
-/// least one.
+/// Returns the engine of \p dataCentre with the most active requests, and checks that it has
+/// at least one.
 Deployment::Backend& busiestEngine(Deployment& deployment, const std::string& dataCentre)
 {
     Deployment::Backend* busiest = nullptr;
--- a/test/Harness/CallerClient.h
+++ b/test/Harness/CallerClient.h
@@ -18,6 +18,8 @@
     std::string lastEventId_;
     std::vector<std::string> tokens_;
     bool isDone_ = false;
+    /// The node ended the stream with a `moved` event, and the caller is to resume the answer
+    /// at another entry VM.
     bool isMoved_ = false;
     /// The connection broke before the answer's end.
     bool isBroken_ = false;
@@ -48,7 +50,7 @@
 /// stream breaks or moves, until \p timeout has passed since the start.
 asio::awaitable<Answer> streamToEnd(std::vector<Endpoint> entries, Completion completion, milliseconds timeout);
 
-/// Blocking variants.
+/// Variants that block the calling thread until the answer ends.
 Answer streamCompletionBlocking(const Endpoint& entry, const Completion& completion);
 Answer streamToEndBlocking(const std::vector<Endpoint>& entries, const Completion& completion, milliseconds timeout);
 
@@ -57,7 +59,7 @@
     std::string body_;
     bool isReplayed_ = false;
     std::optional<Error> error_;
-    /// True if the system answered; false if the connection broke.
+    /// Whether the system answered. False if the connection broke before.
     bool isAnswered_ = false;
 };
 
--- a/test/Harness/Deployment.h
+++ b/test/Harness/Deployment.h
@@ -24,10 +24,10 @@
     std::map<std::string, std::size_t> enginesPerDataCentre_ { { "planogram", 1 } };
     std::size_t servicesPerDataCentre_ = 0;
     std::vector<std::string> engineArguments_;
-    /// Nodes reach peers in other data centres through proxies that can simulate
+    /// Whether nodes reach peers in other data centres through proxies that can simulate
     /// a network partition.
     bool hasProxies_ = false;
-    /// YAML sections added to every node's settings.
+    /// YAML sections that are added to the settings file of every node.
     std::string nodeSettings_;
 };
 
--- a/test/Harness/Process.cpp
+++ b/test/Harness/Process.cpp
@@ -67,7 +67,7 @@
     return std::string(PISTACHIOLOOM_PROGRAMS) + "/" + name;
 }
 
-/// The object of bound ports among the lines of \p file after offset \p from.
+/// Returns the line of \p file after offset \p from in which a program reports its ports.
 static std::optional<boost::json::object> findPorts(const std::string& file, std::streamoff from)
 {
     std::ifstream input(file);
--- a/test/LimitsTest.cpp
+++ b/test/LimitsTest.cpp
@@ -36,8 +36,8 @@
     return options;
 }
 
-/// Callers at several entry VMs that send the next request as soon as they are
-/// answered, or after a pause when they are rejected, until the duration is over.
+/// Runs callers at several entry VMs. Each sends its next request as soon as the previous one
+/// is answered, or 50 ms after a rejection or failure, until the duration is over.
 struct LoadGenerator {
     std::vector<Endpoint> entries_;
     std::size_t callers_ = 0;
--- a/test/PartitionsTest.cpp
+++ b/test/PartitionsTest.cpp
@@ -75,7 +75,7 @@
     REQUIRE(waitUntil([&] { return deployment.metricOfAll("tokens_delivered_total") > 60; }));
     setPartitioned(deployment, row.partition_, true);
 
-    Completion question { Deployment::apiKey("rede"), "planogram", "while cut", 20 };
+    Completion question { Deployment::apiKey("rede"), "planogram", "while partitioned", 20 };
     for (auto* node : { &inside, &outside }) {
         Answer answer = streamCompletionBlocking(node->callers_, question);
         INFO(node->id_ << (answer.error_ ? ": " + describe(*answer.error_) : std::string()));
--- a/test/Platform/Soak/InvariantChecker.cpp
+++ b/test/Platform/Soak/InvariantChecker.cpp
@@ -57,7 +57,7 @@
 
 void InvariantChecker::addCall(Call call)
 {
-    // Answers to crashing requests are not checked, since each is a failure.
+    // Answers to crashing requests are not checked, since all of them are failures.
     if (call.kind_ != RequestKind::Crashing)
         checkAnswer(call);
     calls_.push_back(std::move(call));
--- a/test/Platform/Soak/InvariantChecker.h
+++ b/test/Platform/Soak/InvariantChecker.h
@@ -13,7 +13,8 @@
 
 namespace pistachioloom::test {
 
-/// Times at which a process or link had an injected fault.
+/// The times at which each component had an injected fault. A component is a gateway, a
+/// backend server or the platform; a fault of its link counts as its own.
 class FaultIntervals {
 public:
     void add(const std::string& component, SteadyTime from, SteadyTime until) { intervals_[component].emplace_back(from, until); }
@@ -29,8 +30,8 @@
     int eventsPerStream_ = 5;
     /// Maximum time from a request to the end of its answer.
     milliseconds maxAnswerTime_ { 4500 };
-    /// A duty call that arrives within this time after a fault may have been delayed
-    /// by it.
+    /// A duty call that arrives within this time after a fault of its sender or of the platform
+    /// may have been delayed by the fault, and is excused.
     milliseconds faultGrace_ { 2000 };
     milliseconds lease_ { 3000 };
     /// Quota of the small organisation: its rate in requests per second, and its burst in
@@ -41,10 +42,10 @@
     double limitedSlack_ = 8;
     /// Time after which all gateways know what one of them has observed.
     milliseconds contactTime_ { 3000 };
-    /// Number of engines that a request crashes before it is quarantined.
+    /// Number of engine crashes after which the crashing request is quarantined.
     std::size_t crashesBeforeQuarantine_ = 3;
-    /// Attempts at a quarantined request that may reach engines later than the contact
-    /// time.
+    /// Number of engines that may still crash later than the contact time after the request
+    /// was quarantined.
     std::size_t maxLateCrashes_ = 3;
     /// Minimum share of requests that are served after the recovery.
     double minServedShare_ = 0.95;
@@ -90,6 +91,7 @@
     InvariantBounds bounds_;
     FaultIntervals faultIntervals_;
     std::vector<Call> calls_;
+    /// The number of runs of each request, by id.
     std::map<std::string, int> runs_;
     /// The number of runs of each request at backend servers that a reclaim or a crash has
     /// removed. `runs_` includes them.
--- a/test/Platform/Soak/Schedule.cpp
+++ b/test/Platform/Soak/Schedule.cpp
@@ -12,8 +12,9 @@
 
 namespace {
 
-    // Milliseconds. Faults start 0.05 to 0.9 s apart and last 0.1 to 3 s, so that two or
-    // three overlap; the contact time of the users' platform is 3 s.
+    // All times are in milliseconds. Faults start 0.05 to 0.9 s apart and last 0.1 to 3 s, so
+    // that two or three overlap. 3 s is the contact time of the users' platform, within which
+    // all gateways must learn what one has observed.
     constexpr std::int64_t minFaultGap = 50;
     constexpr std::int64_t maxFaultGap = 900;
     constexpr std::int64_t minDuration = 100;
--- a/test/Platform/Soak/Schedule.h
+++ b/test/Platform/Soak/Schedule.h
@@ -51,6 +51,7 @@
 std::string_view toString(FaultKind kind);
 
 struct Fault {
+    /// Time from the start of the run to the start of the fault.
     milliseconds at_ {};
     FaultKind kind_ = FaultKind::Kill;
     /// Index of the gateway or backend server, modulo their number.
--- a/test/Platform/Soak/SoakCaller.h
+++ b/test/Platform/Soak/SoakCaller.h
@@ -42,9 +42,10 @@
     SteadyTime endedAt_ {};
     /// 0 if the connection ended before a status line.
     int status_ = 0;
-    /// The answer arrived completely.
+    /// Whether the answer arrived completely.
     bool isComplete_ = false;
-    /// The caller was to close the connection early; the answer may still be complete.
+    /// Whether the caller closes the connection after a short time. The answer may still be
+    /// complete by then.
     bool hasCallerLeft_ = false;
     std::string body_;
     bool hasRetryAfter_ = false;
--- a/test/Platform/Soak/SoakFaults.cpp
+++ b/test/Platform/Soak/SoakFaults.cpp
@@ -12,15 +12,16 @@
 
 namespace pistachioloom::test {
 
-// Time after the last fault: the contact time of the platform plus the takeover of a
-// duty by a new holder.
+// Time that the system gets to recover after the last fault: the platform's contact time plus
+// the time in which a new holder takes over the duties.
 static constexpr milliseconds recoveryTime { 6000 };
-// Time after the recovery in which the share of served requests is counted.
+// Time after the recovery during which requests are sent to measure the share that is
+// served.
 static constexpr milliseconds measuredTime { 3000 };
 // The grace period in the gateways' settings plus a margin for a busy machine.
 static constexpr milliseconds maxStopTime { 3000 + 2500 };
-// Requests that reach a leaving backend server count as late runs once this time has
-// passed since the first answer that reported it.
+// A run at a leaving backend server counts as late if it starts more than this time after
+// the server's first answer that reports that it is leaving.
 static constexpr milliseconds leavingPropagation { 2500 };
 
 asio::awaitable<void> SoakRun::stopAndRestart(std::size_t index, int signal, milliseconds pause)
@@ -162,7 +163,7 @@
     co_await sleepFor(duration);
     json::object state = deployment_->backend(id, { { "full", 0 }, { "retry_after_ms", 0 } });
     checker_.faultIntervals().add(id, at, steadyNow());
-    // Each gateway may send two requests per pause, and as many again after each restart.
+    // Each gateway may send two requests per pause, and two more per pause after each restart.
     auto pauses = static_cast<std::uint64_t>(duration / pause + 1);
     std::uint64_t starts = 0;
     for (const Node& node : nodes_)
--- a/test/Platform/Soak/SoakRun.cpp
+++ b/test/Platform/Soak/SoakRun.cpp
@@ -120,7 +120,8 @@
     asio::co_spawn(io_, injectFaults(), asio::detached);
     while (!isOver_)
         io_.run_for(monitorPeriod);
-    // Callers still wait for answers, which arrive within their deadline.
+    // Some callers still wait for their last answers, which arrive within the deadline of the
+    // requests.
     io_.run_for(milliseconds(4000));
     checkResults();
     return report();
--- a/test/Platform/Soak/SoakRun.h
+++ b/test/Platform/Soak/SoakRun.h
@@ -40,17 +40,19 @@
         std::string service_;
         std::unique_ptr<FaultProxy> proxy_;
         bool isLeaving_ = false;
-        /// A reclaim or a crash has removed it.
+        /// A reclaim or a crash has removed the backend server.
         bool isRemoved_ = false;
         bool hasCrashed_ = false;
     };
+    /// The test's state of one gateway.
     struct Node {
         std::unique_ptr<FaultProxy> platformLink_;
-        /// It has been signalled to end and has not been restarted yet.
+        /// The gateway has been signalled to end and has not been restarted yet.
         bool isDown_ = false;
         /// Number of current freezes, which may overlap.
         int freezeCount_ = 0;
         std::uint64_t startCount_ = 1;
+        /// The highest configuration version that the gateway has reported since its start.
         double version_ = 0;
     };
 
@@ -97,6 +99,7 @@
     SteadyTime recoveredAt_ {};
     bool isOver_ = false;
     int lastServerNumber_ = 0;
+    /// The configuration version that was published last.
     std::uint64_t version_ = 1;
 };
 
--- a/test/PlatformGatewayTest.cpp
+++ b/test/PlatformGatewayTest.cpp
@@ -215,10 +215,10 @@
         std::size_t dropped_;
     };
     auto row = GENERATE(values<Row>({
-        { "moved", {}, true, 1, 0 },
-        { "no other engine has capacity: it stays", { { "refuse_moves", 1 } }, false, 0, 0 },
-        { "it cannot be stopped: it stays, and its copy is released", { { "refuse_stops", 1 } }, false, 0, 1 },
-        { "the copy is lost: the prompt is computed again", { { "lose_copies", 1 } }, true, 0, 0 },
+        { "the stream moves", {}, true, 1, 0 },
+        { "no other engine has capacity: the stream stays", { { "refuse_moves", 1 } }, false, 0, 0 },
+        { "the engine cannot stop the stream: it stays, and its copy is released", { { "refuse_stops", 1 } }, false, 0, 1 },
+        { "the copy is lost: the other engine computes the prompt again", { { "lose_copies", 1 } }, true, 0, 0 },
     }));
     CAPTURE(row.name_);
     GatewayDeployment deployment(1);
@@ -234,7 +234,7 @@
     }
     HttpResponse answer;
     std::thread caller([&] { answer = deployment.call(gateway, gatewayRequest("POST", "/draft/stream", "m-1")); });
-    auto count = [&](const std::string& engine, const char* what) { return deployment.backend(engine).at(what).as_array().size(); };
+    auto count = [&](const std::string& engine, const char* recordKey) { return deployment.backend(engine).at(recordKey).as_array().size(); };
     auto first = engines.end();
     CHECK(waitUntil([&] {
         first = std::find_if(engines.begin(), engines.end(), [&](const std::string& engine) { return count(engine, "runs"); });
@@ -464,7 +464,7 @@
     std::atomic<int> served { 0 };
     for (const char* id : { "first", "second" })
         running.emplace_back([&, id] { served += deployment.call(gateway, request(id)).status_ == 200; });
-    // Both engines process a long prompt.
+    // Both engines are now occupied by a long prompt.
     REQUIRE(waitUntil([&] { return runsOf(deployment, "first") == 1 && runsOf(deployment, "second") == 1; }, waitLimit));
     auto startedAt = steadyNow();
     HttpResponse rejected = deployment.call(gateway, request("third"));
--- a/test/RolloutsTest.cpp
+++ b/test/RolloutsTest.cpp
@@ -184,8 +184,8 @@
     };
     const std::vector<Row> rows {
         { "failures", { { "fails_one_in", 2 } } },
-        { "slow", { { "delay_ms", 400 } } },
-        { "wrong bytes", { { "no_seal", 1 } } },
+        { "slow answers", { { "delay_ms", 400 } } },
+        { "answers without the seal header", { { "no_seal", 1 } } },
     };
     std::size_t row = GENERATE(0, 1, 2);
     CAPTURE(rows[row].name_);
--- a/tools/standins/Engine.h
+++ b/tools/standins/Engine.h
@@ -56,6 +56,8 @@
     /// The sampling run of each imported KV cache, by request id.
     std::map<std::string, std::string> importedRuns_;
     std::uint64_t samplingRunCount_ = 0;
+
+    // Counters and state. counts() reports most of them.
     std::int64_t startedStreams_ = 0;
     /// Number of requests to generate that were rejected because the engine was leaving.
     std::int64_t rejectedWhileLeaving_ = 0;
@@ -67,11 +69,13 @@
     boost::json::object configuration_ { { "version", "v1" }, { "role", "" }, { "adapters", boost::json::array {} } };
     std::uint64_t loadCount_ = 0;
     bool isLoading_ = false;
+    /// The newest fencing token of an accepted order.
     std::uint64_t newestFencingToken_ = 0;
     std::int64_t ordersReceived_ = 0;
     std::int64_t ordersApplied_ = 0;
     std::int64_t staleOrdersRejected_ = 0;
     std::int64_t staleOrdersApplied_ = 0;
+    /// Number of orders that were accepted while streams were active.
     std::int64_t ordersAppliedWhileActive_ = 0;
     /// Number of requests to generate that were rejected because the engine was loading.
     std::int64_t rejectedWhileLoading_ = 0;
--- a/tools/standins/EngineOrders.cpp
+++ b/tools/standins/EngineOrders.cpp
@@ -12,7 +12,7 @@
 asio::awaitable<void> Engine::order(HttpExchange& exchange, json::object body)
 {
     ++ordersReceived_;
-    // Simulates network delay of the order.
+    // Simulates a network that delays the order.
     if (controls_["order_delay_ms"])
         co_await pause(milliseconds(controls_["order_delay_ms"]));
     std::uint64_t token = numberField(body, "token");
--- a/tools/standins/FleetStandin.cpp
+++ b/tools/standins/FleetStandin.cpp
@@ -242,7 +242,7 @@
             co_return;
         for (std::int64_t id = next; id <= controls_["events"]; ++id) {
             if (id == controls_["cut_at"]) {
-                // The answer breaks off in the middle of an event.
+                // The connection is closed in the middle of an event.
                 std::string part = "id: " + std::to_string(id) + "\nda";
                 (void)co_await exchange.writeChunk(std::move(part));
                 exchange.abort();
@@ -414,7 +414,8 @@
         asio::co_spawn(io_, replaceCrashed(id), asio::detached);
     }
 
-    /// Starts a replacement for \p id with a new id, and removes the entry of \p id.
+    /// Starts a replacement under a new id for the crashed backend server of \p id, and deletes
+    /// the registration of \p id.
     asio::awaitable<void> replaceCrashed(std::string id)
     {
         co_await pause(milliseconds(controls_["restart_ms"]));
--- a/tools/standins/PlatformStandin.cpp
+++ b/tools/standins/PlatformStandin.cpp
@@ -47,6 +47,7 @@
         { "lose_append_answers", 0 },
         // How many of the next appends fail without taking effect.
         { "fail_appends", 0 },
+        // Delay of a change of the VM list.
         { "list_lag_ms", 0 },
     } };
     std::map<std::string, Stream> streams_;
@@ -54,7 +55,8 @@
     std::uint64_t vmListVersion_ = 1;
     std::vector<json::object> notices_;
     std::set<std::string> partitionedDataCentres_;
-    // Peer ports as each data centre sees them, keyed by "data centre/VM".
+    // Ports that replace a VM's peer port in the list for one data centre, so that its nodes
+    // connect through a proxy. Keyed by "data centre/VM".
     std::map<std::string, std::uint64_t> peerPorts_;
     std::uint64_t appendCalls_ = 0;
     std::uint64_t readCalls_ = 0;
--- a/tools/standins/Standin.h
+++ b/tools/standins/Standin.h
@@ -1,9 +1,9 @@
 //===- tools/standins/Standin.h - common code of the stand-ins ------------===//
 ///
 /// \file
-/// A stand-in serves one HTTP port, prints it as a line of JSON, and has its faults
-/// configured through `POST /control`. It simulates an interface without the system
-/// behind it.
+/// A stand-in simulates an external service of the system for tests. It serves one HTTP
+/// port, prints the port as a line of JSON, and lets tests set faults through
+/// `POST /control`.
 //===----------------------------------------------------------------------===//
 #pragma once
 
