--- a/lib/Wire/LinkStream.cpp
+++ b/lib/Wire/LinkStream.cpp
@@ -76,7 +76,7 @@
     wire::Frame frame;
     if (frame.ParseFromString(bytes) && frame.body_case() != wire::Frame::BODY_NOT_SET)
         co_return frame;
-    link_->report("read frame", "not a known frame");
+    link_->reportError("read frame", "not a known frame");
     cancel();
     co_return Error { Errc::Protocol, "read frame", peer(), "not a known frame", Ran::Unknown, {} };
 }
--- a/lib/Wire/PeerLink.cpp
+++ b/lib/Wire/PeerLink.cpp
@@ -133,7 +133,7 @@
         idleIntervals_ = 0;
         ssize_t taken = nghttp2_session_mem_recv(session_, buffer.data(), count);
         if (taken < 0) {
-            report("read frames", nghttp2_strerror(static_cast<int>(taken)));
+            reportError("read frames", nghttp2_strerror(static_cast<int>(taken)));
             close("bad input");
             co_return;
         }
@@ -214,7 +214,7 @@
 
 void PeerLink::rejectStream(std::int32_t streamId, int status, const std::string& reason)
 {
-    report("open stream", reason);
+    reportError("open stream", reason);
     std::string statusText = std::to_string(status);
     std::array headers { header(":status", statusText) };
     nghttp2_submit_response(session_, streamId, headers.data(), headers.size(), nullptr);
@@ -268,20 +268,20 @@
     socket_.close(ignored);
     keepAliveTimer_.cancel();
     if (!streams_.empty())
-        report("connection", std::string("closed: ") + std::string(reason));
+        reportError("connection", std::string("closed: ") + std::string(reason));
     auto streams = std::move(streams_);
     streams_.clear();
     for (auto& [id, stream] : streams)
         endStream(*stream, NGHTTP2_INTERNAL_ERROR);
 }
 
-void PeerLink::report(std::string_view step, std::string_view reason)
+void PeerLink::reportError(std::string_view step, std::string_view reason)
 {
     if (onError_)
         onError_({ Errc::Protocol, std::string(step), peer_, std::string(reason), Ran::Unknown, {} });
 }
 
-LinkStream* PeerLink::find(std::int32_t streamId)
+LinkStream* PeerLink::findStream(std::int32_t streamId)
 {
     auto found = streams_.find(streamId);
     return found == streams_.end() ? nullptr : found->second.get();
@@ -307,7 +307,7 @@
     while (stream.input_.size() - position >= frameHeaderSize) {
         std::size_t length = frameLength(std::string_view(stream.input_).substr(position));
         if (length > maxFrameSize.value_) {
-            report("read frame", "the frame exceeds the maximum size");
+            reportError("read frame", "the frame exceeds the maximum size");
             resetStream(stream, NGHTTP2_FRAME_SIZE_ERROR);
             return;
         }
@@ -316,7 +316,7 @@
         std::string frame = stream.input_.substr(position + frameHeaderSize, length);
         position += frameHeaderSize + length;
         if (!stream.receivedFrames_.try_send(boost::system::error_code {}, std::move(frame))) {
-            report("read frame", "too many unread frames");
+            reportError("read frame", "too many unread frames");
             resetStream(stream, NGHTTP2_FLOW_CONTROL_ERROR);
             return;
         }
@@ -371,7 +371,7 @@
     const std::uint8_t* value, std::size_t valueLength, std::uint8_t, void* user)
 {
     auto* self = static_cast<PeerLink*>(user);
-    LinkStream* stream = self->find(frame->hd.stream_id);
+    LinkStream* stream = self->findStream(frame->hd.stream_id);
     if (!stream || self->side_ != Side::Server)
         return 0;
     std::string_view nameText(reinterpret_cast<const char*>(name), nameLength);
@@ -392,7 +392,7 @@
         self->handleRequestHeaders(frame->hd.stream_id);
     bool endsStream = frame->hd.flags & NGHTTP2_FLAG_END_STREAM;
     if (endsStream && (frame->hd.type == NGHTTP2_DATA || frame->hd.type == NGHTTP2_HEADERS)) {
-        if (LinkStream* stream = self->find(frame->hd.stream_id)) {
+        if (LinkStream* stream = self->findStream(frame->hd.stream_id)) {
             stream->isRemoteClosed_ = true;
             stream->endFrames();
         }
@@ -404,7 +404,7 @@
 {
     auto* self = static_cast<PeerLink*>(user);
     nghttp2_session_consume_connection(session, length);
-    if (LinkStream* stream = self->find(streamId)) {
+    if (LinkStream* stream = self->findStream(streamId)) {
         stream->receivedAt_ = steadyNow();
         self->decodeFrames(*stream, { reinterpret_cast<const char*>(data), length });
     }
--- a/lib/Wire/PeerLink.h
+++ b/lib/Wire/PeerLink.h
@@ -145,8 +145,8 @@
     void endStream(LinkStream& stream, std::uint32_t errorCode);
     void submitAnswer(LinkStream& stream);
     void rejectStream(std::int32_t streamId, int status, const std::string& reason);
-    void report(std::string_view step, std::string_view reason);
-    LinkStream* find(std::int32_t streamId);
+    void reportError(std::string_view step, std::string_view reason);
+    LinkStream* findStream(std::int32_t streamId);
 
     asio::ip::tcp::socket socket_;
     Side side_;
--- a/test/LimitsTest.cpp
+++ b/test/LimitsTest.cpp
@@ -40,8 +40,8 @@
 /// is answered, or 50 ms after a rejection or failure, until the duration is over.
 struct LoadGenerator {
     std::vector<Endpoint> entries_;
-    std::size_t callers_ = 0;
-    std::uint64_t tokens_ = 0;
+    std::size_t callerCount_ = 0;
+    std::uint64_t tokensPerRequest_ = 0;
     milliseconds duration_ {};
 
     struct Outcome {
@@ -56,7 +56,7 @@
         asio::io_context io;
         Outcome outcome;
         SteadyTime deadline = steadyNow() + duration_;
-        for (std::size_t i = 0; i < callers_; ++i)
+        for (std::size_t i = 0; i < callerCount_; ++i)
             asio::co_spawn(io, caller(entries_[i % entries_.size()], i, deadline, outcome), asio::detached);
         io.run();
         return outcome;
@@ -67,7 +67,7 @@
     {
         SteadyTimer timer(co_await asio::this_coro::executor);
         while (steadyNow() < deadline) {
-            Completion completion { Deployment::apiKey("rede"), "planogram", "crowd " + std::to_string(number), tokens_ };
+            Completion completion { Deployment::apiKey("rede"), "planogram", "crowd " + std::to_string(number), tokensPerRequest_ };
             Answer answer = co_await streamCompletion(entry, completion);
             outcome.tokens_ += answer.tokens_.size();
             if (answer.isDone_) {
--- a/test/Platform/Soak/InvariantChecker.cpp
+++ b/test/Platform/Soak/InvariantChecker.cpp
@@ -50,7 +50,7 @@
     violations_.push_back(invariant + ": " + detail);
 }
 
-std::size_t InvariantChecker::served() const
+std::size_t InvariantChecker::servedCount() const
 {
     return static_cast<std::size_t>(std::count_if(calls_.begin(), calls_.end(), [](const Call& call) { return call.status_ == 200 && call.isComplete_; }));
 }
--- a/test/Platform/Soak/InvariantChecker.h
+++ b/test/Platform/Soak/InvariantChecker.h
@@ -78,8 +78,8 @@
     /// Records a violation of \p invariant.
     void reportViolation(const std::string& invariant, const std::string& detail);
 
-    std::size_t calls() const { return calls_.size(); }
-    std::size_t served() const;
+    std::size_t callCount() const { return calls_.size(); }
+    std::size_t servedCount() const;
     const std::vector<std::string>& violations() const { return violations_; }
 
 private:
--- a/test/Platform/Soak/SoakRun.cpp
+++ b/test/Platform/Soak/SoakRun.cpp
@@ -140,7 +140,7 @@
 /// Prints a summary and the violations. \returns whether every invariant held.
 bool SoakRun::report() const
 {
-    json::object summary { { "seed", options_.seed_ }, { "calls", checker_.calls() }, { "served", checker_.served() }, { "broken", checker_.violations().size() } };
+    json::object summary { { "seed", options_.seed_ }, { "calls", checker_.callCount() }, { "served", checker_.servedCount() }, { "broken", checker_.violations().size() } };
     std::cout << json::serialize(summary) << std::endl;
     for (const std::string& violation : checker_.violations())
         std::cout << "  " << violation << "\n";
--- a/tools/standins/Engine.h
+++ b/tools/standins/Engine.h
@@ -61,7 +61,7 @@
     std::int64_t startedStreams_ = 0;
     /// Number of requests to generate that were rejected because the engine was leaving.
     std::int64_t rejectedWhileLeaving_ = 0;
-    std::int64_t tokens_ = 0;
+    std::int64_t generatedTokens_ = 0;
     std::int64_t prefilledTokens_ = 0;
     std::int64_t activeStreams_ = 0;
     std::int64_t maxActiveStreams_ = 0;
--- a/tools/standins/EngineCache.cpp
+++ b/tools/standins/EngineCache.cpp
@@ -22,11 +22,11 @@
     co_await pause(milliseconds(static_cast<std::int64_t>(cachedTokens) * controls_["export_us"] / 1000));
     if (stream->state_ != Stream::State::Running)
         co_return co_await reject(exchange, Errc::Conflict, "export cache", "the stream ended meanwhile");
-    stream->handle_ = exchange.request().header("host") + "/" + requestId + "/" + stream->samplingRun_;
+    stream->cacheHandle_ = exchange.request().header("host") + "/" + requestId + "/" + stream->samplingRun_;
     stream->state_ = Stream::State::Exported;
     stream->notifyWriter();
     json::object answer;
-    answer["handle"] = stream->handle_;
+    answer["handle"] = stream->cacheHandle_;
     co_await reply(exchange, 200, answer);
 }
 
--- a/tools/standins/EngineGenerate.cpp
+++ b/tools/standins/EngineGenerate.cpp
@@ -113,7 +113,7 @@
         if (stream->state_ != Stream::State::Running)
             break;
         stream->tokens_.push_back(stream->promptTag_ + ":" + std::to_string(stream->tokens_.size()) + ":" + stream->samplingRun_ + " ");
-        ++tokens_;
+        ++generatedTokens_;
         stream->notifyWriter();
         auto now = steadyNow();
         if (stream->hasWriter_)
--- a/tools/standins/EngineOrders.cpp
+++ b/tools/standins/EngineOrders.cpp
@@ -64,7 +64,7 @@
     json::object answer;
     answer["started"] = startedStreams_;
     answer["started_while_leaving"] = rejectedWhileLeaving_;
-    answer["tokens"] = tokens_;
+    answer["tokens"] = generatedTokens_;
     answer["prefilled"] = prefilledTokens_;
     answer["active"] = activeStreams_;
     answer["most_active"] = maxActiveStreams_;
--- a/tools/standins/EngineStream.cpp
+++ b/tools/standins/EngineStream.cpp
@@ -58,7 +58,7 @@
         break;
     case Stream::State::Exported:
         line["type"] = "exported";
-        line["handle"] = stream.handle_;
+        line["handle"] = stream.cacheHandle_;
         break;
     case Stream::State::Superseded:
         line["type"] = "superseded";
--- a/tools/standins/EngineStream.h
+++ b/tools/standins/EngineStream.h
@@ -44,7 +44,7 @@
     std::uint64_t writerId_ = 0;
     bool hasWriter_ = false;
     State state_ = State::Running;
-    std::string handle_;
+    std::string cacheHandle_;
     SteadyTimer changeTimer_;
 };
 using StreamPtr = std::shared_ptr<Stream>;
--- a/tools/standins/PlatformStandin.cpp
+++ b/tools/standins/PlatformStandin.cpp
@@ -21,10 +21,10 @@
 constexpr int statusUnavailable = 503;
 
 struct Stream {
-    std::uint64_t first_ = 0;
+    std::uint64_t firstOffset_ = 0;
     std::vector<std::string> records_;
 
-    std::uint64_t next() const { return first_ + records_.size(); }
+    std::uint64_t nextOffset() const { return firstOffset_ + records_.size(); }
 };
 
 class Platform {
@@ -83,7 +83,7 @@
         co_return;
     }
     Stream& stream = streams_[name];
-    std::uint64_t offset = stream.next();
+    std::uint64_t offset = stream.nextOffset();
     stream.records_.push_back(exchange.request().body_);
     if (controls_["lose_append_answers"] > 0) {
         controls_.set("lose_append_answers", controls_["lose_append_answers"] - 1);
@@ -101,19 +101,19 @@
     std::uint64_t from = std::strtoull(exchange.request().query("from").c_str(), nullptr, 10);
     milliseconds wait(std::strtoll(exchange.request().query("wait_ms").c_str(), nullptr, 10));
     auto deadline = steadyNow() + wait;
-    while (streams_[name].next() <= from && steadyNow() < deadline && !controls_["log_down"])
+    while (streams_[name].nextOffset() <= from && steadyNow() < deadline && !controls_["log_down"])
         co_await pause(pollPeriod);
     const Stream& stream = streams_[name];
     json::array records;
-    for (std::uint64_t offset = std::max(from, stream.first_); offset < stream.next() && records.size() < maxRecordsPerAnswer; ++offset) {
+    for (std::uint64_t offset = std::max(from, stream.firstOffset_); offset < stream.nextOffset() && records.size() < maxRecordsPerAnswer; ++offset) {
         json::object record;
         record["offset"] = offset;
-        record["data"] = stream.records_[offset - stream.first_];
+        record["data"] = stream.records_[offset - stream.firstOffset_];
         records.push_back(record);
     }
     json::object answer;
-    answer["first"] = stream.first_;
-    answer["next"] = stream.next();
+    answer["first"] = stream.firstOffset_;
+    answer["next"] = stream.nextOffset();
     answer["records"] = records;
     co_await reply(exchange, 200, answer);
 }
@@ -181,10 +181,10 @@
     std::string trimmed = textField(body, "trim_stream");
     if (!trimmed.empty()) {
         Stream& stream = streams_[trimmed];
-        std::uint64_t to = std::min(numberField(body, "trim_to"), stream.next());
-        std::uint64_t count = to > stream.first_ ? to - stream.first_ : 0;
+        std::uint64_t to = std::min(numberField(body, "trim_to"), stream.nextOffset());
+        std::uint64_t count = to > stream.firstOffset_ ? to - stream.firstOffset_ : 0;
         stream.records_.erase(stream.records_.begin(), stream.records_.begin() + static_cast<std::ptrdiff_t>(count));
-        stream.first_ += count;
+        stream.firstOffset_ += count;
     }
     json::object answer;
     answer["version"] = vmListVersion_;
@@ -193,7 +193,7 @@
     answer["lists"] = listCalls_;
     json::object nextOffsets;
     for (const auto& [name, stream] : streams_)
-        nextOffsets[name] = stream.next();
+        nextOffsets[name] = stream.nextOffset();
     answer["next"] = nextOffsets;
     co_await reply(exchange, 200, answer);
 }
