--- a/benchmarks/ControlBenchmark.cpp
+++ b/benchmarks/ControlBenchmark.cpp
@@ -22,6 +22,7 @@
 
 namespace {
 
+/// What one node uses while the deployment is idle.
 struct Sample {
     double processorPercent_ = 0;
     double sentPerSecond_ = 0;
--- a/benchmarks/PathBenchmark.cpp
+++ b/benchmarks/PathBenchmark.cpp
@@ -20,6 +20,7 @@
 constexpr std::uint64_t tokensPerAnswer = 20;
 constexpr int clientThreads = 2;
 
+/// Times in milliseconds of the answers in one measurement, and its duration in seconds.
 struct Timing {
     std::vector<double> timeToFirstToken_;
     std::vector<double> fullAnswer_;
--- a/include/pistachioloom/Http.h
+++ b/include/pistachioloom/Http.h
@@ -91,6 +91,7 @@
     /// Writes one chunk and completes when the socket has accepted it, so that a slow
     /// reader exerts backpressure on the handler.
     virtual asio::awaitable<Result<void>> writeChunk(std::string chunk) = 0;
+    /// Writes the last chunk, which ends the response.
     virtual asio::awaitable<Result<void>> endStream() = 0;
     /// Closes the connection without completing the response.
     virtual void abort() = 0;
--- a/include/pistachioloom/Support.h
+++ b/include/pistachioloom/Support.h
@@ -147,6 +147,7 @@
     std::string peer_;
     std::string message_;
     Ran ran_ = Ran::No;
+    /// Time after which the caller may retry; 0 if the error states none.
     milliseconds retryAfter_ {};
 };
 
@@ -205,7 +206,9 @@
     RcuPointer(const RcuPointer&) = delete;
     RcuPointer& operator=(const RcuPointer&) = delete;
 
+    /// Replaces the pointer, waits until no reader uses the previous value, and destroys it.
     void publish(void* value);
+    /// Calls \p section with the current pointer inside a read section.
     void read(const std::function<void(const void*)>& section) const;
 
 private:
--- a/lib/Telemetry/LogOutput.cpp
+++ b/lib/Telemetry/LogOutput.cpp
@@ -16,7 +16,8 @@
 
     // A burst may contain as many lines as the rate permits in this many seconds.
     constexpr double burstSeconds = 2;
-    // A pipe that polls as writable accepts PIPE_BUF bytes without blocking.
+    // A pipe that polls as writable accepts PIPE_BUF bytes, 4096, without blocking. A longer
+    // line is cut to this length.
     constexpr std::size_t maxAtomicWrite = 4096;
 
     std::atomic<std::uint64_t> droppedLines { 0 };
--- a/test/AnswersTest.cpp
+++ b/test/AnswersTest.cpp
@@ -163,7 +163,7 @@
         { "no key", post("/v1/completions", "{}", ""), 401, "unauthorised" },
         { "unknown key", post("/v1/completions", "{}", "nobody"), 401, "unauthorised" },
         { "malformed JSON", post("/v1/completions", "{\"model\":"), 400, "invalid_input" },
-        { "no object", post("/v1/completions", "[1,2]"), 400, "invalid_input" },
+        { "not a JSON object", post("/v1/completions", "[1,2]"), 400, "invalid_input" },
         { "no model", post("/v1/completions", "{}"), 400, "invalid_input" },
         { "unknown model", post("/v1/completions", R"({"model":"x","prompt":"p"})"), 404, "not_found" },
         { "no prompt", post("/v1/completions", R"({"model":"planogram"})"), 400, "invalid_input" },
--- a/test/Harness/CallerClient.h
+++ b/test/Harness/CallerClient.h
@@ -32,6 +32,7 @@
     std::string text() const;
 };
 
+/// A request for a completion.
 struct Completion {
     std::string apiKey_;
     std::string model_ = "planogram";
@@ -54,6 +55,7 @@
 Answer streamCompletionBlocking(const Endpoint& entry, const Completion& completion);
 Answer streamToEndBlocking(const std::vector<Endpoint>& entries, const Completion& completion, milliseconds timeout);
 
+/// The outcome of one call to a service.
 struct ServiceCallResult {
     int status_ = 0;
     std::string body_;
--- a/test/Harness/Deployment.h
+++ b/test/Harness/Deployment.h
@@ -31,6 +31,7 @@
     std::string nodeSettings_;
 };
 
+/// Nodes, engines, services and the stand-in of the platform, as child processes.
 class Deployment {
 public:
     explicit Deployment(DeploymentOptions options);
@@ -73,7 +74,8 @@
     /// heals the partition. Has an effect only with `hasProxies_`.
     void partitionDataCentre(const std::string& dataCentre, bool isPartitioned);
 
-    /// Sends \p body to the control endpoint of \p standin. \returns its state.
+    /// Sends \p body to the control endpoint of \p standin. \returns the counters and state that
+    /// the stand-in answers with.
     static boost::json::object control(const Endpoint& standin, const boost::json::object& body = {});
     boost::json::object controlPlatform(const boost::json::object& body = {}) { return control(platform_, body); }
     /// Makes the platform announce a reclaim of \p vm.
--- a/test/Platform/GatewayDeployment.h
+++ b/test/Platform/GatewayDeployment.h
@@ -24,6 +24,7 @@
     std::function<std::string(const std::string& vm)> extraSettings_;
 };
 
+/// Gateways and the stand-in of the users' platform, as child processes.
 class GatewayDeployment {
 public:
     struct Gateway {
@@ -51,17 +52,22 @@
     boost::json::object backend(const std::string& id, boost::json::object faults = {}) const;
     /// Sets faults of all four backend servers of startStandardServices().
     void setBackendFaults(const boost::json::object& faults) const;
+    /// Starts a backend server of \p service in data centre `a` and registers it.
     void startBackend(const std::string& id, const std::string& service);
+    /// Registers backend server \p id as leaving.
     void setLeaving(const std::string& id, const std::string& service, const std::string& address) const;
     /// Registers \p id at \p address on behalf of the backend server, with the start time
     /// of its running process if there is one.
     void registerBackend(const std::string& id, const std::string& service, const std::string& address, const char* phase) const;
-    /// \p connections is the number of connections that each backend server accepts from
-    /// all nodes, \p idle the idle timeout of a caller's connection.
+    /// Publishes a configuration with the routes of the tests. \p extraRoutes is empty, or a
+    /// comma and further routes in JSON. \p connections is the number of connections that each
+    /// backend server accepts from all nodes, \p idle the idle timeout of a caller's
+    /// connection.
     void putConfiguration(std::uint64_t version, const std::string& extraRoutes = {}, std::uint64_t connections = 2000, milliseconds idle = milliseconds(5000)) const;
     /// Puts version 1 of the configuration, starts two backend servers of each service,
     /// and waits until every gateway knows them. \throws std::runtime_error.
     void startStandardServices();
+    /// Waits until every gateway reports configuration \p version or a newer one.
     bool waitForVersion(std::uint64_t version, milliseconds timeout) const;
     /// Waits until every gateway reports \p count backend servers.
     bool waitForBackends(std::size_t count) const;
@@ -69,6 +75,7 @@
     /// Sends one request on a new connection. \returns status 0 if the connection fails.
     HttpResponse call(const Gateway& gateway, const HttpRequest& request) const;
     bool isReady(const Gateway& gateway) const;
+    /// \returns the value of metric \p name, or -1 if it is unavailable.
     double metric(const Gateway& gateway, const std::string& name) const;
     const std::string& directory() const { return directory_; }
 
--- a/test/Platform/Soak/InvariantChecker.h
+++ b/test/Platform/Soak/InvariantChecker.h
@@ -25,6 +25,7 @@
     std::map<std::string, std::vector<std::pair<SteadyTime, SteadyTime>>> intervals_;
 };
 
+/// Bounds of the invariants, and the properties of the deployment on which they depend.
 struct InvariantBounds {
     /// Number of events in a complete stream.
     int eventsPerStream_ = 5;
@@ -51,6 +52,7 @@
     double minServedShare_ = 0.95;
 };
 
+/// Collects the observations of one run and the violations of the invariants.
 class InvariantChecker {
 public:
     explicit InvariantChecker(InvariantBounds bounds)
@@ -96,6 +98,7 @@
     /// The number of runs of each request at backend servers that a reclaim or a crash has
     /// removed. `runs_` includes them.
     std::map<std::string, int> runsAtRemoved_;
+    /// A run at a backend server after gateways should have known that it is leaving.
     struct LateRun {
         std::string server_;
         std::string id_;
--- a/test/Platform/Soak/Schedule.h
+++ b/test/Platform/Soak/Schedule.h
@@ -50,6 +50,7 @@
 
 std::string_view toString(FaultKind kind);
 
+/// One fault of the schedule.
 struct Fault {
     /// Time from the start of the run to the start of the fault.
     milliseconds at_ {};
--- a/tools/standins/FleetStandin.cpp
+++ b/tools/standins/FleetStandin.cpp
@@ -271,11 +271,13 @@
     std::set<HttpExchange*> running_;
     HttpServer server_;
     Controls controls_ { { { "delay_ms", 0 }, { "full", 0 }, { "retry_after_ms", 0 }, { "says_leaving", 0 }, { "lose_answers", 0 }, { "fails_one_in", 0 }, { "other_id", 0 }, { "no_seal", 0 }, { "events", 5 }, { "gap_ms", 5 }, { "cut_at", 0 }, { "refuse_moves", 0 }, { "refuse_stops", 0 }, { "move_ms", 0 }, { "lose_copies", 0 } } };
+    /// Attempt ids of the requests that started to run, in order.
     json::array runAttemptIds_;
     /// Number of requests answered 503 without execution.
     std::int64_t rejected_ = 0;
     /// Attempt ids of event streams whose caller disconnected.
     json::array abandonedRuns_;
+    /// Headers of the request that started to run last.
     json::object headers_;
     std::map<std::string, Stream> streams_;
     /// Attempt ids of runs that were stopped to resume on another backend server.
@@ -286,6 +288,7 @@
     json::array releasedHandles_;
 };
 
+/// The users' platform: a store, the interface for duties, and backend servers.
 class Fleet {
 public:
     explicit Fleet(asio::io_context& io)
--- a/tools/standins/PlatformStandin.cpp
+++ b/tools/standins/PlatformStandin.cpp
@@ -20,13 +20,16 @@
 constexpr std::size_t maxRecordsPerAnswer = 1000;
 constexpr int statusUnavailable = 503;
 
+/// One stream of the log, of which the oldest records may have been trimmed.
 struct Stream {
+    /// Offset of the oldest record that is still stored.
     std::uint64_t firstOffset_ = 0;
     std::vector<std::string> records_;
 
     std::uint64_t nextOffset() const { return firstOffset_ + records_.size(); }
 };
 
+/// The log service, VM list and reclaim notices of the platform.
 class Platform {
 public:
     asio::awaitable<void> handle(HttpExchange& exchange);
--- a/unittests/Wire/PeerStreamTest.cpp
+++ b/unittests/Wire/PeerStreamTest.cpp
@@ -105,7 +105,7 @@
 
 } // namespace
 
-TEST_CASE("a call returns its own frame for any size")
+TEST_CASE("a call gets back the frame that it sent, whatever its size")
 {
     EchoServer echo;
     PeerPool pool(echo.io_.get_executor(), credential, {});
@@ -116,7 +116,7 @@
     CHECK(reply.value().catalogue_update().snapshot().size() == size);
 }
 
-TEST_CASE("a wrong credential is an error with ran No")
+TEST_CASE("the error of a wrong credential states that the request has not run")
 {
     EchoServer echo;
     PeerPool pool(echo.io_.get_executor(), "another-credential", {});
@@ -125,7 +125,7 @@
     CHECK(reply.error().ran_ == Ran::No);
 }
 
-TEST_CASE("a refused stream and a draining server return errors with ran No")
+TEST_CASE("the errors of a refused stream and a draining server state that the request has not run")
 {
     EchoServer echo;
     PeerPool pool(echo.io_.get_executor(), credential, {});
@@ -140,7 +140,7 @@
     CHECK(reply.error().ran_ == Ran::No);
 }
 
-TEST_CASE("an unreachable peer is an error with ran No")
+TEST_CASE("the error of an unreachable peer states that the request has not run")
 {
     EchoServer echo;
     PeerPool pool(echo.io_.get_executor(), credential, {});
@@ -234,6 +234,7 @@
     asio::co_spawn(acceptor->get_executor(), forward(far, near, speed), asio::detached);
 }
 
+/// A receive() with timeouts over a throttled link, and whether and when it ends.
 struct TimeoutCase {
     std::string name_;
     ThrottledLink link_;
