--- a/benchmarks/ControlBenchmark.cpp
+++ b/benchmarks/ControlBenchmark.cpp
@@ -25,8 +25,8 @@
 /// What one node uses while the deployment is idle.
 struct Sample {
     double processorPercent_ = 0;
-    double sentPerSecond_ = 0;
-    double receivedPerSecond_ = 0;
+    double bytesSentPerSecond_ = 0;
+    double bytesReceivedPerSecond_ = 0;
     double memoryMiB_ = 0;
 };
 
@@ -34,9 +34,9 @@
 std::pair<Sample, Sample> measureIdle(Deployment& deployment, milliseconds duration)
 {
     struct Counters {
-        double processor_;
-        double sent_;
-        double received_;
+        double processorTimeUs_;
+        double bytesSent_;
+        double bytesReceived_;
     };
     std::vector<Counters> before;
     for (auto& node : deployment.nodes())
@@ -49,17 +49,17 @@
     for (std::size_t i = 0; i < before.size(); ++i) {
         auto& node = deployment.nodes()[i];
         Sample sample;
-        sample.processorPercent_ = (static_cast<double>(node.process_->processorTime().count()) - before[i].processor_) / seconds / 1e4;
-        sample.sentPerSecond_ = (deployment.metric(node, "peer_bytes_sent") - before[i].sent_) / seconds;
-        sample.receivedPerSecond_ = (deployment.metric(node, "peer_bytes_received") - before[i].received_) / seconds;
+        sample.processorPercent_ = (static_cast<double>(node.process_->processorTime().count()) - before[i].processorTimeUs_) / seconds / 1e4;
+        sample.bytesSentPerSecond_ = (deployment.metric(node, "peer_bytes_sent") - before[i].bytesSent_) / seconds;
+        sample.bytesReceivedPerSecond_ = (deployment.metric(node, "peer_bytes_received") - before[i].bytesReceived_) / seconds;
         sample.memoryMiB_ = static_cast<double>(node.process_->residentMemory().value_) / 1024 / 1024;
         mean.processorPercent_ += sample.processorPercent_ / count;
-        mean.sentPerSecond_ += sample.sentPerSecond_ / count;
-        mean.receivedPerSecond_ += sample.receivedPerSecond_ / count;
+        mean.bytesSentPerSecond_ += sample.bytesSentPerSecond_ / count;
+        mean.bytesReceivedPerSecond_ += sample.bytesReceivedPerSecond_ / count;
         mean.memoryMiB_ += sample.memoryMiB_ / count;
         maximum.processorPercent_ = std::max(maximum.processorPercent_, sample.processorPercent_);
-        maximum.sentPerSecond_ = std::max(maximum.sentPerSecond_, sample.sentPerSecond_);
-        maximum.receivedPerSecond_ = std::max(maximum.receivedPerSecond_, sample.receivedPerSecond_);
+        maximum.bytesSentPerSecond_ = std::max(maximum.bytesSentPerSecond_, sample.bytesSentPerSecond_);
+        maximum.bytesReceivedPerSecond_ = std::max(maximum.bytesReceivedPerSecond_, sample.bytesReceivedPerSecond_);
         maximum.memoryMiB_ = std::max(maximum.memoryMiB_, sample.memoryMiB_);
     }
     return { mean, maximum };
@@ -253,9 +253,9 @@
         auto [mean, maximum] = measureIdle(deployment, milliseconds(seconds * 1000));
         auto propagation = measurePropagation(deployment, edits);
         if (listedVms)
-            measureListChanges(deployment, listedVms, mean.sentPerSecond_);
+            measureListChanges(deployment, listedVms, mean.bytesSentPerSecond_);
         double detection = measureDetection(deployment, false);
-        std::printf("%6zu %4zu | %9.2f %9.2f | %9.0f %9.0f %9.0f | %8.1f %8.1f | %9.0f %9.0f | %9.0f\n", size, dataCentres, mean.processorPercent_, maximum.processorPercent_, mean.sentPerSecond_, mean.receivedPerSecond_, maximum.sentPerSecond_, mean.memoryMiB_, maximum.memoryMiB_, percentile(propagation, 0.5), percentile(propagation, 0.99), detection);
+        std::printf("%6zu %4zu | %9.2f %9.2f | %9.0f %9.0f %9.0f | %8.1f %8.1f | %9.0f %9.0f | %9.0f\n", size, dataCentres, mean.processorPercent_, maximum.processorPercent_, mean.bytesSentPerSecond_, mean.bytesReceivedPerSecond_, maximum.bytesSentPerSecond_, mean.memoryMiB_, maximum.memoryMiB_, percentile(propagation, 0.5), percentile(propagation, 0.99), detection);
         std::fflush(stdout);
     }
     return 0;
--- a/benchmarks/FloodBenchmark.cpp
+++ b/benchmarks/FloodBenchmark.cpp
@@ -39,8 +39,8 @@
 
 /// Counts and latencies, in milliseconds, of the answers to one class of requests.
 struct AnswerStats {
-    std::vector<double> timeToFirstToken_;
-    std::vector<double> fullAnswer_;
+    std::vector<double> timesToFirstTokenMs_;
+    std::vector<double> fullAnswerTimesMs_;
     std::size_t answered_ = 0;
     std::size_t rejected_ = 0;
     std::size_t failed_ = 0;
@@ -54,8 +54,8 @@
             return;
         }
         ++answered_;
-        timeToFirstToken_.push_back(static_cast<double>(answer.timeToFirstToken_.count()));
-        fullAnswer_.push_back(std::chrono::duration<double, std::milli>(steadyNow() - startedAt).count());
+        timesToFirstTokenMs_.push_back(static_cast<double>(answer.timeToFirstToken_.count()));
+        fullAnswerTimesMs_.push_back(std::chrono::duration<double, std::milli>(steadyNow() - startedAt).count());
     }
 };
 
@@ -114,8 +114,8 @@
 
 void print(const char* name, const AnswerStats& stats)
 {
-    std::printf("%-28s | %8zu %8zu %6zu | %8.0f %8.0f %8.0f | %8.0f\n", name, stats.answered_, stats.rejected_, stats.failed_, percentile(stats.timeToFirstToken_, 0.5),
-        percentile(stats.timeToFirstToken_, 0.95), percentile(stats.timeToFirstToken_, 0.99), percentile(stats.fullAnswer_, 0.5));
+    std::printf("%-28s | %8zu %8zu %6zu | %8.0f %8.0f %8.0f | %8.0f\n", name, stats.answered_, stats.rejected_, stats.failed_, percentile(stats.timesToFirstTokenMs_, 0.5),
+        percentile(stats.timesToFirstTokenMs_, 0.95), percentile(stats.timesToFirstTokenMs_, 0.99), percentile(stats.fullAnswerTimesMs_, 0.5));
 }
 
 } // namespace
@@ -144,8 +144,8 @@
     print("trials", flooded.trial_);
     std::printf("capacity %.0f answers/s, paid %.0f/s, trials %.0f/s\n", capacity, paidLoad * capacity, trialLoad * capacity);
     std::printf("trials yielded %.0f times, %.0f tokens were computed again\n", deployment.metricOfAll("trials_yielded_total"), deployment.metricOfAll("tokens_recomputed_total"));
-    double baselineP99 = percentile(baseline.paid_.timeToFirstToken_, 0.99);
-    double floodedP99 = percentile(flooded.paid_.timeToFirstToken_, 0.99);
+    double baselineP99 = percentile(baseline.paid_.timesToFirstTokenMs_, 0.99);
+    double floodedP99 = percentile(flooded.paid_.timesToFirstTokenMs_, 0.99);
     bool isWithin = floodedP99 <= baselineP99 * maxLatencyRatio + noiseMs && !flooded.paid_.rejected_ && !flooded.paid_.failed_;
     std::printf("paid time to first token p99: %.0f ms alone, %.0f ms under trial load: %s\n", baselineP99, floodedP99, isWithin ? "within its bound" : "past its bound");
     return isWithin ? 0 : 1;
--- a/benchmarks/PathBenchmark.cpp
+++ b/benchmarks/PathBenchmark.cpp
@@ -22,8 +22,8 @@
 
 /// Times in milliseconds of the answers in one measurement, and its duration in seconds.
 struct Timing {
-    std::vector<double> timeToFirstToken_;
-    std::vector<double> fullAnswer_;
+    std::vector<double> timesToFirstTokenMs_;
+    std::vector<double> fullAnswerTimesMs_;
     double seconds_ = 0;
     std::size_t failures_ = 0;
 };
@@ -78,15 +78,15 @@
 Timing run(std::size_t concurrency, std::size_t total, const Call& call)
 {
     Timing timing;
-    timing.timeToFirstToken_.resize(total);
-    timing.fullAnswer_.resize(total);
+    timing.timesToFirstTokenMs_.resize(total);
+    timing.fullAnswerTimesMs_.resize(total);
     std::atomic<std::size_t> next { 0 };
     std::atomic<std::size_t> failures { 0 };
     asio::io_context io;
     for (std::size_t worker = 0; worker < concurrency; ++worker) {
         auto task = [&]() -> asio::awaitable<void> {
             for (std::size_t i = next++; i < total; i = next++) {
-                bool hasSucceeded = co_await call(i, timing.timeToFirstToken_[i], timing.fullAnswer_[i]);
+                bool hasSucceeded = co_await call(i, timing.timesToFirstTokenMs_[i], timing.fullAnswerTimesMs_[i]);
                 failures += hasSucceeded ? 0 : 1;
             }
         };
@@ -133,11 +133,11 @@
         Timing system = run(concurrency, total, viaSystem);
         double memory = static_cast<double>(deployment.nodes()[0].process_->residentMemory().value_) / 1024 / 1024;
         auto print = [&](const char* name, const Timing& timing, double nodeMemory) {
-            std::printf("%8zu %8s | %9.0f %9zu | %9.1f %9.1f | %9.1f %9.1f | %8.1f\n", concurrency, name, static_cast<double>(total) / timing.seconds_, timing.failures_, percentile(timing.timeToFirstToken_, 0.5), percentile(timing.timeToFirstToken_, 0.99), percentile(timing.fullAnswer_, 0.5), percentile(timing.fullAnswer_, 0.99), nodeMemory);
+            std::printf("%8zu %8s | %9.0f %9zu | %9.1f %9.1f | %9.1f %9.1f | %8.1f\n", concurrency, name, static_cast<double>(total) / timing.seconds_, timing.failures_, percentile(timing.timesToFirstTokenMs_, 0.5), percentile(timing.timesToFirstTokenMs_, 0.99), percentile(timing.fullAnswerTimesMs_, 0.5), percentile(timing.fullAnswerTimesMs_, 0.99), nodeMemory);
         };
         print("engine", engine, 0);
         print("system", system, memory);
-        double ratio = percentile(system.fullAnswer_, 0.5) / percentile(engine.fullAnswer_, 0.5);
+        double ratio = percentile(system.fullAnswerTimesMs_, 0.5) / percentile(engine.fullAnswerTimesMs_, 0.5);
         // The bounds are wide because clients, nodes and engines share one machine.
         double maxRatio = concurrency < 1000 ? 2 : 6;
         bool hasSucceeded = ratio <= maxRatio && !system.failures_;
--- a/include/pistachioloom/Platform.h
+++ b/include/pistachioloom/Platform.h
@@ -14,7 +14,7 @@
 /// Records of one stream, starting at the requested offset.
 struct LogRead {
     /// The offset of the oldest record that is still stored.
-    LogOffset first_;
+    LogOffset firstOffset_;
     /// The offset at which the next read starts.
     LogOffset next_;
     std::vector<std::pair<LogOffset, std::string>> records_;
--- a/include/pistachioloom/Settings.h
+++ b/include/pistachioloom/Settings.h
@@ -27,7 +27,7 @@
     /// rotation.
     std::uint64_t relayFanout_ = 3;
     /// Time between two polls of the VM list.
-    milliseconds vmListPoll_ { 500 };
+    milliseconds vmListPollInterval_ { 500 };
     /// The time until a leaving VM stops, if its notice states none.
     milliseconds defaultNotice_ { 30000 };
 };
@@ -38,7 +38,7 @@
     std::uint64_t shards_ = 8;
     /// The maximum time from the receipt of a call to its dispatch, which includes appending
     /// the intent. After this time the call is not dispatched.
-    milliseconds dispatchGuard_ { 5000 };
+    milliseconds maxDispatchDelay_ { 5000 };
     /// The maximum number of appends per second of the whole system, divided among the
     /// run-once coordinators.
     std::uint64_t appendsPerSecond_ = 200;
@@ -95,7 +95,7 @@
     milliseconds grantValidity_ { 4000 };
     /// The number of slots, each for one request in progress, that a node asks for in
     /// addition to those for its running and waiting requests.
-    std::uint64_t grantAhead_ = 4;
+    std::uint64_t grantReserve_ = 4;
 };
 
 /// Settings of the orders by which nodes change the configuration of model engines.
@@ -111,7 +111,7 @@
     milliseconds keepAlive_ { 1000 };
     /// The time without received data after which a link is closed together with its
     /// streams.
-    milliseconds deadAfter_ { 3000 };
+    milliseconds closeIdleAfter_ { 3000 };
 };
 
 /// All settings of a node.
--- a/lib/Node/ControlPlane.cpp
+++ b/lib/Node/ControlPlane.cpp
@@ -73,7 +73,7 @@
             if (static_cast<bool>(list) != wasReachable)
                 logger_.warn(list ? std::string("VM list is reachable again.") : "VM list is unreachable: " + describe(list.error()) + ".");
         }
-        co_await sleepFor(context_.settings_.membership_.vmListPoll_);
+        co_await sleepFor(context_.settings_.membership_.vmListPollInterval_);
     }
 }
 
--- a/lib/Node/LimitClient.cpp
+++ b/lib/Node/LimitClient.cpp
@@ -98,7 +98,7 @@
         std::lock_guard lock(mutex_);
         std::erase_if(entries, [&](const EntryPtr& entry) { return !pendingRequests_.emplace(entry->name_, completion).second; });
         for (const EntryPtr& entry : entries) {
-            auto demand = admission_.makeDemand(*entry, context_.settings_.limits_.grantAhead_);
+            auto demand = admission_.makeDemand(*entry, context_.settings_.limits_.grantReserve_);
             wire::EntryDemand& encoded = *request.add_demands();
             encoded.set_entry(entry->name_.value_);
             encoded.set_in_use(static_cast<std::uint32_t>(demand.inUse_));
--- a/lib/Node/NodeContext.cpp
+++ b/lib/Node/NodeContext.cpp
@@ -12,7 +12,7 @@
 
 static KeepAlive makeKeepAlive(const PeerSettings& settings)
 {
-    return { settings.keepAlive_, static_cast<int>(settings.deadAfter_ / settings.keepAlive_) };
+    return { settings.keepAlive_, static_cast<int>(settings.closeIdleAfter_ / settings.keepAlive_) };
 }
 
 NodeContext::NodeContext(Settings settings, const asio::any_io_executor& executor)
--- a/lib/Node/RunOnceCoordinator.cpp
+++ b/lib/Node/RunOnceCoordinator.cpp
@@ -59,7 +59,7 @@
     {
         std::lock_guard lock(mutex_);
         // Trimmed records are older than the retention window of keys.
-        state_.trim(read.first_);
+        state_.trim(read.firstOffset_);
         for (const auto& [position, record] : read.records_)
             state_.apply(position, decodeLedgerRecord(record));
     }
@@ -241,7 +241,7 @@
 
 asio::awaitable<void> RunOnceCoordinator::dispatch(RunOnceCall& run, const wire::ServiceCall& call, SteadyTime receivedAt)
 {
-    if (steadyNow() - receivedAt > context_.settings_.ledger_.dispatchGuard_) {
+    if (steadyNow() - receivedAt > context_.settings_.ledger_.maxDispatchDelay_) {
         run.intentExpired();
         co_return;
     }
--- a/lib/Settings/Settings.cpp
+++ b/lib/Settings/Settings.cpp
@@ -73,7 +73,7 @@
         settings.suspectAfter_ = map.duration("suspect_after", milliseconds(100), milliseconds(600000), settings.suspectAfter_);
         settings.fanout_ = map.integer("fanout", 1, 16, settings.fanout_);
         settings.relayFanout_ = map.integer("relay_fanout", 1, 64, settings.relayFanout_);
-        settings.vmListPoll_ = map.duration("vm_list_poll", milliseconds(50), milliseconds(60000), settings.vmListPoll_);
+        settings.vmListPollInterval_ = map.duration("vm_list_poll", milliseconds(50), milliseconds(60000), settings.vmListPollInterval_);
         settings.defaultNotice_ = map.duration("default_notice", milliseconds(100), oneDay, settings.defaultNotice_);
         if (settings.suspectAfter_ < 2 * settings.heartbeat_)
             map.addError("suspect_after", "expected at least twice the heartbeat");
@@ -83,7 +83,7 @@
     void parseLedger(YamlMap map, LedgerSettings& settings)
     {
         settings.shards_ = map.integer("shards", 1, maxShards, settings.shards_);
-        settings.dispatchGuard_ = map.duration("dispatch_guard", milliseconds(100), milliseconds(60000), settings.dispatchGuard_);
+        settings.maxDispatchDelay_ = map.duration("dispatch_guard", milliseconds(100), milliseconds(60000), settings.maxDispatchDelay_);
         settings.appendsPerSecond_ = map.integer("appends_per_second", 1, 100000, settings.appendsPerSecond_);
         settings.appendTimeout_ = map.duration("append_timeout", milliseconds(10), milliseconds(60000), settings.appendTimeout_);
         settings.appendWaitLimit_ = map.duration("append_patience", milliseconds(10), milliseconds(60000), settings.appendWaitLimit_);
@@ -127,7 +127,7 @@
     void parseLimits(YamlMap map, LimitSettings& settings)
     {
         settings.grantValidity_ = map.duration("grant_validity", milliseconds(100), milliseconds(600000), settings.grantValidity_);
-        settings.grantAhead_ = map.integer("grant_ahead", 0, 10000, settings.grantAhead_);
+        settings.grantReserve_ = map.integer("grant_ahead", 0, 10000, settings.grantReserve_);
         map.reportUnknownKeys();
     }
 
@@ -144,8 +144,8 @@
     void parsePeers(YamlMap map, PeerSettings& settings)
     {
         settings.keepAlive_ = map.duration("keep_alive", milliseconds(20), milliseconds(60000), settings.keepAlive_);
-        settings.deadAfter_ = map.duration("dead_after", milliseconds(40), milliseconds(600000), settings.deadAfter_);
-        if (settings.deadAfter_ < 2 * settings.keepAlive_)
+        settings.closeIdleAfter_ = map.duration("dead_after", milliseconds(40), milliseconds(600000), settings.closeIdleAfter_);
+        if (settings.closeIdleAfter_ < 2 * settings.keepAlive_)
             map.addError("dead_after", "expected at least twice keep_alive");
         map.reportUnknownKeys();
     }
--- a/test/Platform/GatewayDeployment.cpp
+++ b/test/Platform/GatewayDeployment.cpp
@@ -51,10 +51,10 @@
     platformAddress_ = { "127.0.0.1", static_cast<std::uint16_t>(numberField(platform_->boundPorts(), "port")) };
     // A random loopback network keeps this deployment apart from other tests on the machine.
     std::string network = "127." + std::to_string(1 + randomBits() % 250) + "." + std::to_string(randomBits() % 250) + ".";
-    for (std::size_t i = 0; i < options_.count_; ++i) {
+    for (std::size_t i = 0; i < options_.gatewayCount_; ++i) {
         std::string host = network + std::to_string(i + 1);
         gateways_.push_back({ "node-" + std::to_string(i + 1), nullptr, { host, 7001 }, { host, 7002 }, { host, 7005 } });
-        writeSettings(gateways_.back(), std::string(1, static_cast<char>('a' + i % options_.dataCentres_)));
+        writeSettings(gateways_.back(), std::string(1, static_cast<char>('a' + i % options_.dataCentreCount_)));
         launch(gateways_.back());
     }
 }
--- a/test/Platform/GatewayDeployment.h
+++ b/test/Platform/GatewayDeployment.h
@@ -14,9 +14,9 @@
 
 /// Number, placement and settings of the gateways.
 struct GatewayDeploymentOptions {
-    std::size_t count_ = 1;
+    std::size_t gatewayCount_ = 1;
     /// Number of data centres, to which the gateways are assigned in turn.
-    std::size_t dataCentres_ = 1;
+    std::size_t dataCentreCount_ = 1;
     /// Endpoint at which the gateway of \p vm reaches \p platform; a test can put a
     /// proxy in between.
     std::function<Endpoint(const std::string& vm, const Endpoint& platform)> platformEndpointFor_;
--- a/test/Platform/Soak/InvariantChecker.cpp
+++ b/test/Platform/Soak/InvariantChecker.cpp
@@ -84,21 +84,21 @@
 void InvariantChecker::addRuns(const json::array& ids, bool isRemoved)
 {
     for (const json::value& id : ids) {
-        ++runs_[std::string(id.as_string())];
+        ++runCounts_[std::string(id.as_string())];
         if (isRemoved)
-            ++runsAtRemoved_[std::string(id.as_string())];
+            ++runCountsAtRemoved_[std::string(id.as_string())];
     }
 }
 
 void InvariantChecker::checkRuns(const Call& call)
 {
-    auto found = runs_.find(call.id_);
-    int runs = found == runs_.end() ? 0 : found->second;
+    auto found = runCounts_.find(call.id_);
+    int runs = found == runCounts_.end() ? 0 : found->second;
     if (!mayRepeat(call.kind_) && runs > 1)
         reportViolation("an unrepeatable request runs at most once", describe(call) + " ran " + std::to_string(runs) + " times");
     // Runs at backend servers that a reclaim or a crash has removed do not count.
-    auto atRemoved = runsAtRemoved_.find(call.id_);
-    if (mayRepeat(call.kind_) && runs - (atRemoved == runsAtRemoved_.end() ? 0 : atRemoved->second) > maxAttempts)
+    auto atRemoved = runCountsAtRemoved_.find(call.id_);
+    if (mayRepeat(call.kind_) && runs - (atRemoved == runCountsAtRemoved_.end() ? 0 : atRemoved->second) > maxAttempts)
         reportViolation("the number of attempts is bounded", describe(call) + " ran " + std::to_string(runs) + " times");
     if (!mayRepeat(call.kind_) && isRejection(call.status_) && runs)
         reportViolation("a rejected request has not run", describe(call) + " ran");
@@ -177,7 +177,7 @@
     for (const Call& call : calls_)
         callOf[call.id_] = &call;
     for (const LateRun& run : lateRuns_) {
-        auto call = callOf.find(run.id_);
+        auto call = callOf.find(run.requestId_);
         // A request may wait long before it is forwarded, so only requests sent after the
         // contact time count. A gateway that restarts forgets that the server is leaving.
         bool isExcused = call == callOf.end() || call->second->sentAt_ < run.reportedAt_ + bounds_.contactTime_ || faultIntervals_.overlaps(call->second->gateway_, run.reportedAt_, call->second->endedAt_);
@@ -196,8 +196,8 @@
         sentIds.insert(call.id_);
         if (call.kind_ != RequestKind::Crashing)
             checkRuns(call);
-        auto runs = runs_.find(call.id_);
-        if (call.kind_ == RequestKind::Limited && runs != runs_.end())
+        auto runs = runCounts_.find(call.id_);
+        if (call.kind_ == RequestKind::Limited && runs != runCounts_.end())
             limitedRuns += 1;
         bool mustBeServed = call.kind_ != RequestKind::Limited && call.kind_ != RequestKind::Crashing;
         if (call.sentAt_ < recoveredAt || call.hasCallerLeft_ || !mustBeServed)
@@ -205,7 +205,7 @@
         ++sentAfterRecovery;
         servedAfterRecovery += call.status_ == 200 && call.isComplete_;
     }
-    for (const auto& [id, runs] : runs_) {
+    for (const auto& [id, runs] : runCounts_) {
         if (!sentIds.contains(id))
             reportViolation("only requests that callers sent run", id);
     }
--- a/test/Platform/Soak/InvariantChecker.h
+++ b/test/Platform/Soak/InvariantChecker.h
@@ -94,14 +94,14 @@
     FaultIntervals faultIntervals_;
     std::vector<Call> calls_;
     /// The number of runs of each request, by id.
-    std::map<std::string, int> runs_;
+    std::map<std::string, int> runCounts_;
     /// The number of runs of each request at backend servers that a reclaim or a crash has
-    /// removed. `runs_` includes them.
-    std::map<std::string, int> runsAtRemoved_;
+    /// removed. `runCounts_` includes them.
+    std::map<std::string, int> runCountsAtRemoved_;
     /// A run at a backend server after gateways should have known that it is leaving.
     struct LateRun {
         std::string server_;
-        std::string id_;
+        std::string requestId_;
         SteadyTime reportedAt_ {};
     };
     std::vector<LateRun> lateRuns_;
--- a/test/Platform/Soak/Schedule.cpp
+++ b/test/Platform/Soak/Schedule.cpp
@@ -112,7 +112,7 @@
     std::vector<Fault> faults;
     for (milliseconds at(randomBetween(minReclaimGap, maxReclaimGap)); at < runDuration; at += milliseconds(randomBetween(minReclaimGap, maxReclaimGap))) {
         Fault fault;
-        fault.at_ = at;
+        fault.startsAt_ = at;
         fault.kind_ = FaultKind::Reclaim;
         fault.target_ = static_cast<std::size_t>(randomBetween(0, 1000));
         fault.duration_ = milliseconds(randomBetween(minNotice, maxNotice));
@@ -130,11 +130,11 @@
     std::vector<Fault> faults;
     Fault crashes;
     crashes.kind_ = FaultKind::CrashEngines;
-    crashes.at_ = milliseconds(randomBetween(0, runDuration.count() / 2));
+    crashes.startsAt_ = milliseconds(randomBetween(0, runDuration.count() / 2));
     faults.push_back(crashes);
     for (milliseconds at(randomBetween(0, maxSignalGap)); at < runDuration; at += milliseconds(randomBetween(minSignalGap, maxSignalGap))) {
         Fault fault;
-        fault.at_ = at;
+        fault.startsAt_ = at;
         fault.kind_ = randomBetween(0, 1) ? FaultKind::ReportLeaving : FaultKind::RequestPause;
         fault.target_ = static_cast<std::size_t>(randomBetween(0, 1000));
         fault.duration_ = milliseconds(randomBetween(minDuration, maxDuration));
@@ -155,13 +155,13 @@
     std::vector<Fault> faults;
     for (milliseconds at(randomBetween(minFaultGap, maxFaultGap)); at < runDuration; at += milliseconds(randomBetween(minFaultGap, maxFaultGap))) {
         Fault fault;
-        fault.at_ = at;
+        fault.startsAt_ = at;
         fault.kind_ = kinds[kindDistribution(random)].kind_;
         fault.target_ = static_cast<std::size_t>(randomBetween(0, 1000));
         fault.duration_ = std::min(milliseconds(randomBetween(minDuration, maxDuration)), runDuration - at);
         bool isLink = fault.kind_ == FaultKind::PlatformLink || fault.kind_ == FaultKind::BackendLink;
         if (isLink) {
-            fault.link_ = linkFaults[static_cast<std::size_t>(randomBetween(0, std::size(linkFaults) - 1))];
+            fault.linkFault_ = linkFaults[static_cast<std::size_t>(randomBetween(0, std::size(linkFaults) - 1))];
             fault.parameter_ = randomBetween(1, maxDelay);
         }
         if (fault.kind_ == FaultKind::BackendFault) {
@@ -177,15 +177,15 @@
         faults.push_back(std::move(fault));
     for (Fault& fault : generateSignals(seed, runDuration))
         faults.push_back(std::move(fault));
-    std::stable_sort(faults.begin(), faults.end(), [](const Fault& left, const Fault& right) { return left.at_ < right.at_; });
+    std::stable_sort(faults.begin(), faults.end(), [](const Fault& left, const Fault& right) { return left.startsAt_ < right.startsAt_; });
     return faults;
 }
 
 std::string describe(const Fault& fault)
 {
-    std::string text = std::to_string(fault.at_.count()) + " ms " + std::string(toString(fault.kind_)) + " of " + std::to_string(fault.target_) + " for " + std::to_string(fault.duration_.count()) + " ms";
-    if (fault.link_ != LinkFault::None)
-        text += " " + std::string(toString(fault.link_));
+    std::string text = std::to_string(fault.startsAt_.count()) + " ms " + std::string(toString(fault.kind_)) + " of " + std::to_string(fault.target_) + " for " + std::to_string(fault.duration_.count()) + " ms";
+    if (fault.linkFault_ != LinkFault::None)
+        text += " " + std::string(toString(fault.linkFault_));
     if (!fault.controlKey_.empty())
         text += " " + fault.controlKey_;
     if (fault.parameter_)
--- a/test/Platform/Soak/Schedule.h
+++ b/test/Platform/Soak/Schedule.h
@@ -53,12 +53,12 @@
 /// One fault of the schedule.
 struct Fault {
     /// Time from the start of the run to the start of the fault.
-    milliseconds at_ {};
+    milliseconds startsAt_ {};
     FaultKind kind_ = FaultKind::Kill;
     /// Index of the gateway or backend server, modulo their number.
     std::size_t target_ = 0;
     milliseconds duration_ {};
-    LinkFault link_ = LinkFault::None;
+    LinkFault linkFault_ = LinkFault::None;
     /// Key in a body to the stand-in's control endpoint that sets a fault of a backend
     /// server.
     std::string controlKey_;
--- a/test/Platform/Soak/Soak.cpp
+++ b/test/Platform/Soak/Soak.cpp
@@ -36,9 +36,9 @@
     app.add_option("--seed", options.seed_, "Seed of the first run");
     app.add_option("--runs", runs, "Number of runs, with consecutive seeds")->check(CLI::Range(1, 100000));
     app.add_option("--seeds", seedsFile, "File with additional seeds to run")->check(CLI::ExistingFile);
-    app.add_option("--seconds", options.seconds_, "Seconds during which each run injects faults")->check(CLI::Range(1.0, 86400.0));
-    app.add_option("--gateways", options.gateways_, "Number of gateways")->check(CLI::Range(2, 60));
-    app.add_option("--callers", options.callers_, "Number of callers")->check(CLI::Range(1, 1000));
+    app.add_option("--seconds", options.faultSeconds_, "Seconds during which each run injects faults")->check(CLI::Range(1.0, 86400.0));
+    app.add_option("--gateways", options.gatewayCount_, "Number of gateways")->check(CLI::Range(2, 60));
+    app.add_option("--callers", options.callerCount_, "Number of callers")->check(CLI::Range(1, 1000));
     app.add_flag("--verbose", options.isVerbose_, "Print each fault when it is injected");
     CLI11_PARSE(app, argc, argv);
     signal(SIGPIPE, SIG_IGN);
--- a/test/Platform/Soak/SoakFaults.cpp
+++ b/test/Platform/Soak/SoakFaults.cpp
@@ -44,7 +44,7 @@
     checker_.faultIntervals().add(gateway(index).vm_, at, steadyNow());
     deployment_->restart(gateway(index));
     ++node.startCount_;
-    node.version_ = 0;
+    node.reportedVersion_ = 0;
     node.freezeCount_ = 0;
     node.isDown_ = false;
 }
@@ -69,7 +69,7 @@
 asio::awaitable<void> SoakRun::injectLinkFault(FaultProxy& proxy, const std::string& component, Fault fault)
 {
     SteadyTime at = steadyNow();
-    proxy.set(fault.link_, milliseconds(fault.parameter_));
+    proxy.set(fault.linkFault_, milliseconds(fault.parameter_));
     co_await sleepFor(fault.duration_);
     proxy.set(LinkFault::None);
     checker_.faultIntervals().add(component, at, steadyNow());
@@ -170,7 +170,7 @@
         starts += node.startCount_;
     std::uint64_t rejectedCount = numberField(state, "turned_away");
     // In the half second in which the first answers arrive, each caller may add one more.
-    if (rejectedCount > 2 * pauses * starts + options_.callers_)
+    if (rejectedCount > 2 * pauses * starts + options_.callerCount_)
         checker_.reportViolation("a pause that a backend server requests is observed", id + " rejected " + std::to_string(rejectedCount) + " in " + std::to_string(duration.count()) + " ms");
 }
 
@@ -209,14 +209,14 @@
 asio::awaitable<void> SoakRun::configure(std::int64_t versions)
 {
     for (std::int64_t i = 0; i < versions; ++i) {
-        deployment_->putConfiguration(++version_);
+        deployment_->putConfiguration(++publishedVersion_);
         co_await sleepFor(monitorPeriod);
     }
 }
 
 asio::awaitable<void> SoakRun::applyFault(Fault fault)
 {
-    std::size_t node = fault.target_ % options_.gateways_;
+    std::size_t node = fault.target_ % options_.gatewayCount_;
     switch (fault.kind_) {
     case FaultKind::Kill:
         co_return co_await stopAndRestart(node, SIGKILL, fault.duration_);
@@ -229,7 +229,7 @@
             gateway(node).process_->signal(SIGHUP);
         co_return;
     case FaultKind::KillAll:
-        for (std::size_t i = 0; i < options_.gateways_; ++i)
+        for (std::size_t i = 0; i < options_.gatewayCount_; ++i)
             asio::co_spawn(io_, stopAndRestart(i, SIGKILL, fault.duration_), asio::detached);
         co_return;
     case FaultKind::PlatformLink:
@@ -262,9 +262,9 @@
 /// Injects the faults, lets the system recover, and ends the run.
 asio::awaitable<void> SoakRun::injectFaults()
 {
-    milliseconds duration(static_cast<std::int64_t>(options_.seconds_ * 1000));
+    milliseconds duration(static_cast<std::int64_t>(options_.faultSeconds_ * 1000));
     for (const Fault& fault : generateFaults(options_.seed_, duration)) {
-        milliseconds wait = std::chrono::duration_cast<milliseconds>(startedAt_ + fault.at_ - steadyNow());
+        milliseconds wait = std::chrono::duration_cast<milliseconds>(startedAt_ + fault.startsAt_ - steadyNow());
         co_await sleepFor(std::max(milliseconds(0), wait));
         if (options_.isVerbose_)
             std::cerr << describe(fault) << "\n";
--- a/test/Platform/Soak/SoakMonitor.cpp
+++ b/test/Platform/Soak/SoakMonitor.cpp
@@ -39,12 +39,12 @@
 void SoakRun::checkVersion(std::size_t index, double version)
 {
     Node& node = nodes_[index];
-    if (version < node.version_)
-        checker_.reportViolation("configuration versions never decrease", gateway(index).vm_ + " went from " + std::to_string(node.version_) + " to " + std::to_string(version));
-    node.version_ = std::max(node.version_, version);
+    if (version < node.reportedVersion_)
+        checker_.reportViolation("configuration versions never decrease", gateway(index).vm_ + " went from " + std::to_string(node.reportedVersion_) + " to " + std::to_string(version));
+    node.reportedVersion_ = std::max(node.reportedVersion_, version);
     bool shouldHaveNewest = recoveredAt_ != SteadyTime {} && steadyNow() > recoveredAt_;
-    if (shouldHaveNewest && version != static_cast<double>(version_))
-        checker_.reportViolation("the newest configuration is active after the recovery", gateway(index).vm_ + " has " + std::to_string(version) + " of " + std::to_string(version_));
+    if (shouldHaveNewest && version != static_cast<double>(publishedVersion_))
+        checker_.reportViolation("the newest configuration is active after the recovery", gateway(index).vm_ + " has " + std::to_string(version) + " of " + std::to_string(publishedVersion_));
 }
 
 } // namespace pistachioloom::test
--- a/test/Platform/Soak/SoakRun.cpp
+++ b/test/Platform/Soak/SoakRun.cpp
@@ -24,15 +24,15 @@
 
 SoakRun::SoakRun(SoakOptions options)
     : options_(options)
-    , nodes_(options.gateways_)
+    , nodes_(options.gatewayCount_)
 {
 }
 
 GatewayDeploymentOptions SoakRun::deploymentOptions()
 {
     GatewayDeploymentOptions options;
-    options.count_ = options_.gateways_;
-    options.dataCentres_ = 2;
+    options.gatewayCount_ = options_.gatewayCount_;
+    options.dataCentreCount_ = 2;
     auto next = std::make_shared<std::size_t>(0);
     options.platformEndpointFor_ = [this, next](const std::string&, const Endpoint& platform) {
         nodes_[*next].platformLink_ = std::make_unique<FaultProxy>(io_, platform);
@@ -70,14 +70,14 @@
 
 std::pair<std::string, Endpoint> SoakRun::pickGateway(std::mt19937_64& random)
 {
-    const GatewayDeployment::Gateway& chosen = gateway(random() % options_.gateways_);
+    const GatewayDeployment::Gateway& chosen = gateway(random() % options_.gatewayCount_);
     return { chosen.vm_, chosen.callers_ };
 }
 
 void SoakRun::startDeployment()
 {
     deployment_ = std::make_unique<GatewayDeployment>(deploymentOptions());
-    deployment_->putConfiguration(version_);
+    deployment_->putConfiguration(publishedVersion_);
     for (std::size_t i = 0; i < serversPerService; ++i) {
         startServer("plain");
         startServer("engines");
@@ -89,7 +89,7 @@
 {
     SteadyTime deadline = steadyNow() + milliseconds(20000);
     auto guard = asio::make_work_guard(io_);
-    for (std::size_t i = 0; i < options_.gateways_; ++i) {
+    for (std::size_t i = 0; i < options_.gatewayCount_; ++i) {
         while (!deployment_->isReady(gateway(i)) || deployment_->metric(gateway(i), "backend_servers") < 2 * serversPerService) {
             if (steadyNow() > deadline)
                 throw std::runtime_error("gateways did not become ready in time; see " + deployment_->directory());
@@ -100,7 +100,7 @@
 
 void SoakRun::startCallers()
 {
-    for (std::size_t i = 0; i < options_.callers_; ++i) {
+    for (std::size_t i = 0; i < options_.callerCount_; ++i) {
         CallerHooks hooks;
         hooks.pickGateway_ = [this](std::mt19937_64& random) { return pickGateway(random); };
         hooks.onCall_ = [this](Call call) { checker_.addCall(std::move(call)); };
@@ -115,7 +115,7 @@
     waitUntilServing();
     startedAt_ = steadyNow();
     startCallers();
-    for (std::size_t i = 0; i < options_.gateways_; ++i)
+    for (std::size_t i = 0; i < options_.gatewayCount_; ++i)
         asio::co_spawn(io_, monitor(i), asio::detached);
     asio::co_spawn(io_, injectFaults(), asio::detached);
     while (!isOver_)
--- a/test/Platform/Soak/SoakRun.h
+++ b/test/Platform/Soak/SoakRun.h
@@ -20,9 +20,9 @@
 
 struct SoakOptions {
     std::uint64_t seed_ = 1;
-    double seconds_ = 10;
-    std::size_t gateways_ = 4;
-    std::size_t callers_ = 12;
+    double faultSeconds_ = 10;
+    std::size_t gatewayCount_ = 4;
+    std::size_t callerCount_ = 12;
     bool isVerbose_ = false;
 };
 
@@ -53,7 +53,7 @@
         int freezeCount_ = 0;
         std::uint64_t startCount_ = 1;
         /// The highest configuration version that the gateway has reported since its start.
-        double version_ = 0;
+        double reportedVersion_ = 0;
     };
 
     // The deployment and its callers.
@@ -100,7 +100,7 @@
     bool isOver_ = false;
     int lastServerNumber_ = 0;
     /// The configuration version that was published last.
-    std::uint64_t version_ = 1;
+    std::uint64_t publishedVersion_ = 1;
 };
 
 asio::awaitable<void> sleepFor(milliseconds duration);
--- a/test/PlatformFleetTest.cpp
+++ b/test/PlatformFleetTest.cpp
@@ -58,8 +58,8 @@
 TEST_CASE("in a large fleet every node learns of all others through relays, also after relays are lost", "[gateway]")
 {
     GatewayDeploymentOptions options;
-    options.count_ = 6;
-    options.dataCentres_ = 2;
+    options.gatewayCount_ = 6;
+    options.dataCentreCount_ = 2;
     options.extraSettings_ = [](const std::string&) { return "  gossip:\n    fanout: 1\n"; };
     GatewayDeployment deployment(std::move(options));
     deployment.startStandardServices();
--- a/test/PlatformGatewayTest.cpp
+++ b/test/PlatformGatewayTest.cpp
@@ -211,8 +211,8 @@
         const char* name_;
         json::object faults_;
         bool isStopped_;
-        std::size_t resumed_;
-        std::size_t dropped_;
+        std::size_t resumedCount_;
+        std::size_t releasedCount_;
     };
     auto row = GENERATE(values<Row>({
         { "the stream moves", {}, true, 1, 0 },
@@ -252,8 +252,8 @@
         resumed += count(engine, "resumed");
         runs += count(engine, "runs");
     }
-    CHECK(resumed == row.resumed_);
-    CHECK(count(*first, "dropped") == row.dropped_);
+    CHECK(resumed == row.resumedCount_);
+    CHECK(count(*first, "dropped") == row.releasedCount_);
     CHECK(runs == (row.isStopped_ ? 2 : 1));
 }
 
--- a/test/RolloutsTest.cpp
+++ b/test/RolloutsTest.cpp
@@ -26,8 +26,8 @@
 GatewayDeploymentOptions fleetOptions(std::size_t count, const char* fanout)
 {
     GatewayDeploymentOptions options;
-    options.count_ = count;
-    options.dataCentres_ = 2;
+    options.gatewayCount_ = count;
+    options.dataCentreCount_ = 2;
     options.extraSettings_ = [fanout](const std::string&) { return std::string("  gossip:\n    fanout: ") + fanout + "\n" + rolloutSettings; };
     return options;
 }
--- a/tools/standins/FleetStandin.cpp
+++ b/tools/standins/FleetStandin.cpp
@@ -98,7 +98,7 @@
     {
         isCrashed_ = true;
         server_.stopAccepting();
-        for (HttpExchange* exchange : running_)
+        for (HttpExchange* exchange : runningExchanges_)
             exchange->abort();
     }
     /// Sets a hook that is called when a request starts to run. It may crash this server.
@@ -153,9 +153,9 @@
         if (!from.empty())
             resumeSources_.emplace_back(from);
         recordRun(request);
-        running_.insert(&exchange);
+        runningExchanges_.insert(&exchange);
         co_await answerRun(exchange, std::move(answer));
-        running_.erase(&exchange);
+        runningExchanges_.erase(&exchange);
     }
 
     asio::awaitable<void> answerRun(HttpExchange& exchange, HttpResponse answer)
@@ -268,7 +268,7 @@
     std::chrono::seconds announcedIdleTimeout_;
     bool isCrashed_ = false;
     std::function<void(const HttpRequest&)> onRun_;
-    std::set<HttpExchange*> running_;
+    std::set<HttpExchange*> runningExchanges_;
     HttpServer server_;
     Controls controls_ { { { "delay_ms", 0 }, { "full", 0 }, { "retry_after_ms", 0 }, { "says_leaving", 0 }, { "lose_answers", 0 }, { "fails_one_in", 0 }, { "other_id", 0 }, { "no_seal", 0 }, { "events", 5 }, { "gap_ms", 5 }, { "cut_at", 0 }, { "refuse_moves", 0 }, { "refuse_stops", 0 }, { "move_ms", 0 }, { "lose_copies", 0 } } };
     /// Attempt ids of the requests that started to run, in order.
--- a/unittests/Settings/SettingsTest.cpp
+++ b/unittests/Settings/SettingsTest.cpp
@@ -23,8 +23,8 @@
 }
 
 struct InvalidSetting {
-    std::string from_;
-    std::string to_;
+    std::string original_;
+    std::string replacement_;
     std::string key_;
     std::string expected_;
 };
@@ -66,9 +66,9 @@
         { "platform:", "platfrom:", "platform", "missing; expected a map" },
     }));
     std::string text = exampleText();
-    std::size_t position = text.find(mistake.from_);
+    std::size_t position = text.find(mistake.original_);
     REQUIRE(position != std::string::npos);
-    text.replace(position, mistake.from_.size(), mistake.to_);
+    text.replace(position, mistake.original_.size(), mistake.replacement_);
     InputErrors errors;
     CHECK_FALSE(parseSettings(text, "entry.yaml", errors));
     bool isFound = false;
--- a/unittests/UsersPlatform/DecodingTest.cpp
+++ b/unittests/UsersPlatform/DecodingTest.cpp
@@ -47,8 +47,8 @@
 TEST_CASE("an invalid configuration is rejected, and the error names the invalid part", "[platform]")
 {
     struct Row {
-        const char* from_;
-        const char* to_;
+        const char* original_;
+        const char* replacement_;
         const char* expectedError_;
     };
     auto row = GENERATE(values<Row>({
@@ -59,7 +59,7 @@
         { "\"name\":\"f\",\"max", "\"max", "service" },
     }));
     std::string text = configuration;
-    text.replace(text.find(row.from_), std::string(row.from_).size(), row.to_);
+    text.replace(text.find(row.original_), std::string(row.original_).size(), row.replacement_);
     auto decoded = decodeConfiguration(text);
     REQUIRE_FALSE(decoded);
     CAPTURE(describe(decoded.error()));
@@ -83,8 +83,8 @@
 TEST_CASE("an invalid registration is rejected, and the error names the invalid field", "[platform]")
 {
     struct Row {
-        const char* from_;
-        const char* to_;
+        const char* original_;
+        const char* replacement_;
         const char* expectedError_;
     };
     auto row = GENERATE(values<Row>({
@@ -108,7 +108,7 @@
         { "\"spot\":true", "\"spot\":\"yes\"", "spot" },
     }));
     std::string text = registration;
-    text.replace(text.find(row.from_), std::string(row.from_).size(), row.to_);
+    text.replace(text.find(row.original_), std::string(row.original_).size(), row.replacement_);
     auto decoded = decodeRegistration({ "i-1" }, text);
     CAPTURE(text);
     REQUIRE_FALSE(decoded);
