--- a/include/pistachioloom/Support.h
+++ b/include/pistachioloom/Support.h
@@ -24,7 +24,7 @@
 namespace pistachioloom {
 
 /// An identifier string with a type of its own for each kind of entity, so that the
-/// compiler rejects mixed-up kinds.
+/// compiler rejects an id of one kind where another kind is expected.
 template <typename Tag>
 struct Id {
     std::string value_;
@@ -147,6 +147,7 @@
     std::string peer_;
     std::string message_;
     Ran ran_ = Ran::No;
+    /// Time after which the caller may retry; 0 if the error states none.
     milliseconds retryAfter_ {};
 };
 
@@ -205,7 +206,9 @@
     RcuPointer(const RcuPointer&) = delete;
     RcuPointer& operator=(const RcuPointer&) = delete;
 
+    /// Replaces the pointer, waits until no reader uses the previous value, and destroys it.
     void publish(void* value);
+    /// Calls \p section with the current pointer inside a read section.
     void read(const std::function<void(const void*)>& section) const;
 
 private:
--- a/lib/Node/RunOnceCoordinator.cpp
+++ b/lib/Node/RunOnceCoordinator.cpp
@@ -58,9 +58,9 @@
     void apply(const LogRead& read)
     {
         std::lock_guard lock(mutex_);
-        // The log has trimmed the records before read.first_; they are older
+        // The log has trimmed the records before read.firstOffset_; they are older
         // than the retention window of keys.
-        state_.trim(read.first_);
+        state_.trim(read.firstOffset_);
         for (const auto& [position, record] : read.records_)
             state_.apply(position, decodeLedgerRecord(record));
     }
@@ -242,7 +242,7 @@
 
 asio::awaitable<void> RunOnceCoordinator::dispatch(RunOnceCall& run, const wire::ServiceCall& call, SteadyTime receivedAt)
 {
-    if (steadyNow() - receivedAt > context_.settings_.ledger_.dispatchGuard_) {
+    if (steadyNow() - receivedAt > context_.settings_.ledger_.maxDispatchDelay_) {
         run.noteIntentExpired();
         co_return;
     }
--- a/lib/Settings/Settings.cpp
+++ b/lib/Settings/Settings.cpp
@@ -73,7 +73,7 @@
         settings.suspectAfter_ = map.duration("suspect_after", milliseconds(100), milliseconds(600000), settings.suspectAfter_);
         settings.fanout_ = map.integer("fanout", 1, 16, settings.fanout_);
         settings.relayFanout_ = map.integer("relay_fanout", 1, 64, settings.relayFanout_);
-        settings.vmListPoll_ = map.duration("vm_list_poll", milliseconds(50), milliseconds(60000), settings.vmListPoll_);
+        settings.vmListPollInterval_ = map.duration("vm_list_poll", milliseconds(50), milliseconds(60000), settings.vmListPollInterval_);
         settings.defaultNotice_ = map.duration("default_notice", milliseconds(100), oneDay, settings.defaultNotice_);
         if (settings.suspectAfter_ < 2 * settings.heartbeat_)
             map.addError("suspect_after", "expected at least twice the heartbeat");
@@ -83,7 +83,7 @@
     void parseLedger(YamlMap map, LedgerSettings& settings)
     {
         settings.shards_ = map.integer("shards", 1, maxShards, settings.shards_);
-        settings.dispatchGuard_ = map.duration("dispatch_guard", milliseconds(100), milliseconds(60000), settings.dispatchGuard_);
+        settings.maxDispatchDelay_ = map.duration("dispatch_guard", milliseconds(100), milliseconds(60000), settings.maxDispatchDelay_);
         settings.appendsPerSecond_ = map.integer("appends_per_second", 1, 100000, settings.appendsPerSecond_);
         settings.appendTimeout_ = map.duration("append_timeout", milliseconds(10), milliseconds(60000), settings.appendTimeout_);
         settings.appendWaitLimit_ = map.duration("append_patience", milliseconds(10), milliseconds(60000), settings.appendWaitLimit_);
@@ -101,7 +101,7 @@
     {
         settings.bounds_.header_ = map.size("header", { 1024 }, { 1024UL * 1024 }, settings.bounds_.header_);
         settings.bounds_.body_ = map.size("body", { 1024 }, { 64UL * 1024 * 1024 }, settings.bounds_.body_);
-        settings.bounds_.idle_ = map.duration("idle", milliseconds(100), milliseconds(3600000), settings.bounds_.idle_);
+        settings.bounds_.idleTimeout_ = map.duration("idle", milliseconds(100), milliseconds(3600000), settings.bounds_.idleTimeout_);
         settings.reconnectGrace_ = map.duration("reconnect_grace", milliseconds(0), oneDay, settings.reconnectGrace_);
         settings.answerRetention_ = map.duration("answers_kept", milliseconds(100), oneDay, settings.answerRetention_);
         settings.maxTokens_ = map.integer("most_tokens", 1, 1000000, settings.maxTokens_);
@@ -127,7 +127,7 @@
     void parseLimits(YamlMap map, LimitSettings& settings)
     {
         settings.grantValidity_ = map.duration("grant_validity", milliseconds(100), milliseconds(600000), settings.grantValidity_);
-        settings.grantAhead_ = map.integer("grant_ahead", 0, 10000, settings.grantAhead_);
+        settings.grantReserve_ = map.integer("grant_ahead", 0, 10000, settings.grantReserve_);
         map.reportUnknownKeys();
     }
 
@@ -144,8 +144,8 @@
     void parsePeers(YamlMap map, PeerSettings& settings)
     {
         settings.keepAlive_ = map.duration("keep_alive", milliseconds(20), milliseconds(60000), settings.keepAlive_);
-        settings.deadAfter_ = map.duration("dead_after", milliseconds(40), milliseconds(600000), settings.deadAfter_);
-        if (settings.deadAfter_ < 2 * settings.keepAlive_)
+        settings.closeIdleAfter_ = map.duration("dead_after", milliseconds(40), milliseconds(600000), settings.closeIdleAfter_);
+        if (settings.closeIdleAfter_ < 2 * settings.keepAlive_)
             map.addError("dead_after", "expected at least twice keep_alive");
         map.reportUnknownKeys();
     }
@@ -165,7 +165,7 @@
         if (found == levels.end())
             map.addError("parts", "expected one of debug info warn error for part '" + part + "'");
         else
-            settings.parts_[part] = static_cast<LogLevel>(found - levels.begin());
+            settings.levelByPart_[part] = static_cast<LogLevel>(found - levels.begin());
     }
     map.reportUnknownKeys();
 }
--- a/lib/Wire/PeerLink.cpp
+++ b/lib/Wire/PeerLink.cpp
@@ -95,8 +95,9 @@
     asio::post(executor(), [self = shared_from_this()] { self->startWriting(); });
 }
 
-// Counts intervals instead of time, so that a process that was itself frozen reads
-// the input that has arrived meanwhile before it closes its connections.
+// Counts intervals instead of time: a process that was itself frozen must first read the
+// input that arrived during the freeze, and must not close its connections because of the
+// time that has passed.
 asio::awaitable<void> PeerLink::keepAliveLoop()
 {
     auto self = shared_from_this();
@@ -128,11 +129,11 @@
             close(code.message());
             co_return;
         }
-        counters_->received_ += count;
+        counters_->bytesReceived_ += count;
         idleIntervals_ = 0;
         ssize_t taken = nghttp2_session_mem_recv(session_, buffer.data(), count);
         if (taken < 0) {
-            report("read frames", nghttp2_strerror(static_cast<int>(taken)));
+            reportError("read frames", nghttp2_strerror(static_cast<int>(taken)));
             close("bad input");
             co_return;
         }
@@ -164,7 +165,7 @@
         }
         if (batch.empty())
             break;
-        counters_->sent_ += batch.size();
+        counters_->bytesSent_ += batch.size();
         auto [code, count] = co_await asio::async_write(socket_, asio::buffer(batch), asTuple);
         if (code) {
             isWriting_ = false;
@@ -213,7 +214,7 @@
 
 void PeerLink::rejectStream(std::int32_t streamId, int status, const std::string& reason)
 {
-    report("open stream", reason);
+    reportError("open stream", reason);
     std::string statusText = std::to_string(status);
     std::array headers { header(":status", statusText) };
     nghttp2_submit_response(session_, streamId, headers.data(), headers.size(), nullptr);
@@ -238,12 +239,12 @@
     endStream(stream, errorCode);
 }
 
-void PeerLink::consumed(LinkStream& stream, std::size_t bytes)
+void PeerLink::returnToWindow(LinkStream& stream, std::size_t bytes)
 {
     if (!socket_.is_open() || stream.isClosed_)
         return;
-    std::size_t early = std::min(bytes, stream.earlyConsumed_);
-    stream.earlyConsumed_ -= early;
+    std::size_t early = std::min(bytes, stream.returnedEarly_);
+    stream.returnedEarly_ -= early;
     nghttp2_session_consume_stream(session_, stream.id_, bytes - early);
     startWriting();
 }
@@ -267,20 +268,20 @@
     socket_.close(ignored);
     keepAliveTimer_.cancel();
     if (!streams_.empty())
-        report("connection", std::string("closed: ") + std::string(reason));
+        reportError("connection", std::string("closed: ") + std::string(reason));
     auto streams = std::move(streams_);
     streams_.clear();
     for (auto& [id, stream] : streams)
         endStream(*stream, NGHTTP2_INTERNAL_ERROR);
 }
 
-void PeerLink::report(std::string_view step, std::string_view reason)
+void PeerLink::reportError(std::string_view step, std::string_view reason)
 {
     if (onError_)
         onError_({ Errc::Protocol, std::string(step), peer_, std::string(reason), Ran::Unknown, {} });
 }
 
-LinkStream* PeerLink::find(std::int32_t streamId)
+LinkStream* PeerLink::findStream(std::int32_t streamId)
 {
     auto found = streams_.find(streamId);
     return found == streams_.end() ? nullptr : found->second.get();
@@ -296,7 +297,7 @@
         stream.isCancelled_ = true;
     stream.isFailed_ = errorCode != NGHTTP2_NO_ERROR;
     stream.endFrames();
-    stream.credits_.close();
+    stream.sendCredits_.close();
 }
 
 void PeerLink::decodeFrames(LinkStream& stream, std::string_view data)
@@ -306,7 +307,7 @@
     while (stream.input_.size() - position >= frameHeaderSize) {
         std::size_t length = frameLength(std::string_view(stream.input_).substr(position));
         if (length > maxFrameSize.value_) {
-            report("read frame", "the frame exceeds the maximum size");
+            reportError("read frame", "the frame exceeds the maximum size");
             resetStream(stream, NGHTTP2_FRAME_SIZE_ERROR);
             return;
         }
@@ -314,8 +315,8 @@
             break;
         std::string frame = stream.input_.substr(position + frameHeaderSize, length);
         position += frameHeaderSize + length;
-        if (!stream.frames_.try_send(boost::system::error_code {}, std::move(frame))) {
-            report("read frame", "too many unread frames");
+        if (!stream.receivedFrames_.try_send(boost::system::error_code {}, std::move(frame))) {
+            reportError("read frame", "too many unread frames");
             resetStream(stream, NGHTTP2_FLOW_CONTROL_ERROR);
             return;
         }
@@ -327,7 +328,7 @@
     if (stream.input_.size() < largeInput)
         return;
     nghttp2_session_consume_stream(session_, stream.id_, data.size());
-    stream.earlyConsumed_ += data.size();
+    stream.returnedEarly_ += data.size();
 }
 
 void PeerLink::handleRequestHeaders(std::int32_t streamId)
@@ -370,7 +371,7 @@
     const std::uint8_t* value, std::size_t valueLength, std::uint8_t, void* user)
 {
     auto* self = static_cast<PeerLink*>(user);
-    LinkStream* stream = self->find(frame->hd.stream_id);
+    LinkStream* stream = self->findStream(frame->hd.stream_id);
     if (!stream || self->side_ != Side::Server)
         return 0;
     std::string_view nameText(reinterpret_cast<const char*>(name), nameLength);
@@ -391,7 +392,7 @@
         self->handleRequestHeaders(frame->hd.stream_id);
     bool endsStream = frame->hd.flags & NGHTTP2_FLAG_END_STREAM;
     if (endsStream && (frame->hd.type == NGHTTP2_DATA || frame->hd.type == NGHTTP2_HEADERS)) {
-        if (LinkStream* stream = self->find(frame->hd.stream_id)) {
+        if (LinkStream* stream = self->findStream(frame->hd.stream_id)) {
             stream->isRemoteClosed_ = true;
             stream->endFrames();
         }
@@ -403,7 +404,7 @@
 {
     auto* self = static_cast<PeerLink*>(user);
     nghttp2_session_consume_connection(session, length);
-    if (LinkStream* stream = self->find(streamId)) {
+    if (LinkStream* stream = self->findStream(streamId)) {
         stream->receivedAt_ = steadyNow();
         self->decodeFrames(*stream, { reinterpret_cast<const char*>(data), length });
     }
@@ -437,7 +438,7 @@
             break;
         stream->output_.pop_front();
         stream->outputOffset_ = 0;
-        stream->credits_.try_receive([](boost::system::error_code) {});
+        stream->sendCredits_.try_receive([](boost::system::error_code) {});
     }
     if (stream->output_.empty() && stream->isOutputEnded_) {
         *flags |= NGHTTP2_DATA_FLAG_EOF;
--- a/lib/Wire/PeerLink.h
+++ b/lib/Wire/PeerLink.h
@@ -21,8 +21,8 @@
 
 /// Counts the bytes sent and received by all links of one pool or server.
 struct WireCounters {
-    std::atomic<std::uint64_t> sent_ { 0 };
-    std::atomic<std::uint64_t> received_ { 0 };
+    std::atomic<std::uint64_t> bytesSent_ { 0 };
+    std::atomic<std::uint64_t> bytesReceived_ { 0 };
 };
 
 /// One stream of a link. Members without a comment are used only on the link's strand.
@@ -68,8 +68,8 @@
     bool isPathKnown_ = false;
     bool isHandlerStarted_ = false;
     std::string input_;
-    // Bytes returned to the flow control window before their frame was received.
-    std::size_t earlyConsumed_ = 0;
+    // Bytes that were returned to the flow control window before their frame was complete.
+    std::size_t returnedEarly_ = 0;
     std::deque<std::string> output_;
     std::size_t outputOffset_ = 0;
     bool isOutputEnded_ = false;
@@ -77,8 +77,8 @@
     // Used on any strand: the received frames, and one credit for each unsent frame.
     // An error at the end of the frames marks their end, since closing the channel
     // would drop unread frames.
-    asio::experimental::concurrent_channel<void(boost::system::error_code, std::string)> frames_;
-    asio::experimental::concurrent_channel<void(boost::system::error_code)> credits_;
+    asio::experimental::concurrent_channel<void(boost::system::error_code, std::string)> receivedFrames_;
+    asio::experimental::concurrent_channel<void(boost::system::error_code)> sendCredits_;
     // Used only by the receiving coroutine: receive() has reached the end mark.
     bool hasReachedEnd_ = false;
     // Written on the link's strand, read on any strand.
@@ -94,7 +94,7 @@
 };
 
 /// One connection with its nghttp2 session. start() is called once; all other members
-/// except executor(), isUsable(), peer() and report() are called on the link's strand.
+/// except executor(), isUsable(), peer() and reportError() are called on the link's strand.
 class PeerLink : public std::enable_shared_from_this<PeerLink> {
 public:
     enum class Side {
@@ -120,7 +120,7 @@
     void resetStream(LinkStream& stream, std::uint32_t errorCode);
     /// Returns \p bytes of a received frame to the stream's flow control window, less
     /// those that were returned before the frame was complete.
-    void consumed(LinkStream& stream, std::size_t bytes);
+    void returnToWindow(LinkStream& stream, std::size_t bytes);
     void refuseNewStreams();
     void close(std::string_view reason);
 
@@ -145,8 +145,8 @@
     void endStream(LinkStream& stream, std::uint32_t errorCode);
     void submitAnswer(LinkStream& stream);
     void rejectStream(std::int32_t streamId, int status, const std::string& reason);
-    void report(std::string_view step, std::string_view reason);
-    LinkStream* find(std::int32_t streamId);
+    void reportError(std::string_view step, std::string_view reason);
+    LinkStream* findStream(std::int32_t streamId);
 
     asio::ip::tcp::socket socket_;
     Side side_;
--- a/test/AnswersTest.cpp
+++ b/test/AnswersTest.cpp
@@ -22,7 +22,7 @@
     options.nodesPerDataCentre_ = 2;
     options.enginesPerDataCentre_ = { { "planogram", 2 } };
     options.engineArguments_ = { "--decode_us", "3000", "--slots", "400" };
-    options.settings_ = "callers:\n  reconnect_grace: 1s\n  body: 64KiB\n";
+    options.nodeSettings_ = "callers:\n  reconnect_grace: 1s\n  body: 64KiB\n";
     return options;
 }
 
@@ -124,7 +124,7 @@
         CHECK(resumed.restarts_ == 0);
         CHECK(checkAnswer(resumed, completion) == "");
     }
-    // Text that does not belong to this answer is never continued: the stream restarts.
+    // An event id whose hash does not match this answer's text restarts the stream.
     partial.lastEventId_ = "5-123";
     asio::io_context io;
     Answer restarted;
@@ -163,7 +163,7 @@
         { "no key", post("/v1/completions", "{}", ""), 401, "unauthorised" },
         { "unknown key", post("/v1/completions", "{}", "nobody"), 401, "unauthorised" },
         { "malformed JSON", post("/v1/completions", "{\"model\":"), 400, "invalid_input" },
-        { "no object", post("/v1/completions", "[1,2]"), 400, "invalid_input" },
+        { "not a JSON object", post("/v1/completions", "[1,2]"), 400, "invalid_input" },
         { "no model", post("/v1/completions", "{}"), 400, "invalid_input" },
         { "unknown model", post("/v1/completions", R"({"model":"x","prompt":"p"})"), 404, "not_found" },
         { "no prompt", post("/v1/completions", R"({"model":"planogram"})"), 400, "invalid_input" },
@@ -240,10 +240,11 @@
         if (&node != dispatcher)
             entries.push_back(node.callers_);
     }
-    // More requests than both engines accept; every caller follows its answer to the end.
+    // The callers send more requests than both engines accept, and each reads its answer to
+    // the end.
     std::vector<Completion> completions;
     for (int i = 0; i < 40; ++i)
-        completions.push_back({ Deployment::apiKey("rede"), "planogram", "two homes " + std::to_string(i), 500 });
+        completions.push_back({ Deployment::apiKey("rede"), "planogram", "two dispatchers " + std::to_string(i), 500 });
     asio::io_context io;
     std::vector<Answer> answers(completions.size());
     for (std::size_t i = 0; i < completions.size(); ++i) {
--- a/test/Platform/Soak/InvariantChecker.h
+++ b/test/Platform/Soak/InvariantChecker.h
@@ -13,7 +13,8 @@
 
 namespace pistachioloom::test {
 
-/// Times at which a process or link had an injected fault.
+/// The times at which each component had an injected fault. A component is a gateway, a
+/// backend server or the platform; a fault of its link counts as its own.
 class FaultIntervals {
 public:
     void add(const std::string& component, SteadyTime from, SteadyTime until) { intervals_[component].emplace_back(from, until); }
@@ -24,13 +25,14 @@
     std::map<std::string, std::vector<std::pair<SteadyTime, SteadyTime>>> intervals_;
 };
 
+/// Bounds of the invariants, and the properties of the deployment on which they depend.
 struct InvariantBounds {
     /// Number of events in a complete stream.
     int eventsPerStream_ = 5;
     /// Maximum time from a request to the end of its answer.
     milliseconds maxAnswerTime_ { 4500 };
-    /// A duty call that arrives within this time after a fault may have been delayed
-    /// by it.
+    /// A duty call that arrives within this time after a fault of its sender or of the platform
+    /// may have been delayed by the fault, and is excused.
     milliseconds faultGrace_ { 2000 };
     milliseconds lease_ { 3000 };
     /// Quota of the small organisation: its rate in requests per second, and its burst in
@@ -41,15 +43,16 @@
     double limitedSlack_ = 8;
     /// Time after which all gateways know what one of them has observed.
     milliseconds contactTime_ { 3000 };
-    /// Number of engines that a request crashes before it is quarantined.
+    /// Number of engine crashes after which the crashing request is quarantined.
     std::size_t crashesBeforeQuarantine_ = 3;
-    /// Attempts at a quarantined request that may reach engines later than the contact
-    /// time.
+    /// Number of engines that may still crash later than the contact time after the request
+    /// was quarantined.
     std::size_t maxLateCrashes_ = 3;
     /// Minimum share of requests that are served after the recovery.
     double minServedShare_ = 0.95;
 };
 
+/// Collects the observations of one run and the violations of the invariants.
 class InvariantChecker {
 public:
     explicit InvariantChecker(InvariantBounds bounds)
@@ -77,8 +80,8 @@
     /// Records a violation of \p invariant.
     void reportViolation(const std::string& invariant, const std::string& detail);
 
-    std::size_t calls() const { return calls_.size(); }
-    std::size_t served() const;
+    std::size_t callCount() const { return calls_.size(); }
+    std::size_t servedCount() const;
     const std::vector<std::string>& violations() const { return violations_; }
 
 private:
@@ -90,13 +93,15 @@
     InvariantBounds bounds_;
     FaultIntervals faultIntervals_;
     std::vector<Call> calls_;
-    std::map<std::string, int> runs_;
+    /// The number of runs of each request, by id.
+    std::map<std::string, int> runCounts_;
     /// The number of runs of each request at backend servers that a reclaim or a crash has
-    /// removed. `runs_` includes them.
-    std::map<std::string, int> runsAtRemoved_;
+    /// removed. `runCounts_` includes them.
+    std::map<std::string, int> runCountsAtRemoved_;
+    /// A run at a backend server after gateways should have known that it is leaving.
     struct LateRun {
         std::string server_;
-        std::string id_;
+        std::string requestId_;
         SteadyTime reportedAt_ {};
     };
     std::vector<LateRun> lateRuns_;
--- a/test/Platform/Soak/SoakCaller.h
+++ b/test/Platform/Soak/SoakCaller.h
@@ -20,9 +20,9 @@
     /// May be repeated.
     Safe,
     /// An event stream that may be resumed.
-    Draft,
+    ResumableStream,
     /// An event stream that may not be resumed.
-    Ask,
+    UnresumableStream,
     /// A safe request of an organisation with a small quota.
     Limited,
     /// Crashes each engine that starts to run it. All calls of this kind are attempts at
@@ -42,9 +42,10 @@
     SteadyTime endedAt_ {};
     /// 0 if the connection ended before a status line.
     int status_ = 0;
-    /// The answer arrived completely.
+    /// Whether the answer arrived completely.
     bool isComplete_ = false;
-    /// The caller was to close the connection early; the answer may still be complete.
+    /// Whether the caller closes the connection after a short time. The answer may still be
+    /// complete by then.
     bool hasCallerLeft_ = false;
     std::string body_;
     bool hasRetryAfter_ = false;
--- a/test/Platform/Soak/SoakFaults.cpp
+++ b/test/Platform/Soak/SoakFaults.cpp
@@ -12,15 +12,16 @@
 
 namespace pistachioloom::test {
 
-// Time after the last fault: the contact time of the platform plus the takeover of a
-// duty by a new holder.
+// Time that the system gets to recover after the last fault: the platform's contact time plus
+// the time in which a new holder takes over the duties.
 static constexpr milliseconds recoveryTime { 6000 };
-// Time after the recovery in which the share of served requests is counted.
+// Time after the recovery during which requests are sent to measure the share that is
+// served.
 static constexpr milliseconds measuredTime { 3000 };
 // The grace period in the gateways' settings plus a margin for a busy machine.
 static constexpr milliseconds maxStopTime { 3000 + 2500 };
-// Requests that reach a leaving backend server count as late runs once this time has
-// passed since the first answer that reported it.
+// A run at a leaving backend server counts as late if it starts more than this time after
+// the server's first answer that reports that it is leaving.
 static constexpr milliseconds leavingPropagation { 2500 };
 
 asio::awaitable<void> SoakRun::stopAndRestart(std::size_t index, int signal, milliseconds pause)
@@ -43,7 +44,7 @@
     checker_.faultIntervals().add(gateway(index).vm_, at, steadyNow());
     deployment_->restart(gateway(index));
     ++node.startCount_;
-    node.version_ = 0;
+    node.reportedVersion_ = 0;
     node.freezeCount_ = 0;
     node.isDown_ = false;
 }
@@ -68,7 +69,7 @@
 asio::awaitable<void> SoakRun::injectLinkFault(FaultProxy& proxy, const std::string& component, Fault fault)
 {
     SteadyTime at = steadyNow();
-    proxy.set(fault.link_, milliseconds(fault.parameter_));
+    proxy.set(fault.linkFault_, milliseconds(fault.parameter_));
     co_await sleepFor(fault.duration_);
     proxy.set(LinkFault::None);
     checker_.faultIntervals().add(component, at, steadyNow());
@@ -162,14 +163,14 @@
     co_await sleepFor(duration);
     json::object state = deployment_->backend(id, { { "full", 0 }, { "retry_after_ms", 0 } });
     checker_.faultIntervals().add(id, at, steadyNow());
-    // Each gateway may send two requests per pause, and as many again after each restart.
+    // Each gateway may send two requests per pause, and two more per pause after each restart.
     auto pauses = static_cast<std::uint64_t>(duration / pause + 1);
     std::uint64_t starts = 0;
     for (const Node& node : nodes_)
         starts += node.startCount_;
     std::uint64_t rejectedCount = numberField(state, "turned_away");
     // In the half second in which the first answers arrive, each caller may add one more.
-    if (rejectedCount > 2 * pauses * starts + options_.callers_)
+    if (rejectedCount > 2 * pauses * starts + options_.callerCount_)
         checker_.reportViolation("a pause that a backend server requests is observed", id + " rejected " + std::to_string(rejectedCount) + " in " + std::to_string(duration.count()) + " ms");
 }
 
@@ -208,14 +209,14 @@
 asio::awaitable<void> SoakRun::configure(std::int64_t versions)
 {
     for (std::int64_t i = 0; i < versions; ++i) {
-        deployment_->putConfiguration(++version_);
+        deployment_->putConfiguration(++publishedVersion_);
         co_await sleepFor(monitorPeriod);
     }
 }
 
 asio::awaitable<void> SoakRun::applyFault(Fault fault)
 {
-    std::size_t node = fault.target_ % options_.gateways_;
+    std::size_t node = fault.target_ % options_.gatewayCount_;
     switch (fault.kind_) {
     case FaultKind::Kill:
         co_return co_await stopAndRestart(node, SIGKILL, fault.duration_);
@@ -228,7 +229,7 @@
             gateway(node).process_->signal(SIGHUP);
         co_return;
     case FaultKind::KillAll:
-        for (std::size_t i = 0; i < options_.gateways_; ++i)
+        for (std::size_t i = 0; i < options_.gatewayCount_; ++i)
             asio::co_spawn(io_, stopAndRestart(i, SIGKILL, fault.duration_), asio::detached);
         co_return;
     case FaultKind::PlatformLink:
@@ -261,9 +262,9 @@
 /// Injects the faults, lets the system recover, and ends the run.
 asio::awaitable<void> SoakRun::injectFaults()
 {
-    milliseconds duration(static_cast<std::int64_t>(options_.seconds_ * 1000));
+    milliseconds duration(static_cast<std::int64_t>(options_.faultSeconds_ * 1000));
     for (const Fault& fault : generateFaults(options_.seed_, duration)) {
-        milliseconds wait = std::chrono::duration_cast<milliseconds>(startedAt_ + fault.at_ - steadyNow());
+        milliseconds wait = std::chrono::duration_cast<milliseconds>(startedAt_ + fault.startsAt_ - steadyNow());
         co_await sleepFor(std::max(milliseconds(0), wait));
         if (options_.isVerbose_)
             std::cerr << describe(fault) << "\n";
--- a/test/Platform/Soak/SoakRun.h
+++ b/test/Platform/Soak/SoakRun.h
@@ -20,9 +20,9 @@
 
 struct SoakOptions {
     std::uint64_t seed_ = 1;
-    double seconds_ = 10;
-    std::size_t gateways_ = 4;
-    std::size_t callers_ = 12;
+    double faultSeconds_ = 10;
+    std::size_t gatewayCount_ = 4;
+    std::size_t callerCount_ = 12;
     bool isVerbose_ = false;
 };
 
@@ -40,18 +40,20 @@
         std::string service_;
         std::unique_ptr<FaultProxy> proxy_;
         bool isLeaving_ = false;
-        /// A reclaim or a crash has removed it.
+        /// A reclaim or a crash has removed the backend server.
         bool isRemoved_ = false;
         bool hasCrashed_ = false;
     };
+    /// The test's state of one gateway.
     struct Node {
         std::unique_ptr<FaultProxy> platformLink_;
-        /// It has been signalled to end and has not been restarted yet.
+        /// The gateway has been signalled to end and has not been restarted yet.
         bool isDown_ = false;
         /// Number of current freezes, which may overlap.
         int freezeCount_ = 0;
         std::uint64_t startCount_ = 1;
-        double version_ = 0;
+        /// The highest configuration version that the gateway has reported since its start.
+        double reportedVersion_ = 0;
     };
 
     // The deployment and its callers.
@@ -97,7 +99,8 @@
     SteadyTime recoveredAt_ {};
     bool isOver_ = false;
     int lastServerNumber_ = 0;
-    std::uint64_t version_ = 1;
+    /// The configuration version that was published last.
+    std::uint64_t publishedVersion_ = 1;
 };
 
 asio::awaitable<void> sleepFor(milliseconds duration);
--- a/tools/standins/FleetStandin.cpp
+++ b/tools/standins/FleetStandin.cpp
@@ -85,7 +85,7 @@
     /// \p idleTimeout is 0, uses a default that is not advertised.
     Backend(asio::io_context& io, std::string id, std::chrono::seconds idleTimeout)
         : id_(std::move(id))
-        , advertisedIdleTimeout_(idleTimeout)
+        , announcedIdleTimeout_(idleTimeout)
         , server_(
               io.get_executor(), HttpBounds { { 64UL * 1024 }, { 64UL * 1024 * 1024 }, idleTimeout.count() ? milliseconds(idleTimeout) : defaultIdleTimeout }, [this](HttpExchange& exchange) { return handle(exchange); }, errorResponse)
     {
@@ -98,7 +98,7 @@
     {
         isCrashed_ = true;
         server_.stopAccepting();
-        for (HttpExchange* exchange : running_)
+        for (HttpExchange* exchange : runningExchanges_)
             exchange->abort();
     }
     /// Sets a hook that is called when a request starts to run. It may crash this server.
@@ -125,8 +125,8 @@
             co_return co_await reply(exchange, 200, json::object {});
         }
         HttpResponse answer { 200, { { sealHeader, "seal-" + id_ }, { attemptIdHeader, request.header("x-pistachioloom-attempt-id") } }, {} };
-        if (advertisedIdleTimeout_.count())
-            answer.headers_["Keep-Alive"] = "timeout=" + std::to_string(advertisedIdleTimeout_.count());
+        if (announcedIdleTimeout_.count())
+            answer.headers_["Keep-Alive"] = "timeout=" + std::to_string(announcedIdleTimeout_.count());
         if (request.header("x-pistachioloom-expect-instance") != id_) {
             answer.status_ = 421;
             (void)co_await exchange.respond(std::move(answer));
@@ -153,9 +153,9 @@
         if (!from.empty())
             resumeSources_.emplace_back(from);
         recordRun(request);
-        running_.insert(&exchange);
+        runningExchanges_.insert(&exchange);
         co_await answerRun(exchange, std::move(answer));
-        running_.erase(&exchange);
+        runningExchanges_.erase(&exchange);
     }
 
     asio::awaitable<void> answerRun(HttpExchange& exchange, HttpResponse answer)
@@ -242,7 +242,7 @@
             co_return;
         for (std::int64_t id = next; id <= controls_["events"]; ++id) {
             if (id == controls_["cut_at"]) {
-                // The answer breaks off in the middle of an event.
+                // The connection is closed in the middle of an event.
                 std::string part = "id: " + std::to_string(id) + "\nda";
                 (void)co_await exchange.writeChunk(std::move(part));
                 exchange.abort();
@@ -265,17 +265,19 @@
     }
 
     std::string id_;
-    std::chrono::seconds advertisedIdleTimeout_;
+    std::chrono::seconds announcedIdleTimeout_;
     bool isCrashed_ = false;
     std::function<void(const HttpRequest&)> onRun_;
-    std::set<HttpExchange*> running_;
+    std::set<HttpExchange*> runningExchanges_;
     HttpServer server_;
     Controls controls_ { { { "delay_ms", 0 }, { "full", 0 }, { "retry_after_ms", 0 }, { "says_leaving", 0 }, { "lose_answers", 0 }, { "fails_one_in", 0 }, { "other_id", 0 }, { "no_seal", 0 }, { "events", 5 }, { "gap_ms", 5 }, { "cut_at", 0 }, { "refuse_moves", 0 }, { "refuse_stops", 0 }, { "move_ms", 0 }, { "lose_copies", 0 } } };
+    /// Attempt ids of the requests that started to run, in order.
     json::array runAttemptIds_;
     /// Number of requests answered 503 without execution.
     std::int64_t rejected_ = 0;
     /// Attempt ids of event streams whose caller disconnected.
     json::array abandonedRuns_;
+    /// Headers of the request that started to run last.
     json::object headers_;
     std::map<std::string, Stream> streams_;
     /// Attempt ids of runs that were stopped to resume on another backend server.
@@ -286,6 +288,7 @@
     json::array releasedHandles_;
 };
 
+/// The users' platform: a store, the interface for duties, and backend servers.
 class Fleet {
 public:
     explicit Fleet(asio::io_context& io)
@@ -335,20 +338,20 @@
             ports[textField(spec, "id")] = startBackend(spec);
         for (const json::object& entry : objectsField(body, "put"))
             log_.put(textField(entry, "topic"), textField(entry, "key"), textField(entry, "value"));
-        auto reclaimed = entries_.find(textField(body, "reclaim"));
-        if (reclaimed != entries_.end()) {
+        auto reclaimed = registrations_.find(textField(body, "reclaim"));
+        if (reclaimed != registrations_.end()) {
             reclaimed->second["phase"] = "draining";
             reclaimed->second["spot"] = true;
             log_.put("keyed.servers", reclaimed->first, json::serialize(reclaimed->second));
         }
-        if (entries_.contains(textField(body, "restart")))
+        if (registrations_.contains(textField(body, "restart")))
             restart(textField(body, "restart"));
         if (body.contains("crash_text"))
             crashText_ = textField(body, "crash_text");
         if (Backend* chosen = find(textField(body, "backend")))
             answer = chosen->control(body);
-        auto queried = entries_.find(textField(body, "born"));
-        if (queried != entries_.end())
+        auto queried = registrations_.find(textField(body, "born"));
+        if (queried != registrations_.end())
             answer["born"] = queried->second.at("born");
         answer["duties"] = recordedDutyCalls_;
         answer["crashes"] = crashes_;
@@ -364,21 +367,21 @@
         auto running = backends_.find(id);
         if (running != backends_.end())
             return running->second.get();
-        auto crashed = std::find_if(crashed_.rbegin(), crashed_.rend(), [&](const auto& backend) { return backend->id() == id; });
-        return crashed == crashed_.rend() ? nullptr : crashed->get();
+        auto crashed = std::find_if(crashedBackends_.rbegin(), crashedBackends_.rend(), [&](const auto& backend) { return backend->id() == id; });
+        return crashed == crashedBackends_.rend() ? nullptr : crashed->get();
     }
 
     /// Crashes the backend server of \p id and starts another with the same id on another
     /// port.
     void restart(const std::string& id)
     {
-        json::object spec = entries_[id];
+        json::object spec = registrations_[id];
         spec["id"] = id;
         spec["phase"] = "up";
         // The crashed server is kept because its handlers may still be suspended. It receives
         // no more requests.
-        crashed_.push_back(std::move(backends_[id]));
-        crashed_.back()->crash();
+        crashedBackends_.push_back(std::move(backends_[id]));
+        crashedBackends_.back()->crash();
         startBackend(spec);
     }
 
@@ -396,7 +399,7 @@
         entry["born"] = std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count();
         if (!entry.contains("unregistered"))
             log_.put("keyed.servers", id, json::serialize(entry));
-        entries_[id] = std::move(entry);
+        registrations_[id] = std::move(entry);
         backend->setRunHook([this, id](const HttpRequest& request) { crashIfMatching(id, request); });
         backends_[id] = std::move(backend);
         return port;
@@ -408,19 +411,20 @@
         if (crashText_.empty() || request.body_.find(crashText_) == std::string::npos)
             return;
         crashes_.push_back(json::object { { "backend", id }, { "at_ms", std::chrono::duration_cast<milliseconds>(steadyNow().time_since_epoch()).count() }, { "request", request.header("x-pistachioloom-attempt-id") } });
-        crashed_.push_back(std::move(backends_[id]));
+        crashedBackends_.push_back(std::move(backends_[id]));
         backends_.erase(id);
-        crashed_.back()->crash();
+        crashedBackends_.back()->crash();
         asio::co_spawn(io_, replaceCrashed(id), asio::detached);
     }
 
-    /// Starts a replacement for \p id with a new id, and removes the entry of \p id.
+    /// Starts a replacement under a new id for the crashed backend server of \p id, and deletes
+    /// the registration of \p id.
     asio::awaitable<void> replaceCrashed(std::string id)
     {
         co_await pause(milliseconds(controls_["restart_ms"]));
-        json::object spec = entries_[id];
+        json::object spec = registrations_[id];
         spec["id"] = id + "'";
-        entries_.erase(id);
+        registrations_.erase(id);
         log_.put("keyed.servers", id, "");
         startBackend(spec);
     }
@@ -509,9 +513,9 @@
     Controls controls_ { { { "down", 0 }, { "lose_appends", 0 }, { "restart_ms", 1000 } } };
     std::map<std::string, std::unique_ptr<Backend>> backends_;
     /// Crashed backend servers, oldest first.
-    std::vector<std::unique_ptr<Backend>> crashed_;
+    std::vector<std::unique_ptr<Backend>> crashedBackends_;
     /// The registration of each backend server, by id.
-    std::map<std::string, json::object> entries_;
+    std::map<std::string, json::object> registrations_;
     json::array recordedDutyCalls_;
     std::string crashText_;
     json::array crashes_;
--- a/tools/standins/PlatformStandin.cpp
+++ b/tools/standins/PlatformStandin.cpp
@@ -20,13 +20,16 @@
 constexpr std::size_t maxRecordsPerAnswer = 1000;
 constexpr int statusUnavailable = 503;
 
+/// One stream of the log, of which the oldest records may have been trimmed.
 struct Stream {
-    std::uint64_t first_ = 0;
+    /// Offset of the oldest record that is still stored.
+    std::uint64_t firstOffset_ = 0;
     std::vector<std::string> records_;
 
-    std::uint64_t next() const { return first_ + records_.size(); }
+    std::uint64_t nextOffset() const { return firstOffset_ + records_.size(); }
 };
 
+/// The log service, VM list and reclaim notices of the platform.
 class Platform {
 public:
     asio::awaitable<void> handle(HttpExchange& exchange);
@@ -47,32 +50,34 @@
         { "lose_append_answers", 0 },
         // How many of the next appends fail without taking effect.
         { "fail_appends", 0 },
+        // Delay of a change of the VM list.
         { "list_lag_ms", 0 },
     } };
     std::map<std::string, Stream> streams_;
     std::map<std::string, json::object> vms_;
-    std::uint64_t version_ = 1;
+    std::uint64_t vmListVersion_ = 1;
     std::vector<json::object> notices_;
     std::set<std::string> partitionedDataCentres_;
-    // Peer ports as each data centre sees them, keyed by "data centre/VM".
-    std::map<std::string, std::uint64_t> portViews_;
-    std::uint64_t appends_ = 0;
-    std::uint64_t reads_ = 0;
-    std::uint64_t lists_ = 0;
+    // Ports that replace a VM's peer port in the list for one data centre, so that its nodes
+    // connect through a proxy. Keyed by "data centre/VM".
+    std::map<std::string, std::uint64_t> peerPorts_;
+    std::uint64_t appendCalls_ = 0;
+    std::uint64_t readCalls_ = 0;
+    std::uint64_t listCalls_ = 0;
 };
 
 json::object Platform::viewOf(const json::object& vm, const std::string& dataCentre) const
 {
     json::object seen = vm;
-    auto found = portViews_.find(dataCentre + "/" + textField(vm, "id"));
-    if (found != portViews_.end())
+    auto found = peerPorts_.find(dataCentre + "/" + textField(vm, "id"));
+    if (found != peerPorts_.end())
         seen["port"] = found->second;
     return seen;
 }
 
 asio::awaitable<void> Platform::append(HttpExchange& exchange, std::string name)
 {
-    ++appends_;
+    ++appendCalls_;
     co_await pause(milliseconds(controls_["log_delay_ms"]));
     if (controls_["fail_appends"] > 0) {
         controls_.set("fail_appends", controls_["fail_appends"] - 1);
@@ -81,7 +86,7 @@
         co_return;
     }
     Stream& stream = streams_[name];
-    std::uint64_t offset = stream.next();
+    std::uint64_t offset = stream.nextOffset();
     stream.records_.push_back(exchange.request().body_);
     if (controls_["lose_append_answers"] > 0) {
         controls_.set("lose_append_answers", controls_["lose_append_answers"] - 1);
@@ -95,32 +100,32 @@
 
 asio::awaitable<void> Platform::read(HttpExchange& exchange, std::string name)
 {
-    ++reads_;
+    ++readCalls_;
     std::uint64_t from = std::strtoull(exchange.request().query("from").c_str(), nullptr, 10);
     milliseconds wait(std::strtoll(exchange.request().query("wait_ms").c_str(), nullptr, 10));
     auto deadline = steadyNow() + wait;
-    while (streams_[name].next() <= from && steadyNow() < deadline && !controls_["log_down"])
+    while (streams_[name].nextOffset() <= from && steadyNow() < deadline && !controls_["log_down"])
         co_await pause(pollPeriod);
     const Stream& stream = streams_[name];
     json::array records;
-    for (std::uint64_t offset = std::max(from, stream.first_); offset < stream.next() && records.size() < maxRecordsPerAnswer; ++offset) {
+    for (std::uint64_t offset = std::max(from, stream.firstOffset_); offset < stream.nextOffset() && records.size() < maxRecordsPerAnswer; ++offset) {
         json::object record;
         record["offset"] = offset;
-        record["data"] = stream.records_[offset - stream.first_];
+        record["data"] = stream.records_[offset - stream.firstOffset_];
         records.push_back(record);
     }
     json::object answer;
-    answer["first"] = stream.first_;
-    answer["next"] = stream.next();
+    answer["first"] = stream.firstOffset_;
+    answer["next"] = stream.nextOffset();
     answer["records"] = records;
     co_await reply(exchange, 200, answer);
 }
 
 asio::awaitable<void> Platform::list(HttpExchange& exchange)
 {
-    ++lists_;
+    ++listCalls_;
     std::uint64_t known = std::strtoull(exchange.request().query("known_version").c_str(), nullptr, 10);
-    if (known == version_) {
+    if (known == vmListVersion_) {
         HttpResponse unchanged { 304, {}, {} };
         (void)co_await exchange.respond(std::move(unchanged));
         co_return;
@@ -129,7 +134,7 @@
     for (const auto& [id, vm] : vms_)
         vms.push_back(viewOf(vm, exchange.request().header("x-data-centre")));
     json::object answer;
-    answer["version"] = version_;
+    answer["version"] = vmListVersion_;
     answer["vms"] = vms;
     co_await reply(exchange, 200, answer);
 }
@@ -159,7 +164,7 @@
     // between the two.
     if (changesList) {
         co_await pause(milliseconds(controls_["list_lag_ms"]));
-        ++version_;
+        ++vmListVersion_;
     }
     for (const json::object& vm : objectsField(body, "put_vms"))
         vms_[textField(vm, "id")] = vm;
@@ -168,7 +173,7 @@
             vms_.erase(std::string(id.as_string()));
     }
     for (const json::object& view : objectsField(body, "port_views"))
-        portViews_[textField(view, "from") + "/" + textField(view, "vm")] = numberField(view, "port");
+        peerPorts_[textField(view, "from") + "/" + textField(view, "vm")] = numberField(view, "port");
     for (const json::object& notice : objectsField(body, "notices"))
         notices_.push_back(notice);
     if (const json::array* cut = arrayField(body, "cut_data_centres")) {
@@ -179,19 +184,19 @@
     std::string trimmed = textField(body, "trim_stream");
     if (!trimmed.empty()) {
         Stream& stream = streams_[trimmed];
-        std::uint64_t to = std::min(numberField(body, "trim_to"), stream.next());
-        std::uint64_t count = to > stream.first_ ? to - stream.first_ : 0;
+        std::uint64_t to = std::min(numberField(body, "trim_to"), stream.nextOffset());
+        std::uint64_t count = to > stream.firstOffset_ ? to - stream.firstOffset_ : 0;
         stream.records_.erase(stream.records_.begin(), stream.records_.begin() + static_cast<std::ptrdiff_t>(count));
-        stream.first_ += count;
+        stream.firstOffset_ += count;
     }
     json::object answer;
-    answer["version"] = version_;
-    answer["appends"] = appends_;
-    answer["reads"] = reads_;
-    answer["lists"] = lists_;
+    answer["version"] = vmListVersion_;
+    answer["appends"] = appendCalls_;
+    answer["reads"] = readCalls_;
+    answer["lists"] = listCalls_;
     json::object nextOffsets;
     for (const auto& [name, stream] : streams_)
-        nextOffsets[name] = stream.next();
+        nextOffsets[name] = stream.nextOffset();
     answer["next"] = nextOffsets;
     co_await reply(exchange, 200, answer);
 }
