--- a/benchmarks/ControlBenchmark.cpp
+++ b/benchmarks/ControlBenchmark.cpp
@@ -1,9 +1,10 @@
-//===- benchmarks/ControlBenchmark.cpp - control costs of real nodes -------===//
+//===- benchmarks/ControlBenchmark.cpp - control costs of real nodes ------===//
 ///
 /// \file
-/// Runs deployments of several sizes without load and measures what control
-/// costs each node; then how long a catalogue change takes to be in force, how
-/// many messages it costs, and how soon a dead node is known.
+/// Runs deployments of several sizes without load and measures the processor time,
+/// traffic and memory that control costs each node. Then measures how long a
+/// catalogue change takes to be in force on every node, how many bytes a change of
+/// the VM list costs, and how soon the failure of a node is detected.
 //===----------------------------------------------------------------------===//
 #include "Harness/Deployment.h"
 #include "Percentile.h"
@@ -21,46 +22,47 @@
 
 namespace {
 
+/// What one node uses while the deployment is idle.
 struct Sample {
     double processorPercent_ = 0;
-    double sentPerSecond_ = 0;
-    double receivedPerSecond_ = 0;
+    double bytesSentPerSecond_ = 0;
+    double bytesReceivedPerSecond_ = 0;
     double memoryMiB_ = 0;
 };
 
-/// What the nodes used over \p duration, the mean and the highest of a node.
+/// Returns what the nodes used over \p duration: the mean and the maximum per node.
 std::pair<Sample, Sample> measureIdle(Deployment& deployment, milliseconds duration)
 {
-    struct Before {
-        double processor_;
-        double sent_;
-        double received_;
+    struct Counters {
+        double processorTimeUs_;
+        double bytesSent_;
+        double bytesReceived_;
     };
-    std::vector<Before> before;
+    std::vector<Counters> before;
     for (auto& node : deployment.nodes())
         before.push_back({ static_cast<double>(node.process_->processorTime().count()), deployment.metric(node, "peer_bytes_sent"), deployment.metric(node, "peer_bytes_received") });
     std::this_thread::sleep_for(duration);
     double seconds = std::chrono::duration<double>(duration).count();
     Sample mean;
-    Sample most;
+    Sample maximum;
     auto count = static_cast<double>(deployment.nodes().size());
     for (std::size_t i = 0; i < before.size(); ++i) {
         auto& node = deployment.nodes()[i];
         Sample sample;
-        sample.processorPercent_ = (static_cast<double>(node.process_->processorTime().count()) - before[i].processor_) / seconds / 1e4;
-        sample.sentPerSecond_ = (deployment.metric(node, "peer_bytes_sent") - before[i].sent_) / seconds;
-        sample.receivedPerSecond_ = (deployment.metric(node, "peer_bytes_received") - before[i].received_) / seconds;
+        sample.processorPercent_ = (static_cast<double>(node.process_->processorTime().count()) - before[i].processorTimeUs_) / seconds / 1e4;
+        sample.bytesSentPerSecond_ = (deployment.metric(node, "peer_bytes_sent") - before[i].bytesSent_) / seconds;
+        sample.bytesReceivedPerSecond_ = (deployment.metric(node, "peer_bytes_received") - before[i].bytesReceived_) / seconds;
         sample.memoryMiB_ = static_cast<double>(node.process_->residentMemory().value_) / 1024 / 1024;
         mean.processorPercent_ += sample.processorPercent_ / count;
-        mean.sentPerSecond_ += sample.sentPerSecond_ / count;
-        mean.receivedPerSecond_ += sample.receivedPerSecond_ / count;
+        mean.bytesSentPerSecond_ += sample.bytesSentPerSecond_ / count;
+        mean.bytesReceivedPerSecond_ += sample.bytesReceivedPerSecond_ / count;
         mean.memoryMiB_ += sample.memoryMiB_ / count;
-        most.processorPercent_ = std::max(most.processorPercent_, sample.processorPercent_);
-        most.sentPerSecond_ = std::max(most.sentPerSecond_, sample.sentPerSecond_);
-        most.receivedPerSecond_ = std::max(most.receivedPerSecond_, sample.receivedPerSecond_);
-        most.memoryMiB_ = std::max(most.memoryMiB_, sample.memoryMiB_);
+        maximum.processorPercent_ = std::max(maximum.processorPercent_, sample.processorPercent_);
+        maximum.bytesSentPerSecond_ = std::max(maximum.bytesSentPerSecond_, sample.bytesSentPerSecond_);
+        maximum.bytesReceivedPerSecond_ = std::max(maximum.bytesReceivedPerSecond_, sample.bytesReceivedPerSecond_);
+        maximum.memoryMiB_ = std::max(maximum.memoryMiB_, sample.memoryMiB_);
     }
-    return { mean, most };
+    return { mean, maximum };
 }
 
 std::string workloadName(std::size_t number)
@@ -68,8 +70,8 @@
     return "org-" + std::to_string(number);
 }
 
-/// Entries with work in progress at every node, whose grants are renewed; the
-/// engines are so slow that hardly any token passes.
+/// Keeps one request of each entry in progress at every node, so that their grants
+/// are renewed. The engines are so slow that hardly any token is generated.
 class ActiveEntries {
 public:
     ActiveEntries(Deployment& deployment, std::size_t entries)
@@ -85,7 +87,7 @@
             for (std::size_t i = 0; i < entries; ++i) {
                 Completion completion { Deployment::apiKey(workloadName(i)), "planogram", "slow", 100 };
                 asio::co_spawn(
-                    io_, [](Endpoint entry, Completion ask) -> asio::awaitable<void> { (void)co_await streamCompletion(entry, ask); }(node.callers_, completion), asio::detached);
+                    io_, [](Endpoint entry, Completion request) -> asio::awaitable<void> { (void)co_await streamCompletion(entry, request); }(node.callers_, completion), asio::detached);
             }
         }
         thread_ = std::thread([this] { io_.run(); });
@@ -108,7 +110,8 @@
     return "name: s\nkind: service\nconcurrency: " + std::to_string(value) + "\nrepeatable: true\n";
 }
 
-/// Milliseconds from the tool's "accepted" to force on every node, \p count times.
+/// Applies \p count catalogue edits, and returns for each the milliseconds from the
+/// command line tool's "accepted" until it is in force on every node.
 std::vector<double> measurePropagation(Deployment& deployment, int count)
 {
     std::vector<double> times;
@@ -116,20 +119,21 @@
         std::string file = deployment.directory() + "/s.yaml";
         std::ofstream(file) << serviceEntry(i);
         auto& node = deployment.nodes()[static_cast<std::size_t>(i) % deployment.nodes().size()];
-        auto [code, output] = deployment.tool(node, { "catalogue", "apply", file });
+        auto [code, output] = deployment.runTool(node, { "catalogue", "apply", file });
         if (code) {
-            std::printf("  an edit was not accepted: %s\n", output.c_str());
+            std::printf("  a catalogue edit was not accepted: %s\n", output.c_str());
             continue;
         }
-        auto began = std::chrono::steady_clock::now();
+        auto startedAt = std::chrono::steady_clock::now();
         deployment.waitForCatalogue(milliseconds(20000));
-        times.push_back(std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - began).count());
+        times.push_back(std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - startedAt).count());
     }
     return times;
 }
 
-/// Puts \p count engines on the list that nothing runs behind, \p first and on.
-void listEngines(Deployment& deployment, std::size_t first, std::size_t count)
+/// Puts \p count engines on the VM list, numbered from \p first. No process runs
+/// at their addresses.
+void putListedEngines(Deployment& deployment, std::size_t first, std::size_t count)
 {
     boost::json::array vms;
     for (std::size_t i = first; i < first + count; ++i) {
@@ -147,7 +151,7 @@
     deployment.controlPlatform({ { "put_vms", std::move(vms) } });
 }
 
-bool waitForList(Deployment& deployment)
+bool waitForVmList(Deployment& deployment)
 {
     auto version = static_cast<double>(numberField(deployment.controlPlatform(), "version"));
     return waitUntil([&] {
@@ -155,7 +159,7 @@
     });
 }
 
-double sentByAll(Deployment& deployment)
+double totalBytesSent(Deployment& deployment)
 {
     double sum = 0;
     for (auto& node : deployment.nodes())
@@ -163,33 +167,34 @@
     return sum;
 }
 
-/// What one changed VM of a list of \p listed costs each node.
-void measureListChanges(Deployment& deployment, std::size_t listed, double idlePerSecond)
+/// Prints what the change of one VM costs each node when \p listedVms are on the list.
+void measureListChanges(Deployment& deployment, std::size_t listedVms, double idlePerSecond)
 {
     constexpr int changes = 20;
-    listEngines(deployment, 0, listed);
-    waitForList(deployment);
-    double before = sentByAll(deployment);
+    putListedEngines(deployment, 0, listedVms);
+    waitForVmList(deployment);
+    double before = totalBytesSent(deployment);
     std::vector<double> times;
-    auto began = std::chrono::steady_clock::now();
+    auto startedAt = std::chrono::steady_clock::now();
     for (int i = 0; i < changes; ++i) {
         auto changedAt = std::chrono::steady_clock::now();
-        listEngines(deployment, listed + static_cast<std::size_t>(i), 1);
-        waitForList(deployment);
+        putListedEngines(deployment, listedVms + static_cast<std::size_t>(i), 1);
+        waitForVmList(deployment);
         times.push_back(std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - changedAt).count());
     }
-    double seconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
+    double seconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - startedAt).count();
     auto nodes = static_cast<double>(deployment.nodes().size());
-    double perChange = ((sentByAll(deployment) - before) / nodes - idlePerSecond * seconds) / changes;
-    std::printf("       a changed VM of %zu listed: %.0f B sent a node, known to all after p50 %.0f ms, p99 %.0f ms\n", listed, perChange, percentile(times, 0.5), percentile(times, 0.99));
+    double perChange = ((totalBytesSent(deployment) - before) / nodes - idlePerSecond * seconds) / changes;
+    std::printf("       a changed VM of %zu listed: %.0f B sent per node, seen by all after p50 %.0f ms, p99 %.0f ms\n", listedVms, perChange, percentile(times, 0.5), percentile(times, 0.99));
 }
 
-/// Milliseconds until every live node of the data centre has the victim out.
-double measureDetection(Deployment& deployment, bool isFreeze)
+/// Kills or freezes a node and returns the milliseconds until every other node of its
+/// data centre lists it in state "out".
+double measureDetection(Deployment& deployment, bool shouldFreeze)
 {
     auto& victim = deployment.nodes().front();
-    auto began = std::chrono::steady_clock::now();
-    if (isFreeze)
+    auto startedAt = std::chrono::steady_clock::now();
+    if (shouldFreeze)
         victim.process_->freeze();
     else
         victim.process_->kill();
@@ -197,17 +202,17 @@
         for (auto& node : deployment.nodes()) {
             if (node.dataCentre_ != victim.dataCentre_ || node.id_ == victim.id_)
                 continue;
-            auto listed = deployment.ask(node, "/nodes");
-            if (!listed.is_object())
+            auto nodeList = deployment.query(node, "/nodes");
+            if (!nodeList.is_object())
                 return false;
-            for (const auto& line : objectsField(listed.as_object(), "nodes")) {
+            for (const auto& line : objectsField(nodeList.as_object(), "nodes")) {
                 if (textField(line, "node") == victim.id_ && textField(line, "state") != "out")
                     return false;
             }
         }
         return true;
     });
-    double time = std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - began).count();
+    double time = std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - startedAt).count();
     victim.process_->resume();
     return time;
 }
@@ -216,28 +221,28 @@
 
 int main(int argc, char** argv)
 {
-    CLI::App app { "Measures what control costs a node." };
+    CLI::App app { "Measures the control overhead of each node." };
     std::vector<std::size_t> sizes { 3, 9, 26 };
     std::size_t dataCentres = 1;
     int seconds = 10;
     int edits = 20;
-    std::size_t listed = 2400;
+    std::size_t listedVms = 2400;
     std::size_t entries = 0;
-    app.add_option("--nodes", sizes, "Nodes of each data centre, several sizes");
-    app.add_option("--data-centres", dataCentres, "Data centres");
-    app.add_option("--seconds", seconds, "Length of each measurement");
-    app.add_option("--edits", edits, "Catalogue edits at each size");
-    app.add_option("--entries", entries, "Entries with a request in progress at every node");
-    app.add_option("--listed", listed, "VMs on the list when one changes");
+    app.add_option("--nodes", sizes, "Nodes of each data centre; several sizes may be given");
+    app.add_option("--data-centres", dataCentres, "Number of data centres");
+    app.add_option("--seconds", seconds, "Length of each measurement in seconds");
+    app.add_option("--edits", edits, "Number of catalogue edits at each size");
+    app.add_option("--entries", entries, "Number of entries with a request in progress at every node");
+    app.add_option("--listed", listedVms, "Number of VMs on the list when one changes");
     CLI11_PARSE(app, argc, argv);
-    std::printf("%6s %4s | %9s %9s | %9s %9s %9s | %8s %8s | %9s %9s | %9s\n", "nodes", "dcs", "cpu %", "most", "sent B/s", "recv B/s", "most sent", "MiB", "most", "force p50", "force p99", "dead ms");
+    std::printf("%6s %4s | %9s %9s | %9s %9s %9s | %8s %8s | %9s %9s | %9s\n", "nodes", "dcs", "cpu %", "max", "sent B/s", "recv B/s", "max sent", "MiB", "max", "force p50", "force p99", "detect ms");
     for (std::size_t size : sizes) {
         DeploymentOptions options;
         options.dataCentres_.clear();
         for (std::size_t i = 0; i < dataCentres; ++i)
             options.dataCentres_.push_back("dc-" + std::to_string(i));
         options.nodesPerDataCentre_ = size;
-        options.settings_ = "logs:\n  level: warn\n";
+        options.nodeSettings_ = "logs:\n  level: warn\n";
         if (entries)
             options.engineArguments_ = { "--decode_us", "60000000", "--slots", "4096" };
         Deployment deployment(options);
@@ -245,12 +250,12 @@
         std::optional<ActiveEntries> active;
         if (entries)
             active.emplace(deployment, entries);
-        auto [mean, most] = measureIdle(deployment, milliseconds(seconds * 1000));
+        auto [mean, maximum] = measureIdle(deployment, milliseconds(seconds * 1000));
         auto propagation = measurePropagation(deployment, edits);
-        if (listed)
-            measureListChanges(deployment, listed, mean.sentPerSecond_);
+        if (listedVms)
+            measureListChanges(deployment, listedVms, mean.bytesSentPerSecond_);
         double detection = measureDetection(deployment, false);
-        std::printf("%6zu %4zu | %9.2f %9.2f | %9.0f %9.0f %9.0f | %8.1f %8.1f | %9.0f %9.0f | %9.0f\n", size, dataCentres, mean.processorPercent_, most.processorPercent_, mean.sentPerSecond_, mean.receivedPerSecond_, most.sentPerSecond_, mean.memoryMiB_, most.memoryMiB_, percentile(propagation, 0.5), percentile(propagation, 0.99), detection);
+        std::printf("%6zu %4zu | %9.2f %9.2f | %9.0f %9.0f %9.0f | %8.1f %8.1f | %9.0f %9.0f | %9.0f\n", size, dataCentres, mean.processorPercent_, maximum.processorPercent_, mean.bytesSentPerSecond_, mean.bytesReceivedPerSecond_, maximum.bytesSentPerSecond_, mean.memoryMiB_, maximum.memoryMiB_, percentile(propagation, 0.5), percentile(propagation, 0.99), detection);
         std::fflush(stdout);
     }
     return 0;
--- a/benchmarks/Percentile.h
+++ b/benchmarks/Percentile.h
@@ -1,7 +1,7 @@
-//===- benchmarks/Percentile.h - percentiles of samples --------------------===//
+//===- benchmarks/Percentile.h - percentiles of samples -------------------===//
 ///
 /// \file
-/// What the benchmarks' tables are made of.
+/// Percentiles for the tables that the benchmarks print.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -10,7 +10,8 @@
 
 namespace pistachioloom::test {
 
-/// The smallest of \p values that \p share of them do not exceed; 0 for none.
+/// Returns the element of the sorted \p values whose index is \p share times the last index,
+/// rounded down; \p share is from 0 (minimum) to 1 (maximum). Returns 0 if there are none.
 inline double percentile(std::vector<double> values, double share)
 {
     std::sort(values.begin(), values.end());
--- a/lib/Forward/Headers.cpp
+++ b/lib/Forward/Headers.cpp
@@ -1,4 +1,4 @@
-//===- lib/Forward/Headers.cpp - header fields as they were sent -----------===//
+//===- lib/Forward/Headers.cpp - lists of HTTP header fields --------------===//
 ///
 /// \file
 /// See Headers.h.
@@ -61,13 +61,13 @@
 
 std::optional<milliseconds> parseRetryAfter(std::string_view text)
 {
-    constexpr double mostSeconds = 365.0 * 24 * 3600;
+    constexpr double maxSeconds = 365.0 * 24 * 3600;
     double seconds = 0;
     auto [rest, error] = std::from_chars(text.data(), text.data() + text.size(), seconds, std::chars_format::fixed);
     bool isNumber = !text.empty() && rest == text.data() + text.size() && !std::isnan(seconds) && seconds >= 0;
     if (error == std::errc::result_out_of_range || !isNumber)
         return std::nullopt;
-    return milliseconds(static_cast<std::int64_t>(std::ceil(std::min(seconds, mostSeconds) * 1000)));
+    return milliseconds(static_cast<std::int64_t>(std::ceil(std::min(seconds, maxSeconds) * 1000)));
 }
 
 std::optional<std::pair<TokenCount, TokenCount>> parseTokenCounts(std::string_view text)
@@ -102,9 +102,9 @@
     head.append(name).append(": ").append(value).append("\r\n");
 }
 
-/// What callers are told leaves a fifth of the limit for queues in links and loops that run
-/// late, so that none begins a request while the close is on its way: a request that
-/// crosses it is lost.
+/// Announces at most four fifths of the idle timeout, to allow for network queues and delayed
+/// event loops. If a caller sent a request while the close of the connection is in
+/// flight, the request would be lost.
 std::string connectionFields(std::optional<milliseconds> idle)
 {
     std::string fields;
--- /dev/null
+++ b/lib/Forward/LivenessProbe.cpp
@@ -0,0 +1,59 @@
+//===- lib/Forward/LivenessProbe.cpp - detects terminated backend servers -===//
+///
+/// \file
+/// See LivenessProbe.h.
+//===----------------------------------------------------------------------===//
+#include "LivenessProbe.h"
+
+#include "pistachioloom/Telemetry.h"
+
+namespace pistachioloom {
+
+// A terminating process closes its sockets one after the other, its listening socket possibly
+// last. A connection may therefore still be accepted after the first one breaks, so a second
+// probe follows after this delay.
+static constexpr milliseconds reprobeDelay { 150 };
+
+static const Logger& logger()
+{
+    static const Logger logger("probe");
+    return logger;
+}
+
+void logCrash(ForwardContext& context, const BackendId& backend, const CrashDetector::CountedRequest& counted)
+{
+    context.metrics_.add(Counter::BackendCrashes);
+    LogLine line("Backend server crashed while serving a request.");
+    line.add("backend", backend.value_).add("request", toString(counted.request_)).add("crashes", static_cast<std::int64_t>(counted.crashes_));
+    logger().info(line);
+}
+
+void noteBackendTerminated(ForwardContext& context, const BackendId& backend)
+{
+    for (const CrashDetector::CountedRequest& counted : context.crashes_.noteTerminated({ keyOf(backend) }, steadyNow()))
+        logCrash(context, backend, counted);
+}
+
+asio::awaitable<void> probeLiveness(ForwardContext& context, BackendRecord backend)
+{
+    const milliseconds waitLimit = context.settings_.connectTimeout_;
+    auto code = co_await tryConnection(backend.endpoint_, waitLimit);
+    if (!code) {
+        co_await sleepFor(reprobeDelay);
+        code = co_await tryConnection(backend.endpoint_, waitLimit);
+    }
+    // Connections are also refused if a network fault isolates the data centre.
+    bool hasTerminated = code == asio::error::connection_refused && context.backends_.isReachable(backend.dataCentre_);
+    LogLine line(hasTerminated ? "Backend server has terminated." : "Backend server closed a connection during a request.");
+    line.add("backend", backend.id_.value_).add("connection", code ? code.message() : "accepted");
+    logger().info(line);
+    context.crashes_.noteProbed({ keyOf(backend.id_) });
+    if (!hasTerminated)
+        co_return;
+    context.backends_.setTerminated(backend.id_, steadyNow());
+    noteBackendTerminated(context, backend.id_);
+    if (context.hooks_.onTerminated_)
+        context.hooks_.onTerminated_(backend.id_);
+}
+
+} // namespace pistachioloom
--- /dev/null
+++ b/lib/Forward/RequestForwarder.cpp
@@ -0,0 +1,424 @@
+//===- lib/Forward/RequestForwarder.cpp - processing of one request -------===//
+///
+/// \file
+/// Admission, the loop over attempts, and time limits. Sending.cpp contains sends to
+/// backend servers, Answering.cpp answers to the caller.
+//===----------------------------------------------------------------------===//
+#include "RequestForwarder.h"
+#include "LivenessProbe.h"
+
+namespace pistachioloom {
+
+namespace {
+
+    // A node without a configuration receives one within a polling period of its source.
+    constexpr milliseconds unconfiguredRetryAfter { 300 };
+    // Another node immediately accepts a request that a stopping node rejects.
+    constexpr milliseconds stoppingRetryAfter { 10 };
+    // Full backend servers have capacity again after a few answers.
+    constexpr milliseconds fullRetryAfter { 150 };
+    // The number of attempts after which a request fails if they sent nothing, for
+    // example because the connection failed.
+    constexpr unsigned maxUnsentAttempts = 4;
+    // A request during which this many backend servers crashed is isolated from other
+    // requests, because so many crashes are unlikely to be a coincidence.
+    constexpr std::size_t crashesToIsolate = 2;
+    // The largest urgency value, which is the least urgent.
+    constexpr unsigned maxUrgency = 9;
+
+    const Logger& logger()
+    {
+        static const Logger logger("forward");
+        return logger;
+    }
+
+} // namespace
+
+RequestForwarder::RequestForwarder(ForwardContext& context, ConnectionPool& pool, std::shared_ptr<CallerConnection> caller, CallerRequest request)
+    : context_(context)
+    , pool_(pool)
+    , caller_(std::move(caller))
+    , request_(std::move(request))
+    , attemptId_(request_.field(context.names_.attempt_))
+    , timer_(pool.executor())
+{
+    keepsConnection_ = request_.isKeepAlive_;
+}
+
+std::optional<RequestForwarder::HeldAnswer> RequestForwarder::authorise()
+{
+    const RouteConfiguration& configuration = table_->configuration();
+    if (!configuration.needsCredentials_ || route_->isPublic_)
+        return std::nullopt;
+    constexpr std::string_view scheme = "Bearer ";
+    std::string_view credential = request_.field("Authorization");
+    if (credential.size() > scheme.size() && equalWithoutCase(credential.substr(0, scheme.size()), scheme))
+        organisation_ = table_->findOrganisation(std::string(credential.substr(scheme.size())));
+    if (!organisation_)
+        return rejection(401, "unknown credential", {});
+    return std::nullopt;
+}
+
+RequestShape RequestForwarder::shapeOf() const
+{
+    RequestShape shape;
+    shape.service_ = pickService(*route_, randomBits());
+    if (auto counts = parseTokenCounts(request_.field(context_.names_.tokenCount_))) {
+        shape.promptTokens_ = counts->first;
+        shape.maxOutputTokens_ = counts->second;
+    }
+    shape.parts_ = parsePromptParts(request_.field(context_.names_.promptParts_));
+    const ServicePolicy* service = table_->findService(shape.service_);
+    shape.isForEngine_ = service && service->engine_;
+    shape.urgency_ = urgency_;
+    return shape;
+}
+
+std::optional<RequestForwarder::HeldAnswer> RequestForwarder::takeQuota()
+{
+    if (!organisation_)
+        return std::nullopt;
+    std::uint64_t tokens = shape_.promptTokens_.value_ + shape_.maxOutputTokens_.value_;
+    quotaCost_ = 1;
+    if (organisation_->countsTokens_)
+        quotaCost_ = static_cast<double>(tokens ? tokens : organisation_->defaultTokens_);
+    auto wait = context_.quotas_.take(organisation_->name_, { organisation_->ratePerSecond_, organisation_->burst_ }, quotaCost_, steadyNow());
+    if (wait) {
+        context_.metrics_.add(Counter::RequestsRefused);
+        return rejection(429, "quota of " + organisation_->name_.value_ + " used up", *wait);
+    }
+    hasQuota_ = true;
+    return std::nullopt;
+}
+
+std::optional<RequestForwarder::HeldAnswer> RequestForwarder::admit()
+{
+    table_ = context_.hooks_.table_();
+    if (!table_)
+        return rejection(503, "no configuration known yet", unconfiguredRetryAfter);
+    if (context_.rejectsNew_)
+        return rejection(503, "this node is stopping", stoppingRetryAfter);
+    route_ = table_->findRoute(request_.field("Host"), request_.path());
+    if (!route_)
+        return rejection(404, "no route", {});
+    if (auto rejected = authorise())
+        return rejected;
+    urgency_ = std::min(maxUrgency, organisation_ && organisation_->priority_ ? *organisation_->priority_ : route_->priority_);
+    shape_ = shapeOf();
+    eventSplitter_ = EventSplitter(parseNumber(request_.field(context_.names_.lastEvent_)));
+    deadline_ = request_.receivedAt_ + route_->timeout_;
+    if (auto callerDeadline = parseNumber(request_.field(context_.names_.deadline_)))
+        deadline_ = std::min(deadline_, request_.receivedAt_ + milliseconds(static_cast<std::int64_t>(std::min<std::uint64_t>(*callerDeadline, 3600000))));
+    return takeQuota();
+}
+
+milliseconds RequestForwarder::timeLeft() const
+{
+    return std::max(milliseconds(0), std::chrono::duration_cast<milliseconds>(deadline_ - steadyNow()));
+}
+
+void RequestForwarder::armTimer()
+{
+    timer_.expires_at(std::min(deadline_, waitDeadline_));
+    timer_.async_wait([self = shared_from_this()](const boost::system::error_code& code) {
+        if (!code)
+            self->onTimer();
+    });
+}
+
+void RequestForwarder::onTimer()
+{
+    if (isFinished_)
+        return;
+    SteadyTime now = steadyNow();
+    if (now >= deadline_)
+        return stop(StopReason::DeadlineExceeded);
+    if (now >= waitDeadline_) {
+        waitDeadline_ = SteadyTime::max();
+        stop(StopReason::WaitLimitExceeded);
+    }
+    armTimer();
+}
+
+void RequestForwarder::stop(StopReason reason)
+{
+    stopReason_ = reason;
+    if (currentConnection_)
+        currentConnection_->abort();
+    // A caller that reads slowly must not prolong a request beyond its deadline.
+    if (reason == StopReason::DeadlineExceeded && hasStartedAnswer_)
+        caller_->abort();
+}
+
+bool RequestForwarder::mayRetry(SendOutcome end)
+{
+    if (stopReason_ == StopReason::CallerDisconnected || stopReason_ == StopReason::DeadlineExceeded || timeLeft() <= milliseconds(0))
+        return false;
+    if (end == SendOutcome::Unreachable || end == SendOutcome::NoConnection || end == SendOutcome::NotAccepting)
+        return ++unsentAttempts_ < maxUnsentAttempts;
+    if (sendCount_ >= route_->maxAttempts_)
+        return false;
+    if (end != SendOutcome::NotRun && !route_->mayRepeat())
+        return false;
+    // The request may have crashed this backend server as well, which is not known yet.
+    if (end == SendOutcome::Lost && shape_.isSuspect_)
+        return false;
+    return context_.retries_.tryRetry(shape_.service_, steadyNow());
+}
+
+std::optional<RequestForwarder::HeldAnswer> RequestForwarder::rejectLongWait(const BackendChoice& choice) const
+{
+    AdmissionView view { shape_.isForEngine_ && route_->isStream_, sendCount_ || eventSplitter_.last(), choice.queueWait_, route_->maxQueueWait_ };
+    auto retryAfter = retryAfterIfRejected(view, context_.settings_.admission_);
+    if (!retryAfter)
+        return std::nullopt;
+    return rejection(503, "engines are busy for " + std::to_string(choice.queueWait_.count()) + " ms", *retryAfter);
+}
+
+/// Called before every send: first sends, retries and moved streams.
+std::optional<RequestForwarder::HeldAnswer> RequestForwarder::rejectQuarantined()
+{
+    if (context_.quarantine_.isEmpty())
+        return std::nullopt;
+    auto quarantine = context_.quarantine_.check(fingerprint(), steadyNow());
+    if (!quarantine) {
+        shape_.isSuspect_ = context_.quarantine_.activeCrashesOf(fingerprint()) >= crashesToIsolate;
+        return std::nullopt;
+    }
+    context_.metrics_.add(Counter::RequestsQuarantined);
+    logQuarantined(*quarantine);
+    // 503 promises that the request never runs, which invites the caller to retry. 4xx would
+    // blame the request, whose fault is likely but not certain.
+    return rejection(502, "quarantined: " + std::to_string(quarantine->crashes_) + " backend servers crashed under this request", {});
+}
+
+void RequestForwarder::logQuarantined(const Quarantine& quarantine)
+{
+    LogLine line("Request is quarantined.");
+    line.add("id", attemptId_).add("request", toString(fingerprint())).add("crashes", static_cast<std::int64_t>(quarantine.crashes_));
+    line.add("last_crash_ms", quarantine.sinceLastCrash_.count()).add("left_ms", quarantine.timeLeft_.count());
+    line.add("target", request_.target_).add("organisation", organisation_ ? organisation_->name_.value_ : "");
+    logger().info(line);
+}
+
+/// A complete answer, even a failure, shows that the request does not crash its backend
+/// server.
+void RequestForwarder::clearSuspicion()
+{
+    if (context_.crashes_.isIdle())
+        return;
+    if (context_.crashes_.clear(fingerprint(), steadyNow()))
+        logger().info(LogLine("Request is no longer suspected.").add("id", attemptId_).add("request", toString(fingerprint())));
+}
+
+asio::awaitable<void> RequestForwarder::serve()
+{
+    for (;;) {
+        if (auto rejected = rejectQuarantined()) {
+            if (!heldAnswer_)
+                heldAnswer_ = std::move(rejected);
+            break;
+        }
+        auto choice = takeMoveTarget();
+        shape_.version_ = context_.rollouts_.assign(shape_.service_, routeKeyOf(route_->name_), sendCount_ ? RolloutTracker::SendKind::Subsequent : RolloutTracker::SendKind::First, steadyNow());
+        if (!choice)
+            choice = context_.backends_.choose(shape_, excludedBackends_, steadyNow());
+        if (!choice) {
+            context_.backends_.noteNoBackend(shape_);
+            break;
+        }
+        if (auto rejected = rejectLongWait(*choice)) {
+            context_.backends_.noteRejected(*choice);
+            context_.metrics_.add(Counter::RequestsRefused);
+            heldAnswer_ = std::move(rejected);
+            logRejection(*heldAnswer_);
+            break;
+        }
+        context_.backends_.noteAdmitted(*choice);
+        Attempt attempt;
+        attempt.choice_ = std::move(*choice);
+        attempt.startedAt_ = steadyNow();
+        excludedBackends_.insert(attempt.choice_.backend_.id_);
+        stopReason_ = StopReason::None;
+        SendOutcome end = co_await send(attempt);
+        finishAttempt(attempt, end);
+        if (end == SendOutcome::Delivered || caller_->isDisconnected())
+            co_return;
+        if (end == SendOutcome::Moved)
+            continue;
+        if (end == SendOutcome::Lost || end == SendOutcome::Held)
+            mayHaveRun_ = true;
+        if (!mayRetry(end))
+            break;
+        context_.metrics_.add(Counter::Retries);
+        logger().info(LogLine("Retrying.").add("id", attemptId_).add("after", attempt.choice_.backend_.id_.value_).add("sends", sendCount_).add("why", attempt.detail_).add("left_ms", timeLeft().count()));
+        // No pause is needed: the previous engine detects its closed connection long before
+        // the next one starts, because the close is sent before the retry, and its
+        // network path is no longer than that of the retry.
+    }
+    if (caller_->isDisconnected())
+        co_return;
+    if (hasStartedAnswer_) {
+        caller_->abort();
+        co_return;
+    }
+    if (!heldAnswer_) {
+        heldAnswer_ = finalFailure();
+        logRejection(*heldAnswer_);
+    }
+    (void)co_await deliver(std::move(*heldAnswer_));
+}
+
+asio::awaitable<bool> RequestForwarder::run()
+{
+    auto self = shared_from_this();
+    context_.metrics_.add(Counter::RequestsAccepted);
+    if (auto rejected = admit()) {
+        logRejection(*rejected);
+        bool isWritten = co_await deliver(std::move(*rejected));
+        co_return isWritten&& keepsConnection_;
+    }
+    context_.retries_.countRequest(shape_.service_, steadyNow());
+    waitDeadline_ = SteadyTime::max();
+    armTimer();
+    caller_->setDisconnectHook([this] { stop(StopReason::CallerDisconnected); });
+    co_await serve();
+    caller_->setDisconnectHook(nullptr);
+    isFinished_ = true;
+    cancelMove();
+    timer_.cancel();
+    if (!hasCountedStart_ && hasQuota_ && !mayHaveRun_)
+        context_.quotas_.giveBack(organisation_->name_, quotaCost_);
+    co_return keepsConnection_ && !caller_->isDisconnected();
+}
+
+void RequestForwarder::finishAttempt(Attempt& attempt, SendOutcome end)
+{
+    BackendOutcome outcome = BackendOutcome::Served;
+    switch (end) {
+    case SendOutcome::Delivered:
+        outcome = BackendOutcome::Served;
+        break;
+    case SendOutcome::Held:
+        outcome = BackendOutcome::Failed;
+        break;
+    case SendOutcome::NotRun:
+        outcome = attempt.detail_ == "wrong_instance" ? BackendOutcome::WrongInstance : BackendOutcome::Full;
+        break;
+    case SendOutcome::Unreachable:
+        outcome = BackendOutcome::Unreachable;
+        break;
+    case SendOutcome::Lost:
+        outcome = BackendOutcome::Broken;
+        break;
+    case SendOutcome::Stopped:
+    case SendOutcome::NotAccepting:
+    case SendOutcome::Moved:
+        outcome = BackendOutcome::Abandoned;
+        break;
+    case SendOutcome::NoConnection:
+        outcome = BackendOutcome::Full;
+        break;
+    }
+    currentConnection_ = nullptr;
+    SteadyTime now = steadyNow();
+    auto streamed = attempt.hasFirstByte_ ? std::chrono::duration_cast<milliseconds>(now - attempt.firstByteAt_) : milliseconds(0);
+    context_.backends_.end(attempt.choice_.backend_.id_, { outcome, attempt.choice_.uncachedTokens_, attempt.hasFirstByte_, streamed }, now);
+    auto took = std::chrono::duration_cast<milliseconds>(now - request_.receivedAt_);
+    context_.metrics_.observe(Histogram::CompleteAnswer, now - request_.receivedAt_);
+    noteVersionOutcome(attempt, outcome);
+    logAttempt(attempt, outcome, took);
+    if (outcome == BackendOutcome::Broken && attempt.isCutOff_)
+        noteCutOff(attempt);
+    if (end == SendOutcome::Delivered || end == SendOutcome::Held)
+        clearSuspicion();
+    lastDetail_ = attempt.detail_;
+}
+
+void RequestForwarder::noteVersionOutcome(const Attempt& attempt, BackendOutcome outcome)
+{
+    if (context_.rollouts_.isEmpty() || !attempt.startedAt_.time_since_epoch().count())
+        return;
+    SteadyTime now = steadyNow();
+    AttemptOutcome observed;
+    observed.outcome_ = outcome;
+    observed.isFailure_ = latestStatus_ >= 500;
+    observed.isCutOff_ = attempt.isCutOff_;
+    observed.hasFirstByte_ = attempt.hasFirstByte_;
+    observed.waitRatio_ = attempt.waitRatio_;
+    observed.waited_ = std::chrono::duration_cast<milliseconds>((attempt.hasFirstByte_ ? attempt.firstByteAt_ : now) - attempt.startedAt_);
+    observed.estimate_ = attempt.choice_.estimate_;
+    std::uint64_t events = eventSplitter_.last().value_or(0) - std::min(eventSplitter_.last().value_or(0), attempt.lastEventBefore_);
+    if (attempt.hasFirstByte_ && events > 1)
+        observed.eventGapMs_ = std::chrono::duration<double, std::milli>(now - attempt.firstByteAt_).count() / static_cast<double>(events - 1);
+    const BackendRecord& backend = attempt.choice_.backend_;
+    context_.rollouts_.noteAnswer(shape_.service_, { backend.version_, keyOf(backend.id_), routeKeyOf(route_->name_), observed });
+}
+
+RequestFingerprint RequestForwarder::fingerprint()
+{
+    if (!fingerprint_) {
+        std::string_view organisation = organisation_ ? std::string_view(organisation_->name_.value_) : std::string_view();
+        fingerprint_ = fingerprintOf({ organisation, request_.method_, request_.field("Host"), request_.target_, request_.body_ }, context_.fingerprintSecret_);
+    }
+    return *fingerprint_;
+}
+
+void RequestForwarder::noteCutOff(const Attempt& attempt)
+{
+    const BackendRecord& backend = attempt.choice_.backend_;
+    auto known = context_.backends_.find(backend.id_);
+    // The termination of a leaving backend server was announced and is not a crash.
+    if (known && known->isLeaving_)
+        return;
+    CutOff cutOff { fingerprint(), organisation_ ? organisation_->name_ : OrganisationId {}, { keyOf(backend.id_) } };
+    CrashDetector::CutOffResult result = context_.crashes_.noteCutOff(cutOff, steadyNow());
+    if (result.counted_)
+        logCrash(context_, backend.id_, *result.counted_);
+    if (result.needsProbe_)
+        asio::co_spawn(pool_.executor(), probeLiveness(context_, backend), asio::detached);
+}
+
+void RequestForwarder::logAttempt(const Attempt& attempt, BackendOutcome outcome, milliseconds took)
+{
+    const BackendChoice& choice = attempt.choice_;
+    LogLine line("Attempt ended.");
+    line.add("id", attemptId_).add("outcome", toString(outcome)).add("why", attempt.detail_).add("status", latestStatus_).add("attempt", sendCount_);
+    line.add("route", route_->name_).add("organisation", organisation_ ? organisation_->name_.value_ : "").add("configuration", static_cast<std::int64_t>(table_->version()));
+    line.add("backend", choice.backend_.id_.value_).add("service", shape_.service_.value_).add("data_centre", choice.backend_.dataCentre_.value_).add("candidates", static_cast<std::int64_t>(choice.candidateCount_));
+    line.add("estimate_ms", choice.estimate_.count()).add("running", static_cast<std::int64_t>(choice.running_)).add("queued_tokens", static_cast<std::int64_t>(choice.queuedTokensAhead_.value_)).add("uncached_tokens", static_cast<std::int64_t>(choice.uncachedTokens_.value_));
+    line.add("charged", static_cast<std::int64_t>(quotaCost_)).add("shared_part", shape_.parts_.size() < 2 ? "" : shape_.parts_[shape_.parts_.size() - 2].id_);
+    if (route_->isStream_)
+        line.add("last_event", eventSplitter_.last() ? static_cast<std::int64_t>(*eventSplitter_.last()) : 0);
+    if (attempt.reportsLeaving_)
+        line.add("leaving", true);
+    if (attempt.pause_.count())
+        line.add("pause_ms", attempt.pause_.count());
+    if (outcome == BackendOutcome::Broken)
+        line.add("request", toString(fingerprint()));
+    line.add("first_byte_ms", firstByteLatency_.count()).add("took_ms", took.count()).add("left_ms", timeLeft().count());
+    logger().info(line);
+}
+
+void RequestForwarder::logRejection(const HeldAnswer& answer) const
+{
+    LogLine line("Refused.");
+    line.add("id", attemptId_).add("status", answer.status_).add("why", std::string_view(answer.body_).substr(0, answer.body_.find('\n')));
+    line.add("target", request_.target_).add("host", request_.field("Host")).add("route", route_ ? route_->name_ : "").add("organisation", organisation_ ? organisation_->name_.value_ : "");
+    line.add("configuration", table_ ? static_cast<std::int64_t>(table_->version()) : 0).add("peer", caller_->peer());
+    logger().info(line);
+}
+
+RequestForwarder::HeldAnswer RequestForwarder::finalFailure() const
+{
+    // 503 promises that the request has not run and never will run.
+    if (!mayHaveRun_ && stopReason_ != StopReason::DeadlineExceeded) {
+        auto pause = context_.backends_.remainingPause(shape_.service_, steadyNow());
+        std::string reason = pause ? "all backend servers asked for a pause" : "no backend server";
+        return rejection(503, lastDetail_.empty() ? reason : lastDetail_, std::max(fullRetryAfter, pause.value_or(fullRetryAfter)));
+    }
+    int status = stopReason_ == StopReason::DeadlineExceeded ? 504 : 502;
+    return rejection(status, lastDetail_.empty() ? "the backend server broke off" : lastDetail_, {});
+}
+
+} // namespace pistachioloom
--- a/lib/Forward/Worker.cpp
+++ b/lib/Forward/Worker.cpp
@@ -1,9 +1,9 @@
-//===- lib/Forward/Worker.cpp - accepts callers ----------------------------===//
+//===- lib/Forward/Worker.cpp - accepts callers ---------------------------===//
 ///
 /// \file
-/// One worker serves its connections on one thread.
+/// Accepts callers and serves their connections on one thread.
 //===----------------------------------------------------------------------===//
-#include "Forwarding.h"
+#include "RequestForwarder.h"
 
 #include <unordered_set>
 
@@ -13,12 +13,13 @@
 
 namespace {
 
-    // Kept connections past their time are closed this often.
+    // The interval at which kept backend connections that are no longer usable are
+    // closed.
     constexpr milliseconds sweepPeriod { 1000 };
-    // After a failed accept (no descriptors left) there is a pause.
+    // The pause after a failed accept, for example for lack of file descriptors.
     constexpr milliseconds acceptPause { 20 };
-    // A closing connection waits so long for the caller's close, so that an
-    // answer on its way is not reset.
+    // The time for which a closing connection waits for the caller's close, so that no reset
+    // discards an answer in flight.
     constexpr milliseconds lingerTime { 500 };
 
 } // namespace
@@ -32,17 +33,17 @@
     {
     }
 
-    asio::awaitable<void> acceptAll();
+    asio::awaitable<void> acceptLoop();
     asio::awaitable<void> serveConnection(std::shared_ptr<CallerConnection> caller);
     asio::awaitable<bool> serveRequests(std::shared_ptr<CallerConnection> caller);
-    asio::awaitable<void> answerBad(CallerConnection& caller, const Error& error);
+    asio::awaitable<void> answerBadRequest(CallerConnection& caller, const Error& error);
     void logUnanswered(const CallerConnection& caller) const;
-    asio::awaitable<void> sweep();
+    asio::awaitable<void> sweepLoop();
     CallerBounds bounds() const;
 
     asio::io_context& io_;
     ForwardContext& context_;
-    BackendPool pool_;
+    ConnectionPool pool_;
     tcp::acceptor acceptor_;
     std::unordered_set<std::shared_ptr<CallerConnection>> callers_;
     Logger logger_ { "forward" };
@@ -54,7 +55,7 @@
     return table ? table->configuration().bounds_ : CallerBounds {};
 }
 
-asio::awaitable<void> ForwardWorker::State::answerBad(CallerConnection& caller, const Error& error)
+asio::awaitable<void> ForwardWorker::State::answerBadRequest(CallerConnection& caller, const Error& error)
 {
     logger_.info("Bad request: " + describe(error) + " status=" + std::to_string(caller.badStatus()));
     context_.metrics_.add(Counter::RequestsRefused);
@@ -64,19 +65,19 @@
     (void)co_await caller.write(std::move(bytes));
 }
 
-/// What a caller sent is lost with its connection: without this line such a request
-/// leaves no trace on the node, since its course never began.
+/// Logs that received bytes are lost with their connection. A request that was not read
+/// completely leaves no other trace on the node.
 void ForwardWorker::State::logUnanswered(const CallerConnection& caller) const
 {
-    if (!caller.unanswered().value_)
+    if (!caller.unansweredBytes().value_)
         return;
     LogLine line("Connection ends with unanswered bytes.");
-    line.add("bytes", static_cast<std::int64_t>(caller.unanswered().value_)).add("idle_ms", caller.idleTime().count());
-    line.add("caller_left", caller.isGone()).add("peer", caller.peer());
+    line.add("bytes", static_cast<std::int64_t>(caller.unansweredBytes().value_)).add("idle_ms", caller.idleTime().count());
+    line.add("caller_left", caller.isDisconnected()).add("peer", caller.peer());
     logger_.warn(line);
 }
 
-/// \returns whether an answer may still be on its way to the caller.
+/// \returns whether an answer to the caller may still be in flight.
 asio::awaitable<bool> ForwardWorker::State::serveRequests(std::shared_ptr<CallerConnection> caller)
 {
     for (;;) {
@@ -84,28 +85,28 @@
         if (!request)
             co_return false;
         if (!*request) {
-            co_await answerBad(*caller, request->error());
+            co_await answerBadRequest(*caller, request->error());
             co_return true;
         }
         CountGuard running(context_.running_);
-        auto forwarding = std::make_shared<Forwarding>(context_, pool_, caller, std::move(request->value()));
-        if (!co_await forwarding->run())
+        auto forwarder = std::make_shared<RequestForwarder>(context_, pool_, caller, std::move(request->value()));
+        if (!co_await forwarder->run())
             co_return true;
     }
 }
 
-/// After an answer the caller's bytes are read until it has closed, or a reset could
-/// overtake the answer. After idle time they are not: a request that crosses the close
-/// must stay unread, which tells its caller that it has not run.
+/// After an answer the caller's bytes are read until the caller closes, because a reset could
+/// overtake the answer. After idle time they are not read: a request that crosses the close in
+/// flight must stay unread, so that a reset tells its caller that it has not run.
 asio::awaitable<void> ForwardWorker::State::serveConnection(std::shared_ptr<CallerConnection> caller)
 {
     CountGuard counted(context_.connections_);
     callers_.insert(caller);
     caller->start();
-    bool mayBeOnItsWay = co_await serveRequests(caller);
-    if (mayBeOnItsWay)
-        caller->finish();
-    if (mayBeOnItsWay && !caller->isGone()) {
+    bool mayHaveAnswerInFlight = co_await serveRequests(caller);
+    if (mayHaveAnswerInFlight)
+        caller->shutdownSend();
+    if (mayHaveAnswerInFlight && !caller->isDisconnected()) {
         SteadyTimer linger(io_, lingerTime);
         (void)co_await linger.async_wait(asTuple);
     }
@@ -114,7 +115,7 @@
     callers_.erase(caller);
 }
 
-asio::awaitable<void> ForwardWorker::State::acceptAll()
+asio::awaitable<void> ForwardWorker::State::acceptLoop()
 {
     for (;;) {
         auto [code, socket] = co_await acceptor_.async_accept(asTuple);
@@ -130,7 +131,7 @@
     }
 }
 
-asio::awaitable<void> ForwardWorker::State::sweep()
+asio::awaitable<void> ForwardWorker::State::sweepLoop()
 {
     for (;;) {
         SteadyTimer timer(io_, sweepPeriod);
@@ -165,9 +166,9 @@
     if (code)
         return Error { Errc::Unavailable, "listen for callers", endpoint.toString(), code.message(), Ran::No, {} };
     asio::co_spawn(
-        state_->io_, [state = state_] { return state->acceptAll(); }, asio::detached);
+        state_->io_, [state = state_] { return state->acceptLoop(); }, asio::detached);
     asio::co_spawn(
-        state_->io_, [state = state_] { return state->sweep(); }, asio::detached);
+        state_->io_, [state = state_] { return state->sweepLoop(); }, asio::detached);
     return acceptor.local_endpoint().port();
 }
 
@@ -175,7 +176,7 @@
 {
     asio::post(state_->io_, [state = state_] {
         for (const auto& caller : state->callers_) {
-            if (caller->staysIdle())
+            if (caller->hasStayedIdle())
                 caller->abort();
         }
     });
--- a/lib/Gateway/DutyRunner.cpp
+++ b/lib/Gateway/DutyRunner.cpp
@@ -1,4 +1,4 @@
-//===- lib/Gateway/DutyRunner.cpp - usage reports and fleet orders ---------===//
+//===- lib/Gateway/DutyRunner.cpp - performs the holder's duties ----------===//
 ///
 /// \file
 /// See DutyRunner.h.
@@ -11,19 +11,21 @@
 
 namespace {
 
+    // Interval at which the node checks whether to claim the duties or to act.
     constexpr milliseconds runPeriod { 250 };
-    // An append without an answer is repeated this often, each time under the
-    // same condition, so that it happens at most once.
-    constexpr int appendTries = 4;
-    // Windows that are remembered; older ones are past their due time.
-    constexpr std::uint64_t windowsKept = 8;
+    // Bound on attempts of an append whose outcome is unknown. All attempts require the same
+    // end of the log, so that the record is appended at most once.
+    constexpr int maxAppendAttempts = 4;
+    // Usage windows that are kept before the one that was reported last. The usage of older
+    // windows is not reported to the platform any more.
+    constexpr std::uint64_t retainedWindows = 8;
 
     DutyTiming timingFor(milliseconds lease)
     {
         DutyTiming timing;
-        // Together more than the lease, so that a holder that comes back later
-        // never acts within one lease of its earlier acts.
-        timing.holderSilence_ = lease * 85 / 100;
+        // The timeout and the wait after a claim together exceed the lease, so that a
+        // holder that reappears later never acts within one lease of its earlier acts.
+        timing.holderTimeout_ = lease * 85 / 100;
         timing.actAfterClaim_ = lease / 2 + milliseconds(100);
         timing.recordValidity_ = lease / 3;
         return timing;
@@ -37,13 +39,15 @@
         return { { { record.usage().number() }, counts } };
     }
 
-    /// Whether engines of \p version take the service's requests, but for those of a trial.
+    /// Returns whether engines of \p version may serve the service's requests, apart from
+    /// requests of a trial.
     bool mayServe(const RolloutState& rollout, const BackendVersion& version)
     {
         bool isTarget = version == rollout.order_.target_;
         switch (rollout.phase_) {
         case RolloutPhase::Trial:
-            // After a stop of all nodes nobody has said yet how an old order ended.
+            // After a stop of all nodes the outcome of an older order is not known until a
+            // holder has decided on it.
             return !isTarget || !rollout.term_;
         case RolloutPhase::Reverted:
             return !isTarget;
@@ -68,30 +72,30 @@
 DutyRunner::DutyRunner(asio::io_context& io, GatewayContext& context)
     : io_(io)
     , context_(context)
-    , seat_(context.settings_.vm_, timingFor(context.settings_.dutyLease_), steadyNow())
-    , fleet_(context.settings_.fleet_)
-    , rollouts_(context, { [this] { return actingToken(); }, [this](wire::DutyRecord record) { return recordOrResign(std::move(record)); } })
+    , lease_(context.settings_.vm_, timingFor(context.settings_.dutyLease_), steadyNow())
+    , fleetTracker_(context.settings_.fleet_)
+    , rollouts_(context, { [this] { return actingToken(); }, [this](wire::DutyRecord record) { return recordOrRelease(std::move(record)); } })
 {
 }
 
 void DutyRunner::start(const PeerReports& reports)
 {
-    reports_ = &reports;
+    peerReports_ = &reports;
     if (!context_.settings_.duties_.port_) {
-        logger_.info("This deployment has no duties.");
+        logger_.info("No duties are configured for this deployment.");
         return;
     }
     asio::co_spawn(io_, run(), asio::detached);
-    asio::co_spawn(io_, rollouts_.steer(), asio::detached);
+    asio::co_spawn(io_, rollouts_.adjust(), asio::detached);
 }
 
 DutyToken DutyRunner::heldToken() const
 {
     std::lock_guard lock(mutex_);
-    return seat_.isHolder() ? seat_.token() : DutyToken {};
+    return lease_.isHolder() ? lease_.token() : DutyToken {};
 }
 
-DutyToken DutyRunner::toldToken() const
+DutyToken DutyRunner::reportedToken() const
 {
     return context_.isStopping_ ? DutyToken {} : heldToken();
 }
@@ -99,76 +103,76 @@
 DutyToken DutyRunner::actingToken() const
 {
     std::lock_guard lock(mutex_);
-    bool mayAct = !context_.isStopping_ && seat_.mayBegin(steadyNow());
-    return mayAct ? seat_.token() : DutyToken {};
+    bool mayAct = !context_.isStopping_ && lease_.mayStartActs(steadyNow());
+    return mayAct ? lease_.token() : DutyToken {};
 }
 
-asio::awaitable<bool> DutyRunner::recordOrResign(wire::DutyRecord record)
+asio::awaitable<bool> DutyRunner::recordOrRelease(wire::DutyRecord record)
 {
-    bool isRecorded = co_await this->record(record) == Recorded::Yes;
+    bool isRecorded = co_await this->appendRecord(record) == AppendResult::Appended;
     if (!isRecorded)
-        resign("a verdict could not be recorded");
+        releaseDuties("a decision could not be recorded");
     co_return isRecorded;
 }
 
-void DutyRunner::heardStopping(const VmId& peer)
+void DutyRunner::noteStopping(const VmId& peer)
 {
     std::lock_guard lock(mutex_);
-    seat_.heardStopping(peer, steadyNow());
+    lease_.noteStopping(peer, steadyNow());
 }
 
 DutyToken DutyRunner::releasedToken() const
 {
     std::lock_guard lock(mutex_);
-    return released_;
+    return releasedToken_;
 }
 
-void DutyRunner::heardReleased(DutyToken token)
+void DutyRunner::noteReleased(DutyToken token)
 {
     std::lock_guard lock(mutex_);
-    seat_.heardReleased(token, steadyNow());
+    lease_.noteReleased(token, steadyNow());
 }
 
-void DutyRunner::heardHolder(const VmId& holder, DutyToken token, SteadyTime heardAt)
+void DutyRunner::noteHolder(const VmId& holder, DutyToken token, SteadyTime reportedAt)
 {
     std::lock_guard lock(mutex_);
-    bool was = seat_.isHolder();
-    seat_.heardHolder(holder, token, heardAt);
-    if (was && !seat_.isHolder())
+    bool wasHolder = lease_.isHolder();
+    lease_.noteHolder(holder, token, reportedAt);
+    if (wasHolder && !lease_.isHolder())
         logger_.info(LogLine("Another node holds the duties.").add("holder", holder.value_).add("token", static_cast<std::int64_t>(token.value_)));
 }
 
-void DutyRunner::resign(const std::string& why)
+void DutyRunner::releaseDuties(const std::string& why)
 {
     std::lock_guard lock(mutex_);
-    if (seat_.isHolder())
-        released_ = seat_.token();
-    seat_.lost(steadyNow());
-    logger_.info(LogLine("Give up the duties.").add("why", why).add("token", static_cast<std::int64_t>(released_.value_)));
+    if (lease_.isHolder())
+        releasedToken_ = lease_.token();
+    lease_.release(steadyNow());
+    logger_.info(LogLine("This node releases the duties.").add("why", why).add("token", static_cast<std::int64_t>(releasedToken_.value_)));
 }
 
 asio::awaitable<void> DutyRunner::run()
 {
-    // Claims from before this node's start are no news later. If this fails they are
-    // taken for news, and a claim comes later by the silence of a holder.
+    // Claims from before this node's start must not count as new ones later. If this read
+    // fails, they count as new, and this node's own claim is delayed by the holder's timeout.
     (void)co_await readLog();
     for (;;) {
         co_await sleepFor(runPeriod);
         sampleDemand();
-        // A node that is stopping leaves the duties to those that stay.
+        // A node that is stopping leaves the duties to the other nodes.
         if (context_.isStopping_)
             continue;
         bool shouldClaim = false;
-        bool mayBegin = false;
+        bool mayStartActs = false;
         {
-            std::size_t rank = reports_->rankFor("duties");
+            std::size_t rank = peerReports_->rankFor("duties");
             std::lock_guard lock(mutex_);
-            shouldClaim = context_.table() && seat_.shouldClaim(rank, steadyNow());
-            mayBegin = seat_.mayBegin(steadyNow());
+            shouldClaim = context_.table() && lease_.shouldClaim(rank, steadyNow());
+            mayStartActs = lease_.mayStartActs(steadyNow());
         }
         if (shouldClaim)
             co_await claim();
-        else if (mayBegin)
+        else if (mayStartActs)
             co_await act();
     }
 }
@@ -177,72 +181,73 @@
 {
     SteadyTime now = steadyNow();
     for (const auto& [service, view] : context_.backends_.services()) {
-        context_.demand_.countOwn(service, { view.tokensAsked_ }, now);
-        // What it tells its peers stands beside theirs; the rate is counted above.
+        context_.demand_.recordLocalTokens(service, { view.tokensRequested_ }, now);
+        // The prefill rate and its observations are averaged with those of the peers. The
+        // token rate is passed as 0, since the tokens are recorded above.
         context_.demand_.setSource(context_.settings_.vm_, service, { 0, view.prefillPerMs_, view.observations_ }, now);
     }
     context_.demand_.sample(now);
     for (const FleetView& view : fleetViews(now))
-        fleet_.observe(view, now);
+        fleetTracker_.observe(view, now);
 }
 
-/// Reads the log of duties to its end. \returns whether it was read.
+/// Reads the log of duties up to its end. \returns whether this succeeded.
 asio::awaitable<bool> DutyRunner::readLog()
 {
     for (;;) {
-        auto read = co_await context_.platform_.readDuties_(end_);
+        auto read = co_await context_.platform_.readDutyLog_(logEnd_);
         if (!read) {
-            logger_.warn("Log of duties cannot be read: " + describe(read.error()));
+            logger_.warn("The log of duties cannot be read: " + describe(read.error()));
             co_return false;
         }
         for (const auto& [offset, bytes] : read.value().records_) {
             wire::DutyRecord record;
             if (!record.ParseFromString(bytes)) {
-                logger_.warn("Record " + std::to_string(offset.value_) + " of duties cannot be read.");
+                logger_.warn("Record " + std::to_string(offset.value_) + " of the log of duties cannot be parsed.");
                 continue;
             }
             for (const wire::FleetNeed& need : record.needs())
                 recordedNeeds_[{ need.service() }] = need.engines();
             if (record.has_rollout())
-                rollouts_.takeRecord(record.rollout());
+                rollouts_.applyRecord(record.rollout());
             if (record.has_usage())
-                recorded_.merge(usageOf(record));
+                recordedUsage_.merge(usageOf(record));
             else if (!record.orders_size() && !record.has_rollout())
                 newestClaim_ = { { record.vm() }, { offset.value_ + 1 } };
         }
         bool isAtEnd = read.value().records_.empty();
-        end_ = read.value().next_;
+        logEnd_ = read.value().next_;
         if (isAtEnd)
             co_return true;
     }
 }
 
-asio::awaitable<DutyRunner::Recorded> DutyRunner::record(const wire::DutyRecord& record)
+asio::awaitable<DutyRunner::AppendResult> DutyRunner::appendRecord(const wire::DutyRecord& record)
 {
     std::string bytes = record.SerializeAsString();
-    // An act that is recorded later than this is not covered any more, and a holder
-    // that the platform does not answer makes room for another.
+    // A record that is appended after its validity does not cover its act any more, and a
+    // holder that gets no answers from the platform must release the duties for another node.
     SteadyTime until = steadyNow() + timingFor(context_.settings_.dutyLease_).recordValidity_;
-    for (int i = 0; i < appendTries && steadyNow() < until; ++i) {
-        auto appended = co_await context_.platform_.appendDuty_(end_, bytes);
+    for (int i = 0; i < maxAppendAttempts && steadyNow() < until; ++i) {
+        auto appended = co_await context_.platform_.appendDutyRecord_(logEnd_, bytes);
         if (appended) {
-            ++end_.value_;
-            co_return Recorded::Yes;
+            ++logEnd_.value_;
+            co_return AppendResult::Appended;
         }
         if (appended.error().code_ != Errc::Conflict) {
-            logger_.warn("Record of duties is not known to be written: " + describe(appended.error()));
+            logger_.warn("A record may not have been appended to the log of duties: " + describe(appended.error()));
             continue;
         }
-        // An earlier try of this very record may be what came first.
-        LogOffset mine = end_;
-        auto read = co_await context_.platform_.readDuties_(mine);
+        // The record at this offset may be the same record, appended by an earlier attempt.
+        LogOffset ownOffset = logEnd_;
+        auto read = co_await context_.platform_.readDutyLog_(ownOffset);
         if (read && !read.value().records_.empty() && read.value().records_.front().second == bytes) {
-            ++end_.value_;
-            co_return Recorded::Yes;
+            ++logEnd_.value_;
+            co_return AppendResult::Appended;
         }
-        co_return Recorded::Superseded;
+        co_return AppendResult::Superseded;
     }
-    co_return Recorded::Unsure;
+    co_return AppendResult::Unknown;
 }
 
 asio::awaitable<void> DutyRunner::claim()
@@ -250,58 +255,59 @@
     Claim before = newestClaim_;
     if (!co_await readLog())
         co_return;
-    // Somebody claimed whom this node has not heard yet: after a start many would claim
-    // in a row.
-    bool isNews = newestClaim_.token_ > before.token_ && newestClaim_.vm_ != context_.settings_.vm_;
-    // One that is stopping already will not be heard.
-    isNews &= !reports_->isStopping(newestClaim_.vm_);
-    if (isNews) {
+    // The log may contain a claim of another node whose report has not arrived yet.
+    // Without this check many nodes would claim one after the other after a start.
+    bool isNewClaim = newestClaim_.token_ > before.token_ && newestClaim_.vm_ != context_.settings_.vm_;
+    // A node that is already stopping does not report that it holds the duties.
+    isNewClaim &= !peerReports_->isStopping(newestClaim_.vm_);
+    if (isNewClaim) {
         std::lock_guard lock(mutex_);
-        if (newestClaim_.token_ > seat_.token()) {
-            seat_.heardHolder(newestClaim_.vm_, newestClaim_.token_, steadyNow());
+        if (newestClaim_.token_ > lease_.token()) {
+            lease_.noteHolder(newestClaim_.vm_, newestClaim_.token_, steadyNow());
             co_return;
         }
     }
     wire::DutyRecord claim;
     claim.set_vm(context_.settings_.vm_.value_);
     claim.set_incarnation(context_.incarnation_);
-    Recorded recorded = co_await record(claim);
-    if (recorded != Recorded::Yes)
-        co_return resign(recorded == Recorded::Superseded ? "another claimed first" : "the claim has no answer");
+    AppendResult recorded = co_await appendRecord(claim);
+    if (recorded != AppendResult::Appended)
+        co_return releaseDuties(recorded == AppendResult::Superseded ? "another record was appended first" : "the outcome of the claim is unknown");
     for (const auto& [service, engines] : recordedNeeds_)
-        fleet_.inheritNeed(service, engines, steadyNow());
+        fleetTracker_.inheritNeed(service, engines, steadyNow());
     std::lock_guard lock(mutex_);
-    // The token is the claim's offset plus one, which is the end after it.
-    seat_.claimed({ end_.value_ }, steadyNow());
-    logger_.info(LogLine("Hold the duties.").add("token", static_cast<std::int64_t>(end_.value_)));
+    // The token is the claim's offset plus one. appendRecord() has advanced logEnd_ to this
+    // value.
+    lease_.becomeHolder({ logEnd_.value_ }, steadyNow());
+    logger_.info(LogLine("This node holds the duties.").add("token", static_cast<std::int64_t>(logEnd_.value_)));
 }
 
 asio::awaitable<void> DutyRunner::act()
 {
-    bool holdsOn = co_await rollouts_.act();
-    if (!holdsOn)
+    bool isStillHolder = co_await rollouts_.act();
+    if (!isStillHolder)
         co_return;
     co_await reportUsage();
-    if (steadyNow() - fleetAt_ < context_.settings_.fleet_.period_)
+    if (steadyNow() - fleetCheckedAt_ < context_.settings_.fleet_.period_)
         co_return;
-    fleetAt_ = steadyNow();
+    fleetCheckedAt_ = steadyNow();
     co_await orderFleet();
 }
 
 asio::awaitable<void> DutyRunner::reportUsage()
 {
     const UsageTiming& timing = context_.settings_.usageTiming_;
-    auto haveAllTold = [&](milliseconds time) { return reports_->haveAllToldWithin(time, timing.longest_); };
-    auto newest = dueWindow(context_.agreedWallMs(), context_.settings_.usageWindow_, timing, haveAllTold);
-    if (!newest || reported_.contains(*newest))
+    auto allReportedWithin = [&](milliseconds time) { return peerReports_->haveAllReportedWithin(time, timing.maxDelay_); };
+    auto newest = dueWindow(context_.agreedWallMs(), context_.settings_.usageWindow_, timing, allReportedWithin);
+    if (!newest || reportedWindows_.contains(*newest))
         co_return;
     WindowNumber due = *newest;
     UsageCounts counts = context_.usage_.sum(due);
-    auto earlier = recorded_.find(due);
-    if (earlier != recorded_.end())
+    auto earlier = recordedUsage_.find(due);
+    if (earlier != recordedUsage_.end())
         counts = earlier->second;
     if (counts.empty()) {
-        reported_.insert(due);
+        reportedWindows_.insert(due);
         co_return;
     }
     SteadyTime recordedAt = steadyNow();
@@ -311,12 +317,12 @@
     intent.mutable_usage()->set_number(due.value_);
     for (const auto& [organisation, count] : counts)
         (*intent.mutable_usage()->mutable_counts())[organisation.value_] = count;
-    Recorded recorded = co_await record(intent);
-    if (recorded != Recorded::Yes)
-        co_return resign("usage of window " + std::to_string(due.value_) + " could not be recorded");
-    recorded_[due] = counts;
+    AppendResult recorded = co_await appendRecord(intent);
+    if (recorded != AppendResult::Appended)
+        co_return releaseDuties("usage of window " + std::to_string(due.value_) + " could not be recorded");
+    recordedUsage_[due] = counts;
     DutyToken token = heldToken();
-    if (!seat_.mayAct(recordedAt, steadyNow()))
+    if (!lease_.mayAct(recordedAt, steadyNow()))
         co_return;
     auto sent = co_await context_.platform_.reportUsage_(context_.settings_.vm_, token, due, counts);
     std::uint64_t sum = 0;
@@ -327,38 +333,38 @@
     logger_.info(line);
     if (!sent)
         co_return;
-    reported_.insert(due);
-    context_.usage_.forget({ due.value_ - std::min(due.value_, windowsKept) });
-    recorded_.erase(recorded_.begin(), recorded_.lower_bound({ due.value_ - std::min(due.value_, windowsKept) }));
+    reportedWindows_.insert(due);
+    context_.usage_.forget({ due.value_ - std::min(due.value_, retainedWindows) });
+    recordedUsage_.erase(recordedUsage_.begin(), recordedUsage_.lower_bound({ due.value_ - std::min(due.value_, retainedWindows) }));
 }
 
-/// One service's engines, as this node knows them.
+/// Returns the engines and the demand of \p service, as this node knows them at \p now.
 FleetView DutyRunner::viewOf(const ServicePolicy& service, SteadyTime now) const
 {
     auto rollout = context_.rollouts_.find(service.name_);
-    std::map<DataCentreId, FleetPlace> places;
+    std::map<DataCentreId, DataCentreFleet> fleets;
     for (const auto& [dataCentre, price] : service.fleet_->prices_)
-        places[dataCentre] = { dataCentre, price, 0, 0 };
+        fleets[dataCentre] = { dataCentre, price, 0, 0 };
     for (const BackendRecord& record : context_.backends_.records()) {
-        auto found = places.find(record.dataCentre_);
-        if (record.service_ != service.name_ || record.isLeaving_ || found == places.end())
+        auto found = fleets.find(record.dataCentre_);
+        if (record.service_ != service.name_ || record.isLeaving_ || found == fleets.end())
             continue;
         if (!rollout || mayServe(*rollout, record.version_))
-            ++(record.isReclaimable_ ? found->second.reclaimable_ : found->second.lasting_);
+            ++(record.isReclaimable_ ? found->second.reclaimable_ : found->second.onDemand_);
         else if (!record.isReclaimable_)
-            ++found->second.lastingApart_;
+            ++found->second.onDemandExcluded_;
     }
     FleetView view { service.name_, *service.fleet_, {}, {}, 0, 0, 0, true, false };
-    for (auto& [dataCentre, place] : places)
-        view.places_.push_back(std::move(place));
+    for (auto& [dataCentre, fleet] : fleets)
+        view.dataCentres_.push_back(std::move(fleet));
     view.tokensPerSecond_ = context_.demand_.peakRate(service.name_, now);
     view.prefillPerMs_ = context_.demand_.prefillPerMs(service.name_, context_.settings_.choice_.prefillPerMs_);
-    BackendBook::Occupancy occupancy = context_.backends_.occupancy(service.name_);
+    BackendTable::Occupancy occupancy = context_.backends_.occupancy(service.name_);
     view.slots_ = occupancy.slots_;
-    view.slotsTaken_ = occupancy.taken_;
-    view.isWhole_ = reports_->coverage(now).isWhole();
-    bool hasApart = std::any_of(view.places_.begin(), view.places_.end(), [](const FleetPlace& place) { return place.lastingApart_ > 0; });
-    view.holdsAll_ = rollout && (!isFinal(rollout->phase_) || (rollout->phase_ == RolloutPhase::Reverted && hasApart));
+    view.slotsTaken_ = occupancy.takenSlots_;
+    view.isComplete_ = peerReports_->coverage(now).isComplete();
+    bool hasExcluded = std::any_of(view.dataCentres_.begin(), view.dataCentres_.end(), [](const DataCentreFleet& fleet) { return fleet.onDemandExcluded_ > 0; });
+    view.isRollingOut_ = rollout && (!isFinal(rollout->phase_) || (rollout->phase_ == RolloutPhase::Reverted && hasExcluded));
     return view;
 }
 
@@ -379,16 +385,16 @@
 {
     std::vector<FleetOrder> due;
     for (const FleetView& view : fleetViews(now)) {
-        std::uint64_t before = fleet_.needed(view.service_);
-        std::vector<FleetOrder> orders = fleet_.dueOrders(view, now);
+        std::uint64_t before = fleetTracker_.needed(view.service_);
+        std::vector<FleetOrder> orders = fleetTracker_.dueOrders(view, now);
         due.insert(due.end(), orders.begin(), orders.end());
-        std::uint64_t needed = fleet_.needed(view.service_);
+        std::uint64_t needed = fleetTracker_.needed(view.service_);
         if (needed == before)
             continue;
-        LogLine line("Engines needed.");
-        line.add("service", view.service_.value_).add("needed", static_cast<std::int64_t>(needed)).add("lasting", static_cast<std::int64_t>(view.lasting())).add("reclaimable", static_cast<std::int64_t>(view.reclaimable()));
+        LogLine line("The number of engines needed has changed.");
+        line.add("service", view.service_.value_).add("needed", static_cast<std::int64_t>(needed)).add("lasting", static_cast<std::int64_t>(view.onDemand())).add("reclaimable", static_cast<std::int64_t>(view.reclaimable()));
         line.add("tokens_per_s", view.tokensPerSecond_ ? std::to_string(static_cast<std::int64_t>(*view.tokensPerSecond_)) : "").add("prefill_per_ms", std::to_string(view.prefillPerMs_));
-        line.add("is_whole", view.isWhole_ ? "yes" : "no");
+        line.add("is_whole", view.isComplete_ ? "yes" : "no");
         line.add("slots", static_cast<std::int64_t>(view.slots_)).add("slots_taken", static_cast<std::int64_t>(view.slotsTaken_));
         logger_.info(line);
     }
@@ -409,17 +415,17 @@
     for (const ServiceName& service : servicesIn(due)) {
         wire::FleetNeed& need = *intent.add_needs();
         need.set_service(service.value_);
-        need.set_engines(fleet_.needed(service));
+        need.set_engines(fleetTracker_.needed(service));
     }
-    if (co_await record(intent) != Recorded::Yes)
-        co_return resign("orders could not be recorded");
+    if (co_await appendRecord(intent) != AppendResult::Appended)
+        co_return releaseDuties("orders could not be recorded");
     for (const wire::FleetNeed& need : intent.needs())
         recordedNeeds_[{ need.service() }] = need.engines();
     for (const FleetOrder& order : due) {
-        if (!seat_.mayAct(now, steadyNow()))
+        if (!lease_.mayAct(now, steadyNow()))
             co_return;
         auto sent = co_await context_.platform_.orderFleet_(context_.settings_.vm_, heldToken(), order);
-        fleet_.noteOrdered(order, sent.has_value(), steadyNow());
+        fleetTracker_.noteOrdered(order, sent.has_value(), steadyNow());
         LogLine line("Engines are ordered.");
         line.add("service", order.service_.value_).add("data_centre", order.dataCentre_.value_).add("kind", order.isReclaimable_ ? "reclaimable" : "lasting").add("wanted", static_cast<std::int64_t>(order.wanted_));
         line.add("token", static_cast<std::int64_t>(heldToken().value_)).add("error", sent ? "" : describe(sent.error()));
--- a/lib/Gateway/Gateway.cpp
+++ b/lib/Gateway/Gateway.cpp
@@ -1,15 +1,15 @@
-//===- lib/Gateway/Gateway.cpp - a node that forwards transparently --------===//
+//===- lib/Gateway/Gateway.cpp - transparent forwarding gateway node ------===//
 ///
 /// \file
-/// Wires the parts together; starts, reloads and drains them.
+/// Connects the parts of a gateway, and starts, reloads and drains them.
 //===----------------------------------------------------------------------===//
 #include "DutyRunner.h"
-#include "Feed.h"
 #include "LoopLag.h"
-#include "QuarantineKeeper.h"
-#include "QuarantinePage.h"
-#include "ReachProbe.h"
-#include "RolloutPage.h"
+#include "PlatformFeed.h"
+#include "QuarantineEndpoint.h"
+#include "QuarantineStore.h"
+#include "ReachabilityProbe.h"
+#include "RolloutEndpoint.h"
 #include "generated/Peer.pb.h"
 
 #include <thread>
@@ -18,12 +18,13 @@
 
 namespace {
 
-    // A node that has heard no peer looks for announcements this often.
+    // Interval at which a node repeats a failed announcement of itself, and at which a node
+    // without live peers reads the announcements of others.
     constexpr milliseconds announcePeriod { 3000 };
-    // The wait for requests in progress looks this often whether they are over.
+    // Interval at which a draining node checks whether all connections have ended.
     constexpr milliseconds drainPeriod { 50 };
-    // What still runs is broken off this long before the forced end, so that
-    // callers can go on elsewhere.
+    // Requests that are still running are aborted this long before the forced termination,
+    // so that callers can resume at another node.
     constexpr milliseconds drainMargin { 700 };
 
 } // namespace
@@ -36,22 +37,23 @@
     asio::awaitable<void> drain();
     asio::awaitable<void> watchSignals();
     HttpResponse readiness() const;
-    HttpResponse metricsPage() const;
-    HttpResponse operatorPage(const HttpRequest& request);
+    HttpResponse metricsEndpoint() const;
+    HttpResponse operatorEndpoint(const HttpRequest& request);
     void reload();
     bool isReady() const;
 
     std::string file_;
     GatewayContext context_;
     std::vector<std::unique_ptr<asio::io_context>> ios_;
-    // Ends before the loops it resumes coroutines on, and the context it works on.
-    Background background_;
+    // Destroyed before the event loops on which it resumes coroutines, and before the
+    // context that its tasks use.
+    BackgroundExecutor background_;
     PeerPool peerPool_;
-    PeerReports reports_;
+    PeerReports peerReports_;
     DutyRunner duties_;
-    ReachProbe probe_;
-    Feed feed_;
-    QuarantineKeeper quarantines_;
+    ReachabilityProbe probe_;
+    PlatformFeed feed_;
+    QuarantineStore quarantineStore_;
     PeerServer peerServer_;
     HttpServer readinessServer_;
     HttpServer metricsServer_;
@@ -72,26 +74,26 @@
     : file_(std::move(file))
     , context_(std::move(settings), std::move(platform))
     , ios_(makeContexts(context_.settings_.threads_))
-    , peerPool_(ios_[0]->get_executor(), context_.settings_.peerCredential_, [this](const Error& error) { logger_.warn("Peer link: " + describe(error)); })
-    , reports_(*ios_[0], context_, { [this] { return duties_.toldToken(); }, [this] { return duties_.releasedToken(); }, [this](const VmId& vm, DutyToken token, SteadyTime heardAt) { duties_.heardHolder(vm, token, heardAt); }, [this](DutyToken token) { duties_.heardReleased(token); }, [this](const VmId& vm) { duties_.heardStopping(vm); }, [this] { return feed_.isReader(); }, [this] { return feed_.isPlatformLost(); } })
+    , peerPool_(ios_[0]->get_executor(), context_.settings_.peerCredential_, [this](const Error& error) { logger_.warn("Peer link failed: " + describe(error)); })
+    , peerReports_(*ios_[0], context_, { [this] { return duties_.reportedToken(); }, [this] { return duties_.releasedToken(); }, [this](const VmId& vm, DutyToken token, SteadyTime reportedAt) { duties_.noteHolder(vm, token, reportedAt); }, [this](DutyToken token) { duties_.noteReleased(token); }, [this](const VmId& vm) { duties_.noteStopping(vm); }, [this] { return feed_.isReader(); }, [this] { return feed_.isPlatformUnavailable(); } })
     , duties_(*ios_[0], context_)
     , probe_(context_)
-    , feed_(*ios_[0], context_, reports_, peerPool_, background_)
-    , quarantines_(context_, { [this] { return feed_.isReader(); }, [this] { return reports_.rankFor("quarantines") == 0; } })
+    , feed_(*ios_[0], context_, peerReports_, peerPool_, background_)
+    , quarantineStore_(context_, { [this] { return feed_.isReader(); }, [this] { return peerReports_.rankFor("quarantines") == 0; } })
     , peerServer_(
           ios_[0]->get_executor(), context_.settings_.peerCredential_, [this](std::shared_ptr<PeerStream> stream) { return servePeer(std::move(stream)); },
-          [this](const Error& error) { logger_.warn("Peer was refused: " + describe(error)); })
+          [this](const Error& error) { logger_.warn("Incoming peer connection failed: " + describe(error)); })
     , readinessServer_(
           ios_[0]->get_executor(), HttpBounds {}, [this](HttpExchange& exchange) -> asio::awaitable<void> { (void)co_await exchange.respond(readiness()); }, errorResponse)
     , metricsServer_(
-          ios_[0]->get_executor(), HttpBounds {}, [this](HttpExchange& exchange) -> asio::awaitable<void> { (void)co_await exchange.respond(operatorPage(exchange.request())); }, errorResponse)
+          ios_[0]->get_executor(), HttpBounds {}, [this](HttpExchange& exchange) -> asio::awaitable<void> { (void)co_await exchange.respond(operatorEndpoint(exchange.request())); }, errorResponse)
     , signals_(*ios_[0], SIGTERM, SIGINT, SIGHUP)
 {
     context_.forward_.hooks_.onLeaving_ = [this](const BackendId& backend) {
         logger_.info(LogLine("Backend server is leaving.").add("backend", backend.value_).add("from", "its answer"));
-        reports_.noteLeaving(backend);
+        peerReports_.noteLeaving(backend);
     };
-    context_.forward_.hooks_.onEnded_ = [this](const BackendId& backend) { reports_.noteEnded(backend); };
+    context_.forward_.hooks_.onTerminated_ = [this](const BackendId& backend) { peerReports_.noteTerminated(backend); };
     for (const auto& io : ios_)
         workers_.push_back(std::make_unique<ForwardWorker>(*io, context_.forward_));
 }
@@ -108,7 +110,7 @@
     return { 503, {}, context_.isStopping_ ? "stopping\n" : "no configuration yet\n" };
 }
 
-HttpResponse Gateway::State::metricsPage() const
+HttpResponse Gateway::State::metricsEndpoint() const
 {
     auto table = context_.table();
     std::map<std::string, double> gauges {
@@ -116,8 +118,8 @@
         { "requests_running", static_cast<double>(context_.forward_.running_) },
         { "configuration_version", table ? static_cast<double>(table->version()) : 0 },
         { "backend_servers", static_cast<double>(context_.backends_.records().size()) },
-        { "peers_live", static_cast<double>(reports_.live().size()) },
-        { "nodes_known_of", static_cast<double>(reports_.nodesKnownOf()) },
+        { "peers_live", static_cast<double>(peerReports_.live().size()) },
+        { "nodes_known_of", static_cast<double>(peerReports_.nodesCovered()) },
         { "log_lines_dropped", static_cast<double>(droppedLogLines()) },
         { "requests_suspected", static_cast<double>(context_.quarantine_.suspects(steadyNow()).size()) },
         { "requests_in_quarantine", static_cast<double>(context_.quarantine_.quarantined(steadyNow())) },
@@ -126,11 +128,11 @@
     return { 200, { { "content-type", "text/plain; version=0.0.4" } }, context_.metrics_.render(gauges) };
 }
 
-HttpResponse Gateway::State::operatorPage(const HttpRequest& request)
+HttpResponse Gateway::State::operatorEndpoint(const HttpRequest& request)
 {
-    if (isForRolloutPage(request))
-        return rolloutPage(context_, duties_.rollouts(), request);
-    return isForQuarantinePage(request) ? quarantinePage(context_, request) : metricsPage();
+    if (isForRolloutEndpoint(request))
+        return rolloutEndpoint(context_, duties_.rollouts(), request);
+    return isForQuarantineEndpoint(request) ? quarantineEndpoint(context_, request) : metricsEndpoint();
 }
 
 asio::awaitable<void> Gateway::State::servePeer(std::shared_ptr<PeerStream> stream)
@@ -139,11 +141,11 @@
     if (frame && frame.value().has_configuration_fetch())
         co_await feed_.serve(stream, frame.value());
     else if (frame)
-        logger_.warn("Peer " + stream->peer() + " opened a stream with a frame that asks nothing.");
+        logger_.warn("Peer " + stream->peer() + " opened a stream with a frame that is not a request.");
     stream->finish();
 }
 
-/// Announces this node, and looks for others while none is heard.
+/// Announces this node, and reads the announcements of others while no peer is live.
 asio::awaitable<void> Gateway::State::findPeers()
 {
     bool isAnnounced = false;
@@ -156,13 +158,13 @@
             if (!announced)
                 logger_.warn("Announcement failed: " + describe(announced.error()));
         }
-        if (!hasRead || reports_.live().empty()) {
-            auto nodes = co_await context_.platform_.announced_();
+        if (!hasRead || peerReports_.live().empty()) {
+            auto nodes = co_await context_.platform_.listAnnounced_();
             if (nodes) {
                 for (const AnnouncedNode& node : nodes.value())
-                    reports_.addKnown(node.vm_, node.gossip_);
+                    peerReports_.addKnownPeer(node.vm_, node.gossip_);
                 hasRead = true;
-                reports_.noteFleetKnown();
+                peerReports_.noteFleetKnown();
             } else
                 logger_.warn("Announcements cannot be read: " + describe(nodes.error()));
         }
@@ -176,11 +178,11 @@
     auto settings = loadGatewaySettings(file_, errors);
     if (!settings) {
         for (const InputError& error : errors)
-            logger_.error("Settings are refused, the ones before stay: " + error.toString());
+            logger_.error("Settings are invalid, the previous ones stay in force: " + error.toString());
         return;
     }
     initialiseLogging(settings->logs_, settings->vm_.value_);
-    logger_.info("Settings were read again: levels of logs apply now, the rest at the next start.");
+    logger_.info("Settings were read again: log levels apply now, all other settings at the next start.");
 }
 
 asio::awaitable<void> Gateway::State::watchSignals()
@@ -205,15 +207,16 @@
     context_.forward_.isStopping_ = true;
     logger_.info(LogLine("Stopping.").add("running", static_cast<std::int64_t>(context_.forward_.running_)).add("connections", static_cast<std::int64_t>(context_.forward_.connections_)));
     co_await sleepFor(std::min(settings.balancerGrace_, settings.grace_ - drainMargin));
-    // A stream taken later than this might not end within the grace time.
-    context_.forward_.refusesNew_ = true;
+    // New requests are rejected from now on: a stream that started later might not end
+    // within the grace time.
+    context_.forward_.rejectsNew_ = true;
     while (steadyNow() < stopAt && context_.forward_.connections_) {
         for (const auto& worker : workers_)
             worker->closeIdle();
         co_await sleepFor(drainPeriod);
     }
     if (context_.forward_.running_) {
-        logger_.warn(LogLine("Break off what runs at the end of the grace time.").add("running", static_cast<std::int64_t>(context_.forward_.running_)));
+        logger_.warn(LogLine("Requests that still run at the end of the grace time are aborted.").add("running", static_cast<std::int64_t>(context_.forward_.running_)));
         for (const auto& worker : workers_)
             worker->abortAll();
         co_await sleepFor(drainPeriod);
@@ -250,16 +253,16 @@
     auto peers = state_->peerServer_.listen(settings.peers_);
     if (!peers)
         return peers.error();
-    auto reports = state_->reports_.start();
+    auto reports = state_->peerReports_.start();
     if (!reports)
         return reports.error();
     state_->feed_.start();
-    state_->duties_.start(state_->reports_);
+    state_->duties_.start(state_->peerReports_);
     for (const auto& io : state_->ios_)
         asio::co_spawn(*io, watchLoopLag(state_->context_.metrics_), asio::detached);
     asio::co_spawn(*state_->ios_[0], state_->findPeers(), asio::detached);
     asio::co_spawn(*state_->ios_[0], state_->probe_.run(), asio::detached);
-    asio::co_spawn(*state_->ios_[0], state_->quarantines_.run(), asio::detached);
+    asio::co_spawn(*state_->ios_[0], state_->quarantineStore_.run(), asio::detached);
     asio::co_spawn(*state_->ios_[0], state_->watchSignals(), asio::detached);
     state_->logger_.info(LogLine("Started.").add("data_centre", settings.dataCentre_.value_).add("callers", settings.callers_.toString()).add("incarnation", std::to_string(state_->context_.incarnation_)));
     return port;
--- a/lib/Gateway/PeerReports.cpp
+++ b/lib/Gateway/PeerReports.cpp
@@ -1,7 +1,7 @@
-//===- lib/Gateway/PeerReports.cpp - what nodes tell each other ------------===//
+//===- lib/Gateway/PeerReports.cpp - reports between nodes ----------------===//
 ///
 /// \file
-/// Sends and takes the datagrams; ReportMessages.cpp composes them.
+/// Sends and receives the datagrams; ReportMessages.cpp composes them.
 //===----------------------------------------------------------------------===//
 #include "PeerReports.h"
 
@@ -16,13 +16,15 @@
 
 namespace {
 
-    // The largest datagram that UDP carries.
-    constexpr std::size_t longestDatagram = 64UL * 1024;
-    // A node that hears few others waits for so many places more before it claims
-    // duties, longer than a lease: they may be held by one that it does not hear.
-    constexpr std::size_t ranksBehind = 8;
+    // Maximum size of a UDP datagram.
+    constexpr std::size_t maxDatagramSize = 64UL * 1024;
+    // Added to the rank of a node that receives reports of at most half of the fleet. The
+    // duties may be held by another node whose reports do not arrive at this one. With
+    // the added rank this node waits longer than a lease before it claims the duties.
+    constexpr std::size_t rankPenalty = 8;
 
-    /// The peer that stands for all others in the books of a large fleet.
+    /// Identifies the peer that represents all other nodes in the tables of a large
+    /// fleet.
     const VmId& allOthers()
     {
         static const VmId vm { "(all others)" };
@@ -41,9 +43,9 @@
     : context_(context)
     , hooks_(std::move(hooks))
     , socket_(io)
-    , table_(context.settings_.vm_, context.settings_.dataCentre_, context.settings_.cores_, context.settings_.gossiping_)
-    , discovery_(table_, context.settings_.vm_, context.settings_.dataCentre_, context.settings_.gossiping_)
-    , relayBook_(context.settings_.usageWindow_)
+    , table_(context.settings_.vm_, context.settings_.dataCentre_, context.settings_.cores_, context.settings_.gossipSettings_)
+    , discovery_(table_, context.settings_.vm_, context.settings_.dataCentre_, context.settings_.gossipSettings_)
+    , aggregator_(context.settings_.usageWindow_)
 {
 }
 
@@ -58,67 +60,72 @@
         socket_.bind(address, code);
     if (code)
         return Error { Errc::Unavailable, "bind datagrams", own.toString(), code.message(), Ran::No, {} };
-    asio::co_spawn(socket_.get_executor(), hear(), asio::detached);
-    asio::co_spawn(socket_.get_executor(), tell(), asio::detached);
+    asio::co_spawn(socket_.get_executor(), receiveDatagrams(), asio::detached);
+    asio::co_spawn(socket_.get_executor(), sendReports(), asio::detached);
     return boost::outcome_v2::success();
 }
 
 std::vector<KnownPeer> PeerReports::live() const
 {
-    return heardWithin(context_.settings_.gossiping_.silence_);
+    return reportedWithin(context_.settings_.gossipSettings_.unresponsiveAfter_);
 }
 
-std::uint64_t PeerReports::nodesKnownOf() const
+std::uint64_t PeerReports::nodesCovered() const
 {
-    return wasLarge_ ? nodesSummed_.load() : live().size();
+    return usesRelays_ ? relayedNodes_.load() : live().size();
 }
 
 Coverage PeerReports::coverage(SteadyTime now) const
 {
-    PeerTable::Census census = table_.census();
-    // What was named and never heard may be long gone, but for a while after a start.
-    bool hasJustStarted = now - startedAt_ < context_.settings_.gossiping_.forget_;
-    std::uint64_t known = census.heard_ + (hasJustStarted ? census.named_ : 0);
+    PeerTable::PeerCounts peerCounts = table_.peerCounts();
+    // Nodes that were advertised and have never reported may have stopped long ago. They
+    // count as known only until forgetAfter_ has passed since the start of this node,
+    // since their first reports may arrive until then.
+    bool hasJustStarted = now - startedAt_ < context_.settings_.gossipSettings_.forgetAfter_;
+    std::uint64_t known = peerCounts.reportedNodes_ + (hasJustStarted ? peerCounts.advertisedNodes_ : 0);
     const wire::NodeSums* sums = others_.current(now);
-    std::uint64_t heard = wasLarge_ ? (sums ? sums->nodes() : 0) : live().size();
-    return { heard + 1, std::max(known, heard) + 1 };
+    std::uint64_t reported = usesRelays_ ? (sums ? sums->nodes() : 0) : live().size();
+    return { reported + 1, std::max(known, reported) + 1 };
 }
 
 std::size_t PeerReports::rankFor(const std::string& key) const
 {
     SteadyTime now = steadyNow();
-    return table_.rankFor(key, now) + (coverage(now).hasMost() ? 0 : ranksBehind);
+    return table_.rankFor(key, now) + (coverage(now).hasMajority() ? 0 : rankPenalty);
 }
 
-bool PeerReports::haveAllToldWithin(milliseconds time, milliseconds longest) const
+bool PeerReports::haveAllReportedWithin(milliseconds time, milliseconds maxAge) const
 {
-    if (wasLarge_)
-        return !nodesMissed_ && coverage(steadyNow()).isWhole();
-    // One that is gone for longer is not waited for: its counts came or never come.
-    return heardWithin(time).size() >= heardWithin(longest).size();
+    if (usesRelays_)
+        return !unresponsiveNodes_ && coverage(steadyNow()).isComplete();
+    // Nodes that have been unresponsive for longer than \p maxAge are not waited for:
+    // their counts have arrived already or never will.
+    return reportedWithin(time).size() >= reportedWithin(maxAge).size();
 }
 
-void PeerReports::addKnown(const VmId& vm, const Endpoint& gossip)
+void PeerReports::addKnownPeer(const VmId& vm, const Endpoint& gossip)
 {
     if (gossip != context_.settings_.gossip_)
-        table_.addKnown(vm, gossip);
+        table_.addKnownPeer(vm, gossip);
 }
 
 void PeerReports::noteFleetKnown()
 {
     isFleetKnown_ = true;
-    shareAmong(table_.size() + 1, steadyNow());
+    setNodeCount(table_.size() + 1, steadyNow());
 }
 
-void PeerReports::shareAmong(std::uint64_t known, SteadyTime now)
+void PeerReports::setNodeCount(std::uint64_t known, SteadyTime now)
 {
-    // All nodes known share, also those cut off.
-    std::uint64_t assumed = std::max(leastNodesAssumed, known);
+    // Retry budgets and quotas are divided among all known nodes, including those that
+    // are cut off.
+    std::uint64_t assumed = std::max(minNodesAssumed, known);
     context_.retries_.setNodes(assumed);
     context_.forward_.nodes_ = assumed;
-    // A platform that does not answer must not hold back quotas for longer.
-    bool isWaiting = !isFleetKnown_ && now - startedAt_ < QuotaSettings {}.startup_;
-    context_.quotas_.setNodes(isWaiting ? std::max(unknownFleet, known) : known);
+    // If the platform does not answer, the number of nodes assumed at the start restricts
+    // the quotas for the startup time at most.
+    bool isWaiting = !isFleetKnown_ && now - startedAt_ < QuotaSettings {}.startupTime_;
+    context_.quotas_.setNodes(isWaiting ? std::max(nodesAssumedAtStart, known) : known);
 }
 
 void PeerReports::noteLeaving(const BackendId& id)
@@ -127,12 +134,12 @@
     leaving_.emplace_back(steadyNow(), id);
 }
 
-void PeerReports::noteEnded(const BackendId& id)
+void PeerReports::noteTerminated(const BackendId& id)
 {
     std::lock_guard lock(leavingMutex_);
-    bool isKnown = std::any_of(ended_.begin(), ended_.end(), [&](const auto& entry) { return entry.second == id; });
+    bool isKnown = std::any_of(terminated_.begin(), terminated_.end(), [&](const auto& entry) { return entry.second == id; });
     if (!isKnown)
-        ended_.emplace_back(steadyNow(), id);
+        terminated_.emplace_back(steadyNow(), id);
 }
 
 void PeerReports::send(const wire::Datagram& datagram, const std::vector<Endpoint>& receivers)
@@ -141,55 +148,56 @@
     for (const Endpoint& receiver : receivers) {
         boost::system::error_code code;
         udp::endpoint address(asio::ip::make_address(receiver.host_, code), receiver.port_);
-        // A full socket or a missing route loses this one; the next replaces it.
+        // If the socket buffer is full or a route is missing, this datagram is lost, and
+        // the next one replaces it.
         if (!code)
             socket_.send_to(asio::buffer(bytes), address, 0, code);
         context_.metrics_.add(code ? Counter::PeerErrors : Counter::GossipMessages);
     }
 }
 
-asio::awaitable<void> PeerReports::tell()
+asio::awaitable<void> PeerReports::sendReports()
 {
     for (;;) {
         SteadyTime now = steadyNow();
-        forgetSilent(now);
+        removeUnresponsive(now);
         std::uint64_t known = table_.size() + 1;
-        shareAmong(known, now);
+        setNodeCount(known, now);
         bool isLarge = table_.isLarge();
-        if (isLarge != wasLarge_)
-            logger_.info(LogLine(isLarge ? "Fleet is large: relays sum the reports." : "Fleet is small: every node hears every other.").add("nodes", static_cast<std::int64_t>(known)));
-        if (!isLarge && wasLarge_) {
+        if (isLarge != usesRelays_)
+            logger_.info(LogLine(isLarge ? "Fleet is large: relays aggregate the reports." : "Fleet is small: every node reports to every other.").add("nodes", static_cast<std::int64_t>(known)));
+        if (!isLarge && usesRelays_) {
             forgetCounts(allOthers());
-            context_.quotas_.setSilentNodes(0, 0, now);
+            context_.quotas_.setUnresponsiveNodes(0, 0, now);
         }
-        if (isLarge && !wasLarge_) {
-            // What single nodes told is in the relays' sums from now on.
+        if (isLarge && !usesRelays_) {
+            // From now on the relays' sums contain what the nodes reported individually.
             for (const auto& [vm, peer] : table_.all())
                 forgetCounts(vm);
         }
-        wasLarge_ = isLarge;
+        usesRelays_ = isLarge;
         if (isLarge)
-            tellRelays(now);
+            reportToRelays(now);
         else
-            tellAll();
-        co_await sleepFor(context_.settings_.gossiping_.period_);
+            reportToAll();
+        co_await sleepFor(context_.settings_.gossipSettings_.period_);
     }
 }
 
-void PeerReports::tellAll()
+void PeerReports::reportToAll()
 {
     wire::Datagram datagram;
-    composeIntroduction(*datagram.mutable_report(), NamesTold::Many);
+    composeIntroduction(*datagram.mutable_report(), AdvertisedPeers::Many);
     composeState(*datagram.mutable_report());
-    send(datagram, addressesKnown());
+    send(datagram, knownAddresses());
 }
 
-void PeerReports::tellRelays(SteadyTime now)
+void PeerReports::reportToRelays(SteadyTime now)
 {
-    introduce(now);
+    sendIntroductions(now);
     wire::Datagram datagram;
     wire::NodeReport& report = *datagram.mutable_report();
-    composeIntroduction(report, NamesTold::Few);
+    composeIntroduction(report, AdvertisedPeers::Few);
     composeState(report);
     report.set_wants_digest(true);
     std::vector<Endpoint> relays;
@@ -197,31 +205,31 @@
     std::vector<VmId> chosen = table_.chooseRelays(now);
     others_.keepOnly(chosen, now);
     for (const VmId& vm : chosen) {
-        auto address = table_.gossipOf(vm);
+        auto address = table_.gossipEndpointOf(vm);
         if (vm == context_.settings_.vm_) {
             isRelay_ = true;
-            relayBook_.takeReport(report, now);
+            aggregator_.applyReport(report, now);
         } else if (address)
             relays.push_back(*address);
     }
     send(datagram, relays);
-    tellSums(now);
+    sendSums(now);
 }
 
-void PeerReports::introduce(SteadyTime now)
+void PeerReports::sendIntroductions(SteadyTime now)
 {
-    Discovery::Receivers receivers = discovery_.receivers(unheardSeeds());
+    Discovery::Receivers receivers = discovery_.receivers(unseenSeeds());
     wire::Datagram datagram;
     wire::NodeReport& report = *datagram.mutable_report();
-    composeIntroduction(report, NamesTold::Few);
+    composeIntroduction(report, AdvertisedPeers::Few);
     report.set_is_brief(true);
     send(datagram, receivers.introduced_);
     if (receivers.answered_.empty())
         return;
     report.Clear();
-    composeIntroduction(report, NamesTold::Many);
+    composeIntroduction(report, AdvertisedPeers::Many);
     report.set_is_brief(true);
-    composeMembers(*report.mutable_relays(), discovery_.relaysToName(now), now);
+    composeMembers(*report.mutable_relays(), discovery_.relaysToAdvertise(now), now);
     send(datagram, receivers.answered_);
 }
 
@@ -230,11 +238,11 @@
     return static_cast<std::uint64_t>(std::max<std::int64_t>(1, std::chrono::duration_cast<milliseconds>(now - startedAt_).count()));
 }
 
-/// Tells each node that reports here what all others told, and the relays of
-/// other data centres what this one's nodes told.
-void PeerReports::tellSums(SteadyTime now)
+/// Sends each node that reports to this one the sums of all other nodes, and the relays
+/// of other data centres the sums of this one's nodes.
+void PeerReports::sendSums(SteadyTime now)
 {
-    std::vector<VmId> receivers = relayBook_.receivers(now);
+    std::vector<VmId> receivers = aggregator_.receivers(now);
     if (receivers.empty())
         return;
     wire::Datagram datagram;
@@ -243,16 +251,16 @@
     report.set_data_centre(context_.settings_.dataCentre_.value_);
     report.set_incarnation(context_.incarnation_);
     report.set_is_digest(true);
-    composeMembers(*report.mutable_members(), discovery_.membersToName(now), now);
-    ReportTotals totals = relayBook_.totals(now);
-    std::vector<Suspect> suspects = context_.quarantine_.told(now, randomBits());
+    composeMembers(*report.mutable_members(), discovery_.membersToAdvertise(now), now);
+    ReportTotals totals = aggregator_.totals(now);
+    std::vector<Suspect> suspects = context_.quarantine_.suspectsToReport(now, randomBits());
     for (const VmId& vm : receivers) {
-        *report.mutable_sums() = relayBook_.digestFor(vm, totals, now);
+        *report.mutable_sums() = aggregator_.digestFor(vm, totals, now);
         putSuspects(suspects, *report.mutable_sums()->mutable_suspects(), now);
         report.mutable_sums()->set_counted_ms(countedMs(now));
         if (vm == context_.settings_.vm_)
-            takeDigest(vm, context_.incarnation_, report.sums(), now);
-        else if (auto address = table_.gossipOf(vm)) {
+            applyDigest(vm, context_.incarnation_, report.sums(), now);
+        else if (auto address = table_.gossipEndpointOf(vm)) {
             std::vector<Endpoint> receiver { *address };
             send(datagram, receiver);
         }
@@ -261,19 +269,19 @@
         return;
     report.set_is_digest(false);
     for (const DataCentreId& dataCentre : table_.otherDataCentres()) {
-        *report.mutable_sums() = relayBook_.summaryFor(dataCentre, now);
+        *report.mutable_sums() = aggregator_.summaryFor(dataCentre, now);
         putSuspects(suspects, *report.mutable_sums()->mutable_suspects(), now);
         report.mutable_sums()->set_counted_ms(countedMs(now));
-        for (const VmId& vm : discovery_.summaryReceivers(dataCentre, relayBook_.relaysOf(dataCentre, now), now)) {
-            if (auto address = table_.gossipOf(vm))
+        for (const VmId& vm : discovery_.summaryReceivers(dataCentre, aggregator_.relaysOf(dataCentre, now), now)) {
+            if (auto address = table_.gossipEndpointOf(vm))
                 send(datagram, { *address });
         }
     }
 }
 
-asio::awaitable<void> PeerReports::hear()
+asio::awaitable<void> PeerReports::receiveDatagrams()
 {
-    std::string buffer(longestDatagram, '\0');
+    std::string buffer(maxDatagramSize, '\0');
     for (;;) {
         udp::endpoint sender;
         auto [code, count] = co_await socket_.async_receive_from(asio::buffer(buffer), sender, asio::as_tuple(asio::use_awaitable));
@@ -282,14 +290,14 @@
         if (code)
             continue;
         wire::Datagram datagram;
-        bool isGood = datagram.ParseFromArray(buffer.data(), static_cast<int>(count));
-        if (isGood && datagram.has_report() && !datagram.report().vm().empty())
-            take(datagram.report(), steadyNow());
-        else if (isGood && datagram.has_relayed() && !datagram.relayed().vm().empty())
-            takeRelayed(datagram.relayed(), { sender.address().to_string(), sender.port() }, steadyNow());
+        bool isParsed = datagram.ParseFromArray(buffer.data(), static_cast<int>(count));
+        if (isParsed && datagram.has_report() && !datagram.report().vm().empty())
+            applyReport(datagram.report(), steadyNow());
+        else if (isParsed && datagram.has_relayed() && !datagram.relayed().vm().empty())
+            applyRelayReport(datagram.relayed(), { sender.address().to_string(), sender.port() }, steadyNow());
         else {
             context_.metrics_.add(Counter::PeerErrors);
-            logger_.warn("Datagram from " + sender.address().to_string() + " is no report.");
+            logger_.warn("Datagram from " + sender.address().to_string() + " is not a valid report.");
         }
     }
 }
@@ -303,49 +311,49 @@
     context_.rollouts_.forgetPeer(vm);
 }
 
-void PeerReports::forgetSilent(SteadyTime now)
+void PeerReports::removeUnresponsive(SteadyTime now)
 {
-    for (const VmId& vm : table_.forgetSilent(now)) {
+    for (const VmId& vm : table_.removeUnresponsive(now)) {
         forgetCounts(vm);
-        logger_.info(LogLine("Peer is forgotten.").add("peer", vm.value_).add("silent_ms", context_.settings_.gossiping_.forget_.count()));
+        logger_.info(LogLine("Peer is unresponsive and was removed.").add("peer", vm.value_).add("silent_ms", context_.settings_.gossipSettings_.forgetAfter_.count()));
     }
 }
 
-void PeerReports::takeSuspects(const google::protobuf::RepeatedPtrField<wire::SuspectReport>& suspects, SteadyTime now)
+void PeerReports::applySuspects(const google::protobuf::RepeatedPtrField<wire::SuspectReport>& suspects, SteadyTime now)
 {
     if (!suspects.empty())
-        context_.quarantine_.take(suspectsOf(suspects, now), now);
+        context_.quarantine_.mergeSuspects(suspectsOf(suspects, now), now);
 }
 
-void PeerReports::takeRollouts(const google::protobuf::RepeatedPtrField<wire::RolloutReport>& reports, const VmId& from, SteadyTime now)
+void PeerReports::applyRollouts(const google::protobuf::RepeatedPtrField<wire::RolloutReport>& reports, const VmId& from, SteadyTime now)
 {
     for (const wire::RolloutReport& report : reports) {
         auto state = fromWire(report);
         if (!state) {
-            logger_.warn("Report of a roll-out by " + from.value_ + " cannot be read.");
+            logger_.warn("Report of a roll-out by " + from.value_ + " is invalid.");
             continue;
         }
-        if (context_.rollouts_.take(*state, now - milliseconds(static_cast<std::int64_t>(report.age_ms())), now))
-            logger_.info(LogLine("Roll-out is heard.").add("service", report.service()).add("target", report.target()).add("phase", report.phase()).add("share", std::to_string(report.share())).add("from", from.value_));
+        if (context_.rollouts_.applyState(*state, now - milliseconds(static_cast<std::int64_t>(report.age_ms())), now))
+            logger_.info(LogLine("Roll-out state was received.").add("service", report.service()).add("target", report.target()).add("phase", report.phase()).add("share", std::to_string(report.share())).add("from", from.value_));
     }
 }
 
-void PeerReports::takeEnded(const google::protobuf::RepeatedPtrField<std::string>& ended, const VmId& from, SteadyTime now)
+void PeerReports::applyTerminated(const google::protobuf::RepeatedPtrField<std::string>& terminated, const VmId& from, SteadyTime now)
 {
-    for (const std::string& id : ended) {
+    for (const std::string& id : terminated) {
         {
             std::lock_guard lock(leavingMutex_);
-            if (std::any_of(ended_.begin(), ended_.end(), [&](const auto& entry) { return entry.second.value_ == id; }))
+            if (std::any_of(terminated_.begin(), terminated_.end(), [&](const auto& entry) { return entry.second.value_ == id; }))
                 continue;
         }
-        noteEnded({ id });
-        logger_.info(LogLine("Backend server has ended.").add("backend", id).add("from", from.value_));
-        context_.backends_.setEnded({ id }, now);
-        noteBackendEnded(context_.forward_, { id });
+        noteTerminated({ id });
+        logger_.info(LogLine("Backend server has terminated.").add("backend", id).add("from", from.value_));
+        context_.backends_.setTerminated({ id }, now);
+        noteBackendTerminated(context_.forward_, { id });
     }
 }
 
-void PeerReports::takeLeaving(const google::protobuf::RepeatedPtrField<std::string>& leaving, const VmId& from)
+void PeerReports::applyLeaving(const google::protobuf::RepeatedPtrField<std::string>& leaving, const VmId& from)
 {
     for (const std::string& id : leaving) {
         if (!context_.backends_.setLeaving({ id }, steadyNow()))
@@ -355,7 +363,7 @@
     }
 }
 
-void PeerReports::take(const wire::NodeReport& report, SteadyTime now)
+void PeerReports::applyReport(const wire::NodeReport& report, SteadyTime now)
 {
     VmId vm { report.vm() };
     if (vm == context_.settings_.vm_)
@@ -363,124 +371,125 @@
     auto gossip = parseEndpoint(report.address());
     auto peers = parseEndpoint(report.peers_address());
     if (!gossip || !peers) {
-        logger_.warn("Report of " + vm.value_ + " has no address.");
+        logger_.warn("Report of " + vm.value_ + " has no valid address.");
         return;
     }
-    bool beginsToStop = report.is_stopping() && !table_.isStopping(vm);
+    bool hasStartedStopping = report.is_stopping() && !table_.isStopping(vm);
     Peer peer { *gossip, *peers, { report.data_centre() }, report.incarnation(), report.sequence(), report.configuration_version(), report.is_stopping(), report.is_platform_lost(), report.is_reader(), report.registry_fingerprint(), report.cores(), now };
-    PeerTable::Heard heard = table_.take(vm, std::move(peer));
-    if (heard == PeerTable::Heard::Old)
+    PeerTable::ReportKind kind = table_.applyReport(vm, std::move(peer));
+    if (kind == PeerTable::ReportKind::Outdated)
         return;
-    if (heard == PeerTable::Heard::Restarted)
-        discovery_.noteNew(vm);
-    // In a large fleet a node introduces itself to each other one in turn, once in
-    // some seconds, which is no news.
-    bool isNews = heard != PeerTable::Heard::Again && !(wasLarge_ && heard == PeerTable::Heard::AfterSilence);
-    if (isNews)
-        logger_.info(LogLine(heard == PeerTable::Heard::AfterSilence ? "Peer is heard again." : "Peer is heard.").add("peer", vm.value_).add("address", report.address()).add("configuration", static_cast<std::int64_t>(report.configuration_version())));
-    takeMembers(report.relays(), now);
+    if (kind == PeerTable::ReportKind::Restarted)
+        discovery_.queueAnswer(vm);
+    // In a large fleet a node introduces itself to every other node in rotation, once in
+    // some seconds, so that a gap between its reports is normal.
+    bool shouldLog = kind != PeerTable::ReportKind::Regular && !(usesRelays_ && kind == PeerTable::ReportKind::Resumed);
+    if (shouldLog)
+        logger_.info(LogLine(kind == PeerTable::ReportKind::Resumed ? "Peer sends reports again." : "Peer sent its first report.").add("peer", vm.value_).add("address", report.address()).add("configuration", static_cast<std::int64_t>(report.configuration_version())));
+    applyMembers(report.relays(), now);
     for (const wire::KnownNode& known : report.nodes()) {
         if (auto address = parseEndpoint(known.address()))
-            addKnown({ known.vm() }, *address);
+            addKnownPeer({ known.vm() }, *address);
     }
-    context_.clocks_.setPeer(vm, report.wall_ms() - context_.ownWallMs(), now);
-    takeLeaving(report.leaving(), vm);
-    takeEnded(report.ended(), vm, now);
-    takeRollouts(report.rollouts(), vm, now);
-    takeSuspects(report.suspects(), now);
+    context_.clocks_.setPeer(vm, report.wall_ms() - context_.localWallMs(), now);
+    applyLeaving(report.leaving(), vm);
+    applyTerminated(report.ended(), vm, now);
+    applyRollouts(report.rollouts(), vm, now);
+    applySuspects(report.suspects(), now);
     if (report.duty_token())
         hooks_.onHolder_(vm, { report.duty_token() }, now);
     if (report.released_token())
         hooks_.onReleased_({ report.released_token() });
-    if (beginsToStop)
+    if (hasStartedStopping)
         hooks_.onStopping_(vm);
     if (report.wants_digest())
-        relayBook_.takeReport(report, now);
-    // In a large fleet the relays' sums hold what each node told.
-    if (!report.is_brief() && !wasLarge_)
-        takeState(report, now);
+        aggregator_.applyReport(report, now);
+    // In a large fleet the relays' sums contain what each node reports.
+    if (!report.is_brief() && !usesRelays_)
+        applyState(report, now);
 }
 
-void PeerReports::takeState(const wire::NodeReport& report, SteadyTime now)
+void PeerReports::applyState(const wire::NodeReport& report, SteadyTime now)
 {
     VmId vm { report.vm() };
     context_.backends_.setPeerLoads(vm, loadsOf(report.loads()), now);
     AdmittedCounts admitted;
     std::map<OrganisationId, double> levels;
-    for (const wire::QuotaReport& told : report.quotas()) {
-        admitted[{ told.organisation() }] = told.admitted();
-        levels[{ told.organisation() }] = told.level();
+    for (const wire::QuotaReport& reported : report.quotas()) {
+        admitted[{ reported.organisation() }] = reported.admitted();
+        levels[{ reported.organisation() }] = reported.level();
     }
-    context_.quotas_.setPeer(vm, report.incarnation(), admitted, levels, now, 1, isFresh(report.counted_ms()));
-    for (const wire::DemandReport& told : report.demand())
-        context_.demand_.setSource(vm, { told.service() }, { told.tokens_per_second(), told.prefill_per_ms(), told.observations() }, now);
+    context_.quotas_.setPeer(vm, report.incarnation(), admitted, levels, now, 1, areCountsFresh(report.counted_ms()));
+    for (const wire::DemandReport& reported : report.demand())
+        context_.demand_.setSource(vm, { reported.service() }, { reported.tokens_per_second(), reported.prefill_per_ms(), reported.observations() }, now);
     context_.usage_.setPeer(vm, report.incarnation(), usageOf(report.usage()));
     context_.rollouts_.setPeer(vm, talliesOf(report.rollout_counts()));
 }
 
-void PeerReports::takeMembers(const google::protobuf::RepeatedPtrField<wire::MemberEntry>& members, SteadyTime now)
+void PeerReports::applyMembers(const google::protobuf::RepeatedPtrField<wire::MemberEntry>& members, SteadyTime now)
 {
     for (const wire::MemberEntry& member : members) {
         auto gossip = parseEndpoint(member.address());
         if (!gossip)
             continue;
         Peer peer { *gossip, endpointOr(member.peers_address(), {}), { member.data_centre() }, member.incarnation(), 0, member.configuration_version(), member.is_stopping(), member.is_platform_lost(), member.is_reader(), member.registry_fingerprint(), member.cores(), now - milliseconds(member.age_ms()) };
-        table_.takeHearsay({ member.vm() }, peer);
+        table_.applyRelayedState({ member.vm() }, peer);
     }
 }
 
-void PeerReports::takeRelayed(const wire::RelayReport& report, const Endpoint& sender, SteadyTime now)
+void PeerReports::applyRelayReport(const wire::RelayReport& report, const Endpoint& sender, SteadyTime now)
 {
     VmId relay { report.vm() };
     if (relay == context_.settings_.vm_)
         return;
-    takeMembers(report.members(), now);
-    addKnown(relay, sender);
+    applyMembers(report.members(), now);
+    addKnownPeer(relay, sender);
     if (report.is_digest()) {
         table_.noteDigest(relay, now);
-        takeDigest(relay, report.incarnation(), report.sums(), now);
+        applyDigest(relay, report.incarnation(), report.sums(), now);
         return;
     }
-    // Its sender does not know the relays of this data centre yet.
+    // A relay of another data centre sent its sums to this node, which is no relay. The
+    // answer reports the relays of this data centre to it.
     if (!isRelay_)
-        discovery_.noteNew(relay);
-    takeLeaving(report.sums().leaving(), relay);
-    takeEnded(report.sums().ended(), relay, now);
-    takeRollouts(report.sums().rollouts(), relay, now);
-    takeSuspects(report.sums().suspects(), now);
-    relayBook_.takeSummary(report, now);
+        discovery_.queueAnswer(relay);
+    applyLeaving(report.sums().leaving(), relay);
+    applyTerminated(report.sums().ended(), relay, now);
+    applyRollouts(report.sums().rollouts(), relay, now);
+    applySuspects(report.sums().suspects(), now);
+    aggregator_.applySummary(report, now);
 }
 
-void PeerReports::takeDigest(const VmId& relay, std::uint64_t incarnation, const wire::NodeSums& sums, SteadyTime now)
+void PeerReports::applyDigest(const VmId& relay, std::uint64_t incarnation, const wire::NodeSums& sums, SteadyTime now)
 {
-    takeLeaving(sums.leaving(), relay);
-    takeEnded(sums.ended(), relay, now);
-    takeRollouts(sums.rollouts(), relay, now);
-    takeSuspects(sums.suspects(), now);
+    applyLeaving(sums.leaving(), relay);
+    applyTerminated(sums.ended(), relay, now);
+    applyRollouts(sums.rollouts(), relay, now);
+    applySuspects(sums.suspects(), now);
     if (sums.duty_token() && VmId { sums.holder() } != context_.settings_.vm_)
         hooks_.onHolder_({ sums.holder() }, { sums.duty_token() }, now - milliseconds(sums.holder_age_ms()));
     if (sums.released_token())
         hooks_.onReleased_({ sums.released_token() });
     context_.usage_.setPeer(allOthers(), 0, usageOf(sums.usage()));
-    if (!wasLarge_ || !others_.take(relay, incarnation, sums, now))
+    if (!usesRelays_ || !others_.applySums(relay, incarnation, sums, now))
         return;
-    if (relay != countingRelay_ || sums.nodes() != nodesSummed_)
-        logger_.info(LogLine("Relay sums other nodes.").add("relay", relay.value_).add("before", countingRelay_.value_).add("nodes", static_cast<std::int64_t>(sums.nodes())).add("nodes_before", static_cast<std::int64_t>(nodesSummed_.load())));
-    countingRelay_ = relay;
-    nodesSummed_ = sums.nodes();
-    nodesMissed_ = sums.silent_nodes();
+    if (relay != activeRelay_ || sums.nodes() != relayedNodes_)
+        logger_.info(LogLine("Relay reports the sums of other nodes.").add("relay", relay.value_).add("before", activeRelay_.value_).add("nodes", static_cast<std::int64_t>(sums.nodes())).add("nodes_before", static_cast<std::int64_t>(relayedNodes_.load())));
+    activeRelay_ = relay;
+    relayedNodes_ = sums.nodes();
+    unresponsiveNodes_ = sums.silent_nodes();
     context_.backends_.setPeerLoads(allOthers(), loadsOf(sums.loads()), now);
     context_.rollouts_.setPeer(allOthers(), talliesOf(sums.rollout_counts()));
     AdmittedCounts admitted;
     for (const auto& [organisation, count] : others_.admitted())
         admitted[{ organisation }] = count;
     std::map<OrganisationId, double> levels;
-    for (const wire::QuotaReport& told : sums.quotas())
-        levels[{ told.organisation() }] = told.level();
-    context_.quotas_.setPeer(allOthers(), context_.incarnation_, admitted, levels, now, sums.nodes(), isFresh(sums.counted_ms()));
-    context_.quotas_.setSilentNodes(sums.silent_nodes(), sums.nodes(), now);
-    for (const wire::DemandReport& told : sums.demand())
-        context_.demand_.setSource(allOthers(), { told.service() }, { told.tokens_per_second(), told.prefill_per_ms(), told.observations() }, now);
+    for (const wire::QuotaReport& reported : sums.quotas())
+        levels[{ reported.organisation() }] = reported.level();
+    context_.quotas_.setPeer(allOthers(), context_.incarnation_, admitted, levels, now, sums.nodes(), areCountsFresh(sums.counted_ms()));
+    context_.quotas_.setUnresponsiveNodes(sums.silent_nodes(), sums.nodes(), now);
+    for (const wire::DemandReport& reported : sums.demand())
+        context_.demand_.setSource(allOthers(), { reported.service() }, { reported.tokens_per_second(), reported.prefill_per_ms(), reported.observations() }, now);
 }
 
 } // namespace pistachioloom
--- a/lib/Gateway/PeerReports.h
+++ b/lib/Gateway/PeerReports.h
@@ -1,16 +1,17 @@
-//===- lib/Gateway/PeerReports.h - what nodes tell each other --------------===//
+//===- lib/Gateway/PeerReports.h - reports between nodes ------------------===//
 ///
 /// \file
-/// A datagram every fraction of a second tells a node's whole state; the next
-/// one replaces it, so a lost one costs nothing but time. In a small fleet every
-/// node tells every other one. In a large one it tells the relays of its data
-/// centre (RelayBook.h), and introduces itself to a few others in turn.
+/// Each node sends its complete state in a datagram several times per second. The next
+/// datagram replaces it, so that a lost one causes nothing but a delay. In a small fleet
+/// every node sends to every other node. In a large one it sends to the relays of its
+/// data centre (ReportAggregator.h), and introduces itself to a few other nodes in
+/// rotation.
 //===----------------------------------------------------------------------===//
 #pragma once
 
 #include "Discovery.h"
 #include "GatewayContext.h"
-#include "RelayBook.h"
+#include "ReportAggregator.h"
 
 #include <boost/asio.hpp>
 #include <deque>
@@ -19,104 +20,119 @@
 
 class PeerReports {
 public:
-    /// What other parts hear and tell; set before start().
+    /// Callbacks into other parts, which supply what is reported and receive what peers
+    /// report. Set before start().
     struct Hooks {
-        /// The token by which this node holds the duties, or 0.
+        /// Returns the token under which this node holds the duties, or 0.
         std::function<DutyToken()> ownToken_;
-        /// The token by which this node held them and gave them up, or 0.
+        /// Returns the token under which this node held the duties before it released
+        /// them, or 0.
         std::function<DutyToken()> releasedToken_;
-        /// A peer held the duties at the time given.
+        /// Called when a report states that a peer held the duties under a token at the
+        /// given time.
         std::function<void(const VmId&, DutyToken, SteadyTime)> onHolder_;
-        /// The holder by this token gave up the duties.
+        /// Called when a report states that the holder under this token released the
+        /// duties.
         std::function<void(DutyToken)> onReleased_;
-        /// A peer began to stop.
+        /// Called when a peer reports for the first time that it is stopping.
         std::function<void(const VmId&)> onStopping_;
-        /// Whether this node reads from the platform, and whether that fails.
+        /// Returns whether this node reads from the platform.
         std::function<bool()> isReader_;
-        std::function<bool()> isPlatformLost_;
+        /// Returns whether this node's reads from the platform fail.
+        std::function<bool()> isPlatformUnavailable_;
     };
 
     PeerReports(asio::io_context& io, GatewayContext& context, Hooks hooks);
 
     Result<void> start();
-    /// Peers heard within the silence bound.
+    /// Returns the peers that reported within GossipSettings::unresponsiveAfter_.
     std::vector<KnownPeer> live() const;
-    /// Peers heard within \p silence.
-    std::vector<KnownPeer> heardWithin(milliseconds silence) const { return table_.heardWithin(silence, steadyNow()); }
-    /// Whether all other nodes that were heard in \p longest told their counts within
-    /// \p time; in a large fleet, whether relays miss none.
-    bool haveAllToldWithin(milliseconds time, milliseconds longest) const;
-    /// Nodes that this one knows the work of, itself left out.
-    std::uint64_t nodesKnownOf() const;
-    /// How much of the fleet's work is told here. Called on the event loop.
+    /// Returns the peers that reported within \p maxAge.
+    std::vector<KnownPeer> reportedWithin(milliseconds maxAge) const { return table_.reportedWithin(maxAge, steadyNow()); }
+    /// Returns whether all other nodes that reported within \p maxAge reported their
+    /// counts within \p time. In a large fleet, returns whether the relays' sums cover
+    /// nearly all known nodes and no node became unresponsive recently.
+    bool haveAllReportedWithin(milliseconds time, milliseconds maxAge) const;
+    /// Returns the number of other nodes whose reports this node receives, directly or in
+    /// relays' sums.
+    std::uint64_t nodesCovered() const;
+    /// Returns how much of the fleet this node receives reports of. Must be called on the
+    /// event loop.
     Coverage coverage(SteadyTime now) const;
-    /// Whether \p vm said that it is stopping.
+    /// Returns whether \p vm reported that it is stopping.
     bool isStopping(const VmId& vm) const { return table_.isStopping(vm); }
-    /// A node announced elsewhere; it is told of this node from now on.
-    void addKnown(const VmId& vm, const Endpoint& gossip);
-    /// All announced nodes were added.
+    /// Adds a node that was announced on the platform or advertised by a peer. This node
+    /// introduces itself to the added node from now on.
+    void addKnownPeer(const VmId& vm, const Endpoint& gossip);
+    /// Notes that all announced nodes were added, so that quotas are divided among the
+    /// known nodes only.
     void noteFleetKnown();
-    /// Tells peers that a backend server is leaving, for some seconds.
+    /// Reports to peers for some seconds that a backend server is leaving.
     void noteLeaving(const BackendId& id);
-    /// Tells peers that a backend server has ended, for some seconds.
-    void noteEnded(const BackendId& id);
-    /// This node's place among live nodes in the order for \p key. One that hears less
-    /// than half of the others stands behind those that hear more. Called on the event
-    /// loop.
+    /// Reports to peers for some seconds that a backend server has terminated.
+    void noteTerminated(const BackendId& id);
+    /// Returns this node's rank among live nodes, with 0 for the first in the rendezvous
+    /// order for \p key. A node that receives reports of at most half of the known nodes
+    /// ranks behind nodes that receive more. Must be called on the event loop.
     std::size_t rankFor(const std::string& key) const;
 
 private:
-    asio::awaitable<void> tell();
-    asio::awaitable<void> hear();
-    /// Time since this node's counts began, in ms.
+    asio::awaitable<void> sendReports();
+    asio::awaitable<void> receiveDatagrams();
+    /// Returns the time over which this node has counted, that is, since its start, in
+    /// ms.
     std::uint64_t countedMs(SteadyTime now) const;
-    void tellAll();
-    void tellRelays(SteadyTime now);
-    void tellSums(SteadyTime now);
-    void introduce(SteadyTime now);
+    void reportToAll();
+    void reportToRelays(SteadyTime now);
+    void sendSums(SteadyTime now);
+    void sendIntroductions(SteadyTime now);
     void send(const wire::Datagram& datagram, const std::vector<Endpoint>& receivers);
 
-    void composeIntroduction(wire::NodeReport& report, NamesTold names);
+    void composeIntroduction(wire::NodeReport& report, AdvertisedPeers amount);
     void composeState(wire::NodeReport& report);
     static void composeMembers(google::protobuf::RepeatedPtrField<wire::MemberEntry>& entries, const std::vector<KnownPeer>& members, SteadyTime now);
-    /// Of peers, and of seeds that were not heard yet.
-    std::vector<Endpoint> addressesKnown();
-    std::vector<Endpoint> unheardSeeds();
+    /// Returns the addresses of peers, and of seeds that have not reported yet.
+    std::vector<Endpoint> knownAddresses();
+    std::vector<Endpoint> unseenSeeds();
 
-    void take(const wire::NodeReport& report, SteadyTime now);
-    void takeState(const wire::NodeReport& report, SteadyTime now);
-    void takeMembers(const google::protobuf::RepeatedPtrField<wire::MemberEntry>& members, SteadyTime now);
-    void takeRelayed(const wire::RelayReport& report, const Endpoint& sender, SteadyTime now);
-    void takeDigest(const VmId& relay, std::uint64_t incarnation, const wire::NodeSums& sums, SteadyTime now);
-    void takeSuspects(const google::protobuf::RepeatedPtrField<wire::SuspectReport>& suspects, SteadyTime now);
-    void takeRollouts(const google::protobuf::RepeatedPtrField<wire::RolloutReport>& reports, const VmId& from, SteadyTime now);
-    void takeEnded(const google::protobuf::RepeatedPtrField<std::string>& ended, const VmId& from, SteadyTime now);
-    void takeLeaving(const google::protobuf::RepeatedPtrField<std::string>& leaving, const VmId& from);
+    void applyReport(const wire::NodeReport& report, SteadyTime now);
+    void applyState(const wire::NodeReport& report, SteadyTime now);
+    void applyMembers(const google::protobuf::RepeatedPtrField<wire::MemberEntry>& members, SteadyTime now);
+    void applyRelayReport(const wire::RelayReport& report, const Endpoint& sender, SteadyTime now);
+    void applyDigest(const VmId& relay, std::uint64_t incarnation, const wire::NodeSums& sums, SteadyTime now);
+    void applySuspects(const google::protobuf::RepeatedPtrField<wire::SuspectReport>& suspects, SteadyTime now);
+    void applyRollouts(const google::protobuf::RepeatedPtrField<wire::RolloutReport>& reports, const VmId& from, SteadyTime now);
+    void applyTerminated(const google::protobuf::RepeatedPtrField<std::string>& terminated, const VmId& from, SteadyTime now);
+    void applyLeaving(const google::protobuf::RepeatedPtrField<std::string>& leaving, const VmId& from);
     void forgetCounts(const VmId& vm);
-    void forgetSilent(SteadyTime now);
-    /// Tells the books how many nodes share what all are granted.
-    void shareAmong(std::uint64_t known, SteadyTime now);
+    void removeUnresponsive(SteadyTime now);
+    /// Sets the number of nodes that share the quotas and budgets of the fleet.
+    void setNodeCount(std::uint64_t known, SteadyTime now);
 
     GatewayContext& context_;
     Hooks hooks_;
     asio::ip::udp::socket socket_;
     PeerTable table_;
     Discovery discovery_;
-    /// Whether this node sums the reports of its data centre.
+    /// Whether this node aggregates the reports of its data centre.
     bool isRelay_ = false;
-    RelayBook relayBook_;
-    /// All other nodes, as relays sum them.
-    SumGroup others_;
-    VmId countingRelay_;
-    std::atomic<std::uint64_t> nodesSummed_ { 0 };
-    /// Nodes that fell silent lately, as relays tell.
-    std::atomic<std::uint64_t> nodesMissed_ { 0 };
+    ReportAggregator aggregator_;
+    /// The sums of all other nodes, as relays report them.
+    NodeGroupSums others_;
+    /// The relay whose sums are in use, and the number of nodes in them.
+    VmId activeRelay_;
+    std::atomic<std::uint64_t> relayedNodes_ { 0 };
+    /// Number of nodes that became unresponsive recently, as relays report it.
+    std::atomic<std::uint64_t> unresponsiveNodes_ { 0 };
+    /// Guards leaving_ and terminated_.
     std::mutex leavingMutex_;
+    /// Backend servers that are reported as leaving, and when each was added.
     std::deque<std::pair<SteadyTime, BackendId>> leaving_;
-    /// Guarded by the same mutex; each once.
-    std::deque<std::pair<SteadyTime, BackendId>> ended_;
+    /// Backend servers that are reported as terminated, each of them once, and when each
+    /// was added.
+    std::deque<std::pair<SteadyTime, BackendId>> terminated_;
     std::uint64_t sequence_ = 0;
-    std::atomic<bool> wasLarge_ { false };
+    std::atomic<bool> usesRelays_ { false };
     const SteadyTime startedAt_ = steadyNow();
     std::atomic<bool> isFleetKnown_ { false };
     Logger logger_ { "peers" };
--- /dev/null
+++ b/lib/Gateway/ReachabilityProbe.h
@@ -0,0 +1,32 @@
+//===- lib/Gateway/ReachabilityProbe.h - unreachable data centres ---------===//
+///
+/// \file
+/// Connects periodically to a backend server of each unreachable data centre, so that no
+/// request of a caller has to find out when the data centre is reachable again.
+//===----------------------------------------------------------------------===//
+#pragma once
+
+#include "GatewayContext.h"
+
+namespace pistachioloom {
+
+class ReachabilityProbe {
+public:
+    explicit ReachabilityProbe(GatewayContext& context)
+        : context_(context)
+    {
+    }
+
+    /// Probes until the process ends.
+    asio::awaitable<void> run();
+
+private:
+    asio::awaitable<void> probe(BackendRecord backend);
+    void logChanges(const std::vector<BackendRecord>& unreachableSample);
+
+    GatewayContext& context_;
+    std::set<DataCentreId> unreachable_;
+    Logger logger_ { "reach" };
+};
+
+} // namespace pistachioloom
--- /dev/null
+++ b/lib/Gateway/ReportAggregator.h
@@ -0,0 +1,124 @@
+//===- lib/Gateway/ReportAggregator.h - aggregated reports ----------------===//
+///
+/// \file
+/// In a large fleet a node does not receive the reports of every other node. It reports
+/// to relays of its data centre, which exchange their sums with the relays of other data
+/// centres and send each node the sums of all other nodes. The traffic of a node then
+/// does not grow with the number of nodes, and the traffic of a relay grows with its data
+/// centre. The class does no I/O and takes the time as a parameter.
+//===----------------------------------------------------------------------===//
+#pragma once
+
+#include "NodeGroupSums.h"
+#include "pistachioloom/Backends.h"
+#include "pistachioloom/Duties.h"
+#include "pistachioloom/Rollout.h"
+
+#include <set>
+
+namespace pistachioloom {
+
+using LoadTable = std::map<BackendKey, BackendLoad>;
+
+/// Accumulates the sums of several groups of nodes for a message.
+struct ReportTotals {
+    struct Demand {
+        double tokensPerSecond_ = 0;
+        /// Sum of the prefill rates, each multiplied by its number of observations.
+        double weightedRate_ = 0;
+        std::uint64_t observations_ = 0;
+    };
+
+    /// Adds a group: its current sums, and its counts even if it is unresponsive.
+    void add(const NodeGroupSums& group, SteadyTime now);
+    /// Subtracts the sums of one node, whose counts are in \p group.
+    void remove(const wire::NodeSums& sums, const NodeGroupSums& group);
+    wire::NodeSums toMessage() const;
+
+    /// Adds current state: loads, levels, rates, backend servers that are leaving, and
+    /// the holder of the duties. \p age is the time since \p sums was received.
+    void addCurrent(const wire::NodeSums& sums, milliseconds age);
+
+    void addRollouts(const wire::NodeSums& sums, milliseconds age);
+
+    std::uint64_t nodes_ = 0;
+    std::uint64_t unresponsiveNodes_ = 0;
+    LoadTable loads_;
+    NamedCounts admitted_;
+    NamedCounts levels_;
+    std::map<std::string, Demand> demand_;
+    std::set<std::string> leaving_;
+    std::set<std::string> terminated_;
+    struct Rollout {
+        RolloutState state_;
+        /// Time since the holder of the duties reported this state.
+        milliseconds age_ {};
+    };
+    std::map<std::string, Rollout> rollouts_;
+    RolloutTallies tallies_;
+    std::string holder_;
+    DutyToken dutyToken_ {};
+    milliseconds holderAge_ {};
+    DutyToken releasedToken_ {};
+};
+
+class ReportAggregator {
+public:
+    explicit ReportAggregator(milliseconds usageWindow);
+
+    /// Applies a report of a node of this data centre.
+    void applyReport(const wire::NodeReport& report, SteadyTime now);
+    /// Applies the sums that a relay of another data centre sent of its nodes.
+    void applySummary(const wire::RelayReport& summary, SteadyTime now);
+    /// Returns the nodes that report to this relay and receive digests.
+    std::vector<VmId> receivers(SteadyTime now) const;
+    /// Returns the relays of another data centre that sent sums recently.
+    std::vector<VmId> relaysOf(const DataCentreId& dataCentre, SteadyTime now) const;
+    /// Returns the sums of this data centre's nodes, for a relay of \p receiver. Usage
+    /// and roll-out counts are included only for the data centre of the node that holds
+    /// the duties and reports usage to the platform.
+    wire::NodeSums summaryFor(const DataCentreId& receiver, SteadyTime now) const;
+    /// Returns the totals of all data centres, for digestFor().
+    ReportTotals totals(SteadyTime now) const;
+    /// Returns the sums of all nodes except \p receiver. Usage and roll-out counts are
+    /// included only for the node that holds the duties and reports usage to the
+    /// platform.
+    wire::NodeSums digestFor(const VmId& receiver, const ReportTotals& totals, SteadyTime now) const;
+
+private:
+    struct Node {
+        std::uint64_t incarnation_ = 0;
+        SteadyTime receivedAt_ {};
+        NodeGroupSums group_;
+    };
+
+    ReportTotals ownTotals(SteadyTime now) const;
+    void removeUnresponsive(SteadyTime now);
+
+    /// Nodes of this data centre that report to this relay.
+    std::map<VmId, Node> nodes_;
+    /// Sums of the other data centres.
+    std::map<DataCentreId, NodeGroupSums> others_;
+    UsageTracker ownUsage_;
+    UsageTracker othersUsage_;
+    /// What the removed nodes had admitted, by organisation.
+    NamedCounts removedNodesAdmitted_;
+};
+
+/// Returns the sums of the single node that sent \p report.
+wire::NodeSums sumsOf(const wire::NodeReport& report);
+
+/// Decodes usage windows.
+std::map<WindowNumber, UsageCounts> usageOf(const google::protobuf::RepeatedPtrField<wire::UsageWindow>& windows);
+
+/// Decodes loads. The arrays of \p message may differ in length; missing elements count
+/// as zero.
+LoadTable loadsOf(const wire::BackendLoads& message);
+
+/// Encodes loads.
+void putLoads(const LoadTable& loads, wire::BackendLoads& message);
+
+/// Encodes usage windows.
+void putUsage(const std::map<WindowNumber, UsageCounts>& windows, google::protobuf::RepeatedPtrField<wire::UsageWindow>& message);
+
+} // namespace pistachioloom
--- a/lib/Ledger/RunOnceCall.cpp
+++ b/lib/Ledger/RunOnceCall.cpp
@@ -1,7 +1,7 @@
-//===- lib/Ledger/RunOnceCall.cpp - one call at its keeper -----------------===//
+//===- lib/Ledger/RunOnceCall.cpp - one call at its coordinator ------------===//
 ///
 /// \file
-/// The steps of a call that runs at most once.
+/// State machine of a call that is executed at most once.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Ledger.h"
 
@@ -47,14 +47,14 @@
     return { type, key_, attempt_, bodyHash_, outcome_ };
 }
 
-void RunOnceCall::intentAppended(LogOffset offset)
+void RunOnceCall::noteIntentAppended(LogOffset offset)
 {
-    assert(step_ == Step::AppendIntent && "an intent is appended once");
+    assert(step_ == Step::AppendIntent && "the intent has already been appended");
     intentOffset_ = offset;
     step_ = Step::ReadLog;
 }
 
-void RunOnceCall::giveUp(Error error)
+void RunOnceCall::release(Error error)
 {
     failure_ = std::move(error);
     failure_.ran_ = Ran::No;
@@ -62,27 +62,27 @@
     step_ = Step::AppendRelease;
 }
 
-void RunOnceCall::intentFailed(Error error)
+void RunOnceCall::noteIntentFailed(Error error)
 {
-    assert(step_ == Step::AppendIntent && "only an intent can fail here");
-    giveUp(std::move(error));
+    assert(step_ == Step::AppendIntent && "no intent is being appended");
+    release(std::move(error));
 }
 
-void RunOnceCall::logReadFailed(Error error)
+void RunOnceCall::noteLogReadFailed(Error error)
 {
-    assert(step_ == Step::ReadLog && "only a read can fail here");
-    giveUp(std::move(error));
+    assert(step_ == Step::ReadLog && "the log is not being read");
+    release(std::move(error));
 }
 
-void RunOnceCall::logRead(const LedgerShard& shard)
+void RunOnceCall::noteLogRead(const LedgerShard& shard)
 {
-    assert(step_ == Step::ReadLog && "the log is read after the intent");
+    assert(step_ == Step::ReadLog && "the log is read only after the intent is appended");
     assert(shard.nextOffset() > intentOffset_ && "the shard must cover the intent");
     step_ = Step::Done;
     const CallState* state = shard.find(key_);
     if (!state) {
-        // The intent itself was trimmed before it was read.
-        giveUp({ Errc::Unavailable, "read ledger", {}, "the log no longer keeps the intent", Ran::No, {} });
+        // The intent was trimmed before it was read.
+        release({ Errc::Unavailable, "read ledger", {}, "the log no longer keeps the intent", Ran::No, {} });
         return;
     }
     if (state->holder_ == attempt_) {
@@ -101,25 +101,25 @@
     answer_ = Answer::Replayed;
 }
 
-void RunOnceCall::dispatchTooLate()
+void RunOnceCall::noteIntentExpired()
 {
-    assert(step_ == Step::Dispatch && "only a call about to run can be too late");
-    giveUp({ Errc::Timeout, "dispatch", {}, "too long between intent and dispatch", Ran::No, {} });
+    assert(step_ == Step::Dispatch && "only a call that is ready for dispatch can expire");
+    release({ Errc::Timeout, "dispatch", {}, "too long between intent and dispatch", Ran::No, {} });
 }
 
-void RunOnceCall::dispatched(CallOutcome outcome)
+void RunOnceCall::noteDispatched(CallOutcome outcome)
 {
-    assert(step_ == Step::Dispatch && "a call is dispatched once");
+    assert(step_ == Step::Dispatch && "the call is not ready for dispatch");
     outcome_ = std::move(outcome);
     answer_ = Answer::Executed;
     step_ = Step::AppendOutcome;
 }
 
-void RunOnceCall::dispatchFailed(Error error)
+void RunOnceCall::noteDispatchFailed(Error error)
 {
-    assert(step_ == Step::Dispatch && "only a dispatch can fail here");
+    assert(step_ == Step::Dispatch && "the call is not being dispatched");
     if (error.ran_ == Ran::No) {
-        giveUp(std::move(error));
+        release(std::move(error));
         return;
     }
     failure_ = std::move(error);
@@ -127,9 +127,9 @@
     step_ = Step::Done;
 }
 
-void RunOnceCall::recordWritten()
+void RunOnceCall::noteRecordWritten()
 {
-    assert((step_ == Step::AppendOutcome || step_ == Step::AppendRelease) && "only a closing record ends a call");
+    assert((step_ == Step::AppendOutcome || step_ == Step::AppendRelease) && "no outcome or release is being appended");
     step_ = Step::Done;
 }
 
--- a/lib/Node/CallerApi.h
+++ b/lib/Node/CallerApi.h
@@ -1,26 +1,27 @@
-//===- lib/Node/CallerApi.h - the callers' HTTP interface ------------------===//
+//===- lib/Node/CallerApi.h - HTTP interface for callers ------------------===//
 ///
 /// \file
-/// Completions, chat completions, finished and running answers, models, plain
-/// services, health and metrics. See docs/API.md.
+/// Serves completions, chat completions, finished and running answers, models,
+/// plain services, health and metrics. See docs/API.md.
 //===----------------------------------------------------------------------===//
 #pragma once
 
 #include "AnswerFinder.h"
-#include "LimitDesk.h"
+#include "LimitClient.h"
 #include "ServiceRouter.h"
 
 namespace pistachioloom {
 
+/// Handles the requests of callers.
 class CallerApi {
 public:
-    /// Gauges for `/metrics`.
+    /// Returns the gauges for `/metrics`, by name.
     using GaugesHook = std::function<std::map<std::string, double>()>;
 
-    CallerApi(NodeContext& context, GenerationOwner& owner, AnswerFinder& finder, LimitDesk& limits, ServiceRouter& services, GaugesHook gauges);
+    CallerApi(NodeContext& context, GenerationOwner& owner, AnswerFinder& finder, LimitClient& limits, ServiceRouter& services, GaugesHook gauges);
 
     asio::awaitable<void> handle(HttpExchange& exchange);
-    /// Requests being answered.
+    /// Number of requests that are being handled.
     std::size_t running() const { return running_; }
 
 private:
@@ -32,7 +33,7 @@
     asio::awaitable<Result<void>> fetchAnswer(HttpExchange& exchange, EntryPtr entry);
     asio::awaitable<Result<void>> callService(HttpExchange& exchange, EntryPtr entry);
     asio::awaitable<Result<void>> sendEvents(HttpExchange& exchange, AnswerSource source);
-    asio::awaitable<Result<void>> sendWhole(HttpExchange& exchange, AnswerSource source);
+    asio::awaitable<Result<void>> sendFullAnswer(HttpExchange& exchange, AnswerSource source);
     HttpResponse listModels(const CatalogueEntry& entry) const;
     Result<EntryPtr> authenticate(const HttpRequest& request) const;
     Result<CompletionRequest> parseCompletion(const HttpRequest& request, const CatalogueEntry& entry, bool isChat) const;
@@ -41,7 +42,7 @@
     NodeContext& context_;
     GenerationOwner& owner_;
     AnswerFinder& finder_;
-    LimitDesk& limits_;
+    LimitClient& limits_;
     ServiceRouter& services_;
     GaugesHook gauges_;
     Logger logger_;
--- a/lib/Node/ControlPlane.h
+++ b/lib/Node/ControlPlane.h
@@ -1,10 +1,11 @@
-//===- lib/Node/ControlPlane.h - membership and catalogue of a node --------===//
+//===- lib/Node/ControlPlane.h - membership and catalogue of a node -------===//
 ///
 /// \file
-/// Keeps the pictures of membership and catalogue up to date: gossip inside the
-/// data centre, one relay of each data centre towards the platform and the
-/// other data centres, and pulls from whichever peer is ahead. Every node runs
-/// the same code; two relays at once cost messages and nothing else.
+/// Keeps a node's views of membership and catalogue up to date: gossip inside
+/// the data centre, one relay in each data centre that reads the platform and
+/// gossips with the other data centres, and pulls from peers with newer state.
+/// All nodes run the same code. Two simultaneous relays cause duplicate
+/// messages but no errors.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -21,8 +22,10 @@
 
 namespace pistachioloom {
 
+/// Maintains the membership and the catalogue of a node.
 class ControlPlane {
 public:
+    /// Returns this node's load by model, which gossip carries.
     using LoadsHook = std::function<std::map<std::string, ModelLoad>()>;
 
     ControlPlane(NodeContext& context, LoadsHook loads);
@@ -32,28 +35,32 @@
     wire::Frame answerGossip(const wire::Gossip& gossip);
     wire::Frame answerCatalogueFetch(const wire::CatalogueFetch& fetch);
     wire::Frame answerVmListFetch(const wire::VmListFetch& fetch);
-    /// Takes a list that a peer pushed because ours is older.
-    wire::Frame takeVmList(const wire::VmListUpdate& update);
+    /// Applies a VM list that a peer pushed because this node's list is older.
+    wire::Frame applyVmList(const wire::VmListUpdate& update);
 
     struct LeavingVm {
         VmId vm_;
-        /// Until it stops, if the notice told.
+        /// Time until the VM stops, if the notice states it.
         std::optional<milliseconds> remaining_;
     };
 
-    /// Takes the word of notices or of the VMs themselves, and tells the peers.
+    /// Marks VMs as leaving, after a reclaim notice or a report of the VM itself.
+    /// Gossips the change if the table of leaving VMs changed.
     void markLeaving(const std::vector<LeavingVm>& vms);
-    /// Time until a leaving VM stops: what its notice told, or else the default
-    /// counted from when it was marked. nullopt for a VM that stays.
-    std::optional<milliseconds> noticeLeft(const VmId& vm) const;
-    /// Tells all peers that this node leaves.
+    /// Time until a leaving VM stops: from its notice, or otherwise the default
+    /// notice counted from the time at which the VM was marked. nullopt for a
+    /// VM that is not leaving.
+    std::optional<milliseconds> remainingNotice(const VmId& vm) const;
+    /// Gossips that this node is leaving, to the peers of broadcastGossip().
     void announceLeaving();
 
-    /// Appends an edit and reads the log up to it.
+    /// Appends an edit and reads the log up to it. Errors: OutcomeUnknown if
+    /// the edit may have been appended but was not read back in time.
     asio::awaitable<Result<EditOutcome>> edit(CatalogueEdit edit);
     std::vector<CatalogueChange> history() const;
+    /// Whether this node is the relay of its data centre.
     bool isRelay() const;
-    /// How long ago the catalogue was last known to be current.
+    /// Time since the catalogue was last known to be current.
     milliseconds catalogueAge() const;
 
 private:
@@ -61,7 +68,7 @@
     asio::awaitable<void> vmListLoop();
     asio::awaitable<void> noticeLoop();
     asio::awaitable<void> catalogueLoop();
-    asio::awaitable<void> exchange(VmId peer);
+    asio::awaitable<void> exchangeGossip(VmId peer);
     asio::awaitable<void> syncCatalogue(VmId peer);
     asio::awaitable<void> syncVmList(VmId peer);
     asio::awaitable<void> pushVmList(VmId peer, std::uint64_t knownVersion);
@@ -70,18 +77,25 @@
     asio::awaitable<Result<LogOffset>> appendEdit(const CatalogueEdit& edit, SteadyTime until);
 
     void gossipTo(const std::vector<VmId>& peers);
-    void gossipEverywhere();
+    /// Gossips to all nodes of this data centre and, on the relay, to one node
+    /// of each other data centre.
+    void broadcastGossip();
     std::vector<VmId> localPeers() const;
     /// One node of each other data centre.
     std::vector<VmId> remoteContacts() const;
-    /// The next few of them, in turn.
-    std::vector<VmId> contactsInTurn();
+    /// Picks at most as many of remoteContacts() as the relay fan-out, in
+    /// rotation over the data centres.
+    std::vector<VmId> nextContacts();
     wire::Frame makeGossip() const;
-    /// \returns whether a VM was newly found to leave.
+    /// Merges \p gossip into this node's state. \returns whether this changed the
+    /// table of leaving VMs.
     bool mergeGossip(const wire::Gossip& gossip);
-    void followUp(const wire::Gossip& gossip);
+    /// Pulls the catalogue and the VM list from the sender of \p gossip where its
+    /// versions are newer.
+    void pullUpdates(const wire::Gossip& gossip);
     void applyRecords(const std::vector<std::pair<LogOffset, std::string>>& records);
-    /// \p adopt takes it into the store; what is newer is published and told.
+    /// Calls \p adopt on the store. If the list changed, publishes the membership
+    /// and, on the relay, gossips the new version.
     void adoptVmList(const std::function<bool(VmListStore&)>& adopt);
     void adoptVmChanges(const wire::VmListUpdate& update);
     void publishMembership();
@@ -90,21 +104,26 @@
     NodeContext& context_;
     LoadsHook loads_;
     Logger logger_;
-    // Guards what follows; held for short computations only.
+    // Guards the members below; held for short computations only.
     mutable std::mutex mutex_;
     GossipTable gossip_;
     LeavingTable leaving_;
     std::shared_ptr<const VmIndex> vmIndex_ = std::make_shared<const VmIndex>();
     VmListStore vmList_;
     CatalogueState catalogue_;
-    SteadyTime snapshotSeenAt_;
-    LogOffset snapshotSeen_;
+    /// When this node last read a new catalogue snapshot or was due to append
+    /// one, and the offset of the latest snapshot that it read.
+    SteadyTime lastSnapshotAt_;
+    LogOffset lastSnapshotOffset_;
+    /// When records were last applied without a gap in the catalogue.
     SteadyTime catalogueCurrentAt_;
-    std::size_t contactTurn_ = 0;
-    bool isListReachable_ = true;
+    /// Start of the next rotation in nextContacts().
+    std::size_t nextContact_ = 0;
+    bool isVmListReachable_ = true;
     bool isSyncingCatalogue_ = false;
     bool isSyncingVmList_ = false;
-    // Keeps publications in the order of the states they show.
+    // Serialises publications, so that an older state never replaces a newer
+    // one.
     std::mutex publishMutex_;
 };
 
--- a/lib/Node/EngineRouter.h
+++ b/lib/Node/EngineRouter.h
@@ -1,8 +1,8 @@
-//===- lib/Node/EngineRouter.h - candidates for a generation ---------------===//
+//===- lib/Node/EngineRouter.h - candidates for a generation --------------===//
 ///
 /// \file
-/// Feeds the Routing library from the picture of membership, and remembers
-/// for operators why an engine was chosen.
+/// Passes the membership view to the Routing library, and keeps the estimates of
+/// recent choices for operators.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -15,42 +15,49 @@
 
 namespace pistachioloom {
 
-struct RoutingQuestion {
+/// The request for which an engine is chosen.
+struct RoutingQuery {
     std::string requestId_;
     std::string model_;
     std::string prompt_;
     milliseconds latencyTarget_ {};
     bool isPaid_ = true;
-    /// Engines and homes that failed this request.
+    /// Engines and dispatchers that failed this request.
     std::set<VmId> excluded_;
 };
 
+/// Chooses engines for generations.
 class EngineRouter {
 public:
     explicit EngineRouter(NodeContext& context);
 
-    /// The engines to try, best first; none if no engine serves the model.
-    std::vector<EngineCandidate> choose(const RoutingQuestion& question);
-    /// Counts a request sent to \p home, until its next digest.
-    void countSent(const VmId& home, const std::string& model);
-    /// JSON of the candidates looked at for \p requestId, or an empty string.
+    /// \returns the engines to try, best first; empty if no engine serves the model.
+    std::vector<EngineCandidate> choose(const RoutingQuery& query);
+    /// Counts a request sent to \p dispatcher. The count lasts until the
+    /// dispatcher's next digest.
+    void countSent(const VmId& dispatcher, const std::string& model);
+    /// \returns the candidates considered for \p requestId as JSON, or an empty string
+    /// if they are not known.
     std::string explain(const std::string& requestId) const;
-    /// The node that takes the role of home for \p server, outside \p excluded.
-    VmId homeOf(const MembershipView& view, const VmId& server, const std::set<VmId>& excluded) const;
+    /// \returns the dispatcher of \p server among the nodes that are not in
+    /// \p excluded; empty if there is none.
+    VmId dispatcherOf(const MembershipView& view, const VmId& server, const std::set<VmId>& excluded) const;
 
 private:
-    struct Sent {
+    /// Number of requests sent to a dispatcher since its digest with this heartbeat.
+    struct SentCount {
         std::uint64_t heartbeat_ = 0;
         std::uint32_t count_ = 0;
     };
 
-    EngineCandidate describeEngine(const MembershipView& view, const RoutingQuestion& question, const VmId& engine, std::size_t rank);
-    void remember(const std::string& requestId, const std::vector<EngineCandidate>& candidates);
+    EngineCandidate makeCandidate(const MembershipView& view, const RoutingQuery& query, const VmId& engine, std::size_t rank);
+    void recordExplanation(const std::string& requestId, const std::vector<EngineCandidate>& candidates);
 
     NodeContext& context_;
     mutable std::mutex mutex_;
-    std::map<std::pair<VmId, std::string>, Sent> sent_;
+    std::map<std::pair<VmId, std::string>, SentCount> sent_;
     std::map<std::string, std::string> explanations_;
+    /// Requests in explanations_, the oldest first.
     std::deque<std::string> explanationOrder_;
 };
 
--- a/lib/Node/EventStream.cpp
+++ b/lib/Node/EventStream.cpp
@@ -1,4 +1,4 @@
-//===- lib/Node/EventStream.cpp - answers as server-sent events ------------===//
+//===- lib/Node/EventStream.cpp - answers as server-sent events -----------===//
 ///
 /// \file
 /// See EventStream.h.
@@ -54,8 +54,8 @@
     const char* last = text.data() + text.size();
     auto count = std::from_chars(text.data(), middle, id.tokens_);
     auto hash = std::from_chars(middle + 1, last, id.textHash_, hexBase);
-    bool isGood = count.ec == std::errc {} && count.ptr == middle && hash.ec == std::errc {} && hash.ptr == last;
-    return isGood ? std::optional(id) : std::nullopt;
+    bool isValid = count.ec == std::errc {} && count.ptr == middle && hash.ec == std::errc {} && hash.ptr == last;
+    return isValid ? std::optional(id) : std::nullopt;
 }
 
 EventWriter::EventWriter(std::string requestId, std::optional<EventId> resume)
@@ -85,17 +85,18 @@
         bool isSameText = position_.tokens_ == resume_->tokens_ && position_.textHash_ == resume_->textHash_;
         if (isSameText)
             skipped_.clear();
-        events += flushSkipped();
+        events += finishResume();
     }
     return events;
 }
 
-std::string EventWriter::flushSkipped()
+std::string EventWriter::finishResume()
 {
     resume_.reset();
     if (skipped_.empty())
         return {};
-    // Not the text that the caller has: it is to drop that and take this.
+    // The caller has a different text, which it has to discard to read this one from
+    // the start.
     std::string events = event("restart", "0-0", "{}");
     EventId id;
     for (const std::string& text : skipped_) {
@@ -108,9 +109,10 @@
 
 std::string EventWriter::done()
 {
-    // An answer shorter than what the caller claims to have is another answer.
-    bool hasNothing = resume_ && !resume_->tokens_;
-    std::string events = resume_ && !hasNothing ? flushSkipped() : std::string();
+    // An answer with fewer tokens than the caller's event id states is a different
+    // text.
+    bool callerHasNothing = resume_ && !resume_->tokens_;
+    std::string events = resume_ && !callerHasNothing ? finishResume() : std::string();
     return events + event({}, {}, "[DONE]");
 }
 
--- a/lib/Node/Gossiping.cpp
+++ b/lib/Node/Gossiping.cpp
@@ -1,8 +1,8 @@
-//===- lib/Node/Gossiping.cpp - the peers' side of the control plane -------===//
+//===- lib/Node/Gossiping.cpp - gossip of the control plane ---------------===//
 ///
 /// \file
-/// Heartbeats, digests, and pulling catalogue and VM list from whoever is
-/// ahead of us.
+/// Implements what the control plane exchanges with peers: heartbeats, digests,
+/// and pulls of catalogue and VM list from peers with newer versions.
 //===----------------------------------------------------------------------===//
 #include "ControlPlane.h"
 
@@ -15,8 +15,9 @@
 
     constexpr milliseconds gossipTimeout { 1000 };
     constexpr milliseconds syncTimeout { 3000 };
-    // A VM found to leave is told of for this long; all have heard it by then.
-    constexpr milliseconds leavingTold { 60000 };
+    // Time for which a leaving VM is gossiped; all nodes have received it by
+    // then.
+    constexpr milliseconds leavingGossipPeriod { 60000 };
 
     std::uint32_t shortHash(const VmId& vm)
     {
@@ -31,9 +32,9 @@
         message.set_is_leaving(digest.isLeaving_);
     }
 
-    // Two VMs of one data centre whose hashes collide are told apart by nobody:
-    // the chance at 60 nodes is one in two million, and then both seem alive
-    // while one of them is.
+    // VMs of one data centre whose hashes collide cannot be distinguished. With
+    // 60 nodes the probability is one in two million. Both VMs then count as
+    // alive while either of them is.
     std::vector<NodeDigest> decodeDigests(const wire::Gossip& gossip, const std::vector<VmId>& known)
     {
         std::vector<NodeDigest> digests;
@@ -89,26 +90,26 @@
     return contacts;
 }
 
-std::vector<VmId> ControlPlane::contactsInTurn()
+std::vector<VmId> ControlPlane::nextContacts()
 {
     std::vector<VmId> contacts = remoteContacts();
-    std::size_t most = context_.settings_.membership_.relayFanout_;
-    if (contacts.size() <= most)
+    std::size_t maxContacts = context_.settings_.membership_.relayFanout_;
+    if (contacts.size() <= maxContacts)
         return contacts;
     std::vector<VmId> chosen;
-    for (std::size_t i = 0; i < most; ++i)
-        chosen.push_back(contacts[(contactTurn_ + i) % contacts.size()]);
-    contactTurn_ = (contactTurn_ + most) % contacts.size();
+    for (std::size_t i = 0; i < maxContacts; ++i)
+        chosen.push_back(contacts[(nextContact_ + i) % contacts.size()]);
+    nextContact_ = (nextContact_ + maxContacts) % contacts.size();
     return chosen;
 }
 
 void ControlPlane::gossipTo(const std::vector<VmId>& peers)
 {
     for (const VmId& peer : peers)
-        context_.spawn(exchange(peer));
+        context_.spawn(exchangeGossip(peer));
 }
 
-void ControlPlane::gossipEverywhere()
+void ControlPlane::broadcastGossip()
 {
     gossipTo(localPeers());
     if (isRelay())
@@ -123,7 +124,7 @@
         {
             std::lock_guard lock(mutex_);
             gossip_.self().loads_ = std::move(loads);
-            gossip_.beat();
+            gossip_.advanceHeartbeat();
             gossip_.forgetOld(steadyNow());
         }
         publishMembership();
@@ -132,7 +133,7 @@
             peers.erase(peers.begin() + static_cast<std::ptrdiff_t>(randomBits() % peers.size()));
         gossipTo(peers);
         if (isRelay())
-            gossipTo(contactsInTurn());
+            gossipTo(nextContacts());
         co_await sleepFor(settings.heartbeat_);
     }
 }
@@ -153,12 +154,12 @@
         encoded.set_free_slots(load.freeSlots_);
         encoded.set_queued(load.queued_);
         encoded.set_wait_ms(static_cast<std::uint32_t>(load.wait_.count()));
-        encoded.set_trials(load.trials_);
+        encoded.set_trials(load.trialSlots_);
     }
     for (const NodeDigest& digest : gossip_.digests(steadyNow()))
         encodeDigest(digest, *gossip.add_digests());
     for (const auto& [vm, leaving] : leaving_.all()) {
-        if (steadyNow() - leaving.markedAt_ > leavingTold)
+        if (steadyNow() - leaving.markedAt_ > leavingGossipPeriod)
             continue;
         wire::LeavingVm& encoded = *gossip.add_leaving();
         encoded.set_vm(vm.value_);
@@ -171,7 +172,7 @@
     return frame;
 }
 
-asio::awaitable<void> ControlPlane::exchange(VmId peer)
+asio::awaitable<void> ControlPlane::exchangeGossip(VmId peer)
 {
     context_.metrics_.add(Counter::GossipMessages);
     wire::Frame request = makeGossip();
@@ -180,12 +181,13 @@
         co_return;
     if (mergeGossip(reply.value().gossip()))
         publishMembership();
-    followUp(reply.value().gossip());
-    // A peer with an old list may not find us in it, so it cannot pull.
-    std::uint64_t theirs = reply.value().gossip().vm_list_version();
-    bool isOurs = reply.value().gossip().data_centre() == context_.settings_.dataCentre_.value_;
-    if (isOurs && theirs < context_.membership()->index_->version_)
-        co_await pushVmList(peer, theirs);
+    pullUpdates(reply.value().gossip());
+    // A peer with an old VM list may not find this node's address in it and then
+    // cannot pull the newer list, so this node pushes it.
+    std::uint64_t peerVersion = reply.value().gossip().vm_list_version();
+    bool isSameDataCentre = reply.value().gossip().data_centre() == context_.settings_.dataCentre_.value_;
+    if (isSameDataCentre && peerVersion < context_.membership()->index_->version_)
+        co_await pushVmList(peer, peerVersion);
 }
 
 asio::awaitable<void> ControlPlane::pushVmList(VmId peer, std::uint64_t knownVersion)
@@ -196,7 +198,7 @@
     (void)co_await context_.call(peer, update, syncTimeout);
 }
 
-wire::Frame ControlPlane::takeVmList(const wire::VmListUpdate& update)
+wire::Frame ControlPlane::applyVmList(const wire::VmListUpdate& update)
 {
     adoptVmChanges(update);
     wire::Frame frame;
@@ -209,7 +211,7 @@
     context_.metrics_.add(Counter::GossipMessages);
     if (mergeGossip(gossip))
         publishMembership();
-    followUp(gossip);
+    pullUpdates(gossip);
     return makeGossip();
 }
 
@@ -217,28 +219,28 @@
 {
     std::lock_guard lock(mutex_);
     bool isLocal = gossip.data_centre() == context_.settings_.dataCentre_.value_;
-    bool isNews = false;
+    bool isUpdate = false;
     auto local = vmIndex_->entryVms_.find(context_.settings_.dataCentre_);
     if (isLocal && local != vmIndex_->entryVms_.end())
         gossip_.merge(decodeDigests(gossip, local->second), steadyNow());
     for (const wire::LeavingVm& leaving : gossip.leaving()) {
         auto stopsAt = leaving.has_deadline() ? std::optional(steadyNow() + milliseconds(leaving.remaining_ms())) : std::nullopt;
-        isNews |= leaving_.markLeaving({ leaving.vm() }, stopsAt, steadyNow());
+        isUpdate |= leaving_.markLeaving({ leaving.vm() }, stopsAt, steadyNow());
     }
-    return isNews;
+    return isUpdate;
 }
 
-void ControlPlane::followUp(const wire::Gossip& gossip)
+void ControlPlane::pullUpdates(const wire::Gossip& gossip)
 {
     bool needsCatalogue = false;
     bool needsVmList = false;
     {
         std::lock_guard lock(mutex_);
         needsCatalogue = gossip.catalogue_offset() > catalogue_.nextOffset().value_ && !isSyncingCatalogue_;
-        // Addresses may look different from another data centre, so its list
-        // is taken only when the platform does not give us ours.
-        bool isOurs = gossip.data_centre() == context_.settings_.dataCentre_.value_;
-        needsVmList = gossip.vm_list_version() > vmIndex_->version_ && !isSyncingVmList_ && (isOurs || !isListReachable_);
+        // Addresses may differ between data centres, so the list of another
+        // data centre is pulled only while the platform's list is unreachable.
+        bool isSameDataCentre = gossip.data_centre() == context_.settings_.dataCentre_.value_;
+        needsVmList = gossip.vm_list_version() > vmIndex_->version_ && !isSyncingVmList_ && (isSameDataCentre || !isVmListReachable_);
         isSyncingCatalogue_ |= needsCatalogue;
         isSyncingVmList_ |= needsVmList;
     }
@@ -266,7 +268,7 @@
             records.emplace_back(LogOffset { update.offsets(i) }, update.records(i));
     }
     if (hasAdopted) {
-        logger_.info("Catalogue was taken from peer " + peer.value_ + ".");
+        logger_.info("Catalogue snapshot was adopted from peer " + peer.value_ + ".");
         publishCatalogue();
     }
     applyRecords(records);
--- a/lib/Node/RecordCopying.cpp
+++ b/lib/Node/RecordCopying.cpp
@@ -1,8 +1,8 @@
-//===- lib/Node/RecordCopying.cpp - the owner's copies and hand-over -------===//
+//===- lib/Node/RecordCopying.cpp - replication and handover of records ---===//
 ///
 /// \file
-/// Keeps a replica of each record in another data centre, and hands records to
-/// successors when this node leaves.
+/// Maintains a replica of each record in another data centre, and hands records over
+/// to successors when this node leaves.
 //===----------------------------------------------------------------------===//
 #include "Generation.h"
 
@@ -12,9 +12,9 @@
 
 namespace {
 
-    constexpr std::size_t mostReplicasTried = 3;
-    // Without a replica the record is offered again this often.
-    constexpr milliseconds replicaRetry { 1000 };
+    constexpr std::size_t maxReplicasTried = 3;
+    // Interval between attempts to find a replica if no node accepts one.
+    constexpr milliseconds replicaRetryDelay { 1000 };
 
     wire::Frame progressFrame(const std::string& requestId, const VmId& owner, const Generation::Progress& progress, std::size_t firstPosition)
     {
@@ -22,7 +22,7 @@
         wire::RecordProgress& message = *frame.mutable_record_progress();
         message.set_request_id(requestId);
         message.set_attempt(progress.attempt_);
-        message.set_is_finished(progress.isOver_);
+        message.set_is_finished(progress.hasEnded_);
         message.set_engine(progress.engine_);
         message.set_owner(owner.value_);
         if (progress.failure_)
@@ -39,8 +39,8 @@
 
 std::vector<VmId> GenerationOwner::replicaCandidates(const std::string& requestId, const std::set<VmId>& failed) const
 {
-    ReplicaPlace place { context_.self(), context_.settings_.dataCentre_, context_.settings_.region_ };
-    return rankReplicas(*context_.membership(), place, requestId, failed);
+    RecordLocation location { context_.self(), context_.settings_.dataCentre_, context_.settings_.region_ };
+    return rankReplicas(*context_.membership(), location, requestId, failed);
 }
 
 asio::awaitable<void> GenerationOwner::copyLoop(GenerationPtr generation)
@@ -49,29 +49,30 @@
     std::set<VmId> failed;
     for (;;) {
         auto candidates = replicaCandidates(key, failed);
-        if (candidates.size() > mostReplicasTried)
-            candidates.resize(mostReplicasTried);
-        bool isDone = false;
+        if (candidates.size() > maxReplicasTried)
+            candidates.resize(maxReplicasTried);
+        bool isCopyComplete = false;
         for (const VmId& candidate : candidates) {
-            isDone = co_await copyTo(generation, candidate);
-            if (isDone)
+            isCopyComplete = co_await copyTo(generation, candidate);
+            if (isCopyComplete)
                 break;
             failed.insert(candidate);
         }
-        if (isDone)
+        if (isCopyComplete)
             co_return;
-        // Nobody takes a copy: the answer goes on without one, which is said.
+        // No node accepts a replica, so the generation continues without one.
         logger_.warn("Request " + generation->id() + " runs without a replica.");
         generation->setReplica({});
         generation->setReadableToEnd();
-        if (generation->isOver())
+        if (generation->hasEnded())
             co_return;
-        co_await sleepFor(replicaRetry);
+        co_await sleepFor(replicaRetryDelay);
         failed.clear();
     }
 }
 
-// Returns whether the replica has the record to its end.
+// Returns true if the replica has the complete record or the generation has moved,
+// and false if the replica failed.
 asio::awaitable<bool> GenerationOwner::copyTo(GenerationPtr generation, VmId replica)
 {
     milliseconds timeout = context_.settings_.replica_.copyTimeout_;
@@ -89,15 +90,16 @@
     generation->setReplica(replica.value_);
     generation->setReadable(copied);
     auto reader = std::make_shared<Generation::Signal>(context_.executor_, 1);
-    generation->watch(reader);
+    generation->addWatcher(reader);
     for (;;) {
         auto progress = generation->progressSince(copied);
         if (progress.isMoved_) {
-            // Its new owner makes copies of its own; ending our side drops this one.
+            // The new owner makes a replica of its own. The node that holds this
+            // replica removes it when the stream ends.
             stream->finish();
             co_return true;
         }
-        if (progress.tokens_.empty() && !progress.isOver_) {
+        if (progress.tokens_.empty() && !progress.hasEnded_) {
             co_await reader->async_receive(asio::as_tuple(asio::use_awaitable));
             continue;
         }
@@ -112,7 +114,7 @@
             co_return false;
         context_.metrics_.observe(Histogram::CopyAcknowledged, steadyNow() - sentAt);
         generation->setReadable(copied);
-        if (!progress.isOver_)
+        if (!progress.hasEnded_)
             continue;
         generation->setReadableToEnd();
         stream->finish();
@@ -120,14 +122,15 @@
     }
 }
 
-asio::awaitable<void> GenerationOwner::handOverOne(GenerationPtr generation)
+asio::awaitable<void> GenerationOwner::handOverGeneration(GenerationPtr generation)
 {
-    // The replica has the record already, so it comes first.
+    // The node that holds the replica is tried first, since it has most of the
+    // record.
     std::vector<VmId> candidates { { generation->replica() } };
     for (const VmId& node : replicaCandidates(generation->id(), {}))
         candidates.push_back(node);
-    if (candidates.size() > mostReplicasTried)
-        candidates.resize(mostReplicasTried);
+    if (candidates.size() > maxReplicasTried)
+        candidates.resize(maxReplicasTried);
     wire::Frame frame;
     *frame.mutable_record_handover()->mutable_record() = generation->beginHandover();
     for (const VmId& candidate : candidates) {
@@ -137,19 +140,19 @@
         if (!reply || !reply.value().has_ack())
             continue;
         context_.metrics_.add(Counter::Handovers);
-        logger_.info("Request " + generation->id() + " was handed to " + candidate.value_ + ".");
+        logger_.info("Request " + generation->id() + " was handed over to " + candidate.value_ + ".");
         generation->markMoved();
         co_return;
     }
-    generation->abandonHandover();
+    generation->cancelHandover();
     logger_.error("Request " + generation->id() + " could not be handed over.");
 }
 
 asio::awaitable<void> GenerationOwner::handOver()
 {
     for (const GenerationPtr& generation : all()) {
-        if (!generation->isOver())
-            co_await handOverOne(generation);
+        if (!generation->hasEnded())
+            co_await handOverGeneration(generation);
     }
 }
 
--- a/lib/Platform/VmListService.cpp
+++ b/lib/Platform/VmListService.cpp
@@ -1,7 +1,7 @@
-//===- lib/Platform/VmListService.cpp - VM list and notices by HTTP --------===//
+//===- lib/Platform/VmListService.cpp - VM list and notices over HTTP -----===//
 ///
 /// \file
-/// Fills the VmListService hooks.
+/// Implements the VmListService hooks.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Platform.h"
 
@@ -12,6 +12,8 @@
 
 namespace {
 
+    // Time limit of reading the VM list. Reading notices may take this much longer than the
+    // requested wait.
     constexpr milliseconds listTimeout { 2000 };
     constexpr int notModified = 304;
 
--- a/lib/Reclaim/Reclaim.cpp
+++ b/lib/Reclaim/Reclaim.cpp
@@ -1,8 +1,9 @@
 //===- lib/Reclaim/Reclaim.cpp - planning of an announced reclaim ----------===//
 ///
 /// \file
-/// A greedy plan: what finishes in time stays; the export bandwidth goes to
-/// the streams that would lose most, paid ones first; the rest recompute.
+/// Implements a greedy plan. Streams that finish in time stay. The export
+/// bandwidth goes to paid streams first, and within a class to those with the
+/// most cached tokens. The others recompute.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Reclaim.h"
 
@@ -40,7 +41,7 @@
     std::vector<const LeavingStream*> leaving;
     std::vector<ReclaimStep> finishing;
     for (const LeavingStream& stream : streams) {
-        bool finishesInTime = cost.perToken_ * static_cast<std::int64_t>(stream.remainingTokens_) <= available;
+        bool finishesInTime = cost.timePerToken_ * static_cast<std::int64_t>(stream.remainingTokens_) <= available;
         if (finishesInTime)
             finishing.push_back({ stream.request_, ReclaimAction::FinishInPlace, 0 });
         else
--- a/lib/Settings/Settings.cpp
+++ b/lib/Settings/Settings.cpp
@@ -1,7 +1,7 @@
-//===- lib/Settings/Settings.cpp - parsing of a daemon's settings ----------===//
+//===- lib/Settings/Settings.cpp - parsing of a daemon's settings ---------===//
 ///
 /// \file
-/// One function per section; every key has its range here.
+/// Parses each section in a function of its own, which states the range of every key.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Settings.h"
 
@@ -15,24 +15,24 @@
 namespace {
 
     constexpr milliseconds oneDay { 24LL * 3600 * 1000 };
-    constexpr std::uint64_t mostThreads = 256;
-    constexpr std::uint64_t mostShards = 1024;
-    constexpr std::size_t shortestCredential = 16;
+    constexpr std::uint64_t maxThreads = 256;
+    constexpr std::uint64_t maxShards = 1024;
+    constexpr std::size_t minCredentialLength = 16;
 
     Endpoint endpoint(YamlMap& map, const std::string& key)
     {
         std::string text = map.text(key);
         auto parsed = parseEndpoint(text);
         if (!parsed && !text.empty())
-            map.fail(key, "expected IP:PORT, found '" + text + "'");
+            map.addError(key, "expected IP:PORT, found '" + text + "'");
         return parsed.value_or(Endpoint {});
     }
 
     std::string credential(YamlMap& map, const std::string& key)
     {
         std::string text = map.text(key);
-        if (!text.empty() && text.size() < shortestCredential)
-            map.fail(key, "expected at least 16 characters");
+        if (!text.empty() && text.size() < minCredentialLength)
+            map.addError(key, "expected at least 16 characters");
         return text;
     }
 
@@ -41,8 +41,8 @@
         settings.vm_ = { map.text("vm") };
         settings.dataCentre_ = { map.text("data_centre") };
         settings.region_ = { map.text("region", "") };
-        settings.threads_ = map.integer("threads", 1, mostThreads, settings.threads_);
-        map.finish();
+        settings.threads_ = map.integer("threads", 1, maxThreads, settings.threads_);
+        map.reportUnknownKeys();
     }
 
     void parseListen(YamlMap map, Settings& settings)
@@ -50,21 +50,21 @@
         settings.callers_ = endpoint(map, "callers");
         settings.peers_ = endpoint(map, "peers");
         settings.operators_ = endpoint(map, "operators");
-        map.finish();
+        map.reportUnknownKeys();
     }
 
     void parsePlatform(YamlMap map, Settings& settings)
     {
         settings.log_ = endpoint(map, "log");
         settings.vmList_ = endpoint(map, "vm_list");
-        map.finish();
+        map.reportUnknownKeys();
     }
 
     void parseCredentials(YamlMap map, Settings& settings)
     {
         settings.peerCredential_ = credential(map, "peers");
         settings.operatorCredential_ = credential(map, "operators");
-        map.finish();
+        map.reportUnknownKeys();
     }
 
     void parseMembership(YamlMap map, MembershipSettings& settings)
@@ -73,39 +73,39 @@
         settings.suspectAfter_ = map.duration("suspect_after", milliseconds(100), milliseconds(600000), settings.suspectAfter_);
         settings.fanout_ = map.integer("fanout", 1, 16, settings.fanout_);
         settings.relayFanout_ = map.integer("relay_fanout", 1, 64, settings.relayFanout_);
-        settings.vmListPoll_ = map.duration("vm_list_poll", milliseconds(50), milliseconds(60000), settings.vmListPoll_);
+        settings.vmListPollInterval_ = map.duration("vm_list_poll", milliseconds(50), milliseconds(60000), settings.vmListPollInterval_);
         settings.defaultNotice_ = map.duration("default_notice", milliseconds(100), oneDay, settings.defaultNotice_);
         if (settings.suspectAfter_ < 2 * settings.heartbeat_)
-            map.fail("suspect_after", "expected at least twice the heartbeat");
-        map.finish();
+            map.addError("suspect_after", "expected at least twice the heartbeat");
+        map.reportUnknownKeys();
     }
 
     void parseLedger(YamlMap map, LedgerSettings& settings)
     {
-        settings.shards_ = map.integer("shards", 1, mostShards, settings.shards_);
-        settings.dispatchGuard_ = map.duration("dispatch_guard", milliseconds(100), milliseconds(60000), settings.dispatchGuard_);
+        settings.shards_ = map.integer("shards", 1, maxShards, settings.shards_);
+        settings.maxDispatchDelay_ = map.duration("dispatch_guard", milliseconds(100), milliseconds(60000), settings.maxDispatchDelay_);
         settings.appendsPerSecond_ = map.integer("appends_per_second", 1, 100000, settings.appendsPerSecond_);
         settings.appendTimeout_ = map.duration("append_timeout", milliseconds(10), milliseconds(60000), settings.appendTimeout_);
-        settings.appendPatience_ = map.duration("append_patience", milliseconds(10), milliseconds(60000), settings.appendPatience_);
-        map.finish();
+        settings.appendWaitLimit_ = map.duration("append_patience", milliseconds(10), milliseconds(60000), settings.appendWaitLimit_);
+        map.reportUnknownKeys();
     }
 
     void parseCatalogue(YamlMap map, CatalogueSettings& settings)
     {
         settings.snapshotInterval_ = map.duration("snapshot_interval", milliseconds(100), oneDay, settings.snapshotInterval_);
-        settings.editPatience_ = map.duration("edit_patience", milliseconds(100), milliseconds(60000), settings.editPatience_);
-        map.finish();
+        settings.editWaitLimit_ = map.duration("edit_patience", milliseconds(100), milliseconds(60000), settings.editWaitLimit_);
+        map.reportUnknownKeys();
     }
 
     void parseCallers(YamlMap map, CallerSettings& settings)
     {
         settings.bounds_.header_ = map.size("header", { 1024 }, { 1024UL * 1024 }, settings.bounds_.header_);
         settings.bounds_.body_ = map.size("body", { 1024 }, { 64UL * 1024 * 1024 }, settings.bounds_.body_);
-        settings.bounds_.idle_ = map.duration("idle", milliseconds(100), milliseconds(3600000), settings.bounds_.idle_);
+        settings.bounds_.idleTimeout_ = map.duration("idle", milliseconds(100), milliseconds(3600000), settings.bounds_.idleTimeout_);
         settings.reconnectGrace_ = map.duration("reconnect_grace", milliseconds(0), oneDay, settings.reconnectGrace_);
-        settings.answersKept_ = map.duration("answers_kept", milliseconds(100), oneDay, settings.answersKept_);
-        settings.mostTokens_ = map.integer("most_tokens", 1, 1000000, settings.mostTokens_);
-        map.finish();
+        settings.answerRetention_ = map.duration("answers_kept", milliseconds(100), oneDay, settings.answerRetention_);
+        settings.maxTokens_ = map.integer("most_tokens", 1, 1000000, settings.maxTokens_);
+        map.reportUnknownKeys();
     }
 
     void parseDrain(YamlMap map, DrainSettings& settings)
@@ -113,22 +113,22 @@
         settings.balancerGrace_ = map.duration("balancer_grace", milliseconds(0), milliseconds(600000), settings.balancerGrace_);
         settings.timeout_ = map.duration("timeout", milliseconds(100), oneDay, settings.timeout_);
         settings.handoverMargin_ = map.duration("handover_margin", milliseconds(50), milliseconds(600000), settings.handoverMargin_);
-        map.finish();
+        map.reportUnknownKeys();
     }
 
     void parseReplica(YamlMap map, ReplicaSettings& settings)
     {
         settings.copyTimeout_ = map.duration("copy_timeout", milliseconds(10), milliseconds(60000), settings.copyTimeout_);
         settings.takeoverGrace_ = map.duration("takeover_grace", milliseconds(10), milliseconds(600000), settings.takeoverGrace_);
-        settings.ownerSilence_ = map.duration("owner_silence", milliseconds(10), milliseconds(600000), settings.ownerSilence_);
-        map.finish();
+        settings.ownerUpdateTimeout_ = map.duration("owner_silence", milliseconds(10), milliseconds(600000), settings.ownerUpdateTimeout_);
+        map.reportUnknownKeys();
     }
 
     void parseLimits(YamlMap map, LimitSettings& settings)
     {
         settings.grantValidity_ = map.duration("grant_validity", milliseconds(100), milliseconds(600000), settings.grantValidity_);
-        settings.grantAhead_ = map.integer("grant_ahead", 0, 10000, settings.grantAhead_);
-        map.finish();
+        settings.grantReserve_ = map.integer("grant_ahead", 0, 10000, settings.grantReserve_);
+        map.reportUnknownKeys();
     }
 
     void parseOrders(YamlMap map, OrderSettings& settings)
@@ -136,18 +136,18 @@
         OrderTiming& timing = settings.timing_;
         settings.period_ = map.duration("period", milliseconds(20), milliseconds(60000), settings.period_);
         timing.claimValidity_ = map.duration("claim_validity", milliseconds(100), milliseconds(600000), timing.claimValidity_);
-        timing.pauseBound_ = map.duration("pause_bound", milliseconds(100), milliseconds(3600000), timing.pauseBound_);
-        timing.loadPatience_ = map.duration("load_patience", milliseconds(100), oneDay, timing.loadPatience_);
-        map.finish();
+        timing.maxPause_ = map.duration("pause_bound", milliseconds(100), milliseconds(3600000), timing.maxPause_);
+        timing.loadWaitLimit_ = map.duration("load_patience", milliseconds(100), oneDay, timing.loadWaitLimit_);
+        map.reportUnknownKeys();
     }
 
     void parsePeers(YamlMap map, PeerSettings& settings)
     {
         settings.keepAlive_ = map.duration("keep_alive", milliseconds(20), milliseconds(60000), settings.keepAlive_);
-        settings.deadAfter_ = map.duration("dead_after", milliseconds(40), milliseconds(600000), settings.deadAfter_);
-        if (settings.deadAfter_ < 2 * settings.keepAlive_)
-            map.fail("dead_after", "expected at least twice keep_alive");
-        map.finish();
+        settings.closeIdleAfter_ = map.duration("dead_after", milliseconds(40), milliseconds(600000), settings.closeIdleAfter_);
+        if (settings.closeIdleAfter_ < 2 * settings.keepAlive_)
+            map.addError("dead_after", "expected at least twice keep_alive");
+        map.reportUnknownKeys();
     }
 
 } // namespace
@@ -163,11 +163,11 @@
     for (const auto& [part, level] : map.pairs("parts")) {
         auto found = std::find(levels.begin(), levels.end(), level);
         if (found == levels.end())
-            map.fail("parts", "expected one of debug info warn error for part '" + part + "'");
+            map.addError("parts", "expected one of debug info warn error for part '" + part + "'");
         else
-            settings.parts_[part] = static_cast<LogLevel>(found - levels.begin());
+            settings.levelByPart_[part] = static_cast<LogLevel>(found - levels.begin());
     }
-    map.finish();
+    map.reportUnknownKeys();
 }
 
 std::optional<Endpoint> parseEndpoint(const std::string& text)
@@ -188,7 +188,7 @@
 
 std::optional<Settings> parseSettings(const std::string& text, const std::string& file, InputErrors& errors)
 {
-    std::size_t before = errors.size();
+    std::size_t initialErrorCount = errors.size();
     auto root = YamlMap::parse(text, file, errors);
     if (!root)
         return std::nullopt;
@@ -221,9 +221,9 @@
         parsePeers(std::move(*map), settings.peerLinks_);
     if (auto map = root->map("logs"))
         parseLogSettings(std::move(*map), settings.logs_);
-    settings.spansKept_ = root->integer("spans_kept", 1, 1000000, settings.spansKept_);
-    root->finish();
-    if (errors.size() != before)
+    settings.maxSpans_ = root->integer("spans_kept", 1, 1000000, settings.maxSpans_);
+    root->reportUnknownKeys();
+    if (errors.size() != initialErrorCount)
         return std::nullopt;
     return settings;
 }
--- a/lib/Wire/PeerLink.cpp
+++ b/lib/Wire/PeerLink.cpp
@@ -13,14 +13,15 @@
 
 namespace {
 
-    constexpr auto tokenOf = asio::as_tuple(asio::use_awaitable);
+    constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
     constexpr std::size_t readBufferSize = 64UL * 1024;
     constexpr std::size_t writeBatchSize = 64UL * 1024;
     constexpr std::size_t frameHeaderSize = 4;
-    // A frame larger than the window still passes, piece by piece.
+    // Frames may be larger than the window, because decodeFrames() returns bytes to the
+    // window before their frame is complete.
     constexpr std::int32_t streamWindow = 256 * 1024;
     constexpr std::int32_t connectionWindow = 16 * 1024 * 1024;
-    constexpr std::uint32_t mostStreams = 4096;
+    constexpr std::uint32_t maxConcurrentStreams = 4096;
 
     nghttp2_nv header(std::string_view name, std::string_view value)
     {
@@ -70,7 +71,7 @@
     nghttp2_option* option = nullptr;
     nghttp2_option_new(&option);
     nghttp2_option_set_no_auto_window_update(option, 1);
-    nghttp2_option_set_peer_max_concurrent_streams(option, mostStreams);
+    nghttp2_option_set_peer_max_concurrent_streams(option, maxConcurrentStreams);
     if (side_ == Side::Client)
         nghttp2_session_client_new2(&session_, callbacks, this, option);
     else
@@ -78,7 +79,7 @@
     nghttp2_option_del(option);
     nghttp2_session_callbacks_del(callbacks);
     std::array settings {
-        nghttp2_settings_entry { NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, mostStreams },
+        nghttp2_settings_entry { NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, maxConcurrentStreams },
         nghttp2_settings_entry { NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, streamWindow },
     };
     nghttp2_submit_settings(session_, NGHTTP2_FLAG_NONE, settings.data(), settings.size());
@@ -91,28 +92,29 @@
         executor(), [self = shared_from_this()]() { return self->readLoop(); }, asio::detached);
     asio::co_spawn(
         executor(), [self = shared_from_this()]() { return self->keepAliveLoop(); }, asio::detached);
-    asio::post(executor(), [self = shared_from_this()] { self->pump(); });
+    asio::post(executor(), [self = shared_from_this()] { self->startWriting(); });
 }
 
-// Counted in intervals and not in time, so that a process that was frozen
-// itself reads what came meanwhile before it gives up on its peers.
+// Counts intervals instead of time: a process that was itself frozen must first read the
+// input that arrived during the freeze, and must not close its connections because of the
+// time that has passed.
 asio::awaitable<void> PeerLink::keepAliveLoop()
 {
     auto self = shared_from_this();
     while (socket_.is_open()) {
         keepAliveTimer_.expires_after(keepAlive_.interval_);
-        co_await keepAliveTimer_.async_wait(tokenOf);
+        co_await keepAliveTimer_.async_wait(asTuple);
         if (streams_.empty() || !socket_.is_open()) {
-            silentIntervals_ = 0;
+            idleIntervals_ = 0;
             continue;
         }
-        if (silentIntervals_ >= keepAlive_.mostSilent_) {
-            close("the peer is silent");
+        if (idleIntervals_ >= keepAlive_.maxIdleIntervals_) {
+            close("the peer is unresponsive");
             co_return;
         }
-        if (silentIntervals_++) {
+        if (idleIntervals_++) {
             nghttp2_submit_ping(session_, NGHTTP2_FLAG_NONE, nullptr);
-            pump();
+            startWriting();
         }
     }
 }
@@ -122,25 +124,25 @@
     auto self = shared_from_this();
     std::vector<std::uint8_t> buffer(readBufferSize);
     while (isUsable_ || !streams_.empty()) {
-        auto [code, count] = co_await socket_.async_read_some(asio::buffer(buffer), tokenOf);
+        auto [code, count] = co_await socket_.async_read_some(asio::buffer(buffer), asTuple);
         if (code) {
             close(code.message());
             co_return;
         }
-        counters_->received_ += count;
-        silentIntervals_ = 0;
+        counters_->bytesReceived_ += count;
+        idleIntervals_ = 0;
         ssize_t taken = nghttp2_session_mem_recv(session_, buffer.data(), count);
         if (taken < 0) {
-            report("read frames", nghttp2_strerror(static_cast<int>(taken)));
+            reportError("read frames", nghttp2_strerror(static_cast<int>(taken)));
             close("bad input");
             co_return;
         }
-        pump();
+        startWriting();
     }
-    close("drained");
+    close("all streams have ended");
 }
 
-void PeerLink::pump()
+void PeerLink::startWriting()
 {
     if (isWriting_ || !socket_.is_open())
         return;
@@ -163,8 +165,8 @@
         }
         if (batch.empty())
             break;
-        counters_->sent_ += batch.size();
-        auto [code, count] = co_await asio::async_write(socket_, asio::buffer(batch), tokenOf);
+        counters_->bytesSent_ += batch.size();
+        auto [code, count] = co_await asio::async_write(socket_, asio::buffer(batch), asTuple);
         if (code) {
             isWriting_ = false;
             close(code.message());
@@ -173,7 +175,7 @@
     }
     isWriting_ = false;
     if (!nghttp2_session_want_read(session_) && !nghttp2_session_want_write(session_))
-        close("session ended");
+        close("the session has ended");
 }
 
 bool PeerLink::submit(const std::shared_ptr<LinkStream>& stream)
@@ -197,7 +199,7 @@
     }
     stream->id_ = id;
     streams_[id] = stream;
-    pump();
+    startWriting();
     return true;
 }
 
@@ -212,49 +214,49 @@
 
 void PeerLink::rejectStream(std::int32_t streamId, int status, const std::string& reason)
 {
-    report("open stream", reason);
+    reportError("open stream", reason);
     std::string statusText = std::to_string(status);
     std::array headers { header(":status", statusText) };
     nghttp2_submit_response(session_, streamId, headers.data(), headers.size(), nullptr);
     nghttp2_submit_rst_stream(session_, NGHTTP2_FLAG_NONE, streamId, NGHTTP2_REFUSED_STREAM);
 }
 
-void PeerLink::wake(LinkStream& stream)
+void PeerLink::resumeOutput(LinkStream& stream)
 {
     if (stream.id_ < 0 || !stream.isDeferred_)
         return;
     stream.isDeferred_ = false;
     nghttp2_session_resume_data(session_, stream.id_);
-    pump();
+    startWriting();
 }
 
 void PeerLink::resetStream(LinkStream& stream, std::uint32_t errorCode)
 {
     if (stream.id_ >= 0 && !stream.isClosed_ && socket_.is_open()) {
         nghttp2_submit_rst_stream(session_, NGHTTP2_FLAG_NONE, stream.id_, errorCode);
-        pump();
+        startWriting();
     }
     endStream(stream, errorCode);
 }
 
-void PeerLink::consumed(LinkStream& stream, std::size_t bytes)
+void PeerLink::returnToWindow(LinkStream& stream, std::size_t bytes)
 {
     if (!socket_.is_open() || stream.isClosed_)
         return;
-    std::size_t early = std::min(bytes, stream.earlyConsumed_);
-    stream.earlyConsumed_ -= early;
+    std::size_t early = std::min(bytes, stream.returnedEarly_);
+    stream.returnedEarly_ -= early;
     nghttp2_session_consume_stream(session_, stream.id_, bytes - early);
-    pump();
+    startWriting();
 }
 
 void PeerLink::refuseNewStreams()
 {
-    if (isRefusing_ || !socket_.is_open())
+    if (isDraining_ || !socket_.is_open())
         return;
-    isRefusing_ = true;
+    isDraining_ = true;
     std::int32_t last = nghttp2_session_get_last_proc_stream_id(session_);
     nghttp2_submit_goaway(session_, NGHTTP2_FLAG_NONE, last, NGHTTP2_NO_ERROR, nullptr, 0);
-    pump();
+    startWriting();
 }
 
 void PeerLink::close(std::string_view reason)
@@ -266,20 +268,20 @@
     socket_.close(ignored);
     keepAliveTimer_.cancel();
     if (!streams_.empty())
-        report("connection", std::string("closed: ") + std::string(reason));
+        reportError("connection", std::string("closed: ") + std::string(reason));
     auto streams = std::move(streams_);
     streams_.clear();
     for (auto& [id, stream] : streams)
         endStream(*stream, NGHTTP2_INTERNAL_ERROR);
 }
 
-void PeerLink::report(std::string_view step, std::string_view reason)
+void PeerLink::reportError(std::string_view step, std::string_view reason)
 {
     if (onError_)
         onError_({ Errc::Protocol, std::string(step), peer_, std::string(reason), Ran::Unknown, {} });
 }
 
-LinkStream* PeerLink::find(std::int32_t streamId)
+LinkStream* PeerLink::findStream(std::int32_t streamId)
 {
     auto found = streams_.find(streamId);
     return found == streams_.end() ? nullptr : found->second.get();
@@ -295,17 +297,17 @@
         stream.isCancelled_ = true;
     stream.isFailed_ = errorCode != NGHTTP2_NO_ERROR;
     stream.endFrames();
-    stream.credits_.close();
+    stream.sendCredits_.close();
 }
 
-void PeerLink::takeData(LinkStream& stream, std::string_view data)
+void PeerLink::decodeFrames(LinkStream& stream, std::string_view data)
 {
     stream.input_.append(data);
     std::size_t position = 0;
     while (stream.input_.size() - position >= frameHeaderSize) {
         std::size_t length = frameLength(std::string_view(stream.input_).substr(position));
-        if (length > longestFrame.value_) {
-            report("read frame", "frame too long");
+        if (length > maxFrameSize.value_) {
+            reportError("read frame", "the frame exceeds the maximum size");
             resetStream(stream, NGHTTP2_FRAME_SIZE_ERROR);
             return;
         }
@@ -313,26 +315,26 @@
             break;
         std::string frame = stream.input_.substr(position + frameHeaderSize, length);
         position += frameHeaderSize + length;
-        if (!stream.frames_.try_send(boost::system::error_code {}, std::move(frame))) {
-            report("read frame", "too many frames unread");
+        if (!stream.receivedFrames_.try_send(boost::system::error_code {}, std::move(frame))) {
+            reportError("read frame", "too many unread frames");
             resetStream(stream, NGHTTP2_FLOW_CONTROL_ERROR);
             return;
         }
     }
     stream.input_.erase(0, position);
-    // A frame larger than the window would never become whole if its parts
-    // held the window shut.
+    // A frame larger than the window would never become complete if its received bytes
+    // stayed unacknowledged in the window.
     constexpr std::size_t largeInput = streamWindow / 2;
     if (stream.input_.size() < largeInput)
         return;
     nghttp2_session_consume_stream(session_, stream.id_, data.size());
-    stream.earlyConsumed_ += data.size();
+    stream.returnedEarly_ += data.size();
 }
 
-void PeerLink::headersDone(std::int32_t streamId)
+void PeerLink::handleRequestHeaders(std::int32_t streamId)
 {
     auto found = streams_.find(streamId);
-    if (found == streams_.end() || found->second->isHandled_)
+    if (found == streams_.end() || found->second->isHandlerStarted_)
         return;
     auto stream = found->second;
     if (!stream->isPathKnown_) {
@@ -343,11 +345,11 @@
         rejectStream(streamId, 401, "wrong credential");
         return;
     }
-    if (isRefusing_) {
+    if (isDraining_) {
         nghttp2_submit_rst_stream(session_, NGHTTP2_FLAG_NONE, streamId, NGHTTP2_REFUSED_STREAM);
         return;
     }
-    stream->isHandled_ = true;
+    stream->isHandlerStarted_ = true;
     submitAnswer(*stream);
     auto strand = asio::make_strand(executor());
     asio::co_spawn(
@@ -369,7 +371,7 @@
     const std::uint8_t* value, std::size_t valueLength, std::uint8_t, void* user)
 {
     auto* self = static_cast<PeerLink*>(user);
-    LinkStream* stream = self->find(frame->hd.stream_id);
+    LinkStream* stream = self->findStream(frame->hd.stream_id);
     if (!stream || self->side_ != Side::Server)
         return 0;
     std::string_view nameText(reinterpret_cast<const char*>(name), nameLength);
@@ -387,11 +389,11 @@
     if (frame->hd.type == NGHTTP2_GOAWAY && self->side_ == Side::Client)
         self->isUsable_ = false;
     if (frame->hd.type == NGHTTP2_HEADERS && self->side_ == Side::Server)
-        self->headersDone(frame->hd.stream_id);
+        self->handleRequestHeaders(frame->hd.stream_id);
     bool endsStream = frame->hd.flags & NGHTTP2_FLAG_END_STREAM;
     if (endsStream && (frame->hd.type == NGHTTP2_DATA || frame->hd.type == NGHTTP2_HEADERS)) {
-        if (LinkStream* stream = self->find(frame->hd.stream_id)) {
-            stream->isEnded_ = true;
+        if (LinkStream* stream = self->findStream(frame->hd.stream_id)) {
+            stream->isRemoteClosed_ = true;
             stream->endFrames();
         }
     }
@@ -402,9 +404,9 @@
 {
     auto* self = static_cast<PeerLink*>(user);
     nghttp2_session_consume_connection(session, length);
-    if (LinkStream* stream = self->find(streamId)) {
-        stream->heardAt_ = steadyNow();
-        self->takeData(*stream, { reinterpret_cast<const char*>(data), length });
+    if (LinkStream* stream = self->findStream(streamId)) {
+        stream->receivedAt_ = steadyNow();
+        self->decodeFrames(*stream, { reinterpret_cast<const char*>(data), length });
     }
     return 0;
 }
@@ -436,7 +438,7 @@
             break;
         stream->output_.pop_front();
         stream->outputOffset_ = 0;
-        stream->credits_.try_receive([](boost::system::error_code) {});
+        stream->sendCredits_.try_receive([](boost::system::error_code) {});
     }
     if (stream->output_.empty() && stream->isOutputEnded_) {
         *flags |= NGHTTP2_DATA_FLAG_EOF;
