--- a/lib/Wire/PeerLink.h
+++ b/lib/Wire/PeerLink.h
@@ -1,8 +1,8 @@
 //===- lib/Wire/PeerLink.h - one nghttp2 session over a socket -------------===//
 ///
 /// \file
-/// Drives an nghttp2 session, client or server, on the strand of its socket.
-/// PeerPool and PeerServer own links; streams keep their link alive.
+/// Runs an nghttp2 session, client or server, on the strand of its socket. PeerPool
+/// holds the outgoing links; the coroutines and streams of a link keep it alive.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -19,13 +19,13 @@
 
 class PeerLink;
 
-/// Bytes on the wire, shared by the links of one pool or server.
+/// Counts the bytes sent and received by all links of one pool or server.
 struct WireCounters {
-    std::atomic<std::uint64_t> sent_ { 0 };
-    std::atomic<std::uint64_t> received_ { 0 };
+    std::atomic<std::uint64_t> bytesSent_ { 0 };
+    std::atomic<std::uint64_t> bytesReceived_ { 0 };
 };
 
-/// The state of one stream. Fields without a note belong to the link's strand.
+/// One stream of a link. Members without a comment are used only on the link's strand.
 class LinkStream : public PeerStream, public std::enable_shared_from_this<LinkStream> {
 public:
     LinkStream(std::shared_ptr<PeerLink> link, const asio::any_io_executor& executor);
@@ -33,7 +33,7 @@
     asio::awaitable<Result<void>> send(const wire::Frame& frame) override;
     asio::awaitable<Result<wire::Frame>> receive() override;
     asio::awaitable<Result<wire::Frame>> receiveWithin(milliseconds timeout) override;
-    asio::awaitable<Result<wire::Frame>> receiveWithin(milliseconds silence, milliseconds longest) override;
+    asio::awaitable<Result<wire::Frame>> receiveWithin(milliseconds idleTimeout, milliseconds totalTimeout) override;
     void finish() override;
     void cancel() override;
     void release() override;
@@ -45,52 +45,56 @@
 private:
     friend class PeerLink;
 
-    /// Bounds one receive(); used on the strand of the one that waits.
-    struct Watch {
+    /// Timeouts of one receive(); used on the strand of the receiving coroutine.
+    struct ReceiveTimer {
         SteadyTimer timer_;
-        milliseconds silence_;
-        SteadyTime begunAt_;
-        milliseconds longest_;
+        milliseconds idleTimeout_;
+        SteadyTime startedAt_;
+        milliseconds totalTimeout_;
         bool hasExpired_ = false;
-        bool isOver_ = false;
+        bool isDone_ = false;
     };
 
     void reset(std::uint32_t errorCode);
+    /// Appends the end mark to the received frames.
     void endFrames();
-    std::shared_ptr<Watch> beginWatch(const asio::any_io_executor& executor, milliseconds silence, milliseconds longest);
-    /// Cancels the stream when \p watch expires.
-    void guard(const std::shared_ptr<Watch>& watch);
+    std::shared_ptr<ReceiveTimer> startReceiveTimer(const asio::any_io_executor& executor, milliseconds idleTimeout, milliseconds totalTimeout);
+    /// Cancels the stream if \p receiveTimer has expired, or else schedules the next check.
+    void armReceiveTimer(const std::shared_ptr<ReceiveTimer>& receiveTimer);
 
     std::shared_ptr<PeerLink> link_;
     std::int32_t id_ = -1;
     bool isAuthorised_ = false;
     bool isPathKnown_ = false;
-    bool isHandled_ = false;
+    bool isHandlerStarted_ = false;
     std::string input_;
-    // Bytes given back to the window before their frame was received.
-    std::size_t earlyConsumed_ = 0;
+    // Bytes that were returned to the flow control window before their frame was complete.
+    std::size_t returnedEarly_ = 0;
     std::deque<std::string> output_;
     std::size_t outputOffset_ = 0;
     bool isOutputEnded_ = false;
     bool isDeferred_ = false;
-    // Any strand: whole frames in, ended by an error in their order (closing the
-    // channel would drop what is unread), and one credit for each unsent frame.
-    asio::experimental::concurrent_channel<void(boost::system::error_code, std::string)> frames_;
-    asio::experimental::concurrent_channel<void(boost::system::error_code)> credits_;
-    // The reader's own: it has seen the end of the frames.
-    bool isReadToEnd_ = false;
-    // Written on the link's strand, read on any.
+    // Used on any strand: the received frames, and one credit for each unsent frame.
+    // An error at the end of the frames marks their end, since closing the channel
+    // would drop unread frames.
+    asio::experimental::concurrent_channel<void(boost::system::error_code, std::string)> receivedFrames_;
+    asio::experimental::concurrent_channel<void(boost::system::error_code)> sendCredits_;
+    // Used only by the receiving coroutine: receive() has reached the end mark.
+    bool hasReachedEnd_ = false;
+    // Written on the link's strand, read on any strand.
     std::atomic<bool> isClosed_ { false };
-    // When the last bytes of the peer came.
-    std::atomic<SteadyTime> heardAt_ { SteadyTime {} };
-    // Written before the frames end, read after.
+    // Time at which the last bytes were received. Written on the link's strand, read on any.
+    std::atomic<SteadyTime> receivedAt_ { SteadyTime {} };
+    // The reasons for the end of the stream: written before the end mark of the frames and
+    // read after it. cancel() also sets isCancelled_, on any strand.
     std::atomic<bool> isRefused_ { false };
-    std::atomic<bool> isEnded_ { false };
+    std::atomic<bool> isRemoteClosed_ { false };
     std::atomic<bool> isCancelled_ { false };
     std::atomic<bool> isFailed_ { false };
 };
 
-/// One session. start() once, then everything happens on its strand.
+/// One connection with its nghttp2 session. start() is called once; all other members
+/// except executor(), isUsable(), peer() and reportError() are called on the link's strand.
 class PeerLink : public std::enable_shared_from_this<PeerLink> {
 public:
     enum class Side {
@@ -109,12 +113,14 @@
     const std::string& peer() const { return peer_; }
     asio::any_io_executor executor() { return socket_.get_executor(); }
 
-    /// On the strand: submits a request whose body is the stream's output.
-    /// \returns false when the session takes no more.
+    /// Submits a request whose body is the output of \p stream.
+    /// \returns false if the session accepts no more streams.
     bool submit(const std::shared_ptr<LinkStream>& stream);
-    void wake(LinkStream& stream);
+    void resumeOutput(LinkStream& stream);
     void resetStream(LinkStream& stream, std::uint32_t errorCode);
-    void consumed(LinkStream& stream, std::size_t bytes);
+    /// Returns \p bytes of a received frame to the stream's flow control window, less
+    /// those that were returned before the frame was complete.
+    void returnToWindow(LinkStream& stream, std::size_t bytes);
     void refuseNewStreams();
     void close(std::string_view reason);
 
@@ -132,14 +138,15 @@
     asio::awaitable<void> readLoop();
     asio::awaitable<void> writeLoop();
     asio::awaitable<void> keepAliveLoop();
-    void pump();
-    void headersDone(std::int32_t streamId);
-    void takeData(LinkStream& stream, std::string_view data);
+    /// Starts the write loop unless it is running.
+    void startWriting();
+    void handleRequestHeaders(std::int32_t streamId);
+    void decodeFrames(LinkStream& stream, std::string_view data);
     void endStream(LinkStream& stream, std::uint32_t errorCode);
     void submitAnswer(LinkStream& stream);
     void rejectStream(std::int32_t streamId, int status, const std::string& reason);
-    void report(std::string_view step, std::string_view reason);
-    LinkStream* find(std::int32_t streamId);
+    void reportError(std::string_view step, std::string_view reason);
+    LinkStream* findStream(std::int32_t streamId);
 
     asio::ip::tcp::socket socket_;
     Side side_;
@@ -150,12 +157,12 @@
     WireErrorHook onError_;
     const KeepAlive keepAlive_;
     SteadyTimer keepAliveTimer_;
-    // Intervals in a row that brought no byte while streams were open.
-    int silentIntervals_ = 0;
+    // Consecutive intervals without input while streams were open.
+    int idleIntervals_ = 0;
     nghttp2_session* session_ = nullptr;
     std::unordered_map<std::int32_t, std::shared_ptr<LinkStream>> streams_;
     bool isWriting_ = false;
-    bool isRefusing_ = false;
+    bool isDraining_ = false;
     std::atomic<bool> isUsable_ { true };
 };
 
--- a/lib/Wire/Peers.cpp
+++ b/lib/Wire/Peers.cpp
@@ -1,7 +1,7 @@
-//===- lib/Wire/Peers.cpp - the pool of peers and the server ---------------===//
+//===- lib/Wire/Peers.cpp - peer pool and peer server ----------------------===//
 ///
 /// \file
-/// Outgoing and incoming links, and the translation of errors to the wire.
+/// Manages outgoing and incoming links, and converts errors to and from messages.
 //===----------------------------------------------------------------------===//
 #include "PeerLink.h"
 
@@ -15,7 +15,7 @@
 
 namespace {
 
-    constexpr auto tokenOf = asio::as_tuple(asio::use_awaitable);
+    constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
     constexpr milliseconds connectTimeout { 1000 };
 
 } // namespace
@@ -72,10 +72,10 @@
     state_->links_.clear();
 }
 
-ByteCount PeerPool::bytesSent() const { return { state_->counters_->sent_ }; }
-ByteCount PeerPool::bytesReceived() const { return { state_->counters_->received_ }; }
+ByteCount PeerPool::bytesSent() const { return { state_->counters_->bytesSent_ }; }
+ByteCount PeerPool::bytesReceived() const { return { state_->counters_->bytesReceived_ }; }
 
-static std::shared_ptr<PeerLink> usableLink(PeerPool::State& state, const Endpoint& peer)
+static std::shared_ptr<PeerLink> findUsableLink(PeerPool::State& state, const Endpoint& peer)
 {
     std::lock_guard lock(state.mutex_);
     auto found = state.links_.find(peer);
@@ -84,8 +84,8 @@
     return found->second;
 }
 
-// Two coroutines may connect at once: the second one's link replaces the
-// first's in the pool, and both serve the streams they have.
+// Two coroutines may connect concurrently. The link that is made later then replaces the
+// earlier one in the pool, and both continue to serve their own streams.
 static asio::awaitable<Result<std::shared_ptr<PeerLink>>> connectLink(std::shared_ptr<PeerPool::State> state, Endpoint peer)
 {
     boost::system::error_code code;
@@ -100,7 +100,7 @@
         if (!expired)
             socket->cancel(ignored);
     });
-    auto [connectCode] = co_await socket->async_connect(address, asio::bind_executor(strand, tokenOf));
+    auto [connectCode] = co_await socket->async_connect(address, asio::bind_executor(strand, asTuple));
     timer.cancel();
     if (connectCode)
         co_return Error { Errc::Unavailable, "connect to peer", peer.toString(), connectCode.message(), Ran::No, {} };
@@ -116,9 +116,9 @@
 
 asio::awaitable<Result<std::shared_ptr<PeerStream>>> PeerPool::open(Endpoint peer, const wire::Frame& first, milliseconds)
 {
-    constexpr int mostTries = 2;
-    for (int attempt = 0; attempt < mostTries; ++attempt) {
-        auto link = usableLink(*state_, peer);
+    constexpr int maxTries = 2;
+    for (int attempt = 0; attempt < maxTries; ++attempt) {
+        auto link = findUsableLink(*state_, peer);
         if (!link) {
             auto connected = co_await connectLink(state_, peer);
             if (!connected)
@@ -129,13 +129,14 @@
         auto sent = co_await stream->send(first);
         if (!sent)
             co_return sent.error();
-        // A named function: GCC 12 destroys the captures of a temporary one in a
-        // co_await expression twice.
+        // The lambda has a name because GCC 12 destroys the captures of a temporary lambda
+        // in a co_await expression twice.
         auto submit = [link, stream]() -> asio::awaitable<bool> { co_return link->submit(stream); };
         bool isSubmitted = co_await asio::co_spawn(link->executor(), submit, asio::use_awaitable);
         if (isSubmitted)
             co_return std::static_pointer_cast<PeerStream>(stream);
-        // A link that took no stream leaves the pool, so that the next try connects.
+        // Removes the link that accepted no stream, so that the next attempt connects
+        // again.
         std::lock_guard lock(state_->mutex_);
         if (auto found = state_->links_.find(peer); found != state_->links_.end() && found->second == link)
             state_->links_.erase(found);
@@ -168,7 +169,7 @@
     std::unique_ptr<tcp::acceptor> acceptor_;
     std::mutex mutex_;
     std::vector<std::weak_ptr<PeerLink>> links_;
-    bool isRefusing_ = false;
+    bool isDraining_ = false;
     bool isStopped_ = false;
 };
 
@@ -187,12 +188,12 @@
     stop();
 }
 
-static void adopt(PeerServer::State& state, const std::shared_ptr<PeerLink>& link)
+static void registerLink(PeerServer::State& state, const std::shared_ptr<PeerLink>& link)
 {
     std::lock_guard lock(state.mutex_);
     std::erase_if(state.links_, [](const std::weak_ptr<PeerLink>& known) { return known.expired(); });
     state.links_.push_back(link);
-    if (state.isRefusing_)
+    if (state.isDraining_)
         asio::post(link->executor(), [link] { link->refuseNewStreams(); });
 }
 
@@ -200,7 +201,7 @@
 {
     for (;;) {
         auto strand = asio::make_strand(state->executor_);
-        auto [code, socket] = co_await state->acceptor_->async_accept(strand, tokenOf);
+        auto [code, socket] = co_await state->acceptor_->async_accept(strand, asTuple);
         if (code == asio::error::operation_aborted)
             co_return;
         if (code)
@@ -211,7 +212,7 @@
         std::string peer = remote.address().to_string() + ":" + std::to_string(remote.port());
         auto link = std::make_shared<PeerLink>(std::move(socket), PeerLink::Side::Server, state->credential_, peer,
             state->counters_, state->handler_, state->onError_, state->keepAlive_);
-        adopt(*state, link);
+        registerLink(*state, link);
         link->start();
     }
 }
@@ -228,13 +229,13 @@
     return port;
 }
 
-ByteCount PeerServer::bytesSent() const { return { state_->counters_->sent_ }; }
-ByteCount PeerServer::bytesReceived() const { return { state_->counters_->received_ }; }
+ByteCount PeerServer::bytesSent() const { return { state_->counters_->bytesSent_ }; }
+ByteCount PeerServer::bytesReceived() const { return { state_->counters_->bytesReceived_ }; }
 
 void PeerServer::refuseNewStreams()
 {
     std::lock_guard lock(state_->mutex_);
-    state_->isRefusing_ = true;
+    state_->isDraining_ = true;
     for (const auto& weak : state_->links_) {
         if (auto link = weak.lock())
             asio::post(link->executor(), [link] { link->refuseNewStreams(); });
--- a/lib/Yaml/Yaml.cpp
+++ b/lib/Yaml/Yaml.cpp
@@ -1,7 +1,7 @@
-//===- lib/Yaml/Yaml.cpp - checked reading of YAML and JSON maps -----------===//
+//===- lib/Yaml/Yaml.cpp - validated access to YAML and JSON maps ----------===//
 ///
 /// \file
-/// YamlMap over yaml-cpp.
+/// Implements YamlMap over yaml-cpp.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Yaml.h"
 
@@ -16,9 +16,9 @@
 struct YamlMap::State {
     YAML::Node node_;
     std::string file_;
-    std::string path_;
+    std::string keyPrefix_;
     InputErrors* errors_ = nullptr;
-    std::set<std::string> asked_;
+    std::set<std::string> readKeys_;
     int line_ = 0;
 };
 
@@ -41,18 +41,19 @@
         return value;
     }
 
-    /// A number such as 2.5s, whose value is a whole number of the smallest unit.
+    /// Parses a decimal fraction with its unit, such as 2.5s. The value must be an integral
+    /// multiple of the smallest unit.
     template <std::size_t Count>
     std::optional<std::uint64_t> parseFraction(std::string_view text, std::size_t point, const std::array<Unit, Count>& units)
     {
         std::size_t end = text.find_first_not_of("0123456789", point + 1);
         if (end == std::string_view::npos || end == point + 1)
             return std::nullopt;
-        auto whole = parseUnsigned(text.substr(0, point));
-        auto part = parseUnsigned(text.substr(point + 1, end - point - 1));
-        if (!whole || !part || *whole > std::numeric_limits<std::uint32_t>::max())
+        auto integerPart = parseUnsigned(text.substr(0, point));
+        auto fractionalPart = parseUnsigned(text.substr(point + 1, end - point - 1));
+        if (!integerPart || !fractionalPart || *integerPart > std::numeric_limits<std::uint32_t>::max())
             return std::nullopt;
-        double value = static_cast<double>(*whole) + static_cast<double>(*part) / std::pow(10.0, static_cast<double>(end - point - 1));
+        double value = static_cast<double>(*integerPart) + static_cast<double>(*fractionalPart) / std::pow(10.0, static_cast<double>(end - point - 1));
         for (const Unit& unit : units) {
             double scaled = value * static_cast<double>(unit.factor_);
             if (text.substr(end) == unit.name_ && std::abs(scaled - std::round(scaled)) < 1e-6)
@@ -142,28 +143,28 @@
     return static_cast<bool>(std::as_const(state_->node_)[key]);
 }
 
-void YamlMap::fail(const std::string& key, const std::string& message)
+void YamlMap::addError(const std::string& key, const std::string& message)
 {
     YAML::Node value = std::as_const(state_->node_)[key];
     int line = value ? lineOf(value) : state_->line_;
-    state_->errors_->push_back({ state_->file_, line, state_->path_ + key, message });
+    state_->errors_->push_back({ state_->file_, line, state_->keyPrefix_ + key, message });
 }
 
 template <typename T, typename Convert>
 T YamlMap::scalar(const std::string& key, const std::optional<T>& fallback, const std::string& expected, Convert convert)
 {
-    state_->asked_.insert(key);
+    state_->readKeys_.insert(key);
     YAML::Node value = std::as_const(state_->node_)[key];
     if (!value) {
         if (!fallback)
-            fail(key, "missing; expected " + expected);
+            addError(key, "missing; expected " + expected);
         return fallback.value_or(T {});
     }
     std::optional<T> converted;
     if (value.IsScalar())
         converted = convert(value.Scalar());
     if (!converted) {
-        fail(key, "expected " + expected + (value.IsScalar() ? ", found '" + value.Scalar() + "'" : ""));
+        addError(key, "expected " + expected + (value.IsScalar() ? ", found '" + value.Scalar() + "'" : ""));
         return fallback.value_or(T {});
     }
     return *converted;
@@ -174,23 +175,23 @@
     return scalar<std::string>(key, fallback, "text", [](const std::string& value) { return std::optional(value); });
 }
 
-std::uint64_t YamlMap::integer(const std::string& key, std::uint64_t least, std::uint64_t most, std::optional<std::uint64_t> fallback)
+std::uint64_t YamlMap::integer(const std::string& key, std::uint64_t min, std::uint64_t max, std::optional<std::uint64_t> fallback)
 {
-    std::string expected = "a whole number from " + std::to_string(least) + " to " + std::to_string(most);
+    std::string expected = "a whole number from " + std::to_string(min) + " to " + std::to_string(max);
     return scalar<std::uint64_t>(key, fallback, expected, [&](const std::string& value) {
         auto parsed = parseUnsigned(value);
-        return parsed && *parsed >= least && *parsed <= most ? parsed : std::nullopt;
+        return parsed && *parsed >= min && *parsed <= max ? parsed : std::nullopt;
     });
 }
 
-double YamlMap::number(const std::string& key, double least, double most, std::optional<double> fallback)
+double YamlMap::number(const std::string& key, double min, double max, std::optional<double> fallback)
 {
-    std::string expected = "a number from " + std::to_string(least) + " to " + std::to_string(most);
+    std::string expected = "a number from " + std::to_string(min) + " to " + std::to_string(max);
     return scalar<double>(key, fallback, expected, [&](const std::string& value) {
         double parsed = 0;
         auto [end, code] = std::from_chars(value.data(), value.data() + value.size(), parsed);
-        bool isGood = code == std::errc {} && end == value.data() + value.size() && parsed >= least && parsed <= most;
-        return isGood ? std::optional(parsed) : std::nullopt;
+        bool isValid = code == std::errc {} && end == value.data() + value.size() && parsed >= min && parsed <= max;
+        return isValid ? std::optional(parsed) : std::nullopt;
     });
 }
 
@@ -205,21 +206,21 @@
     });
 }
 
-milliseconds YamlMap::duration(const std::string& key, milliseconds least, milliseconds most, std::optional<milliseconds> fallback)
+milliseconds YamlMap::duration(const std::string& key, milliseconds min, milliseconds max, std::optional<milliseconds> fallback)
 {
-    std::string expected = "a duration such as 500ms, 2s, 10min or 1h, from " + std::to_string(least.count()) + "ms to " + std::to_string(most.count()) + "ms";
+    std::string expected = "a duration such as 500ms, 2s, 10min or 1h, from " + std::to_string(min.count()) + "ms to " + std::to_string(max.count()) + "ms";
     return scalar<milliseconds>(key, fallback, expected, [&](const std::string& value) {
         auto parsed = parseDuration(value);
-        return parsed && *parsed >= least && *parsed <= most ? parsed : std::nullopt;
+        return parsed && *parsed >= min && *parsed <= max ? parsed : std::nullopt;
     });
 }
 
-ByteCount YamlMap::size(const std::string& key, ByteCount least, ByteCount most, std::optional<ByteCount> fallback)
+ByteCount YamlMap::size(const std::string& key, ByteCount min, ByteCount max, std::optional<ByteCount> fallback)
 {
-    std::string expected = "a size such as 512B, 64KiB or 32MiB, from " + std::to_string(least.value_) + "B to " + std::to_string(most.value_) + "B";
+    std::string expected = "a size such as 512B, 64KiB or 32MiB, from " + std::to_string(min.value_) + "B to " + std::to_string(max.value_) + "B";
     return scalar<ByteCount>(key, fallback, expected, [&](const std::string& value) {
         auto parsed = parseSize(value);
-        return parsed && *parsed >= least && *parsed <= most ? parsed : std::nullopt;
+        return parsed && *parsed >= min && *parsed <= max ? parsed : std::nullopt;
     });
 }
 
@@ -239,42 +240,42 @@
 
 std::vector<std::string> YamlMap::list(const std::string& key, bool isRequired)
 {
-    state_->asked_.insert(key);
+    state_->readKeys_.insert(key);
     YAML::Node value = std::as_const(state_->node_)[key];
     if (!value) {
         if (isRequired)
-            fail(key, "missing; expected a list of texts");
+            addError(key, "missing; expected a list of texts");
         return {};
     }
     std::vector<std::string> items;
-    bool isGood = value.IsSequence();
-    for (std::size_t i = 0; isGood && i < value.size(); ++i) {
-        isGood = value[i].IsScalar();
-        if (isGood)
+    bool isValid = value.IsSequence();
+    for (std::size_t i = 0; isValid && i < value.size(); ++i) {
+        isValid = value[i].IsScalar();
+        if (isValid)
             items.push_back(value[i].Scalar());
     }
-    if (!isGood)
-        fail(key, "expected a list of texts");
+    if (!isValid)
+        addError(key, "expected a list of texts");
     return items;
 }
 
 std::optional<YamlMap> YamlMap::map(const std::string& key, bool isRequired)
 {
-    state_->asked_.insert(key);
+    state_->readKeys_.insert(key);
     YAML::Node value = std::as_const(state_->node_)[key];
     if (!value) {
         if (isRequired)
-            fail(key, "missing; expected a map");
+            addError(key, "missing; expected a map");
         return std::nullopt;
     }
     if (!value.IsMap()) {
-        fail(key, "expected a map");
+        addError(key, "expected a map");
         return std::nullopt;
     }
     auto state = std::make_unique<State>();
     state->node_ = value;
     state->file_ = state_->file_;
-    state->path_ = state_->path_ + key + ".";
+    state->keyPrefix_ = state_->keyPrefix_ + key + ".";
     state->errors_ = state_->errors_;
     state->line_ = lineOf(value);
     return YamlMap(std::move(state));
@@ -282,30 +283,30 @@
 
 std::vector<std::pair<std::string, std::string>> YamlMap::pairs(const std::string& key)
 {
-    state_->asked_.insert(key);
+    state_->readKeys_.insert(key);
     YAML::Node value = std::as_const(state_->node_)[key];
     std::vector<std::pair<std::string, std::string>> items;
     if (!value)
         return items;
     if (!value.IsMap()) {
-        fail(key, "expected a map");
+        addError(key, "expected a map");
         return items;
     }
     for (const auto& item : value) {
         if (item.first.IsScalar() && item.second.IsScalar())
             items.emplace_back(item.first.Scalar(), item.second.Scalar());
         else
-            fail(key, "expected a map of texts");
+            addError(key, "expected a map of texts");
     }
     return items;
 }
 
-void YamlMap::finish()
+void YamlMap::reportUnknownKeys()
 {
     for (const auto& item : state_->node_) {
-        if (!item.first.IsScalar() || state_->asked_.contains(item.first.Scalar()))
+        if (!item.first.IsScalar() || state_->readKeys_.contains(item.first.Scalar()))
             continue;
-        state_->errors_->push_back({ state_->file_, lineOf(item.first), state_->path_ + item.first.Scalar(), "unknown key" });
+        state_->errors_->push_back({ state_->file_, lineOf(item.first), state_->keyPrefix_ + item.first.Scalar(), "unknown key" });
     }
 }
 
--- a/test/AnswersTest.cpp
+++ b/test/AnswersTest.cpp
@@ -1,8 +1,8 @@
-//===- test/AnswersTest.cpp - each caller's own whole answer ---------------===//
+//===- test/AnswersTest.cpp - correct and complete answers ----------------===//
 ///
 /// \file
-/// Many streams at once, callers of other organisations, resumption, bad
-/// requests and slow or vanished readers.
+/// Many concurrent streams, callers of other organisations, resumption, invalid
+/// requests and readers that disconnect.
 //===----------------------------------------------------------------------===//
 #include "Harness/Deployment.h"
 
@@ -22,7 +22,7 @@
     options.nodesPerDataCentre_ = 2;
     options.enginesPerDataCentre_ = { { "planogram", 2 } };
     options.engineArguments_ = { "--decode_us", "3000", "--slots", "400" };
-    options.settings_ = "callers:\n  reconnect_grace: 1s\n  body: 64KiB\n";
+    options.nodeSettings_ = "callers:\n  reconnect_grace: 1s\n  body: 64KiB\n";
     return options;
 }
 
@@ -51,7 +51,7 @@
 
 } // namespace
 
-TEST_CASE("a thousand streams at once each get their own answer")
+TEST_CASE("each of a thousand concurrent streams gets its own complete answer")
 {
     Deployment deployment(answerOptions());
     deployment.applyCatalogue(manyStreamsCatalogue());
@@ -67,16 +67,16 @@
         asio::co_spawn(asio::make_strand(io), task, asio::detached);
     }
     io.run();
-    std::size_t whole = 0;
+    std::size_t complete = 0;
     for (std::size_t i = 0; i < count; ++i) {
         INFO("caller " << i << (answers[i].error_ ? ": " + describe(*answers[i].error_) : std::string()));
         CHECK(checkAnswer(answers[i], completions[i]) == "");
-        whole += answers[i].isDone_ ? 1 : 0;
+        complete += answers[i].isDone_ ? 1 : 0;
     }
-    CHECK(whole == count);
+    CHECK(complete == count);
 }
 
-TEST_CASE("a request id is worth nothing to another organisation")
+TEST_CASE("an organisation cannot read another organisation's answer by its request id")
 {
     Deployment deployment(answerOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
@@ -85,9 +85,9 @@
     REQUIRE(answer.isDone_);
     for (auto& node : deployment.nodes()) {
         HttpRequest request { "GET", "/v1/requests/" + answer.requestId_, { { "authorization", "Bearer " + Deployment::apiKey("visitante") } }, {} };
-        auto stranger = callHttpBlocking(node.callers_, request, milliseconds(5000));
-        REQUIRE(stranger);
-        CHECK(stranger.value().status_ == 404);
+        auto otherOrganisation = callHttpBlocking(node.callers_, request, milliseconds(5000));
+        REQUIRE(otherOrganisation);
+        CHECK(otherOrganisation.value().status_ == 404);
         request.headers_["authorization"] = "Bearer " + Deployment::apiKey("rede");
         auto owner = callHttpBlocking(node.callers_, request, milliseconds(5000));
         REQUIRE(owner);
@@ -96,23 +96,23 @@
     }
 }
 
-TEST_CASE("a caller resumes at any entry from any event it has")
+TEST_CASE("a caller resumes its answer at any entry VM after any event")
 {
     Deployment deployment(answerOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
     Completion completion { Deployment::apiKey("rede"), "planogram", "resume me", 40 };
-    Answer whole = streamCompletionBlocking(deployment.nodes()[0].callers_, completion);
-    REQUIRE(whole.isDone_);
-    std::size_t have = GENERATE(std::size_t { 0 }, std::size_t { 1 }, std::size_t { 25 }, std::size_t { 40 });
+    Answer complete = streamCompletionBlocking(deployment.nodes()[0].callers_, completion);
+    REQUIRE(complete.isDone_);
+    std::size_t received = GENERATE(std::size_t { 0 }, std::size_t { 1 }, std::size_t { 25 }, std::size_t { 40 });
     Answer partial;
-    partial.requestId_ = whole.requestId_;
-    partial.tokens_.assign(whole.tokens_.begin(), whole.tokens_.begin() + static_cast<std::ptrdiff_t>(have));
+    partial.requestId_ = complete.requestId_;
+    partial.tokens_.assign(complete.tokens_.begin(), complete.tokens_.begin() + static_cast<std::ptrdiff_t>(received));
     std::uint64_t hash = 0;
     for (const std::string& token : partial.tokens_)
         hash = stableHash(token, hash);
     char id[64];
-    std::snprintf(id, sizeof id, "%zu-%lx", have, static_cast<unsigned long>(hash));
-    if (have)
+    std::snprintf(id, sizeof id, "%zu-%lx", received, static_cast<unsigned long>(hash));
+    if (received)
         partial.lastEventId_ = id;
     for (auto& node : deployment.nodes()) {
         asio::io_context io;
@@ -124,7 +124,7 @@
         CHECK(resumed.restarts_ == 0);
         CHECK(checkAnswer(resumed, completion) == "");
     }
-    // Text that is not this answer's is never continued.
+    // An event id whose hash does not match this answer's text restarts the stream.
     partial.lastEventId_ = "5-123";
     asio::io_context io;
     Answer restarted;
@@ -135,7 +135,7 @@
     CHECK(checkAnswer(restarted, completion) == "");
 }
 
-TEST_CASE("an engine's work stops when its caller stays away")
+TEST_CASE("an engine stops working for a caller that does not return")
 {
     Deployment deployment(answerOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
@@ -145,7 +145,7 @@
         auto task = [&]() -> asio::awaitable<void> { co_await streamCompletion(deployment.nodes()[0].callers_, completion); };
         asio::co_spawn(io, task, asio::detached);
         io.run_for(milliseconds(500));
-        // The context ends here, and with it the caller's connection.
+        // The destructor of the context closes the caller's connection.
     }
     CHECK(waitUntil([&] {
         std::uint64_t active = 0;
@@ -155,7 +155,7 @@
     }));
 }
 
-TEST_CASE("bad requests get the right status and the one error body")
+TEST_CASE("invalid requests get the right status and the common error body")
 {
     Deployment deployment(answerOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
@@ -163,7 +163,7 @@
         { "no key", post("/v1/completions", "{}", ""), 401, "unauthorised" },
         { "unknown key", post("/v1/completions", "{}", "nobody"), 401, "unauthorised" },
         { "malformed JSON", post("/v1/completions", "{\"model\":"), 400, "invalid_input" },
-        { "no object", post("/v1/completions", "[1,2]"), 400, "invalid_input" },
+        { "not a JSON object", post("/v1/completions", "[1,2]"), 400, "invalid_input" },
         { "no model", post("/v1/completions", "{}"), 400, "invalid_input" },
         { "unknown model", post("/v1/completions", R"({"model":"x","prompt":"p"})"), 404, "not_found" },
         { "no prompt", post("/v1/completions", R"({"model":"planogram"})"), 400, "invalid_input" },
@@ -192,12 +192,12 @@
         for (const char* field : { "message", "step", "peer", "ran", "retry_after_ms" })
             CHECK(error.contains(field));
     }
-    // The node is none the worse for it.
+    // The node still serves valid requests.
     Completion completion { Deployment::apiKey("rede"), "planogram", "still here", 5 };
     CHECK(streamCompletionBlocking(deployment.nodes()[0].callers_, completion).isDone_);
 }
 
-TEST_CASE("bytes that are no peer protocol harm nobody else")
+TEST_CASE("bytes that are not the peer protocol do not affect other requests")
 {
     Deployment deployment(answerOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
@@ -220,7 +220,7 @@
         CHECK(streamCompletionBlocking(node.callers_, completion).isDone_);
 }
 
-TEST_CASE("two nodes that both believe to be an engine's home are safe, only wasteful")
+TEST_CASE("two nodes that both dispatch to one engine waste work but answer correctly")
 {
     auto options = answerOptions();
     options.dataCentres_ = { "caxias-a", "caxias-b" };
@@ -233,17 +233,18 @@
     catalogue.replace(catalogue.find(from), from.size(), "concurrency: " + std::to_string(concurrency));
     deployment.applyCatalogue(catalogue);
     auto& engine = deployment.engine("planogram-caxias-a-1");
-    Deployment::NodeProcess* home = nullptr;
-    REQUIRE(waitUntil([&] { return (home = deployment.homeOf(engine.id_)); }));
+    Deployment::NodeProcess* dispatcher = nullptr;
+    REQUIRE(waitUntil([&] { return (dispatcher = deployment.dispatcherOf(engine.id_)); }));
     std::vector<Endpoint> entries;
     for (auto& node : deployment.nodes()) {
-        if (&node != home)
+        if (&node != dispatcher)
             entries.push_back(node.callers_);
     }
-    // More than both engines take; every caller follows its answer to the end.
+    // The callers send more requests than both engines accept, and each reads its answer to
+    // the end.
     std::vector<Completion> completions;
     for (int i = 0; i < 40; ++i)
-        completions.push_back({ Deployment::apiKey("rede"), "planogram", "two homes " + std::to_string(i), 500 });
+        completions.push_back({ Deployment::apiKey("rede"), "planogram", "two dispatchers " + std::to_string(i), 500 });
     asio::io_context io;
     std::vector<Answer> answers(completions.size());
     for (std::size_t i = 0; i < completions.size(); ++i) {
@@ -252,12 +253,12 @@
     }
     std::thread callers([&] { io.run(); });
     REQUIRE(waitUntil([&] { return numberField(Deployment::control(engine.endpoint_), "active") == concurrency; }));
-    home->process_->freeze();
-    // Its successor dispatches while the frozen one still holds its streams.
-    bool isDoubled = waitUntil([&] { return numberField(Deployment::control(engine.endpoint_), "started") > concurrency; });
-    home->process_->resume();
+    dispatcher->process_->freeze();
+    // The successor dispatches while the frozen dispatcher still holds its streams.
+    bool hasTwoDispatchers = waitUntil([&] { return numberField(Deployment::control(engine.endpoint_), "started") > concurrency; });
+    dispatcher->process_->resume();
     callers.join();
-    CHECK(isDoubled);
+    CHECK(hasTwoDispatchers);
     for (std::size_t i = 0; i < answers.size(); ++i) {
         INFO("caller " << i << (answers[i].error_ ? ": " + describe(*answers[i].error_) : std::string()));
         CHECK(answers[i].isDone_);
--- a/test/AtMostOnceTest.cpp
+++ b/test/AtMostOnceTest.cpp
@@ -1,7 +1,8 @@
-//===- test/AtMostOnceTest.cpp - calls that may not be repeated ------------===//
+//===- test/AtMostOnceTest.cpp - calls that must run at most once ---------===//
 ///
 /// \file
-/// Whole processes, the plain service counting the executions of each key.
+/// Runs nodes as processes, and kills or freezes the node that coordinates a call, or makes
+/// the log fail. The stand-in service counts the executions of each idempotency key.
 //===----------------------------------------------------------------------===//
 #include "Harness/Deployment.h"
 #include "pistachioloom/Ledger.h"
@@ -15,7 +16,7 @@
 namespace {
 
 const std::string body = R"({"tag":"A-17"})";
-constexpr std::uint32_t shards = 8;
+constexpr std::uint32_t shardCount = 8;
 
 DeploymentOptions serviceOptions()
 {
@@ -23,7 +24,7 @@
     options.enginesPerDataCentre_ = {};
     options.servicesPerDataCentre_ = 1;
     options.nodesPerDataCentre_ = 2;
-    options.settings_ = "ledger:\n  append_timeout: 500ms\n  append_patience: 1200ms\n";
+    options.nodeSettings_ = "ledger:\n  append_timeout: 500ms\n  append_patience: 1200ms\n";
     return options;
 }
 
@@ -32,7 +33,7 @@
     return callService(entry, Deployment::apiKey("rede"), "labels/confirm", key, content);
 }
 
-std::future<ServiceCallResult> confirmLater(const Endpoint& entry, const std::string& key)
+std::future<ServiceCallResult> confirmAsync(const Endpoint& entry, const std::string& key)
 {
     return std::async(std::launch::async, [=] { return confirm(entry, key); });
 }
@@ -41,8 +42,8 @@
 {
     std::uint64_t sum = 0;
     for (auto& service : deployment.services()) {
-        auto told = Deployment::control(service.endpoint_);
-        sum += numberField(told.at("executions").as_object(), key.c_str());
+        auto state = Deployment::control(service.endpoint_);
+        sum += numberField(state.at("executions").as_object(), key.c_str());
     }
     return sum;
 }
@@ -53,26 +54,27 @@
         Deployment::control(service.endpoint_, values);
 }
 
-/// The node of \p dataCentre that keeps \p key, and the other one.
-std::vector<VmId> keepersOf(Deployment& deployment, const std::string& dataCentre, const std::string& key)
+/// The two nodes of \p dataCentre: first the coordinator of the calls with \p key, then
+/// the other one.
+std::vector<VmId> coordinatorsOf(Deployment& deployment, const std::string& dataCentre, const std::string& key)
 {
     std::vector<VmId> nodes;
     for (auto& node : deployment.nodes()) {
         if (node.dataCentre_ == dataCentre)
             nodes.push_back({ node.id_ });
     }
-    std::uint32_t shard = shardOf(makeCallKey({ "rede" }, { "labels" }, { key }), shards);
+    std::uint32_t shard = shardOf(makeCallKey({ "rede" }, { "labels" }, { key }), shardCount);
     return rankByRendezvous("run/" + std::to_string(shard), nodes);
 }
 
-bool saysNotRun(const ServiceCallResult& result)
+bool reportsNotRun(const ServiceCallResult& result)
 {
     return result.isAnswered_ && result.error_ && result.error_->ran_ == Ran::No;
 }
 
 } // namespace
 
-TEST_CASE("one key sent at once through three data centres runs once")
+TEST_CASE("concurrent calls with one key through three data centres run once")
 {
     Deployment deployment(serviceOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
@@ -81,13 +83,14 @@
         std::string key = "order-" + std::to_string(round);
         std::vector<std::future<ServiceCallResult>> calls;
         for (auto& node : deployment.nodes())
-            calls.push_back(confirmLater(node.callers_, key));
+            calls.push_back(confirmAsync(node.callers_, key));
         int answered = 0;
         for (auto& call : calls) {
             auto result = call.get();
             answered += result.status_ == 200 ? 1 : 0;
-            // Whoever lost is told that the call was started, never that it was not.
-            CHECK_FALSE(saysNotRun(result));
+            // The other callers get the answer or learn that the call was started, never
+            // that it has not run.
+            CHECK_FALSE(reportsNotRun(result));
         }
         CHECK(answered >= 1);
         CHECK(executionsOf(deployment, key) == 1);
@@ -99,80 +102,82 @@
     CHECK(reused.status_ == 422);
 }
 
-TEST_CASE("a keeper killed before or after dispatch never lets a call run twice")
+TEST_CASE("a call never runs twice when its coordinator is killed before or after dispatch")
 {
     Deployment deployment(serviceOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
-    bool isDuringAppend = GENERATE(true, false);
-    std::string key = isDuringAppend ? "killed-in-append" : "killed-in-dispatch";
-    auto keepers = keepersOf(deployment, "caxias-a", key);
-    auto& keeper = deployment.node(keepers[0].value_);
-    auto& other = deployment.node(keepers[1].value_);
-    if (isDuringAppend)
+    bool isKilledDuringAppend = GENERATE(true, false);
+    std::string key = isKilledDuringAppend ? "killed-in-append" : "killed-in-dispatch";
+    auto coordinators = coordinatorsOf(deployment, "caxias-a", key);
+    auto& coordinator = deployment.node(coordinators[0].value_);
+    auto& other = deployment.node(coordinators[1].value_);
+    if (isKilledDuringAppend)
         deployment.controlPlatform({ { "log_delay_ms", 400 } });
     else
         controlServices(deployment, { { "delay_ms", 600 } });
-    auto call = confirmLater(other.callers_, key);
-    if (isDuringAppend)
-        REQUIRE(waitUntil([&] { return deployment.metric(keeper, "log_appends_total") > 0 || deployment.metric(other, "log_appends_total") > 6; }));
+    auto call = confirmAsync(other.callers_, key);
+    // The standard catalogue takes six appends. The next one is the intent of the call.
+    if (isKilledDuringAppend)
+        REQUIRE(waitUntil([&] { return deployment.metric(coordinator, "log_appends_total") > 0 || deployment.metric(other, "log_appends_total") > 6; }));
     else
         REQUIRE(waitUntil([&] { return executionsOf(deployment, key) == 1; }));
-    keeper.process_->kill();
+    coordinator.process_->kill();
     deployment.controlPlatform({ { "log_delay_ms", 0 } });
     auto result = call.get();
     CHECK(executionsOf(deployment, key) <= 1);
-    if (saysNotRun(result))
+    if (reportsNotRun(result))
         CHECK(executionsOf(deployment, key) == 0);
     controlServices(deployment, { { "delay_ms", 0 } });
-    // Repeats through every other node never add an execution.
+    // Repeated calls through all other nodes never add an execution.
     for (auto& node : deployment.nodes()) {
-        if (node.id_ != keeper.id_)
+        if (node.id_ != coordinator.id_)
             confirm(node.callers_, key);
     }
     CHECK(executionsOf(deployment, key) <= 1);
 }
 
-TEST_CASE("a keeper frozen past its take-over does nothing when it wakes")
+TEST_CASE("a coordinator that resumes after its takeover does not run the call")
 {
     Deployment deployment(serviceOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
     std::string key = "frozen";
-    auto keepers = keepersOf(deployment, "caxias-a", key);
-    auto& keeper = deployment.node(keepers[0].value_);
-    auto& other = deployment.node(keepers[1].value_);
-    // Frozen while its intent is on the way to the log, so it wakes up with the
-    // append answered and everything it believed out of date.
+    auto coordinators = coordinatorsOf(deployment, "caxias-a", key);
+    auto& coordinator = deployment.node(coordinators[0].value_);
+    auto& other = deployment.node(coordinators[1].value_);
+    // The coordinator is frozen while the append of its intent is pending. When it
+    // resumes, the append has been answered and all of its other state is stale. The standard
+    // catalogue takes six appends, so the seventh is the intent.
     deployment.controlPlatform({ { "log_delay_ms", 400 } });
-    auto first = confirmLater(other.callers_, key);
+    auto first = confirmAsync(other.callers_, key);
     REQUIRE(waitUntil([&] { return numberField(deployment.controlPlatform(), "appends") > 6; }));
-    keeper.process_->freeze();
+    coordinator.process_->freeze();
     deployment.controlPlatform({ { "log_delay_ms", 0 } });
     auto elsewhere = confirm(deployment.node("bento-c-1").callers_, key);
     CHECK(executionsOf(deployment, key) <= 1);
     REQUIRE(waitUntil([&] {
-        auto told = deployment.ask(other, "/nodes");
-        for (const auto& line : objectsField(told.as_object(), "nodes")) {
-            if (textField(line, "node") == keeper.id_)
+        auto state = deployment.query(other, "/nodes");
+        for (const auto& line : objectsField(state.as_object(), "nodes")) {
+            if (textField(line, "node") == coordinator.id_)
                 return textField(line, "state") == "out";
         }
         return false;
     }));
     auto afterTakeover = confirm(other.callers_, key);
-    keeper.process_->resume();
+    coordinator.process_->resume();
     first.get();
     auto last = confirm(other.callers_, key);
     CHECK(executionsOf(deployment, key) <= 1);
-    if (saysNotRun(last))
+    if (reportsNotRun(last))
         CHECK(executionsOf(deployment, key) == 0);
 }
 
-TEST_CASE("faults of the log refuse truthfully")
+TEST_CASE("faults of the log never lead to a wrong statement about execution")
 {
     Deployment deployment(serviceOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
     Endpoint entry = deployment.node("caxias-b-1").callers_;
 
-    SECTION("an append whose answer is lost")
+    SECTION("the answer of an append is lost")
     {
         deployment.controlPlatform({ { "lose_append_answers", 1 } });
         auto result = confirm(entry, "lost");
@@ -181,37 +186,37 @@
         CHECK(confirm(deployment.node("bento-c-1").callers_, "lost").isReplayed_);
         CHECK(executionsOf(deployment, "lost") == 1);
     }
-    SECTION("the log is down: refused at once, not run, and runs once it is back")
+    SECTION("the log is down: the call is rejected, has not run, and runs after the log recovers")
     {
         deployment.controlPlatform({ { "log_down", 1 } });
         auto result = confirm(entry, "down");
         CHECK(result.status_ == 503);
-        CHECK(saysNotRun(result));
+        CHECK(reportsNotRun(result));
         CHECK(result.error_->retryAfter_.count() > 0);
         CHECK(executionsOf(deployment, "down") == 0);
         deployment.controlPlatform({ { "log_down", 0 } });
         REQUIRE(waitUntil([&] { return confirm(entry, "down").status_ == 200; }));
         CHECK(executionsOf(deployment, "down") == 1);
     }
-    SECTION("the log trimmed what a keeper had not read")
+    SECTION("the log trims records that a coordinator has not read")
     {
         CHECK(confirm(entry, "before").status_ == 200);
-        std::uint32_t shard = shardOf(makeCallKey({ "rede" }, { "labels" }, { "before" }), shards);
+        std::uint32_t shard = shardOf(makeCallKey({ "rede" }, { "labels" }, { "before" }), shardCount);
         deployment.controlPlatform({ { "trim_stream", "ledger-" + std::to_string(shard) }, { "trim_to", 1 } });
-        // The outcome is still kept, and it alone answers a repeat.
+        // The stored outcome remains, and a repeated call is answered from it.
         auto repeat = confirm(deployment.node("bento-c-1").callers_, "before");
         CHECK(repeat.isReplayed_);
         CHECK(executionsOf(deployment, "before") == 1);
     }
 }
 
-TEST_CASE("a service's lost answer is unknown, and its refusal is not run")
+TEST_CASE("a lost answer of a service is reported as unknown, a rejection as not run")
 {
     Deployment deployment(serviceOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
     Endpoint entry = deployment.node("caxias-b-1").callers_;
 
-    SECTION("lost after it ran: told unknown, never repeated")
+    SECTION("the answer is lost after the call ran: reported as unknown, never repeated")
     {
         controlServices(deployment, { { "lose_answers", 1 } });
         auto result = confirm(entry, "lost-answer");
@@ -221,21 +226,21 @@
         CHECK(confirm(deployment.node("bento-c-1").callers_, "lost-answer").status_ == 409);
         CHECK(executionsOf(deployment, "lost-answer") == 1);
     }
-    SECTION("refused before it ran: another backend server runs it")
+    SECTION("the call is rejected before it ran: another backend server runs it")
     {
         Deployment::control(deployment.services()[1].endpoint_, { { "leaving", 1 } });
         auto result = confirm(entry, "refused");
         CHECK(result.status_ == 200);
         CHECK(executionsOf(deployment, "refused") == 1);
     }
-    SECTION("no backend server is left: not run, and free for a repeat")
+    SECTION("no backend server is available: not run, and may be repeated")
     {
         controlServices(deployment, { { "leaving", 1 } });
         auto result = confirm(entry, "nobody");
-        CHECK(saysNotRun(result));
+        CHECK(reportsNotRun(result));
         CHECK(executionsOf(deployment, "nobody") == 0);
     }
-    SECTION("a call that may be repeated is repeated when its answer is lost")
+    SECTION("a repeatable call is repeated when its answer is lost")
     {
         controlServices(deployment, { { "lose_answers", 1 } });
         auto result = callService(entry, Deployment::apiKey("rede"), "records/outfall/7", "", "");
--- a/test/DraftsTest.cpp
+++ b/test/GenerationsTest.cpp
@@ -1,8 +1,8 @@
-//===- test/DraftsTest.cpp - accepted drafts survive -----------------------===//
+//===- test/GenerationsTest.cpp - generations survive failures -----------------===//
 ///
 /// \file
-/// Reclaims, kills and freezes of whatever works on an accepted generation;
-/// the caller ends with the engine's exact sequence.
+/// Reclaims, kills and freezes the processes that work on an accepted request to
+/// generate. The caller still receives the engine's exact sequence.
 //===----------------------------------------------------------------------===//
 #include "Harness/Deployment.h"
 
@@ -15,22 +15,22 @@
 
 namespace {
 
-constexpr milliseconds answerPatience { 40000 };
+constexpr milliseconds answerTimeout { 40000 };
 
-DeploymentOptions draftOptions()
+DeploymentOptions deploymentOptions()
 {
     DeploymentOptions options;
     options.nodesPerDataCentre_ = 2;
     options.enginesPerDataCentre_ = { { "planogram", 2 } };
     options.engineArguments_ = { "--decode_us", "8000" };
-    options.settings_ = "replica:\n  takeover_grace: 500ms\n  owner_silence: 1s\nmembership:\n  suspect_after: 1500ms\n";
+    options.nodeSettings_ = "replica:\n  takeover_grace: 500ms\n  owner_silence: 1s\nmembership:\n  suspect_after: 1500ms\n";
     return options;
 }
 
-/// Drafts in progress, each followed by its caller across entry VMs.
-class Drafts {
+/// Running generations. Each caller resumes its answer at other entry VMs.
+class RunningGenerations {
 public:
-    Drafts(Deployment& deployment, std::size_t count, std::uint64_t tokens, const std::string& firstEntry = "caxias-a-1")
+    RunningGenerations(Deployment& deployment, std::size_t count, std::uint64_t tokens, const std::string& firstEntry = "caxias-a-1")
     {
         std::vector<Endpoint> entries { deployment.node(firstEntry).callers_ };
         for (auto& node : deployment.nodes()) {
@@ -40,17 +40,17 @@
         for (std::size_t i = 0; i < count; ++i)
             completions_.push_back({ Deployment::apiKey(i % 4 == 3 ? "visitante" : "rede"), "planogram", "draft number " + std::to_string(i), tokens });
         for (const Completion& completion : completions_)
-            answers_.push_back(std::async(std::launch::async, [=] { return streamToEndBlocking(entries, completion, answerPatience); }));
-        bool hasBegun = waitUntil([&] { return deployment.metricOfAll("tokens_delivered_total") > static_cast<double>(count * 20); });
-        REQUIRE(hasBegun);
+            answers_.push_back(std::async(std::launch::async, [=] { return streamToEndBlocking(entries, completion, answerTimeout); }));
+        bool hasStarted = waitUntil([&] { return deployment.metricOfAll("tokens_delivered_total") > static_cast<double>(count * 20); });
+        REQUIRE(hasStarted);
     }
 
-    /// Every answer is whole, and nobody was told to start again.
+    /// Checks that every answer is complete and that no stream was restarted.
     void checkAll()
     {
         for (std::size_t i = 0; i < answers_.size(); ++i) {
             Answer answer = answers_[i].get();
-            INFO("draft " << i << (answer.error_ ? ": " + describe(*answer.error_) : std::string()));
+            INFO("generation " << i << (answer.error_ ? ": " + describe(*answer.error_) : std::string()));
             CHECK(answer.isDone_);
             CHECK(answer.restarts_ == 0);
             CHECK(checkAnswer(answer, completions_[i]) == "");
@@ -62,19 +62,20 @@
     std::vector<std::future<Answer>> answers_;
 };
 
-/// An engine of \p dataCentre that works on something.
-Deployment::Backend& busyEngine(Deployment& deployment, const std::string& dataCentre)
+/// Returns the engine of \p dataCentre with the most active requests, and checks that it has
+/// at least one.
+Deployment::Backend& busiestEngine(Deployment& deployment, const std::string& dataCentre)
 {
     Deployment::Backend* busiest = nullptr;
-    std::uint64_t most = 0;
+    std::uint64_t maxActive = 0;
     for (auto& engine : deployment.engines()) {
         std::uint64_t active = numberField(Deployment::control(engine.endpoint_), "active");
-        if (engine.dataCentre_ != dataCentre || active < most)
+        if (engine.dataCentre_ != dataCentre || active < maxActive)
             continue;
         busiest = &engine;
-        most = active;
+        maxActive = active;
     }
-    REQUIRE(most > 0);
+    REQUIRE(maxActive > 0);
     return *busiest;
 }
 
@@ -86,11 +87,11 @@
 
 } // namespace
 
-TEST_CASE("drafts survive a reclaim of their engine's VM")
+TEST_CASE("generations survive a reclaim of their engine's VM")
 {
     struct Reclaim {
         milliseconds notice_;
-        bool refusesImport_;
+        bool rejectsImport_;
         bool mustNotRecompute_;
     };
     auto reclaim = GENERATE(values<Reclaim>({
@@ -100,51 +101,52 @@
         { milliseconds(2000), true, false },
         { milliseconds(150), false, false },
     }));
-    INFO("notice " << reclaim.notice_.count() << " ms, import refused " << reclaim.refusesImport_);
-    Deployment deployment(draftOptions());
+    INFO("notice " << reclaim.notice_.count() << " ms, import rejected " << reclaim.rejectsImport_);
+    Deployment deployment(deploymentOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
-    if (reclaim.refusesImport_) {
+    if (reclaim.rejectsImport_) {
         for (auto& engine : deployment.engines())
             Deployment::control(engine.endpoint_, { { "refuse_import", 1 } });
     }
-    Drafts drafts(deployment, 8, 600);
-    reclaimEngine(deployment, busyEngine(deployment, "caxias-a"), reclaim.notice_);
-    drafts.checkAll();
+    RunningGenerations generations(deployment, 8, 600);
+    reclaimEngine(deployment, busiestEngine(deployment, "caxias-a"), reclaim.notice_);
+    generations.checkAll();
     double recomputed = deployment.metricOfAll("tokens_recomputed_total");
-    WARN("notice " << reclaim.notice_.count() << " ms, import refused " << reclaim.refusesImport_ << ": " << recomputed << " tokens recomputed");
+    WARN("notice " << reclaim.notice_.count() << " ms, import rejected " << reclaim.rejectsImport_ << ": " << recomputed << " tokens recomputed");
     if (reclaim.mustNotRecompute_)
         CHECK(recomputed == 0);
 }
 
-TEST_CASE("drafts survive the sudden death of their engine")
+TEST_CASE("generations survive a crash of their engine")
 {
-    Deployment deployment(draftOptions());
+    Deployment deployment(deploymentOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
-    Drafts drafts(deployment, 6, 300);
-    busyEngine(deployment, "caxias-a").process_->kill();
-    drafts.checkAll();
+    RunningGenerations generations(deployment, 6, 300);
+    busiestEngine(deployment, "caxias-a").process_->kill();
+    generations.checkAll();
 }
 
-TEST_CASE("drafts survive the death of a node, whatever its role")
+TEST_CASE("generations survive the loss of a node in any role")
 {
     enum class Victim {
-        Home,
+        Dispatcher,
         Entry,
-        EntryFrozen,
+        FrozenEntry,
     };
-    auto victim = GENERATE(Victim::Home, Victim::Entry, Victim::EntryFrozen);
+    auto victim = GENERATE(Victim::Dispatcher, Victim::Entry, Victim::FrozenEntry);
     INFO("victim " << static_cast<int>(victim));
-    Deployment deployment(draftOptions());
+    Deployment deployment(deploymentOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
-    Drafts drafts(deployment, 6, 400);
+    RunningGenerations generations(deployment, 6, 400);
     Deployment::NodeProcess* node = &deployment.node("caxias-a-1");
-    if (victim == Victim::Home) {
+    if (victim == Victim::Dispatcher) {
         node = &deployment.node("caxias-a-2");
         REQUIRE(waitUntil([&] { return deployment.metric(*node, "streams_homed") > 0; }));
     }
-    if (victim == Victim::EntryFrozen) {
+    if (victim == Victim::FrozenEntry) {
         node->process_->freeze();
-        // Thawed once its replicas have taken over; its callers read from it still.
+        // The node resumes after its replicas have taken over; its callers still read
+        // from it.
         CHECK(waitUntil([&] {
             double takeovers = 0;
             for (auto& other : deployment.nodes())
@@ -155,17 +157,17 @@
     } else {
         node->process_->kill();
     }
-    drafts.checkAll();
-    if (victim != Victim::EntryFrozen)
+    generations.checkAll();
+    if (victim != Victim::FrozenEntry)
         CHECK(deployment.metricOfAll("tokens_recomputed_total") == 0);
 }
 
-TEST_CASE("drafts survive the reclaim of a whole data centre at once")
+TEST_CASE("generations survive the simultaneous reclaim of a complete data centre")
 {
     bool isAnnounced = GENERATE(true, false);
-    Deployment deployment(draftOptions());
+    Deployment deployment(deploymentOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
-    Drafts drafts(deployment, 8, 500);
+    RunningGenerations generations(deployment, 8, 500);
     constexpr milliseconds notice { 2500 };
     for (auto& engine : deployment.engines()) {
         if (engine.dataCentre_ != "caxias-a")
@@ -183,42 +185,42 @@
         else
             node.process_->kill();
     }
-    drafts.checkAll();
+    generations.checkAll();
     WARN((isAnnounced ? "announced: " : "sudden: ") << deployment.metricOfAll("tokens_recomputed_total") << " tokens recomputed");
 }
 
-TEST_CASE("a home killed in the middle of its hand-over loses nothing")
+TEST_CASE("a dispatcher that is killed during its handover loses no generation")
 {
-    Deployment deployment(draftOptions());
+    Deployment deployment(deploymentOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
-    Drafts drafts(deployment, 8, 500);
-    auto& home = deployment.node("caxias-a-2");
-    REQUIRE(waitUntil([&] { return deployment.metric(home, "streams_homed") > 0; }));
+    RunningGenerations generations(deployment, 8, 500);
+    auto& dispatcher = deployment.node("caxias-a-2");
+    REQUIRE(waitUntil([&] { return deployment.metric(dispatcher, "streams_homed") > 0; }));
     for (auto& engine : deployment.engines()) {
         if (engine.dataCentre_ == "caxias-a")
             reclaimEngine(deployment, engine, milliseconds(3000));
     }
     REQUIRE(waitUntil([&] {
-        auto view = deployment.ask(home, "/engines");
+        auto view = deployment.query(dispatcher, "/engines");
         return view.is_object() && objectsField(view.as_object(), "engines").empty();
     }));
-    home.process_->kill();
-    drafts.checkAll();
+    dispatcher.process_->kill();
+    generations.checkAll();
 }
 
-TEST_CASE("a caller that does not stream fetches its answer after its entry is gone")
+TEST_CASE("a caller that does not stream fetches its answer after its entry VM is lost")
 {
-    Deployment deployment(draftOptions());
+    Deployment deployment(deploymentOptions());
     deployment.applyCatalogue(Deployment::standardCatalogue());
     auto& entry = deployment.node("caxias-a-1");
     Completion completion { Deployment::apiKey("rede"), "planogram", "no stream", 200 };
     auto pending = std::async(std::launch::async, [&] {
         HttpRequest request { "POST", "/v1/completions", { { "authorization", "Bearer " + completion.apiKey_ } }, completionBody(completion, false) };
-        return callHttpBlocking(entry.callers_, request, answerPatience);
+        return callHttpBlocking(entry.callers_, request, answerTimeout);
     });
     std::string requestId;
     REQUIRE(waitUntil([&] {
-        auto listed = deployment.ask(entry, "/requests");
+        auto listed = deployment.query(entry, "/requests");
         auto requests = listed.is_object() ? objectsField(listed.as_object(), "requests") : std::vector<boost::json::object> {};
         if (requests.empty() || numberField(requests.front(), "tokens") < 20)
             return false;
@@ -230,7 +232,7 @@
     HttpRequest fetch { "GET", "/v1/requests/" + requestId, { { "authorization", "Bearer " + completion.apiKey_ } }, {} };
     Answer answer;
     REQUIRE(waitUntil([&] {
-        auto response = callHttpBlocking(deployment.node("bento-c-2").callers_, fetch, answerPatience);
+        auto response = callHttpBlocking(deployment.node("bento-c-2").callers_, fetch, answerTimeout);
         if (!response || response.value().status_ != 200)
             return false;
         auto body = parseJsonObject(response.value().body_).value_or(boost::json::object {});
@@ -242,11 +244,11 @@
         }
         return true;
     },
-        answerPatience));
+        answerTimeout));
     CHECK(checkAnswer(answer, completion) == "");
 }
 
-TEST_CASE("a cancel that comes late ends no newer attempt")
+TEST_CASE("a delayed cancel does not end a newer attempt")
 {
     DeploymentOptions options;
     options.dataCentres_ = { "caxias-a" };
@@ -261,15 +263,16 @@
     Endpoint entry = deployment.nodes().front().callers_;
     Completion trial { Deployment::apiKey("visitante"), "planogram", "trial draft", 600 };
     Completion paid { Deployment::apiKey("rede"), "planogram", "question", 5 };
-    auto draft = std::async(std::launch::async, [=] { return streamCompletionBlocking(entry, trial); });
+    auto trialAnswer = std::async(std::launch::async, [=] { return streamCompletionBlocking(entry, trial); });
     REQUIRE(waitUntil([&] { return deployment.metricOfAll("tokens_delivered_total") > 10; }));
-    // Longer than a home waits for the engine's answer to a cancel.
+    // The delay exceeds the time that a dispatcher waits for the engine's answer to a
+    // cancel.
     Deployment::control(engine.endpoint_, { { "cancel_delay_ms", 2500 } });
     CHECK(streamCompletionBlocking(entry, paid).isDone_);
-    Answer answer = draft.get();
+    Answer answer = trialAnswer.get();
     CHECK(answer.isDone_);
     CHECK(checkAnswer(answer, trial) == "");
-    auto told = Deployment::control(engine.endpoint_);
-    CHECK(numberField(told, "started") == 3);
-    CHECK(numberField(told, "cancelled") == 0);
+    auto state = Deployment::control(engine.endpoint_);
+    CHECK(numberField(state, "started") == 3);
+    CHECK(numberField(state, "cancelled") == 0);
 }
--- a/test/Harness/Deployment.cpp
+++ b/test/Harness/Deployment.cpp
@@ -1,4 +1,4 @@
-//===- test/Harness/Deployment.cpp - a small deployment on loopback --------===//
+//===- test/Harness/Deployment.cpp - a small deployment on loopback -------===//
 ///
 /// \file
 /// See Deployment.h.
@@ -19,7 +19,7 @@
 namespace {
 
     constexpr milliseconds callTimeout { 5000 };
-    constexpr milliseconds startPatience { 30000 };
+    constexpr milliseconds startTimeout { 30000 };
     constexpr milliseconds pollPeriod { 10 };
     const std::string operatorCredential = "operators-secret-of-tests";
     const std::string peerCredential = "peers-secret-of-tests-only";
@@ -28,22 +28,22 @@
     {
         std::string pattern = (std::filesystem::temp_directory_path() / "pistachioloom-XXXXXX").string();
         if (!mkdtemp(pattern.data()))
-            throw std::runtime_error("no temporary directory");
+            throw std::runtime_error("cannot create a temporary directory");
         return pattern;
     }
 
     std::uint16_t portOf(const Process& process, const char* name)
     {
-        return static_cast<std::uint16_t>(numberField(process.firstLine(), name));
+        return static_cast<std::uint16_t>(numberField(process.boundPorts(), name));
     }
 
 } // namespace
 
-bool waitUntil(const std::function<bool()>& condition, milliseconds patience)
+bool waitUntil(const std::function<bool()>& condition, milliseconds timeout)
 {
-    auto until = steadyNow() + patience;
+    auto deadline = steadyNow() + timeout;
     while (!condition()) {
-        if (steadyNow() > until)
+        if (steadyNow() > deadline)
             return false;
         std::this_thread::sleep_for(pollPeriod);
     }
@@ -90,17 +90,18 @@
     std::size_t expected = nodes_.size();
     for (const NodeProcess& node : nodes_) {
         bool isComplete = waitUntil([&] {
-            auto listed = ask(node, "/nodes");
+            auto listed = query(node, "/nodes");
             if (!listed.is_object())
                 return false;
             auto seen = objectsField(listed.as_object(), "nodes");
-            // Every node of the list, and live digests of our own data centre.
+            // The node must know every node of the VM list, and have live digests
+            // of all nodes of its own data centre.
             std::size_t digests = 0;
             for (const json::object& line : seen)
                 digests += line.contains("catalogue_offset") ? 1 : 0;
             return seen.size() == expected && digests == options_.nodesPerDataCentre_;
         },
-            startPatience);
+            startTimeout);
         if (!isComplete)
             throw std::runtime_error(node.id_ + " did not find its peers; see " + directory_);
     }
@@ -163,7 +164,7 @@
          << "listen:\n  callers: 127.0.0.1:0\n  peers: 127.0.0.1:0\n  operators: 127.0.0.1:0\n"
          << "platform:\n  log: " << platform_.toString() << "\n  vm_list: " << platform_.toString() << "\n"
          << "credentials:\n  peers: " << peerCredential << "\n  operators: " << operatorCredential << "\n"
-         << options_.settings_;
+         << options_.nodeSettings_;
 }
 
 void Deployment::launch(NodeProcess& node)
@@ -173,8 +174,8 @@
     node.callers_ = { "127.0.0.1", portOf(*node.process_, "callers") };
     node.peers_ = { "127.0.0.1", portOf(*node.process_, "peers") };
     node.operators_ = { "127.0.0.1", portOf(*node.process_, "operators") };
-    if (options_.hasRelays_)
-        addRelays(node);
+    if (options_.hasProxies_)
+        addProxies(node);
     putVm({ { "id", node.id_ }, { "kind", "entry" }, { "data_centre", node.dataCentre_ }, { "host", "127.0.0.1" }, { "port", node.peers_.port_ }, { "operator_port", node.operators_.port_ }, { "caller_port", node.callers_.port_ } });
 }
 
@@ -185,19 +186,19 @@
     return nodes_.back();
 }
 
-void Deployment::addRelays(const NodeProcess& node)
+void Deployment::addProxies(const NodeProcess& node)
 {
     json::array views;
     for (const std::string& from : options_.dataCentres_) {
         if (from == node.dataCentre_)
             continue;
-        auto& relays = relays_[{ from, node.dataCentre_ }];
-        if (!relays)
-            relays = std::make_unique<RelaySet>();
+        auto& proxies = proxies_[{ from, node.dataCentre_ }];
+        if (!proxies)
+            proxies = std::make_unique<TcpProxySet>();
         json::object view;
         view["from"] = from;
         view["vm"] = node.id_;
-        view["port"] = relays->add(node.peers_);
+        view["port"] = proxies->add(node.peers_);
         views.push_back(view);
     }
     json::object body;
@@ -205,11 +206,11 @@
     controlPlatform(body);
 }
 
-void Deployment::cutDataCentre(const std::string& dataCentre, bool isCut)
+void Deployment::partitionDataCentre(const std::string& dataCentre, bool isPartitioned)
 {
-    for (auto& [ends, relays] : relays_) {
+    for (auto& [ends, proxies] : proxies_) {
         if (ends.first == dataCentre || ends.second == dataCentre)
-            relays->setCut(isCut);
+            proxies->setPartitioned(isPartitioned);
     }
 }
 
@@ -224,7 +225,7 @@
         if (candidate.id_ == id)
             return candidate;
     }
-    throw std::runtime_error("no node " + id);
+    throw std::runtime_error("unknown node " + id);
 }
 
 Deployment::Backend& Deployment::engine(const std::string& id)
@@ -233,7 +234,7 @@
         if (candidate.id_ == id)
             return candidate;
     }
-    throw std::runtime_error("no engine " + id);
+    throw std::runtime_error("unknown engine " + id);
 }
 
 std::vector<Endpoint> Deployment::callerEndpoints() const
@@ -253,7 +254,7 @@
     return parseJsonObject(response.value().body_).value_or(json::object {});
 }
 
-std::pair<int, std::string> Deployment::tool(const NodeProcess& node, const std::vector<std::string>& arguments) const
+std::pair<int, std::string> Deployment::runTool(const NodeProcess& node, const std::vector<std::string>& arguments) const
 {
     std::vector<std::string> all { "--node", node.operators_.toString(), "--credential", operatorCredential };
     all.insert(all.end(), arguments.begin(), arguments.end());
@@ -264,17 +265,17 @@
 {
     std::string file = directory_ + "/catalogue.yaml";
     std::ofstream(file) << yaml;
-    auto [code, output] = tool(nodes_.front(), { "catalogue", "apply", file });
+    auto [code, output] = runTool(nodes_.front(), { "catalogue", "apply", file });
     if (code)
         throw std::runtime_error("catalogue was not applied: " + output);
-    if (!waitForCatalogue(startPatience))
+    if (!waitForCatalogue(startTimeout))
         throw std::runtime_error("catalogue did not reach every node; see " + directory_);
 }
 
-bool Deployment::waitForCatalogue(milliseconds patience)
+bool Deployment::waitForCatalogue(milliseconds timeout)
 {
-    json::object told = controlPlatform();
-    std::uint64_t next = numberField(told.at("next").as_object(), "catalogue");
+    json::object state = controlPlatform();
+    std::uint64_t next = numberField(state.at("next").as_object(), "catalogue");
     return waitUntil([&] {
         for (NodeProcess& node : nodes_) {
             if (node.process_->isRunning() && metric(node, "catalogue_offset") < static_cast<double>(next))
@@ -282,10 +283,10 @@
         }
         return true;
     },
-        patience);
+        timeout);
 }
 
-json::value Deployment::ask(const NodeProcess& node, const std::string& target) const
+json::value Deployment::query(const NodeProcess& node, const std::string& target) const
 {
     HttpRequest request { "GET", target, { { "authorization", "Bearer " + operatorCredential } }, {} };
     auto response = callHttpBlocking(node.operators_, request, callTimeout);
@@ -312,10 +313,10 @@
     return -1;
 }
 
-Deployment::NodeProcess* Deployment::homeOf(const std::string& engine)
+Deployment::NodeProcess* Deployment::dispatcherOf(const std::string& engine)
 {
     for (NodeProcess& node : nodes_) {
-        json::value listed = ask(node, "/engines");
+        json::value listed = query(node, "/engines");
         if (!listed.is_object())
             continue;
         for (const json::object& line : objectsField(listed.as_object(), "engines")) {
--- a/test/Harness/Process.cpp
+++ b/test/Harness/Process.cpp
@@ -1,4 +1,4 @@
-//===- test/Harness/Process.cpp - child processes of tests -----------------===//
+//===- test/Harness/Process.cpp - child processes of tests ----------------===//
 ///
 /// \file
 /// See Process.h.
@@ -23,25 +23,26 @@
 namespace {
 
     constexpr milliseconds pollPeriod { 5 };
-    constexpr milliseconds freezePatience { 1000 };
-    constexpr int outputEnd = 1;
-    constexpr int inputEnd = 0;
+    constexpr milliseconds freezeTimeout { 1000 };
+    constexpr int writeEnd = 1;
+    constexpr int readEnd = 0;
 
     struct Spawned {
         pid_t id_ = -1;
         int output_ = -1;
     };
 
-    /// Both outputs go to \p file, or to the pipe if it is empty.
+    /// Starts \p program. Standard output and standard error go to \p file, or to the
+    /// pipe if \p file is empty.
     Spawned spawn(const std::string& program, const std::vector<std::string>& arguments, const std::string& file)
     {
         int pipeEnds[2];
         if (pipe2(pipeEnds, O_CLOEXEC))
-            throw std::runtime_error("no pipe");
+            throw std::runtime_error("cannot create a pipe");
         posix_spawn_file_actions_t actions;
         posix_spawn_file_actions_init(&actions);
         if (file.empty())
-            posix_spawn_file_actions_adddup2(&actions, pipeEnds[outputEnd], STDOUT_FILENO);
+            posix_spawn_file_actions_adddup2(&actions, pipeEnds[writeEnd], STDOUT_FILENO);
         else
             posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, file.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
         posix_spawn_file_actions_adddup2(&actions, STDOUT_FILENO, STDERR_FILENO);
@@ -49,13 +50,13 @@
         for (const std::string& argument : arguments)
             argv.push_back(const_cast<char*>(argument.c_str()));
         argv.push_back(nullptr);
-        Spawned spawned { -1, pipeEnds[inputEnd] };
+        Spawned spawned { -1, pipeEnds[readEnd] };
         int failed = posix_spawn(&spawned.id_, program.c_str(), &actions, nullptr, argv.data(), environ);
         posix_spawn_file_actions_destroy(&actions);
-        close(pipeEnds[outputEnd]);
+        close(pipeEnds[writeEnd]);
         if (!failed)
             return spawned;
-        close(pipeEnds[inputEnd]);
+        close(pipeEnds[readEnd]);
         throw std::runtime_error("cannot start " + program);
     }
 
@@ -66,14 +67,14 @@
     return std::string(PISTACHIOLOOM_PROGRAMS) + "/" + name;
 }
 
-/// The line of bound ports among those that \p file got after \p from.
+/// Returns the line of \p file after offset \p from in which a program reports its ports.
 static std::optional<boost::json::object> findPorts(const std::string& file, std::streamoff from)
 {
     std::ifstream input(file);
     input.seekg(from);
     std::string line;
     while (std::getline(input, line)) {
-        // Log lines are text, or JSON with a message.
+        // Log lines are plain text, or JSON objects with a message.
         auto object = parseJsonObject(line);
         if (object && !object->contains("message") && !input.eof())
             return object;
@@ -83,14 +84,14 @@
 
 Process::Process(const std::string& program, const std::vector<std::string>& arguments, const std::string& logFile)
 {
-    std::ifstream before(logFile, std::ios::ate);
-    std::streamoff from = before ? static_cast<std::streamoff>(before.tellg()) : 0;
+    std::ifstream existingLog(logFile, std::ios::ate);
+    std::streamoff from = existingLog ? static_cast<std::streamoff>(existingLog.tellg()) : 0;
     Spawned spawned = spawn(program, arguments, logFile);
     close(spawned.output_);
     id_ = spawned.id_;
     while (isRunning()) {
         if (auto ports = findPorts(logFile, from)) {
-            firstLine_ = std::move(*ports);
+            boundPorts_ = std::move(*ports);
             return;
         }
         std::this_thread::sleep_for(pollPeriod);
@@ -123,7 +124,7 @@
     for (const auto& task : std::filesystem::directory_iterator("/proc/" + std::to_string(process) + "/task", code)) {
         std::ifstream file(task.path() / "stat");
         std::string stat((std::istreambuf_iterator<char>(file)), {});
-        // The state follows the name, which is in brackets and may hold any character.
+        // The state follows the name, which is in brackets and may contain any character.
         std::size_t name = stat.rfind(')');
         if (name == std::string::npos || name + 2 >= stat.size() || stat[name + 2] != 'T')
             return false;
@@ -134,8 +135,8 @@
 void Process::freeze() const
 {
     signal(SIGSTOP);
-    // The signal takes effect a moment later, in which the process may still read.
-    (void)waitUntil([this] { return isStopped(id_); }, freezePatience);
+    // SIGSTOP takes effect after a short delay, in which the process may still read.
+    (void)waitUntil([this] { return isStopped(id_); }, freezeTimeout);
 }
 
 void Process::resume() const
@@ -143,9 +144,9 @@
     signal(SIGCONT);
 }
 
-int Process::wait(milliseconds patience)
+int Process::wait(milliseconds timeout)
 {
-    auto until = steadyNow() + patience;
+    auto deadline = steadyNow() + timeout;
     while (!hasEnded_) {
         int status = 0;
         if (waitpid(id_, &status, WNOHANG) == id_) {
@@ -153,7 +154,7 @@
             exitCode_ = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
             break;
         }
-        if (steadyNow() > until)
+        if (steadyNow() > deadline)
             break;
         std::this_thread::sleep_for(pollPeriod);
     }
@@ -170,8 +171,8 @@
 {
     std::ifstream stat("/proc/" + std::to_string(id_) + "/stat");
     std::string field;
-    // Fields 14 and 15, user and system time in clock ticks; the name in field
-    // 2 has no blanks in our programs.
+    // Fields 14 and 15 are the user and system time in clock ticks. The name in field
+    // 2 has no blanks in this project's programs.
     constexpr int fieldsBefore = 13;
     for (int i = 0; i < fieldsBefore; ++i)
         stat >> field;
--- a/test/Platform/Soak/FaultProxy.cpp
+++ b/test/Platform/Soak/FaultProxy.cpp
@@ -1,4 +1,4 @@
-//===- test/Platform/Soak/FaultProxy.cpp - connections that misbehave -----===//
+//===- test/Platform/Soak/FaultProxy.cpp - proxy that injects faults ------===//
 ///
 /// \file
 /// See FaultProxy.h.
@@ -12,8 +12,8 @@
 namespace {
 
     constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
-    // A connection whose bytes are held back looks this often whether they pass.
-    constexpr milliseconds heldPeriod { 10 };
+    // Interval at which a stalled direction checks whether it may forward again.
+    constexpr milliseconds stallPollPeriod { 10 };
     constexpr std::size_t bufferSize = 16UL * 1024;
 
 } // namespace
@@ -27,12 +27,12 @@
         return "delayed";
     case LinkFault::Reset:
         return "reset";
-    case LinkFault::Silent:
-        return "silent";
-    case LinkFault::DeafUp:
-        return "deaf_up";
-    case LinkFault::DeafDown:
-        return "deaf_down";
+    case LinkFault::Stalled:
+        return "stalled";
+    case LinkFault::StalledToClient:
+        return "stalled_to_client";
+    case LinkFault::StalledToServer:
+        return "stalled_to_server";
     case LinkFault::Refused:
         return "refused";
     }
@@ -40,27 +40,27 @@
 }
 
 struct FaultProxy::Link {
-    explicit Link(tcp::socket near)
-        : near_(std::move(near))
-        , far_(near_.get_executor())
+    explicit Link(tcp::socket client)
+        : client_(std::move(client))
+        , server_(client_.get_executor())
     {
     }
 
-    /// A lingering time of zero makes the close a reset.
+    /// Closes both sockets. A linger time of zero makes the close a reset.
     void close(bool isReset)
     {
         boost::system::error_code ignored;
         if (isReset) {
-            near_.set_option(asio::socket_base::linger(true, 0), ignored);
-            far_.set_option(asio::socket_base::linger(true, 0), ignored);
+            client_.set_option(asio::socket_base::linger(true, 0), ignored);
+            server_.set_option(asio::socket_base::linger(true, 0), ignored);
         }
-        near_.close(ignored);
-        far_.close(ignored);
+        client_.close(ignored);
+        server_.close(ignored);
     }
 
-    tcp::socket near_;
-    tcp::socket far_;
-    int ended_ = 0;
+    tcp::socket client_;
+    tcp::socket server_;
+    int endedDirections_ = 0;
 };
 
 FaultProxy::FaultProxy(asio::io_context& io, Endpoint target)
@@ -89,11 +89,11 @@
         fault_ = LinkFault::None;
 }
 
-bool FaultProxy::passes(bool isUpward) const
+bool FaultProxy::canForward(bool isToServer) const
 {
-    if (fault_ == LinkFault::Silent)
+    if (fault_ == LinkFault::Stalled)
         return false;
-    return fault_ != (isUpward ? LinkFault::DeafDown : LinkFault::DeafUp);
+    return fault_ != (isToServer ? LinkFault::StalledToServer : LinkFault::StalledToClient);
 }
 
 asio::awaitable<void> FaultProxy::accept()
@@ -104,26 +104,27 @@
             co_return;
         auto link = std::make_shared<Link>(std::move(socket));
         tcp::endpoint address(asio::ip::make_address(target_.host_), target_.port_);
-        auto [connectCode] = co_await link->far_.async_connect(address, asTuple);
+        auto [connectCode] = co_await link->server_.async_connect(address, asTuple);
         if (connectCode || fault_ == LinkFault::Refused) {
             link->close(true);
             if (connectCode != asio::error::connection_refused)
                 continue;
-            // Nobody listens where a process has ended, unlike behind a link that is cut.
+            // The server process has ended, so the proxy stops listening as well. With a
+            // mere link fault the server still listens.
             boost::system::error_code ignored;
             acceptor_.close(ignored);
             co_return;
         }
         links_.insert(link);
-        asio::co_spawn(acceptor_.get_executor(), pump(link, true), asio::detached);
-        asio::co_spawn(acceptor_.get_executor(), pump(link, false), asio::detached);
+        asio::co_spawn(acceptor_.get_executor(), forwardBytes(link, true), asio::detached);
+        asio::co_spawn(acceptor_.get_executor(), forwardBytes(link, false), asio::detached);
     }
 }
 
-asio::awaitable<void> FaultProxy::pump(std::shared_ptr<Link> link, bool isUpward)
+asio::awaitable<void> FaultProxy::forwardBytes(std::shared_ptr<Link> link, bool isToServer)
 {
-    tcp::socket& from = isUpward ? link->near_ : link->far_;
-    tcp::socket& to = isUpward ? link->far_ : link->near_;
+    tcp::socket& from = isToServer ? link->client_ : link->server_;
+    tcp::socket& to = isToServer ? link->server_ : link->client_;
     SteadyTimer timer(acceptor_.get_executor());
     std::vector<char> buffer(bufferSize);
     bool isCleanEnd = false;
@@ -136,8 +137,8 @@
             timer.expires_after(delay_);
             (void)co_await timer.async_wait(asTuple);
         }
-        while (!passes(isUpward) && to.is_open()) {
-            timer.expires_after(heldPeriod);
+        while (!canForward(isToServer) && to.is_open()) {
+            timer.expires_after(stallPollPeriod);
             (void)co_await timer.async_wait(asTuple);
         }
         auto [writeCode, written] = co_await asio::async_write(to, asio::buffer(buffer, count), asTuple);
@@ -147,8 +148,8 @@
     boost::system::error_code ignored;
     if (isCleanEnd)
         to.shutdown(tcp::socket::shutdown_send, ignored);
-    // The other direction may still have bytes after a half-close.
-    if (++link->ended_ < 2 && isCleanEnd)
+    // After a half-close the other direction may still carry bytes.
+    if (++link->endedDirections_ < 2 && isCleanEnd)
         co_return;
     link->close(!isCleanEnd);
     links_.erase(link);
--- a/test/Platform/Soak/SoakMonitor.cpp
+++ b/test/Platform/Soak/SoakMonitor.cpp
@@ -1,35 +1,36 @@
-//===- test/Platform/Soak/SoakMonitor.cpp - gateways, watched during a run ===//
+//===- test/Platform/Soak/SoakMonitor.cpp - gateway monitor ---------------===//
 ///
 /// \file
-/// Reads the metrics of each gateway again and again.
+/// Polls the process state and the metrics of each gateway.
 //===----------------------------------------------------------------------===//
 #include "SoakRun.h"
 
 namespace pistachioloom::test {
 
-/// The version of the configuration in force, of a page of metrics; 0 if there is none.
-static double versionIn(const std::string& page)
+/// The active configuration version according to \p metricsText; 0 if there is none.
+static double versionIn(const std::string& metricsText)
 {
     constexpr std::string_view key = "\npistachioloom_configuration_version ";
-    std::size_t at = page.find(key);
-    return at == std::string::npos ? 0 : std::stod(page.substr(at + key.size()));
+    std::size_t position = metricsText.find(key);
+    return position == std::string::npos ? 0 : std::stod(metricsText.substr(position + key.size()));
 }
 
-/// Watches one gateway: it runs on, and its configuration never goes back.
+/// Checks that one gateway keeps running and that its configuration version never
+/// decreases.
 asio::awaitable<void> SoakRun::monitor(std::size_t index)
 {
     Node& node = nodes_[index];
     while (!isOver_) {
         co_await sleepFor(monitorPeriod);
         if (!node.isDown_ && !gateway(index).process_->isRunning()) {
-            promises_.broken("processes do not end by themselves", gateway(index).vm_);
+            checker_.reportViolation("processes do not exit on their own", gateway(index).vm_);
             isOver_ = true;
             co_return;
         }
-        std::uint64_t start = node.starts_;
+        std::uint64_t start = node.startCount_;
         HttpRequest request { "GET", "/metrics", {}, {} };
-        auto answer = co_await callHttp(gateway(index).metrics_, request, metricPatience);
-        if (!answer || node.isDown_ || node.starts_ != start)
+        auto answer = co_await callHttp(gateway(index).metrics_, request, gatewayTimeout);
+        if (!answer || node.isDown_ || node.startCount_ != start)
             continue;
         checkVersion(index, versionIn(answer.value().body_));
     }
@@ -38,12 +39,12 @@
 void SoakRun::checkVersion(std::size_t index, double version)
 {
     Node& node = nodes_[index];
-    if (version < node.version_)
-        promises_.broken("configurations only go forward", gateway(index).vm_ + " went from " + std::to_string(node.version_) + " to " + std::to_string(version));
-    node.version_ = std::max(node.version_, version);
-    bool shouldHaveNewest = calmFrom_ != SteadyTime {} && steadyNow() > calmFrom_;
-    if (shouldHaveNewest && version != static_cast<double>(version_))
-        promises_.broken("the newest configuration is in force after the faults", gateway(index).vm_ + " has " + std::to_string(version) + " of " + std::to_string(version_));
+    if (version < node.reportedVersion_)
+        checker_.reportViolation("configuration versions never decrease", gateway(index).vm_ + " went from " + std::to_string(node.reportedVersion_) + " to " + std::to_string(version));
+    node.reportedVersion_ = std::max(node.reportedVersion_, version);
+    bool shouldHaveNewest = recoveredAt_ != SteadyTime {} && steadyNow() > recoveredAt_;
+    if (shouldHaveNewest && version != static_cast<double>(publishedVersion_))
+        checker_.reportViolation("the newest configuration is active after the recovery", gateway(index).vm_ + " has " + std::to_string(version) + " of " + std::to_string(publishedVersion_));
 }
 
 } // namespace pistachioloom::test
--- a/test/PlatformFleetTest.cpp
+++ b/test/PlatformFleetTest.cpp
@@ -1,8 +1,8 @@
-//===- test/PlatformFleetTest.cpp - gateways as a fleet, whole processes ---===//
+//===- test/PlatformFleetTest.cpp - a fleet of gateways -------------------===//
 ///
 /// \file
-/// What several gateways know of each other, and what becomes of callers and
-/// duties when one of them stops or is lost.
+/// Runs gateways as processes. Checks what they know of each other, and what happens to
+/// callers and duties when one of them stops or is lost.
 //===----------------------------------------------------------------------===//
 #include "Platform/GatewayDeployment.h"
 
@@ -20,18 +20,18 @@
 
 namespace {
 
-constexpr milliseconds patience { 15000 };
+constexpr milliseconds waitLimit { 15000 };
 
-/// A caller that keeps its connection.
-class KeptCaller {
+/// A caller that keeps its connection open.
+class KeepAliveCaller {
 public:
-    explicit KeptCaller(const Endpoint& endpoint)
+    explicit KeepAliveCaller(const Endpoint& endpoint)
         : socket_(io_)
     {
         socket_.connect({ boost::asio::ip::make_address(endpoint.host_), endpoint.port_ });
     }
 
-    /// Sends one request and reads its answer; nullopt if the connection ended.
+    /// Sends one request. \returns its answer, or nullopt if the connection ended.
     std::optional<boost::beast::http::response<boost::beast::http::string_body>> call(const std::string& id)
     {
         namespace http = boost::beast::http;
@@ -55,26 +55,26 @@
 
 } // namespace
 
-TEST_CASE("in a large fleet relays tell every node of all others, also after some are lost", "[gateway]")
+TEST_CASE("in a large fleet every node learns of all others through relays, also after relays are lost", "[gateway]")
 {
     GatewayDeploymentOptions options;
-    options.count_ = 6;
-    options.dataCentres_ = 2;
-    options.moreSettings_ = [](const std::string&) { return "  gossip:\n    fanout: 1\n"; };
+    options.gatewayCount_ = 6;
+    options.dataCentreCount_ = 2;
+    options.extraSettings_ = [](const std::string&) { return "  gossip:\n    fanout: 1\n"; };
     GatewayDeployment deployment(std::move(options));
-    deployment.standard();
-    auto knowsOf = [&](std::size_t from, double nodes) {
+    deployment.startStandardServices();
+    auto allKnow = [&](std::size_t from, double nodes) {
         return waitUntil([&] {
             auto first = deployment.gateways().begin() + static_cast<std::ptrdiff_t>(from);
             return std::all_of(first, deployment.gateways().end(), [&](const auto& gateway) { return deployment.metric(gateway, "nodes_known_of") == nodes; });
         },
-            patience);
+            waitLimit);
     };
-    CHECK(knowsOf(0, 5));
+    CHECK(allKnow(0, 5));
 
-    // The small organisation has one request, and half of one a second. Each node
-    // may admit one before it hears of the others.
-    auto begin = steadyNow();
+    // The small organisation may send a burst of one request and 0.5 requests per
+    // second. Each node may admit one before it receives the others' reports.
+    auto startedAt = steadyNow();
     int admitted = 0;
     for (int round = 0; round < 30; ++round) {
         for (auto& gateway : deployment.gateways()) {
@@ -84,38 +84,38 @@
         }
         std::this_thread::sleep_for(milliseconds(100));
     }
-    double seconds = std::chrono::duration<double>(steadyNow() - begin).count();
+    double seconds = std::chrono::duration<double>(steadyNow() - startedAt).count();
     CHECK(admitted >= 1);
     CHECK(admitted <= 6 + 1 + 0.5 * seconds);
 
-    // One node of each data centre, a relay perhaps.
+    // Kills one node of each data centre, which may be a relay.
     for (std::size_t i : { 0U, 1U })
         deployment.gateways()[i].process_->kill();
-    CHECK(knowsOf(2, 3));
+    CHECK(allKnow(2, 3));
     CHECK(deployment.call(deployment.gateways()[2], gatewayRequest("GET", "/safe/x", "after")).status_ == 200);
 }
 
-TEST_CASE("kept connections are served through a stop, and closed only after saying so", "[gateway]")
+TEST_CASE("keep-alive connections are served during a stop, and closed only after an announcement", "[gateway]")
 {
     GatewayDeployment deployment(1);
-    deployment.standard();
+    deployment.startStandardServices();
     auto& gateway = deployment.gateways()[0];
-    deployment.disturbAll({ { "delay_ms", 100 } });
-    // Callers that never stop asking, on connections from before the stop.
+    deployment.setBackendFaults({ { "delay_ms", 100 } });
+    // Callers that send requests continuously, on connections opened before the stop.
     std::atomic<bool> isStopping { false };
-    std::atomic<int> answeredInStop { 0 };
-    std::atomic<int> lost { 0 };
+    std::atomic<int> answeredWhileStopping { 0 };
+    std::atomic<int> unanswered { 0 };
     std::vector<std::thread> callers;
     for (int number = 0; number < 6; ++number) {
         callers.emplace_back([&, number] {
-            KeptCaller caller(gateway.callers_);
+            KeepAliveCaller caller(gateway.callers_);
             for (int i = 0;; ++i) {
                 auto answer = caller.call("k" + std::to_string(number) + "-" + std::to_string(i));
                 if (!answer) {
-                    ++lost;
+                    ++unanswered;
                     return;
                 }
-                answeredInStop += isStopping;
+                answeredWhileStopping += isStopping;
                 if (!answer->keep_alive())
                     return;
             }
@@ -127,14 +127,14 @@
     CHECK(gateway.process_->wait(milliseconds(4500)) == 0);
     for (std::thread& caller : callers)
         caller.join();
-    CHECK(lost == 0);
-    CHECK(answeredInStop >= 6);
+    CHECK(unanswered == 0);
+    CHECK(answeredWhileStopping >= 6);
 }
 
-TEST_CASE("a holder of the duties that stops is succeeded while it still drains", "[gateway]")
+TEST_CASE("a stopping holder of the duties gets a successor while it still drains", "[gateway]")
 {
     GatewayDeployment deployment(3);
-    deployment.standard();
+    deployment.startStandardServices();
     auto& gateways = deployment.gateways();
     auto holderOf = [&]() -> std::size_t {
         for (std::size_t i = 0; i < gateways.size(); ++i) {
@@ -143,21 +143,21 @@
         }
         return gateways.size();
     };
-    REQUIRE(waitUntil([&] { return holderOf() < gateways.size(); }, patience));
+    REQUIRE(waitUntil([&] { return holderOf() < gateways.size(); }, waitLimit));
     std::size_t first = holderOf();
-    // A long stream holds the stopping node for all of its grace time of 3 s.
-    deployment.disturbAll({ { "events", 1000 } });
+    // A long stream keeps the stopping node running for its full grace period of 3 s.
+    deployment.setBackendFaults({ { "events", 1000 } });
     std::thread caller([&] { (void)deployment.call(gateways[first], gatewayRequest("POST", "/ask/stream", "long")); });
-    REQUIRE(waitUntil([&] { return deployment.metric(gateways[first], "requests_running") > 0; }, patience));
+    REQUIRE(waitUntil([&] { return deployment.metric(gateways[first], "requests_running") > 0; }, waitLimit));
     gateways[first].process_->signal(SIGTERM);
-    auto isSucceeded = [&] {
+    auto hasSuccessor = [&] {
         for (std::size_t i = 0; i < gateways.size(); ++i) {
             if (i != first && deployment.metric(gateways[i], "duty_token_held") > 0)
                 return true;
         }
         return false;
     };
-    CHECK(waitUntil(isSucceeded, milliseconds(2000)));
+    CHECK(waitUntil(hasSuccessor, milliseconds(2000)));
     CHECK(gateways[first].process_->isRunning());
     caller.join();
 }
--- a/tools/standins/Engine.cpp
+++ b/tools/standins/Engine.cpp
@@ -1,7 +1,7 @@
 //===- tools/standins/Engine.cpp - a model engine -------------------------===//
 ///
 /// \file
-/// Finds who answers a call, and words refusals.
+/// Dispatches calls to their handlers and builds rejections.
 //===----------------------------------------------------------------------===//
 #include "Engine.h"
 
@@ -28,18 +28,18 @@
     if (path == "/v1/cancel")
         co_await cancel(std::move(body));
     json::object load;
-    load["active"] = active_;
+    load["active"] = activeStreams_;
     co_await reply(exchange, 200, load);
 }
 
-Error Engine::refusal(Errc code, std::string step, std::string reason) const
+Error Engine::rejection(Errc code, std::string step, std::string reason) const
 {
     return { code, std::move(step), name_, std::move(reason), Ran::No, {} };
 }
 
-asio::awaitable<void> Engine::refuse(HttpExchange& exchange, Errc code, std::string step, std::string reason)
+asio::awaitable<void> Engine::reject(HttpExchange& exchange, Errc code, std::string step, std::string reason)
 {
-    Error error = refusal(code, std::move(step), std::move(reason));
+    Error error = rejection(code, std::move(step), std::move(reason));
     (void)co_await exchange.respond(errorResponse(error));
 }
 
--- a/tools/standins/EngineOrders.cpp
+++ b/tools/standins/EngineOrders.cpp
@@ -1,7 +1,7 @@
-//===- tools/standins/EngineOrders.cpp - the engine obeys -----------------===//
+//===- tools/standins/EngineOrders.cpp - orders to the engine -------------===//
 ///
 /// \file
-/// Takes orders with their fencing tokens, loads configurations, and tells its counts.
+/// Checks the fencing tokens of orders, loads configurations, and reports counters.
 //===----------------------------------------------------------------------===//
 #include "Engine.h"
 
@@ -12,19 +12,19 @@
 asio::awaitable<void> Engine::order(HttpExchange& exchange, json::object body)
 {
     ++ordersReceived_;
-    // As if the order had been on its way for so long.
+    // Simulates a network that delays the order.
     if (controls_["order_delay_ms"])
         co_await pause(milliseconds(controls_["order_delay_ms"]));
     std::uint64_t token = numberField(body, "token");
-    bool isStale = token < newestToken_;
+    bool isStale = token < newestFencingToken_;
     if (isStale && controls_["honours_fencing"]) {
-        ++staleRefused_;
-        co_return co_await refuse(exchange, Errc::Conflict, "take order", "a newer token is known");
+        ++staleOrdersRejected_;
+        co_return co_await reject(exchange, Errc::Conflict, "take order", "a newer token is known");
     }
-    newestToken_ = std::max(newestToken_, token);
-    staleObeyed_ += isStale ? 1 : 0;
-    obeyedWhileActive_ += active_ ? 1 : 0;
-    ++ordersObeyed_;
+    newestFencingToken_ = std::max(newestFencingToken_, token);
+    staleOrdersApplied_ += isStale ? 1 : 0;
+    ordersAppliedWhileActive_ += activeStreams_ ? 1 : 0;
+    ++ordersApplied_;
     body.erase("token");
     asio::co_spawn(io_, load(std::move(body)), asio::detached);
     co_await reply(exchange, 200, json::object {});
@@ -32,10 +32,10 @@
 
 asio::awaitable<void> Engine::load(json::object configuration)
 {
-    std::uint64_t number = ++loads_;
+    std::uint64_t loadNumber = ++loadCount_;
     isLoading_ = true;
     co_await pause(milliseconds(controls_["load_ms"]));
-    if (number != loads_)
+    if (loadNumber != loadCount_)
         co_return;
     configuration_ = std::move(configuration);
     isLoading_ = false;
@@ -62,21 +62,21 @@
 json::object Engine::counts()
 {
     json::object answer;
-    answer["started"] = started_;
-    answer["started_while_leaving"] = startedWhileLeaving_;
-    answer["tokens"] = tokens_;
-    answer["prefilled"] = prefilled_;
-    answer["active"] = active_;
-    answer["most_active"] = mostActive_;
-    answer["cancelled"] = cancelled_;
+    answer["started"] = startedStreams_;
+    answer["started_while_leaving"] = rejectedWhileLeaving_;
+    answer["tokens"] = generatedTokens_;
+    answer["prefilled"] = prefilledTokens_;
+    answer["active"] = activeStreams_;
+    answer["most_active"] = maxActiveStreams_;
+    answer["cancelled"] = cancelledStreams_;
     answer["version"] = configuration_["version"];
     answer["loading"] = isLoading_ ? 1 : 0;
     answer["orders_received"] = ordersReceived_;
-    answer["orders_obeyed"] = ordersObeyed_;
-    answer["stale_refused"] = staleRefused_;
-    answer["stale_obeyed"] = staleObeyed_;
-    answer["obeyed_while_active"] = obeyedWhileActive_;
-    answer["started_while_loading"] = startedWhileLoading_;
+    answer["orders_obeyed"] = ordersApplied_;
+    answer["stale_refused"] = staleOrdersRejected_;
+    answer["stale_obeyed"] = staleOrdersApplied_;
+    answer["obeyed_while_active"] = ordersAppliedWhileActive_;
+    answer["started_while_loading"] = rejectedWhileLoading_;
     return answer;
 }
 
--- a/unittests/Forward/ResumptionTest.cpp
+++ b/unittests/Forward/ResumptionTest.cpp
@@ -1,9 +1,9 @@
-//===- unittests/Forward/ResumptionTest.cpp - every cut of a stream --------===//
+//===- unittests/Forward/ResumptionTest.cpp - streams cut at every byte ---===//
 ///
 /// \file
-/// A stream is cut at each of its bytes, goes on at an engine that resumes,
-/// begins anew or leaves an event out, is cut again, and goes on. The caller gets
-/// every event once and in order, or the answer is broken off.
+/// Cuts a stream at each of its bytes. It continues on an engine that resumes, starts
+/// over or skips an event, is cut again, and resumes. The caller must receive every
+/// event once and in order, or the gap must be detected.
 //===----------------------------------------------------------------------===//
 #include "EventSplitter.h"
 
@@ -16,12 +16,12 @@
 constexpr std::uint64_t events = 4;
 
 enum class Engine {
-    /// Goes on after the last event that the caller has.
+    /// Resumes after the last event that the caller has.
     Resumes,
-    /// Sends everything again.
-    BeginsAnew,
-    /// Leaves out the event after the last one.
-    LeavesOut,
+    /// Sends all events again.
+    StartsOver,
+    /// Skips the event after the last one.
+    SkipsEvent,
 };
 
 std::string eventsFrom(std::uint64_t first)
@@ -37,10 +37,10 @@
     switch (engine) {
     case Engine::Resumes:
         return eventsFrom(last + 1);
-    case Engine::BeginsAnew:
+    case Engine::StartsOver:
         return eventsFrom(1);
-    case Engine::LeavesOut:
-        // A stream's first event may have any id, so a gap before it shows nothing.
+    case Engine::SkipsEvent:
+        // A stream's first event may have any id, so a gap before it is not detectable.
         return eventsFrom(last ? last + 2 : 1);
     }
     return {};
@@ -48,29 +48,29 @@
 
 } // namespace
 
-TEST_CASE("a stream cut at any byte and resumed is whole or broken, never wrong", "[forward]")
+TEST_CASE("a stream that is cut at any byte and resumed is complete or ends before a gap", "[forward]")
 {
-    constexpr Engine engines[] = { Engine::Resumes, Engine::BeginsAnew, Engine::LeavesOut };
-    const std::string whole = eventsFrom(1);
+    constexpr Engine engines[] = { Engine::Resumes, Engine::StartsOver, Engine::SkipsEvent };
+    const std::string fullStream = eventsFrom(1);
     std::size_t finished = 0;
     std::size_t broken = 0;
-    for (std::size_t firstCut = 0; firstCut <= whole.size(); ++firstCut) {
+    for (std::size_t firstCut = 0; firstCut <= fullStream.size(); ++firstCut) {
         for (Engine second : engines) {
-            for (std::size_t secondCut = 0; secondCut <= whole.size(); ++secondCut) {
+            for (std::size_t secondCut = 0; secondCut <= fullStream.size(); ++secondCut) {
                 EventSplitter splitter(std::nullopt);
-                std::string got = splitter.take(whole.substr(0, firstCut));
+                std::string received = splitter.feed(fullStream.substr(0, firstCut));
                 splitter.dropPartial();
                 std::string rest = streamOf(second, splitter.last().value_or(0));
-                got += splitter.take(rest.substr(0, std::min(secondCut, rest.size())));
+                received += splitter.feed(rest.substr(0, std::min(secondCut, rest.size())));
                 splitter.dropPartial();
-                if (!splitter.isBroken())
-                    got += splitter.take(streamOf(Engine::Resumes, splitter.last().value_or(0)));
-                bool isRight = splitter.isBroken() ? whole.starts_with(got) : got == whole;
-                if (!isRight) {
-                    CAPTURE(firstCut, secondCut, static_cast<int>(second), got);
-                    FAIL("events are wrong");
+                if (!splitter.hasGap())
+                    received += splitter.feed(streamOf(Engine::Resumes, splitter.last().value_or(0)));
+                bool isCorrect = splitter.hasGap() ? fullStream.starts_with(received) : received == fullStream;
+                if (!isCorrect) {
+                    CAPTURE(firstCut, secondCut, static_cast<int>(second), received);
+                    FAIL("unexpected events");
                 }
-                ++(splitter.isBroken() ? broken : finished);
+                ++(splitter.hasGap() ? broken : finished);
             }
         }
     }
--- a/unittests/Gateway/BackgroundTest.cpp
+++ b/unittests/Gateway/BackgroundExecutorTest.cpp
@@ -1,9 +1,10 @@
-//===- unittests/Gateway/BackgroundTest.cpp - work beside event loops ------===//
+//===- unittests/Gateway/BackgroundExecutorTest.cpp - work off event loops ===//
 ///
 /// \file
-/// Where work runs and where its caller goes on, order, exceptions, and the end.
+/// Tests where work runs and where its caller resumes, the order of work, exceptions, and
+/// destruction.
 //===----------------------------------------------------------------------===//
-#include "Background.h"
+#include "BackgroundExecutor.h"
 
 #include <catch2/catch.hpp>
 
@@ -14,32 +15,32 @@
 
 namespace {
 
-/// Notes that it was destroyed.
-struct Witness {
-    explicit Witness(std::atomic<int>& destroyed)
+/// Counts its destructions.
+struct DestructionCounter {
+    explicit DestructionCounter(std::atomic<int>& destroyed)
         : destroyed_(destroyed)
     {
     }
-    ~Witness() { ++destroyed_; }
-    Witness(const Witness&) = delete;
-    Witness& operator=(const Witness&) = delete;
+    ~DestructionCounter() { ++destroyed_; }
+    DestructionCounter(const DestructionCounter&) = delete;
+    DestructionCounter& operator=(const DestructionCounter&) = delete;
 
     std::atomic<int>& destroyed_;
 };
 
-asio::awaitable<void> runWith(Background& background, std::function<void()> work, std::atomic<int>& destroyed, std::atomic<int>& resumed)
+asio::awaitable<void> runWith(BackgroundExecutor& background, std::function<void()> work, std::atomic<int>& destroyed, std::atomic<int>& resumed)
 {
-    Witness witness(destroyed);
+    DestructionCounter counter(destroyed);
     co_await background.run(std::move(work));
     ++resumed;
 }
 
 } // namespace
 
-TEST_CASE("work runs beside the loop, and its caller goes on there", "[background]")
+TEST_CASE("work runs off the loop, and its caller resumes on the loop", "[background]")
 {
     asio::io_context io(1);
-    Background background;
+    BackgroundExecutor background;
     std::thread::id loop = std::this_thread::get_id();
     std::thread::id worker;
     std::thread::id after;
@@ -60,10 +61,10 @@
     CHECK(read == 7);
 }
 
-TEST_CASE("the loop goes on while work runs", "[background]")
+TEST_CASE("the loop continues while work runs", "[background]")
 {
     asio::io_context io(1);
-    Background background;
+    BackgroundExecutor background;
     std::promise<void> release;
     bool isDone = false;
     auto caller = [&]() -> asio::awaitable<void> {
@@ -71,7 +72,7 @@
         isDone = true;
     };
     asio::co_spawn(io, caller(), asio::detached);
-    // The work ends only if the loop gets this far beside it.
+    // The work ends only if the loop runs this coroutine while the work runs.
     auto other = [&]() -> asio::awaitable<void> {
         co_await sleepFor(milliseconds(20));
         CHECK_FALSE(isDone);
@@ -82,16 +83,16 @@
     CHECK(isDone);
 }
 
-TEST_CASE("work is done one after the other, in order", "[background]")
+TEST_CASE("work runs one item after another, in order", "[background]")
 {
     asio::io_context io(1);
-    Background background;
-    constexpr int pieces = 200;
+    BackgroundExecutor background;
+    constexpr int itemCount = 200;
     std::atomic<int> running { 0 };
     bool hasOverlapped = false;
     std::vector<int> order;
     std::vector<int> expected;
-    for (int i = 0; i < pieces; ++i) {
+    for (int i = 0; i < itemCount; ++i) {
         expected.push_back(i);
         auto work = [&, i] {
             hasOverlapped |= ++running > 1;
@@ -105,15 +106,15 @@
     CHECK(order == expected);
 }
 
-TEST_CASE("what work throws is thrown on in its caller, and the next work runs", "[background]")
+TEST_CASE("exceptions of work are rethrown in its caller, and the next work runs", "[background]")
 {
     asio::io_context io(1);
-    Background background;
+    BackgroundExecutor background;
     std::string thrown;
     bool hasRun = false;
     auto caller = [&]() -> asio::awaitable<void> {
         try {
-            co_await background.run([] { throw std::runtime_error("spoilt"); });
+            co_await background.run([] { throw std::runtime_error("work failed"); });
         } catch (const std::runtime_error& error) {
             thrown = error.what();
         }
@@ -121,13 +122,13 @@
     };
     asio::co_spawn(io, caller(), asio::detached);
     io.run();
-    CHECK(thrown == "spoilt");
+    CHECK(thrown == "work failed");
     CHECK(hasRun);
 }
 
-TEST_CASE("the end waits for what runs, drops what waits, and leaks no coroutine", "[background]")
+TEST_CASE("destruction waits for running work, drops queued work, and leaks no coroutine", "[background]")
 {
-    // Whether the loop was stopped before the work was done, or after.
+    // Slow work is still running when the loop is stopped; other work has ended by then.
     auto isSlow = GENERATE(true, false);
     std::atomic<int> destroyed { 0 };
     std::atomic<int> resumed { 0 };
@@ -135,7 +136,7 @@
     std::atomic<bool> hasRunNext { false };
     {
         asio::io_context io(1);
-        Background background;
+        BackgroundExecutor background;
         std::promise<void> started;
         auto first = [&] {
             started.set_value();
--- a/unittests/Gateway/TakeInTest.cpp
+++ b/unittests/Gateway/ConfigurationApplyTest.cpp
@@ -1,7 +1,7 @@
-//===- unittests/Gateway/TakeInTest.cpp - configurations taken in ----------===//
+//===- unittests/Gateway/ConfigurationApplyTest.cpp - applied sources -----===//
 ///
 /// \file
-/// Which of the texts read becomes the table, and what is passed on to peers.
+/// Tests which of the sources read is published, and what is sent to peers.
 //===----------------------------------------------------------------------===//
 #include "GatewayContext.h"
 
@@ -9,7 +9,7 @@
 
 using namespace pistachioloom;
 
-/// A text is its version; others cannot be decoded.
+/// The text of a source is its version; other texts cannot be decoded.
 static Result<RouteConfiguration> decodeVersion(const std::string& source)
 {
     if (source.empty() || source.find_first_not_of("0123456789") != std::string::npos)
@@ -32,7 +32,7 @@
     return table ? table->version() : 0;
 }
 
-TEST_CASE("the last text that can be decoded is in force, if it is newer", "[takein]")
+TEST_CASE("the last source that can be decoded is in force, if it is newer", "[takein]")
 {
     struct Row {
         std::vector<std::string> sources_;
@@ -50,19 +50,19 @@
     }));
     RcuThread registered;
     GatewayContext context(GatewaySettings {}, decodingPlatform());
-    context.takeIn({ "5" }, "platform");
+    context.applyConfiguration({ "5" }, "platform");
     REQUIRE(versionOf(context) == 5);
-    context.takeIn(row.sources_, "platform");
+    context.applyConfiguration(row.sources_, "platform");
     CHECK(versionOf(context) == row.version_);
     auto text = decompress(context.table()->configuration().compressedSource_, { 100 });
     REQUIRE(text);
     CHECK(text.value() == std::to_string(row.version_));
 }
 
-TEST_CASE("what a peer passed on is taken in if it is whole and newer, and passed on", "[takein]")
+TEST_CASE("a configuration of a peer is applied and sent to others if it is complete and newer", "[takein]")
 {
     struct Row {
-        std::string bytes_;
+        std::string payload_;
         std::uint64_t version_;
     };
     auto row = GENERATE(values<Row>({
@@ -76,9 +76,9 @@
     }));
     RcuThread registered;
     GatewayContext context(GatewaySettings {}, decodingPlatform());
-    context.takeInCompressed(compress("5"), "peer");
+    context.applyCompressed(compress("5"), "peer");
     REQUIRE(versionOf(context) == 5);
-    context.takeInCompressed(row.bytes_, "peer");
+    context.applyCompressed(row.payload_, "peer");
     CHECK(versionOf(context) == row.version_);
     CHECK(context.table()->configuration().compressedSource_ == compress(std::to_string(row.version_)));
 }
--- a/unittests/Gateway/GatewaySettingsTest.cpp
+++ b/unittests/Gateway/GatewaySettingsTest.cpp
@@ -1,7 +1,8 @@
-//===- unittests/Gateway/GatewaySettingsTest.cpp - settings of a gateway ---===//
+//===- unittests/Gateway/GatewaySettingsTest.cpp - settings of a gateway --===//
 ///
 /// \file
-/// Good settings are read whole; bad ones name line and key.
+/// Tests that valid settings are read completely, and that errors in invalid settings name
+/// the line and the key.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Gateway.h"
 
@@ -9,7 +10,7 @@
 
 using namespace pistachioloom;
 
-static const std::string good = R"(gateway:
+static const std::string validSettings = R"(gateway:
   vm: "node-1"
   data_centre: "a"
   peer_credential: "sixteen characters"
@@ -36,30 +37,30 @@
     trial_part: 0.6
 )";
 
-TEST_CASE("settings of a gateway are read", "[gateway]")
+TEST_CASE("valid settings of a gateway are read", "[gateway]")
 {
     InputErrors errors;
-    auto settings = parseGatewaySettings(good, "f", errors);
+    auto settings = parseGatewaySettings(validSettings, "f", errors);
     for (const InputError& error : errors)
         UNSCOPED_INFO(error.toString());
     REQUIRE(settings);
     CHECK(settings->vm_.value_ == "node-1");
     CHECK(settings->seeds_.size() == 2);
     CHECK(settings->usageWindow_ == milliseconds(2500));
-    CHECK(settings->quarantine_.crashes_ == 4);
-    CHECK(settings->quarantine_.first_ == milliseconds(20000));
+    CHECK(settings->quarantine_.crashesToQuarantine_ == 4);
+    CHECK(settings->quarantine_.initialDuration_ == milliseconds(20000));
     CHECK(settings->quarantine_.organisationCapacity_ == 64);
     CHECK(settings->rollout_.exposedExtra_ == 50);
-    CHECK(settings->rollout_.trialPart_ == 0.6);
+    CHECK(settings->rollout_.trialFraction_ == 0.6);
     CHECK(settings->logs_.output_ == LogOutput::StandardOutput);
 }
 
-TEST_CASE("wrong settings name line and key", "[gateway]")
+TEST_CASE("errors in settings name the line and the key", "[gateway]")
 {
     struct Row {
-        const char* from_;
-        const char* to_;
-        const char* complaint_;
+        const char* original_;
+        const char* replacement_;
+        const char* expectedError_;
     };
     auto row = GENERATE(values<Row>({
         { "store: \"10.0.0.9:80\"", "store: \"nowhere\"", "f:5: gateway.store" },
@@ -75,11 +76,11 @@
         { "trial_part: 0.6", "trial_part: 0.97", "f:25: gateway.rollout.trial_part" },
         { "\"10.0.0.2:70\"", "\"here\"", "gateway.seeds" },
     }));
-    std::string text = good;
-    text.replace(text.find(row.from_), std::string(row.from_).size(), row.to_);
+    std::string text = validSettings;
+    text.replace(text.find(row.original_), std::string(row.original_).size(), row.replacement_);
     InputErrors errors;
     CHECK_FALSE(parseGatewaySettings(text, "f", errors));
     REQUIRE_FALSE(errors.empty());
-    CAPTURE(row.to_, errors.front().toString());
-    CHECK(errors.front().toString().find(row.complaint_) != std::string::npos);
+    CAPTURE(row.replacement_, errors.front().toString());
+    CHECK(errors.front().toString().find(row.expectedError_) != std::string::npos);
 }
--- a/unittests/Gateway/LoopLagTest.cpp
+++ b/unittests/Gateway/LoopLagTest.cpp
@@ -1,7 +1,7 @@
-//===- unittests/Gateway/LoopLagTest.cpp - how late an event loop runs -----===//
+//===- unittests/Gateway/LoopLagTest.cpp - lag of an event loop -----------===//
 ///
 /// \file
-/// A held loop shows in the histogram, and lines about it are bounded.
+/// A blocked loop shows in the histogram, and log lines about it are limited.
 //===----------------------------------------------------------------------===//
 #include "LoopLag.h"
 
@@ -12,7 +12,7 @@
 
 using namespace pistachioloom;
 
-/// The value of \p name in Prometheus' text.
+/// Returns the value of \p name in Prometheus' text format.
 static double valueOf(const Metrics& metrics, const std::string& name)
 {
     const std::string page = metrics.render({});
@@ -22,23 +22,23 @@
     return std::stod(page.substr(at + key.size()));
 }
 
-TEST_CASE("a held loop shows as late by the time it was held, less a period", "[looplag]")
+TEST_CASE("the measured lag of a blocked loop is at least the blocked time less one period", "[looplag]")
 {
     asio::io_context io(1);
     Metrics metrics;
-    constexpr milliseconds held { 400 };
+    constexpr milliseconds blockedTime { 400 };
     asio::co_spawn(io, watchLoopLag(metrics), asio::detached);
-    asio::post(io, [&] { std::this_thread::sleep_for(held); });
-    io.run_for(held + 3 * loopLagPeriod);
+    asio::post(io, [&] { std::this_thread::sleep_for(blockedTime); });
+    io.run_for(blockedTime + 3 * loopLagPeriod);
     CHECK(valueOf(metrics, "loop_lag_seconds_count") >= 1);
-    CHECK(valueOf(metrics, "loop_lag_seconds_sum") >= std::chrono::duration<double>(held - loopLagPeriod).count());
+    CHECK(valueOf(metrics, "loop_lag_seconds_sum") >= std::chrono::duration<double>(blockedTime - loopLagPeriod).count());
 }
 
-TEST_CASE("lines about a late loop are for what is of note, and one a period at most", "[looplag]")
+TEST_CASE("lag is logged above the threshold only, and once per period at most", "[looplag]")
 {
     struct Row {
         int atMs_;
-        int lateMs_;
+        int lagMs_;
         bool isDue_;
     };
     const Row rows[] = {
@@ -52,9 +52,9 @@
         { 9000, 200, false },
         { 9001, 201, true },
     };
-    LoopLagLines lines;
+    LoopLagLogLimiter logLimiter;
     for (const Row& row : rows) {
-        CAPTURE(row.atMs_, row.lateMs_);
-        CHECK(lines.isDue(milliseconds(row.lateMs_), SteadyTime(milliseconds(row.atMs_))) == row.isDue_);
+        CAPTURE(row.atMs_, row.lagMs_);
+        CHECK(logLimiter.isDue(milliseconds(row.lagMs_), SteadyTime(milliseconds(row.atMs_))) == row.isDue_);
     }
 }
--- a/unittests/Gateway/RolloutMessagesTest.cpp
+++ b/unittests/Gateway/RolloutMessagesTest.cpp
@@ -1,10 +1,11 @@
-//===- unittests/Gateway/RolloutMessagesTest.cpp - roll-outs in messages ---===//
+//===- unittests/Gateway/RolloutMessagesTest.cpp - roll-out messages ------===//
 ///
 /// \file
-/// What one node tells of an order is what another one reads, also through relays.
+/// Tests that a node reads the same states and counts of orders that another node sent,
+/// also through relays.
 //===----------------------------------------------------------------------===//
 #include "RolloutMessages.h"
-#include "RelayBook.h"
+#include "ReportAggregator.h"
 
 #include <catch2/catch.hpp>
 
@@ -29,11 +30,11 @@
 
 } // namespace
 
-TEST_CASE("states and counts of orders are read as they were told", "[gateway]")
+TEST_CASE("states and counts of orders are read as they were sent", "[gateway]")
 {
     CHECK(fromWire(toWire(state)) == state);
     google::protobuf::RepeatedPtrField<wire::RolloutCounts> message;
-    RolloutTally tally { { 7 }, 100, 8, { { { stableServers, 6 }, { 92, 2 } }, { { 5, 6 }, { 8, 3 } } } };
+    RolloutTally tally { { 7 }, 100, 8, { { { stableBackendKey, 6 }, { 92, 2 } }, { { 5, 6 }, { 8, 3 } } } };
     putTallies({ { service, tally } }, message);
     RolloutTallies read = talliesOf(message);
     REQUIRE(read.contains(service));
@@ -41,21 +42,21 @@
     CHECK(read[service].exposed_ == 8);
 }
 
-TEST_CASE("reports of orders with missing or odd fields are read within bounds", "[gateway]")
+TEST_CASE("reports of orders with missing or invalid fields are rejected or clamped", "[gateway]")
 {
     struct Row {
-        const char* what_;
+        const char* name_;
         std::function<void(wire::RolloutReport&)> change_;
     };
     const Row rows[] = {
         { "no order", [](wire::RolloutReport& report) { report.set_number(0); } },
         { "no service", [](wire::RolloutReport& report) { report.clear_service(); } },
         { "no target", [](wire::RolloutReport& report) { report.clear_target(); } },
-        { "another phase", [](wire::RolloutReport& report) { report.set_phase("paused"); } },
-        { "no number as a share", [](wire::RolloutReport& report) { report.set_share(std::numeric_limits<double>::quiet_NaN()); } },
+        { "unknown phase", [](wire::RolloutReport& report) { report.set_phase("paused"); } },
+        { "share is not a number", [](wire::RolloutReport& report) { report.set_share(std::numeric_limits<double>::quiet_NaN()); } },
     };
     for (const Row& row : rows) {
-        CAPTURE(row.what_);
+        CAPTURE(row.name_);
         wire::RolloutReport report = toWire(state);
         row.change_(report);
         CHECK_FALSE(fromWire(report));
@@ -72,20 +73,20 @@
     CHECK(talliesOf(message)[service].cells_.empty());
 }
 
-TEST_CASE("relays tell counts of orders to the holder alone, and states to all", "[gateway]")
+TEST_CASE("relays send counts of orders only to the holder of the duties, and states to all nodes", "[gateway]")
 {
-    RelayBook book(milliseconds(5000));
-    book.takeReport(reportOf("holder", 10, 9), now);
-    book.takeReport(reportOf("other", 20, 0), now);
-    book.takeReport(reportOf("third", 30, 0), now);
-    wire::NodeSums toHolder = book.digestFor({ "holder" }, book.totals(now), now);
+    ReportAggregator aggregator(milliseconds(5000));
+    aggregator.applyReport(reportOf("holder", 10, 9), now);
+    aggregator.applyReport(reportOf("other", 20, 0), now);
+    aggregator.applyReport(reportOf("third", 30, 0), now);
+    wire::NodeSums toHolder = aggregator.digestFor({ "holder" }, aggregator.totals(now), now);
     CHECK(talliesOf(toHolder.rollout_counts())[service].exposed_ == 50);
     CHECK(talliesOf(toHolder.rollout_counts())[service].cells_[{ 5, 6 }].answers_ == 50);
-    wire::NodeSums toOther = book.digestFor({ "other" }, book.totals(now), now);
+    wire::NodeSums toOther = aggregator.digestFor({ "other" }, aggregator.totals(now), now);
     CHECK(toOther.rollout_counts().empty());
     REQUIRE(toOther.rollouts_size() == 1);
     CHECK(fromWire(toOther.rollouts(0)) == state);
-    // As old as when its holder said so.
+    // The age is the time since the holder's report, also in a relay's digest.
     CHECK(toOther.rollouts(0).age_ms() >= 300);
-    CHECK(book.summaryFor({ "elsewhere" }, now).rollout_counts().empty());
+    CHECK(aggregator.summaryFor({ "elsewhere" }, now).rollout_counts().empty());
 }
--- a/unittests/Ledger/RunOnceModel.cpp
+++ b/unittests/Ledger/RunOnceModel.cpp
@@ -1,7 +1,7 @@
-//===- unittests/Ledger/RunOnceModel.cpp - keepers, a log and a service ----===//
+//===- unittests/Ledger/RunOnceModel.cpp - model of at-most-once execution -===//
 ///
 /// \file
-/// See RunOnceModel.h.
+/// Implementation of the model in RunOnceModel.h.
 //===----------------------------------------------------------------------===//
 #include "RunOnceModel.h"
 
@@ -16,13 +16,13 @@
 
 } // namespace
 
-RunOnceModel::RunOnceModel(std::size_t keepers, std::size_t callsPerKeeper, FaultBudget faults)
+RunOnceModel::RunOnceModel(std::size_t coordinators, std::size_t callsPerCoordinator, FaultBudget faults)
     : faults_(faults)
-    , keepers_(keepers)
+    , coordinators_(coordinators)
 {
-    for (std::size_t keeper = 0; keeper < keepers; ++keeper) {
-        for (std::size_t i = 0; i < callsPerKeeper; ++i)
-            calls_.push_back({ RunOnceCall(key, { "attempt" + std::to_string(calls_.size()) }, "body"), keeper });
+    for (std::size_t coordinator = 0; coordinator < coordinators; ++coordinator) {
+        for (std::size_t i = 0; i < callsPerCoordinator; ++i)
+            calls_.push_back({ RunOnceCall(key, { "attempt" + std::to_string(calls_.size()) }, "body"), coordinator });
     }
 }
 
@@ -40,7 +40,7 @@
 {
     std::vector<Choice> choices;
     for (std::size_t i = 0; i < calls_.size(); ++i) {
-        if (!calls_[i].isAlive_)
+        if (!calls_[i].isCoordinatorAlive_)
             continue;
         switch (calls_[i].call_.step()) {
         case Step::AppendIntent:
@@ -57,17 +57,17 @@
             choices.push_back({ Choice::Kind::ServiceRuns, i });
             if (faults_.serviceFaults_) {
                 choices.push_back({ Choice::Kind::ServiceRunsAnswerLost, i });
-                choices.push_back({ Choice::Kind::ServiceRefuses, i });
+                choices.push_back({ Choice::Kind::ServiceRejects, i });
             }
             break;
         case Step::Done:
             break;
         }
     }
-    for (std::size_t i = 0; i < delayed_.size(); ++i)
+    for (std::size_t i = 0; i < delayedItems_.size(); ++i)
         choices.push_back({ Choice::Kind::DelayedArrives, i });
-    for (std::size_t keeper = 0; faults_.crashes_ && keeper < keepers_; ++keeper)
-        choices.push_back({ Choice::Kind::KeeperCrashes, keeper });
+    for (std::size_t coordinator = 0; faults_.crashes_ && coordinator < coordinators_; ++coordinator)
+        choices.push_back({ Choice::Kind::CoordinatorCrashes, coordinator });
     return choices;
 }
 
@@ -88,23 +88,23 @@
 void RunOnceModel::finishAppend(Call& call, LogOffset offset)
 {
     if (call.call_.step() == Step::AppendIntent)
-        call.call_.intentAppended(offset);
+        call.call_.noteIntentAppended(offset);
     else
-        call.call_.recordWritten();
+        call.call_.noteRecordWritten();
 }
 
-void RunOnceModel::giveUpAppend(Call& call)
+void RunOnceModel::failAppend(Call& call)
 {
     if (call.call_.step() == Step::AppendIntent)
-        call.call_.intentFailed({ Errc::Timeout, "append", {}, {}, Ran::Unknown, {} });
+        call.call_.noteIntentFailed({ Errc::Timeout, "append", {}, {}, Ran::Unknown, {} });
     else
-        call.call_.recordWritten();
+        call.call_.noteRecordWritten();
 }
 
 void RunOnceModel::execute(Call& call)
 {
     call.hasExecuted_ = true;
-    executed_.push_back(call.call_.item().attempt_);
+    executedAttempts_.push_back(call.call_.item().attempt_);
 }
 
 void RunOnceModel::apply(const Choice& choice)
@@ -117,77 +117,77 @@
     }
     case Choice::Kind::AppendFails:
         --faults_.appendFaults_;
-        giveUpAppend(calls_[choice.index_]);
+        failAppend(calls_[choice.index_]);
         return;
     case Choice::Kind::AppendAnswerLost:
         --faults_.appendFaults_;
         append(calls_[choice.index_].call_.item());
-        giveUpAppend(calls_[choice.index_]);
+        failAppend(calls_[choice.index_]);
         return;
     case Choice::Kind::AppendDelayed:
         --faults_.appendFaults_;
-        delayed_.push_back(calls_[choice.index_].call_.item());
-        giveUpAppend(calls_[choice.index_]);
+        delayedItems_.push_back(calls_[choice.index_].call_.item());
+        failAppend(calls_[choice.index_]);
         return;
     case Choice::Kind::DelayedArrives:
-        append(delayed_[choice.index_]);
-        delayed_.erase(delayed_.begin() + static_cast<std::ptrdiff_t>(choice.index_));
+        append(delayedItems_[choice.index_]);
+        delayedItems_.erase(delayedItems_.begin() + static_cast<std::ptrdiff_t>(choice.index_));
         return;
     case Choice::Kind::ReadLog:
-        calls_[choice.index_].call_.logRead(readLog());
+        calls_[choice.index_].call_.noteLogRead(readLog());
         return;
     case Choice::Kind::ReadFails:
         --faults_.readFaults_;
-        calls_[choice.index_].call_.logReadFailed({ Errc::Unavailable, "read", {}, {}, Ran::No, {} });
+        calls_[choice.index_].call_.noteLogReadFailed({ Errc::Unavailable, "read", {}, {}, Ran::No, {} });
         return;
     case Choice::Kind::ServiceRuns: {
         Call& call = calls_[choice.index_];
         execute(call);
-        call.call_.dispatched({ 200, "text", call.call_.item().attempt_.value_ });
+        call.call_.noteDispatched({ 200, "text", call.call_.item().attempt_.value_ });
         return;
     }
     case Choice::Kind::ServiceRunsAnswerLost:
         --faults_.serviceFaults_;
         execute(calls_[choice.index_]);
-        calls_[choice.index_].call_.dispatchFailed({ Errc::Reset, "dispatch", {}, {}, Ran::Unknown, {} });
+        calls_[choice.index_].call_.noteDispatchFailed({ Errc::Reset, "dispatch", {}, {}, Ran::Unknown, {} });
         return;
-    case Choice::Kind::ServiceRefuses:
+    case Choice::Kind::ServiceRejects:
         --faults_.serviceFaults_;
-        calls_[choice.index_].call_.dispatchFailed({ Errc::Leaving, "dispatch", {}, {}, Ran::No, {} });
+        calls_[choice.index_].call_.noteDispatchFailed({ Errc::Leaving, "dispatch", {}, {}, Ran::No, {} });
         return;
-    case Choice::Kind::KeeperCrashes:
+    case Choice::Kind::CoordinatorCrashes:
         --faults_.crashes_;
         for (Call& call : calls_)
-            call.isAlive_ &= call.keeper_ != choice.index_;
+            call.isCoordinatorAlive_ &= call.coordinator_ != choice.index_;
         return;
     }
 }
 
 std::string RunOnceModel::violation() const
 {
-    if (executed_.size() > 1)
-        return "the call ran " + std::to_string(executed_.size()) + " times";
+    if (executedAttempts_.size() > 1)
+        return "the call was executed " + std::to_string(executedAttempts_.size()) + " times";
     for (const Call& call : calls_) {
         RunOnceCall::Answer answer = call.call_.answer();
         if (answer == RunOnceCall::Answer::NotRun && call.hasExecuted_)
-            return "told not run, but ran";
+            return "a call reported as not run was executed";
         bool hasOutcome = answer == RunOnceCall::Answer::Executed || answer == RunOnceCall::Answer::Replayed;
-        if (hasOutcome && (executed_.empty() || call.call_.outcome().body_ != executed_.front().value_))
-            return "an outcome that is not of the one execution";
+        if (hasOutcome && (executedAttempts_.empty() || call.call_.outcome().body_ != executedAttempts_.front().value_))
+            return "the outcome is not that of the only execution";
     }
     return {};
 }
 
-bool RunOnceModel::isQuiet() const
+bool RunOnceModel::isFinished() const
 {
     return choices().empty();
 }
 
-bool RunOnceModel::canRunNow()
+bool RunOnceModel::canRunNewCall()
 {
     RunOnceCall call(key, { "late" }, "body");
-    call.intentAppended(append(call.item()));
-    call.logRead(readLog());
+    call.noteIntentAppended(append(call.item()));
+    call.noteLogRead(readLog());
     return call.step() == Step::Dispatch;
 }
 
--- a/unittests/Ledger/RunOnceModel.h
+++ b/unittests/Ledger/RunOnceModel.h
@@ -1,9 +1,9 @@
-//===- unittests/Ledger/RunOnceModel.h - keepers, a log and a service ------===//
+//===- unittests/Ledger/RunOnceModel.h - model of at-most-once execution ---===//
 ///
 /// \file
-/// A model in which RunOnceCall's steps are interleaved with every fault of
-/// the log, the service and the keepers. It is copied at each choice by the
-/// exhaustive exploration and driven by draws in the random one.
+/// A model of coordinators, a log and a service that interleaves the steps of
+/// RunOnceCall with faults of each of them. The exhaustive exploration copies
+/// the model at each choice; the random one draws the choices.
 //===----------------------------------------------------------------------===//
 #pragma once
 
@@ -11,28 +11,35 @@
 
 namespace pistachioloom::test {
 
-/// One thing that may happen next.
+/// One possible next transition.
 struct Choice {
     enum class Kind {
         AppendTakesEffect,
+        /// The record is not in the log, and never will be.
         AppendFails,
-        /// The record is in the log, and the keeper does not hear of it.
+        /// The record is in the log, but the coordinator receives no response.
         AppendAnswerLost,
-        /// The keeper hears nothing, and the record comes later or never.
+        /// The coordinator receives no response, and the record reaches the log
+        /// later or never.
         AppendDelayed,
+        /// A delayed record reaches the log.
         DelayedArrives,
         ReadLog,
         ReadFails,
         ServiceRuns,
+        /// The service executes the call, but its response is lost.
         ServiceRunsAnswerLost,
-        ServiceRefuses,
-        KeeperCrashes,
+        /// The service does not execute the call.
+        ServiceRejects,
+        CoordinatorCrashes,
     };
     Kind kind_;
+    /// Index of the call; of the delayed item for DelayedArrives, and of the coordinator
+    /// for CoordinatorCrashes.
     std::size_t index_ = 0;
 };
 
-/// How many of each fault a run may still have.
+/// Remaining number of faults of each kind in a run.
 struct FaultBudget {
     int crashes_ = 0;
     int appendFaults_ = 0;
@@ -42,38 +49,42 @@
 
 class RunOnceModel {
 public:
-    RunOnceModel(std::size_t keepers, std::size_t callsPerKeeper, FaultBudget faults);
+    RunOnceModel(std::size_t coordinators, std::size_t callsPerCoordinator, FaultBudget faults);
 
     std::vector<Choice> choices() const;
     void apply(const Choice& choice);
-    /// What is violated, or an empty string.
+    /// \returns the violated property, or an empty string.
     std::string violation() const;
-    std::size_t executions() const { return executed_.size(); }
-    bool isQuiet() const;
-    /// Whether one more call, with a working log and service, may run.
-    bool canRunNow();
+    std::size_t executions() const { return executedAttempts_.size(); }
+    /// Whether no transition is left.
+    bool isFinished() const;
+    /// Appends the intent of a new call without faults. \returns whether that
+    /// call may be dispatched.
+    bool canRunNewCall();
 
 private:
     struct Call {
         RunOnceCall call_;
-        std::size_t keeper_;
-        bool isAlive_ = true;
+        std::size_t coordinator_;
+        bool isCoordinatorAlive_ = true;
         bool hasExecuted_ = false;
     };
 
     void addAppendChoices(std::vector<Choice>& choices, std::size_t index) const;
     void finishAppend(Call& call, LogOffset offset);
-    void giveUpAppend(Call& call);
+    void failAppend(Call& call);
     void execute(Call& call);
     LogOffset append(const LedgerItem& item);
     LedgerShard readLog() const;
 
     std::vector<LedgerItem> log_;
-    std::vector<LedgerItem> delayed_;
+    /// Items whose append was delayed and which have not reached the log.
+    std::vector<LedgerItem> delayedItems_;
     std::vector<Call> calls_;
-    std::vector<AttemptId> executed_;
+    /// Attempts whose call the service executed, in order.
+    std::vector<AttemptId> executedAttempts_;
     FaultBudget faults_;
-    std::size_t keepers_;
+    std::size_t coordinators_;
 };
 
 } // namespace pistachioloom::test
--- a/unittests/Limits/LimitsTest.cpp
+++ b/unittests/Limits/LimitsTest.cpp
@@ -1,7 +1,8 @@
 //===- unittests/Limits/LimitsTest.cpp - admission and shares --------------===//
 ///
 /// \file
-/// Shares, grants, buckets, fair queues and retry budgets with injected time.
+/// Tests shares, grants, token buckets, fair queues and retry budgets with
+/// injected time.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Limits.h"
 
@@ -13,13 +14,13 @@
 namespace {
 
 const SteadyTime start {};
-const EntryName entry { "e" };
-constexpr milliseconds validity { 2000 };
+const EntryName entryName { "e" };
+constexpr milliseconds grantValidity { 2000 };
 
 CatalogueEntry workload(std::uint64_t tokensPerSecond, std::uint64_t burst)
 {
     CatalogueEntry result;
-    result.name_ = entry;
+    result.name_ = entryName;
     result.workload_.emplace();
     result.workload_->limits_.tokensPerSecond_ = tokensPerSecond;
     result.workload_->limits_.burst_ = burst;
@@ -40,7 +41,7 @@
     }
 }
 
-TEST_CASE("grants never exceed the share, but for work that is running")
+TEST_CASE("grants exceed the share only for requests in progress")
 {
     for (std::uint64_t seed = 0; seed < 2000; ++seed) {
         std::mt19937_64 generator(seed);
@@ -52,22 +53,22 @@
             now += milliseconds(generator() % 500);
             std::uint64_t node = generator() % 4;
             std::uint64_t wanted = generator() % 12;
-            std::uint64_t granted = table.request(entry, { std::to_string(node) }, share, inUse[node], wanted, validity, now);
+            std::uint64_t granted = table.request(entryName, { std::to_string(node) }, share, inUse[node], wanted, grantValidity, now);
             REQUIRE(granted >= inUse[node]);
             std::uint64_t before = inUse[node];
             inUse[node] = granted ? generator() % (granted + 1) : 0;
-            // Beyond the share only what the node was running already.
-            std::uint64_t others = table.granted(entry, now) - granted;
+            // Only requests that were already in progress may exceed the share.
+            std::uint64_t others = table.granted(entryName, now) - granted;
             REQUIRE((granted + others <= share || granted == before));
         }
     }
     GrantTable table;
-    CHECK(table.request(entry, { "a" }, 10, 0, 8, validity, start) == 8);
-    CHECK(table.request(entry, { "b" }, 10, 0, 8, validity, start) == 2);
-    CHECK(table.request(entry, { "b" }, 10, 0, 8, validity, start + validity) == 8);
+    CHECK(table.request(entryName, { "a" }, 10, 0, 8, grantValidity, start) == 8);
+    CHECK(table.request(entryName, { "b" }, 10, 0, 8, grantValidity, start) == 2);
+    CHECK(table.request(entryName, { "b" }, 10, 0, 8, grantValidity, start + grantValidity) == 8);
 }
 
-TEST_CASE("a token bucket admits up to its burst, then at its rate, and tells the wait")
+TEST_CASE("a token bucket admits up to its burst, then at its rate, and returns the wait time")
 {
     TokenBucket bucket(100, 200, start);
     CHECK(bucket.tryTake(200, start));
@@ -75,19 +76,20 @@
     milliseconds wait = bucket.wait(start);
     CHECK(wait.count() > 0);
     CHECK(bucket.tryTake(300, start + wait));
-    // In debt by 300 tokens: three seconds.
+    // The level is about -300 tokens, which takes three seconds to refill.
     CHECK(bucket.wait(start + wait) >= milliseconds(2900));
     CHECK(bucket.wait(start + wait) <= milliseconds(3100));
     bucket.giveBack(300);
     CHECK(bucket.tryTake(1, start + wait + milliseconds(20)));
 }
 
-TEST_CASE("tokens that a bucket gives are taken out of it, whoever gets them")
+TEST_CASE("tokens taken from a bucket lower its level, whichever way they are taken")
 {
     TokenBucket bucket(100, 200, start);
     CHECK(bucket.takeUpTo(500, 50, start) == 150);
     CHECK(bucket.takeUpTo(500, 50, start) == 0);
-    // A request longer than what is there is granted whole, the rest is not.
+    // A first request that exceeds the level gets all of its tokens; the other
+    // requests get none.
     CHECK(bucket.takeForRequests(80, 1000, start) == 80);
     CHECK(bucket.takeForRequests(1, 1000, start) == 0);
     CHECK(bucket.wait(start) >= milliseconds(290));
@@ -97,173 +99,176 @@
 
 TEST_CASE("admission needs a grant that has not expired")
 {
-    Admission admission;
-    CatalogueEntry e = workload(0, 0);
-    CHECK(admission.tryStart(e, 1, start) == Admission::Verdict::NeedsSlot);
-    admission.take(entry, { 2, 0, start + validity, {} });
-    CHECK(admission.tryStart(e, 1, start) == Admission::Verdict::Admitted);
-    CHECK(admission.tryStart(e, 1, start) == Admission::Verdict::Admitted);
-    CHECK(admission.tryStart(e, 1, start) == Admission::Verdict::NeedsSlot);
-    admission.finish(entry, 0);
-    CHECK(admission.tryStart(e, 1, start + validity) == Admission::Verdict::NeedsSlot);
-    CHECK(admission.inProgress(entry) == 1);
+    EntryAdmission admission;
+    CatalogueEntry catalogueEntry = workload(0, 0);
+    CHECK(admission.tryStart(catalogueEntry, 1, start) == EntryAdmission::Decision::NeedsSlot);
+    admission.applyGrant(entryName, { 2, 0, start + grantValidity, {} });
+    CHECK(admission.tryStart(catalogueEntry, 1, start) == EntryAdmission::Decision::Admitted);
+    CHECK(admission.tryStart(catalogueEntry, 1, start) == EntryAdmission::Decision::Admitted);
+    CHECK(admission.tryStart(catalogueEntry, 1, start) == EntryAdmission::Decision::NeedsSlot);
+    admission.finish(entryName, 0);
+    CHECK(admission.tryStart(catalogueEntry, 1, start + grantValidity) == EntryAdmission::Decision::NeedsSlot);
+    CHECK(admission.inProgress(entryName) == 1);
 }
 
-TEST_CASE("a node asks for the tokens it needs and returns those it does not")
+TEST_CASE("a node requests the tokens that it needs and returns the others")
 {
-    Admission admission;
-    CatalogueEntry e = workload(1000, 1000);
-    admission.take(entry, { 9, 0, start + validity, milliseconds(70) });
-    CHECK(admission.tryStart(e, 100, start) == Admission::Verdict::NeedsTokens);
-    CHECK(admission.tokenWait(entry) == milliseconds(70));
-    admission.beginWait(entry, 100);
-    admission.beginWait(entry, 30);
-    auto demand = admission.makeDemand(e, 4);
+    EntryAdmission admission;
+    CatalogueEntry catalogueEntry = workload(1000, 1000);
+    admission.applyGrant(entryName, { 9, 0, start + grantValidity, milliseconds(70) });
+    CHECK(admission.tryStart(catalogueEntry, 100, start) == EntryAdmission::Decision::NeedsTokens);
+    CHECK(admission.tokenWait(entryName) == milliseconds(70));
+    admission.beginWait(entryName, 100);
+    admission.beginWait(entryName, 30);
+    auto demand = admission.makeDemand(catalogueEntry, 4);
     CHECK(demand.needed_ == 2);
     CHECK(demand.wanted_ == 6);
     CHECK(demand.tokensFirst_ == 100);
     CHECK(demand.tokensWanted_ == 130);
-    admission.take(entry, { 6, 130, start + validity, {} });
-    CHECK(admission.tryStart(e, 100, start) == Admission::Verdict::Admitted);
-    CHECK(admission.tryStart(e, 30, start) == Admission::Verdict::Admitted);
-    CHECK(admission.tryStart(e, 1, start) == Admission::Verdict::NeedsTokens);
-    admission.endWait(entry, 100);
-    admission.endWait(entry, 30);
-    // What was spent since is wanted ahead; what is left of the answers counts.
-    admission.finish(entry, 90);
-    demand = admission.makeDemand(e, 4);
+    admission.applyGrant(entryName, { 6, 130, start + grantValidity, {} });
+    CHECK(admission.tryStart(catalogueEntry, 100, start) == EntryAdmission::Decision::Admitted);
+    CHECK(admission.tryStart(catalogueEntry, 30, start) == EntryAdmission::Decision::Admitted);
+    CHECK(admission.tryStart(catalogueEntry, 1, start) == EntryAdmission::Decision::NeedsTokens);
+    admission.endWait(entryName, 100);
+    admission.endWait(entryName, 30);
+    // The demand requests ahead what was spent since the last demand, less the
+    // unused tokens of finished requests.
+    admission.finish(entryName, 90);
+    demand = admission.makeDemand(catalogueEntry, 4);
     CHECK(demand.tokensWanted_ == 40);
     CHECK(demand.tokensReturned_ == 0);
-    demand = admission.makeDemand(e, 4);
+    demand = admission.makeDemand(catalogueEntry, 4);
     CHECK(demand.tokensReturned_ == 90);
-    CHECK(admission.makeDemand(e, 4).tokensReturned_ == 0);
+    CHECK(admission.makeDemand(catalogueEntry, 4).tokensReturned_ == 0);
 }
 
-TEST_CASE("a node holds no more slots than it asked for, from the asking on")
+TEST_CASE("a node releases the slots beyond its demand when it makes the demand")
 {
-    Admission admission;
-    CatalogueEntry e = workload(0, 0);
-    admission.take(entry, { 10, 0, start + validity, {} });
-    CHECK(admission.makeDemand(e, 2).wanted_ == 2);
-    CHECK(admission.held(entry, start) == 2);
+    EntryAdmission admission;
+    CatalogueEntry catalogueEntry = workload(0, 0);
+    admission.applyGrant(entryName, { 10, 0, start + grantValidity, {} });
+    CHECK(admission.makeDemand(catalogueEntry, 2).wanted_ == 2);
+    CHECK(admission.held(entryName, start) == 2);
 }
 
-TEST_CASE("a loan shrinks only after the grants made on it have ended")
+TEST_CASE("a loan shrinks only after the grants made on it have expired")
 {
     constexpr milliseconds loanValidity { 6000 };
     LoanTable lender;
     DataCentreId borrower { "b" };
-    CHECK(lender.lend(borrower, 10, { 0, 6 }, loanValidity, validity, start) == 6);
-    CHECK(lender.lend(borrower, 4, { 0, 20 }, loanValidity, validity, start) == 10);
+    CHECK(lender.lend(borrower, 10, { 0, 6 }, loanValidity, grantValidity, start) == 6);
+    CHECK(lender.lend(borrower, 4, { 0, 20 }, loanValidity, grantValidity, start) == 10);
     bool wantsLess = GENERATE(true, false);
-    CHECK(lender.lend(borrower, 0, { 3, wantsLess ? 0U : 10U }, loanValidity, validity, start) == (wantsLess ? 3 : 10));
+    CHECK(lender.lend(borrower, 0, { 3, wantsLess ? 0U : 10U }, loanValidity, grantValidity, start) == (wantsLess ? 3 : 10));
     if (!wantsLess)
         return;
-    CHECK(lender.lent(start + validity - milliseconds(1)) == 10);
-    CHECK(lender.lent(start + validity) == 3);
+    CHECK(lender.lent(start + grantValidity - milliseconds(1)) == 10);
+    CHECK(lender.lent(start + grantValidity) == 3);
     CHECK(lender.lent(start + loanValidity) == 0);
-    // What runs stays lent, even by a lender that has forgotten the loan.
+    // Slots in use stay lent, even by a new lender that has no record of the loan.
     LoanTable successor;
-    CHECK(successor.lend(borrower, 0, { 3, 8 }, loanValidity, validity, start) == 3);
-    LoanTable holder;
-    holder.setBorrowed({ "a" }, 5, start + loanValidity);
-    CHECK(holder.borrowed(start + validity) == 5);
-    CHECK(holder.borrowed(start + loanValidity + milliseconds(1)) == 0);
+    CHECK(successor.lend(borrower, 0, { 3, 8 }, loanValidity, grantValidity, start) == 3);
+    LoanTable borrowerTable;
+    borrowerTable.setBorrowed({ "a" }, 5, start + loanValidity);
+    CHECK(borrowerTable.borrowed(start + grantValidity) == 5);
+    CHECK(borrowerTable.borrowed(start + loanValidity + milliseconds(1)) == 0);
 }
 
 namespace {
 
-/// Three data centres whose keepers lend each other slots over a network that
-/// loses messages and is cut now and then. Requests end within a validity.
-class LoanWorld {
+/// Simulates three data centres whose coordinators lend each other slots over a
+/// network that loses messages and is partitioned at times. Requests finish
+/// within the validity of a grant.
+class LoanSimulation {
 public:
-    LoanWorld(std::uint64_t seed, std::uint64_t limit)
+    LoanSimulation(std::uint64_t seed, std::uint64_t limit)
         : random_(seed)
         , limit_(limit)
     {
     }
 
-    /// \returns the most that was granted at once, over all.
+    /// \returns the highest number of slots that all data centres together granted
+    /// at one time.
     std::uint64_t run()
     {
-        std::uint64_t most = 0;
+        std::uint64_t maxGranted = 0;
         for (int i = 0; i < 300; ++i) {
             now_ += milliseconds(random_() % 300);
-            isCut_ = random_() % 20 ? isCut_ : !isCut_;
-            std::size_t site = random_() % sites_.size();
-            borrow(site, (site + 1 + random_() % 2) % sites_.size());
-            request(site);
+            isPartitioned_ = random_() % 20 ? isPartitioned_ : !isPartitioned_;
+            std::size_t dataCentre = random_() % dataCentres_.size();
+            borrow(dataCentre, (dataCentre + 1 + random_() % 2) % dataCentres_.size());
+            request(dataCentre);
             std::uint64_t sum = 0;
-            for (Site& each : sites_)
-                sum += each.grants_.granted(entry, now_);
-            most = std::max(most, sum);
+            for (DataCentre& each : dataCentres_)
+                sum += each.grants_.granted(entryName, now_);
+            maxGranted = std::max(maxGranted, sum);
         }
-        return most;
+        return maxGranted;
     }
-    std::uint64_t borrowedOnce() const { return borrowedOnce_; }
+    std::uint64_t totalBorrowed() const { return totalBorrowed_; }
 
 private:
     static constexpr milliseconds loanValidity { 6000 };
-    struct Site {
+    struct DataCentre {
         GrantTable grants_;
         LoanTable loans_;
     };
 
-    std::uint64_t shareOf(std::size_t site) const { return guaranteedShare(limit_, site, sites_.size()); }
+    std::uint64_t shareOf(std::size_t dataCentre) const { return guaranteedShare(limit_, dataCentre, dataCentres_.size()); }
 
-    std::uint64_t usable(std::size_t site) const
+    std::uint64_t usable(std::size_t dataCentre) const
     {
-        const LoanTable& loans = sites_[site].loans_;
+        const LoanTable& loans = dataCentres_[dataCentre].loans_;
         std::uint64_t lent = loans.lent(now_);
-        return (shareOf(site) > lent ? shareOf(site) - lent : 0) + loans.borrowed(now_ + validity);
+        return (shareOf(dataCentre) > lent ? shareOf(dataCentre) - lent : 0) + loans.borrowed(now_ + grantValidity);
     }
 
-    void request(std::size_t site)
+    void request(std::size_t dataCentre)
     {
         std::uint64_t wanted = random_() % (limit_ + 1);
-        sites_[site].grants_.request(entry, { "node" }, usable(site), 0, wanted, validity, now_);
+        dataCentres_[dataCentre].grants_.request(entryName, { "node" }, usable(dataCentre), 0, wanted, grantValidity, now_);
     }
 
-    void borrow(std::size_t from, std::size_t lender)
+    void borrow(std::size_t borrower, std::size_t lender)
     {
         std::uint64_t wanted = random_() % (limit_ + 1);
-        sites_[from].loans_.promise({ std::to_string(lender) }, wanted);
-        bool isAskLost = isCut_ || random_() % 10 == 0;
-        bool isAnswerLost = random_() % 10 == 0;
-        if (isAskLost)
+        dataCentres_[borrower].loans_.capBorrowed({ std::to_string(lender) }, wanted);
+        bool isRequestLost = isPartitioned_ || random_() % 10 == 0;
+        bool isReplyLost = random_() % 10 == 0;
+        if (isRequestLost)
             return;
-        Site& other = sites_[lender];
-        std::uint64_t used = other.grants_.granted(entry, now_) + other.loans_.lent(now_);
+        DataCentre& other = dataCentres_[lender];
+        std::uint64_t used = other.grants_.granted(entryName, now_) + other.loans_.lent(now_);
         std::uint64_t free = shareOf(lender) > used ? shareOf(lender) - used : 0;
-        std::uint64_t slots = other.loans_.lend({ std::to_string(from) }, free, { 0, wanted }, loanValidity, validity, now_);
-        borrowedOnce_ += slots;
-        if (!isAnswerLost)
-            sites_[from].loans_.setBorrowed({ std::to_string(lender) }, slots, now_ + loanValidity);
+        std::uint64_t slots = other.loans_.lend({ std::to_string(borrower) }, free, { 0, wanted }, loanValidity, grantValidity, now_);
+        totalBorrowed_ += slots;
+        if (!isReplyLost)
+            dataCentres_[borrower].loans_.setBorrowed({ std::to_string(lender) }, slots, now_ + loanValidity);
     }
 
     std::mt19937_64 random_;
     std::uint64_t limit_;
-    std::vector<Site> sites_ { 3 };
+    std::vector<DataCentre> dataCentres_ { 3 };
     SteadyTime now_ = start;
-    bool isCut_ = false;
-    std::uint64_t borrowedOnce_ = 0;
+    bool isPartitioned_ = false;
+    std::uint64_t totalBorrowed_ = 0;
 };
 
 } // namespace
 
-TEST_CASE("data centres that lend to each other never grant more than the limit together")
+TEST_CASE("data centres that lend to each other never grant more than the limit in total")
 {
     std::uint64_t borrowed = 0;
     for (std::uint64_t seed = 0; seed < 3000; ++seed) {
         std::uint64_t limit = 3 + seed % 40;
-        LoanWorld world(seed, limit);
-        REQUIRE(world.run() <= limit);
-        borrowed += world.borrowedOnce();
+        LoanSimulation simulation(seed, limit);
+        REQUIRE(simulation.run() <= limit);
+        borrowed += simulation.totalBorrowed();
     }
     CHECK(borrowed > 0);
 }
 
-TEST_CASE("paid work goes before trial work, and weights share inside a class")
+TEST_CASE("paid requests start before trial requests, and entries of a class share by weight")
 {
     FairQueue queue;
     std::uint64_t id = 0;
@@ -285,13 +290,13 @@
     CHECK(queue.pop()->entry_ == EntryName { "trial" });
 }
 
-TEST_CASE("retries stay within their share of the requests")
+TEST_CASE("retries stay within their ratio to the requests")
 {
     RetryBudget budget(0.1, 10);
     int retries = 0;
     for (int i = 0; i < 10000; ++i) {
         budget.countRequest();
-        // Every request fails and wants to be tried again, twice.
+        // Every request fails and asks for two retries.
         retries += budget.tryRetry() ? 1 : 0;
         retries += budget.tryRetry() ? 1 : 0;
     }
--- a/unittests/Reclaim/ReclaimTest.cpp
+++ b/unittests/Reclaim/ReclaimTest.cpp
@@ -1,7 +1,8 @@
 //===- unittests/Reclaim/ReclaimTest.cpp - plans for leaving engines -------===//
 ///
 /// \file
-/// Tables of plans, and the greedy plan against an exhaustive optimum.
+/// Tests plans by a table of cases, and compares the greedy plan with the optimum
+/// of an exhaustive search.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Reclaim.h"
 
@@ -12,18 +13,18 @@
 
 namespace {
 
-LeavingStream stream(const std::string& id, ServiceClass serviceClass, std::uint64_t held, std::uint64_t remaining)
+LeavingStream stream(const std::string& id, ServiceClass serviceClass, std::uint64_t cached, std::uint64_t remaining)
 {
-    return { { id }, serviceClass, held, 0, remaining };
+    return { { id }, serviceClass, cached, 0, remaining };
 }
 
-/// One millisecond of export for each token.
+/// \returns costs with which the export of a token takes one millisecond.
 ReclaimCost cost(int noticeMs, std::size_t imports)
 {
     ReclaimCost result;
     result.notice_ = milliseconds(noticeMs);
     result.margin_ = {};
-    result.perToken_ = milliseconds(10);
+    result.timePerToken_ = milliseconds(10);
     result.kvPerToken_ = { 1000 };
     result.exportPerSecond_ = { 1000UL * 1000 };
     result.importSlots_ = imports;
@@ -38,7 +39,8 @@
     return result;
 }
 
-/// The least tokens recomputed by any choice of streams to export.
+/// \returns the lowest number of recomputed tokens over all choices of streams to
+/// export.
 std::uint64_t bestRecomputed(const std::vector<LeavingStream>& streams, const ReclaimCost& cost)
 {
     std::uint64_t best = std::numeric_limits<std::uint64_t>::max();
@@ -47,12 +49,12 @@
         std::uint64_t exported = 0;
         std::size_t imports = 0;
         for (std::size_t i = 0; i < streams.size(); ++i) {
-            std::uint64_t held = streams[i].promptTokens_ + streams[i].generatedTokens_;
+            std::uint64_t cached = streams[i].promptTokens_ + streams[i].generatedTokens_;
             if (chosen >> i & 1U) {
-                exported += held + 1;
+                exported += cached + 1;
                 ++imports;
-            } else if (cost.perToken_ * static_cast<std::int64_t>(streams[i].remainingTokens_) > cost.notice_) {
-                recomputed += held;
+            } else if (cost.timePerToken_ * static_cast<std::int64_t>(streams[i].remainingTokens_) > cost.notice_) {
+                recomputed += cached;
             }
         }
         if (imports <= cost.importSlots_ && static_cast<std::int64_t>(exported) <= cost.notice_.count())
@@ -63,7 +65,7 @@
 
 } // namespace
 
-TEST_CASE("what finishes stays, what fits moves, the rest recomputes; paid first")
+TEST_CASE("streams finish in place, move or recompute, paid ones first")
 {
     struct PlanCase {
         std::string name_;
@@ -73,13 +75,13 @@
     };
     using Action = ReclaimAction;
     auto planCase = GENERATE(values<PlanCase>({
-        { "finishes in time", { stream("a", ServiceClass::Paid, 500, 10) }, cost(100, 9), { { "a", Action::FinishInPlace } } },
-        { "moves", { stream("a", ServiceClass::Paid, 50, 100) }, cost(100, 9), { { "a", Action::MoveCache } } },
+        { "the stream finishes in time", { stream("a", ServiceClass::Paid, 500, 10) }, cost(100, 9), { { "a", Action::FinishInPlace } } },
+        { "the cache can be exported in time", { stream("a", ServiceClass::Paid, 50, 100) }, cost(100, 9), { { "a", Action::MoveCache } } },
         { "no import slot", { stream("a", ServiceClass::Paid, 50, 100) }, cost(100, 0), { { "a", Action::Recompute } } },
-        { "no time", { stream("a", ServiceClass::Paid, 500, 100) }, cost(100, 9), { { "a", Action::Recompute } } },
-        { "paid before a larger trial", { stream("t", ServiceClass::Trial, 90, 100), stream("p", ServiceClass::Paid, 50, 100) }, cost(100, 9), { { "t", Action::Recompute }, { "p", Action::MoveCache } } },
-        { "one slot goes to the larger", { stream("a", ServiceClass::Paid, 20, 100), stream("b", ServiceClass::Paid, 40, 100) }, cost(100, 1), { { "a", Action::Recompute }, { "b", Action::MoveCache } } },
-        { "no notice at all", { stream("a", ServiceClass::Paid, 1, 1) }, cost(0, 9), { { "a", Action::Recompute } } },
+        { "not enough time to export", { stream("a", ServiceClass::Paid, 500, 100) }, cost(100, 9), { { "a", Action::Recompute } } },
+        { "a paid stream before a larger trial stream", { stream("t", ServiceClass::Trial, 90, 100), stream("p", ServiceClass::Paid, 50, 100) }, cost(100, 9), { { "t", Action::Recompute }, { "p", Action::MoveCache } } },
+        { "the only import slot goes to the larger stream", { stream("a", ServiceClass::Paid, 20, 100), stream("b", ServiceClass::Paid, 40, 100) }, cost(100, 1), { { "a", Action::Recompute }, { "b", Action::MoveCache } } },
+        { "no notice", { stream("a", ServiceClass::Paid, 1, 1) }, cost(0, 9), { { "a", Action::Recompute } } },
     }));
     INFO(planCase.name_);
     CHECK(actions(planReclaim(planCase.streams_, planCase.cost_)) == planCase.expected_);
--- a/unittests/Rollout/RolloutTest.cpp
+++ b/unittests/Rollout/RolloutTest.cpp
@@ -1,7 +1,7 @@
-//===- unittests/Rollout/RolloutTest.cpp - shares, states and verdicts -----===//
+//===- unittests/Rollout/RolloutTest.cpp - shares, states and decisions ---===//
 ///
 /// \file
-/// What a node does about an order, and how an order comes to its verdict.
+/// Tests how a node assigns requests and merges states, and how an order is decided.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Rollout.h"
 
@@ -28,19 +28,19 @@
 AttemptOutcome served(std::int64_t waitedMs, std::int64_t estimateMs)
 {
     AttemptOutcome outcome;
-    outcome.hasBegun_ = true;
+    outcome.hasFirstByte_ = true;
     outcome.waited_ = milliseconds(waitedMs);
     outcome.estimate_ = milliseconds(estimateMs);
     outcome.waitRatio_ = static_cast<double>(waitedMs) / static_cast<double>(estimateMs);
     return outcome;
 }
 
-/// Requests of a hundred that go to the target.
-int toTarget(RolloutBook& book, SteadyTime now, RolloutBook::Send send = RolloutBook::Send::First)
+/// Assigns 100 requests. \returns how many of them go to the target.
+int countToTarget(RolloutTracker& tracker, SteadyTime now, RolloutTracker::SendKind send = RolloutTracker::SendKind::First)
 {
     int count = 0;
     for (int i = 0; i < 100; ++i) {
-        auto rule = book.assign(service, route, send, now);
+        auto rule = tracker.assign(service, route, send, now);
         count += rule && rule->usesTarget_;
     }
     return count;
@@ -49,7 +49,7 @@
 RolloutTally tallyOf(std::uint64_t requests, std::uint64_t exposed, std::uint64_t bad = 0)
 {
     RolloutTally tally { { 1 }, requests, exposed, {} };
-    tally.cells_[{ stableServers, route }] = { requests - exposed, 0 };
+    tally.cells_[{ stableBackendKey, route }] = { requests - exposed, 0 };
     for (BackendKey backend = 1; backend <= 4; ++backend)
         tally.cells_[{ backend, route }] = { exposed / 4, bad / 4 };
     return tally;
@@ -57,29 +57,31 @@
 
 } // namespace
 
-TEST_CASE("requests reach a version that was ordered before its share is known", "[rollout]")
+TEST_CASE("requests reach a target before its share is known", "[rollout]")
 {
-    RolloutBook book({});
-    CHECK_FALSE(book.assign(service, route, RolloutBook::Send::First, start));
-    CHECK(book.takeOrder(orderOf(1), start));
-    CHECK_FALSE(book.takeOrder(orderOf(1), start));
-    CHECK(book.assign(service, route, RolloutBook::Send::First, start));
-    CHECK(toTarget(book, start) == 0);
-    CHECK_FALSE(book.assign({ "other" }, route, RolloutBook::Send::First, start));
+    RolloutTracker tracker({});
+    CHECK_FALSE(tracker.assign(service, route, RolloutTracker::SendKind::First, start));
+    CHECK(tracker.applyOrder(orderOf(1), start));
+    CHECK_FALSE(tracker.applyOrder(orderOf(1), start));
+    CHECK(tracker.assign(service, route, RolloutTracker::SendKind::First, start));
+    CHECK(countToTarget(tracker, start) == 0);
+    CHECK_FALSE(tracker.assign({ "other" }, route, RolloutTracker::SendKind::First, start));
 }
 
-TEST_CASE("each phase sends its share to the target, and repeats only once all go there", "[rollout]")
+TEST_CASE("each phase sends its share to the target, and retries only once all requests go there", "[rollout]")
 {
     struct Row {
         RolloutPhase phase_;
         double share_;
+        /// Time since the holder reported the state.
         std::int64_t ageMs_;
-        int first_;
-        int again_;
+        /// Requests to the target of 100 first attempts, and of 100 subsequent ones.
+        int firstToTarget_;
+        int subsequentToTarget_;
     };
     const Row rows[] = {
         { RolloutPhase::Trial, 0.08, 0, 8, 0 },
-        // Its holder is silent.
+        // The holder has not reported the share for longer than its validity of 2.5 s.
         { RolloutPhase::Trial, 0.08, 3000, 0, 0 },
         { RolloutPhase::Shifting, 0.5, 0, 50, 0 },
         { RolloutPhase::Shifting, 1, 9000, 100, 100 },
@@ -88,14 +90,14 @@
     };
     for (const Row& row : rows) {
         CAPTURE(toString(row.phase_), row.share_, row.ageMs_);
-        RolloutBook book({});
-        CHECK(book.take({ orderOf(1), row.phase_, row.share_, 1, 1 }, start, start));
-        CHECK(toTarget(book, after(row.ageMs_)) == row.first_);
-        CHECK(toTarget(book, after(row.ageMs_), RolloutBook::Send::Again) == row.again_);
+        RolloutTracker tracker({});
+        CHECK(tracker.applyState({ orderOf(1), row.phase_, row.share_, 1, 1 }, start, start));
+        CHECK(countToTarget(tracker, after(row.ageMs_)) == row.firstToTarget_);
+        CHECK(countToTarget(tracker, after(row.ageMs_), RolloutTracker::SendKind::Subsequent) == row.subsequentToTarget_);
     }
 }
 
-TEST_CASE("a version that is bad on a sparse route alone is found late", "[rollout]")
+TEST_CASE("a version that is bad only on a route with few requests is detected late", "[rollout]")
 {
     const RouteRequests requests { { 1, 8600 }, { 2, 1400 } };
     double dense = shareOnRoute(0.08, 1, requests);
@@ -104,18 +106,18 @@
     CHECK(0.86 * dense + 0.14 * sparse == Approx(0.08));
     CHECK(shareOnRoute(0.08, 3, requests) == 0.08);
     CHECK(shareOnRoute(0.08, 1, { { 1, 100 } }) == Approx(0.08));
-    RolloutBook book({});
-    book.take({ orderOf(1), RolloutPhase::Trial, 0.08, 1, 1 }, start, start);
+    RolloutTracker tracker({});
+    tracker.applyState({ orderOf(1), RolloutPhase::Trial, 0.08, 1, 1 }, start, start);
     int toTargetOf[2] {};
     for (int i = 0; i < 10000; ++i) {
         bool isSparse = i % 7 == 0;
-        toTargetOf[isSparse] += book.assign(service, isSparse ? 2 : 1, RolloutBook::Send::First, start)->usesTarget_;
+        toTargetOf[isSparse] += tracker.assign(service, isSparse ? 2 : 1, RolloutTracker::SendKind::First, start)->usesTarget_;
     }
     CHECK(toTargetOf[1] > 200);
     CHECK(toTargetOf[0] + toTargetOf[1] < 850);
 }
 
-TEST_CASE("a late word brings a reverted version back", "[rollout]")
+TEST_CASE("a state that arrives late reactivates a reverted version", "[rollout]")
 {
     const RolloutState trial { orderOf(1), RolloutPhase::Trial, 0.08, 5, 1 };
     const RolloutState reverted { orderOf(1), RolloutPhase::Reverted, 0, 4, 9 };
@@ -125,55 +127,55 @@
     CHECK_FALSE(supersedes(trial, reverted));
     CHECK(supersedes(complete, reverted));
     CHECK(supersedes(next, complete));
-    // In whatever order they come, the same is held.
-    std::vector<RolloutState> told { trial, reverted, next };
-    std::sort(told.begin(), told.end());
+    // The result is the same in whatever order the states arrive.
+    std::vector<RolloutState> reported { trial, reverted, next };
+    std::sort(reported.begin(), reported.end());
     do {
-        RolloutBook book({});
-        for (const RolloutState& state : told)
-            book.take(state, start, start);
-        CHECK(book.find(service) == next);
-    } while (std::next_permutation(told.begin(), told.end()));
+        RolloutTracker tracker({});
+        for (const RolloutState& state : reported)
+            tracker.applyState(state, start, start);
+        CHECK(tracker.find(service) == next);
+    } while (std::next_permutation(reported.begin(), reported.end()));
 }
 
-TEST_CASE("what speaks against a version, and what does not", "[rollout]")
+TEST_CASE("which outcomes are evidence against a version", "[rollout]")
 {
     struct Row {
-        const char* what_;
+        const char* name_;
         AttemptOutcome outcome_;
         std::optional<bool> isBad_;
     };
-    auto with = [](BackendOutcome how, auto change) {
+    auto with = [](BackendOutcome backendOutcome, auto change) {
         AttemptOutcome outcome = served(100, 100);
-        outcome.outcome_ = how;
+        outcome.outcome_ = backendOutcome;
         change(outcome);
         return outcome;
     };
     auto nothing = [](AttemptOutcome&) {};
     const Row rows[] = {
-        { "as expected", served(100, 100), false },
-        { "twice as late", served(200, 100), false },
-        { "four times as late", served(400, 100), true },
-        { "noise of a short wait", served(30, 5), false },
+        { "as fast as estimated", served(100, 100), false },
+        { "twice as slow", served(200, 100), false },
+        { "four times as slow", served(400, 100), true },
+        { "noise on a short wait", served(30, 5), false },
         { "a failure", with(BackendOutcome::Served, [](AttemptOutcome& o) { o.isFailure_ = true; }), true },
-        { "a failure that is held", with(BackendOutcome::Failed, nothing), true },
-        { "wrong bytes", with(BackendOutcome::Broken, nothing), true },
-        { "a crash or a cut link", with(BackendOutcome::Broken, [](AttemptOutcome& o) { o.isCutOff_ = true; }), std::nullopt },
-        { "no room", with(BackendOutcome::Full, nothing), std::nullopt },
-        { "another has its address", with(BackendOutcome::WrongInstance, nothing), std::nullopt },
+        { "a failure that is withheld from the caller", with(BackendOutcome::Failed, nothing), true },
+        { "a corrupt answer", with(BackendOutcome::Broken, nothing), true },
+        { "a connection that was cut, for example by a crash", with(BackendOutcome::Broken, [](AttemptOutcome& o) { o.isCutOff_ = true; }), std::nullopt },
+        { "a backend server without capacity", with(BackendOutcome::Full, nothing), std::nullopt },
+        { "another server at the backend server's address", with(BackendOutcome::WrongInstance, nothing), std::nullopt },
         { "no connection", with(BackendOutcome::Unreachable, nothing), std::nullopt },
         { "a caller that left", with(BackendOutcome::Abandoned, nothing), std::nullopt },
-        { "a caller that left after long", with(BackendOutcome::Abandoned, [](AttemptOutcome& o) { o.hasBegun_ = false; o.waited_ = milliseconds(2000); }), true },
-        { "slow events", with(BackendOutcome::Served, [](AttemptOutcome& o) { o.eventGapMs_ = 200; }), true },
-        { "usual events", with(BackendOutcome::Served, [](AttemptOutcome& o) { o.eventGapMs_ = 55; }), false },
+        { "a caller that left after a long wait", with(BackendOutcome::Abandoned, [](AttemptOutcome& o) { o.hasFirstByte_ = false; o.waited_ = milliseconds(2000); }), true },
+        { "four times the usual gap between events", with(BackendOutcome::Served, [](AttemptOutcome& o) { o.eventGapMs_ = 200; }), true },
+        { "about the usual gap between events", with(BackendOutcome::Served, [](AttemptOutcome& o) { o.eventGapMs_ = 55; }), false },
     };
     for (const Row& row : rows) {
-        CAPTURE(row.what_);
+        CAPTURE(row.name_);
         CHECK(isBadAnswer(row.outcome_, 50) == row.isBad_);
     }
 }
 
-TEST_CASE("counts of nodes add up, and fall without harm where a node leaves", "[rollout]")
+TEST_CASE("counts of nodes add up, and decreases count as 0 when a node leaves", "[rollout]")
 {
     RolloutTally total = tallyOf(1000, 80, 8);
     total.add(tallyOf(500, 40));
@@ -192,75 +194,75 @@
     CHECK(total.cells_[{ 1, route }] == AnswerTally { 20, 2 });
 }
 
-TEST_CASE("a good version goes from its trial to completion within the period", "[rollout]")
+TEST_CASE("a good version is complete within the period", "[rollout]")
 {
-    RolloutPilot pilot({}, { orderOf(1), RolloutPhase::Trial, 0, 0, 0 }, start, 3, makeSequentialJudge());
+    RolloutController controller({}, { orderOf(1), RolloutPhase::Trial, 0, 0, 0 }, start, 3, makeSequentialEvaluator());
     std::uint64_t requests = 0;
     double exposed = 0;
     std::optional<std::int64_t> readyAt;
     for (std::int64_t ms = 0; ms <= 10000 && !readyAt; ms += 200) {
         requests += 120;
-        exposed += 120 * pilot.state().share_;
+        exposed += 120 * controller.state().share_;
         RolloutView view { tallyOf(requests, static_cast<std::uint64_t>(exposed)), 4, 40, ms < 8500 ? 10U : 0U };
-        RolloutState state = pilot.steer(view, after(ms));
+        RolloutState state = controller.adjust(view, after(ms));
         if (ms < 6900)
             CHECK(state.share_ <= 0.08);
-        if (pilot.isReadyToComplete())
+        if (controller.isReadyToComplete())
             readyAt = ms;
     }
     REQUIRE(readyAt);
     CHECK(*readyAt <= 9200);
-    CHECK(pilot.state().share_ == 1);
-    CHECK_FALSE(isFinal(pilot.state().phase_));
-    pilot.complete();
-    CHECK(pilot.state().phase_ == RolloutPhase::Complete);
+    CHECK(controller.state().share_ == 1);
+    CHECK_FALSE(isFinal(controller.state().phase_));
+    controller.complete();
+    CHECK(controller.state().phase_ == RolloutPhase::Complete);
 }
 
-TEST_CASE("an order without a verdict at the end of its period is reverted", "[rollout]")
+TEST_CASE("an order that is not decided by the end of its period is reverted", "[rollout]")
 {
     struct Row {
-        const char* what_;
+        const char* name_;
         std::size_t targetServers_;
         RolloutTally tally_;
     };
     const Row rows[] = {
-        { "no backend server of the target came", 0, tallyOf(1000, 0) },
-        { "it had hardly a request", 4, tallyOf(1000, 4) },
+        { "no backend server of the target registered", 0, tallyOf(1000, 0) },
+        { "the target got hardly any requests", 4, tallyOf(1000, 4) },
         { "no requests at all", 4, tallyOf(0, 0) },
     };
     for (const Row& row : rows) {
-        CAPTURE(row.what_);
-        RolloutPilot pilot({}, { orderOf(1), RolloutPhase::Trial, 0, 0, 0 }, start, 3, makeSequentialJudge());
+        CAPTURE(row.name_);
+        RolloutController controller({}, { orderOf(1), RolloutPhase::Trial, 0, 0, 0 }, start, 3, makeSequentialEvaluator());
         for (std::int64_t ms = 0; ms < 9000; ms += 500)
-            CHECK(pilot.steer({ row.tally_, row.targetServers_, 40, 9 }, after(ms)).phase_ == RolloutPhase::Trial);
-        CHECK(pilot.steer({ row.tally_, row.targetServers_, 40, 9 }, after(9000)).phase_ == RolloutPhase::Reverted);
+            CHECK(controller.adjust({ row.tally_, row.targetServers_, 40, 9 }, after(ms)).phase_ == RolloutPhase::Trial);
+        CHECK(controller.adjust({ row.tally_, row.targetServers_, 40, 9 }, after(9000)).phase_ == RolloutPhase::Reverted);
     }
 }
 
-TEST_CASE("a version gets more than the bound while others have few requests", "[rollout]")
+TEST_CASE("a target gets requests beyond the bound while the service has few requests", "[rollout]")
 {
-    RolloutPilot pilot({}, { orderOf(1), RolloutPhase::Trial, 0, 0, 0 }, start, 3, makeSequentialJudge());
-    CHECK(pilot.steer({ tallyOf(100, 8), 4, 40, 9 }, after(200)).share_ == 0.08);
-    CHECK(pilot.steer({ tallyOf(100, 36), 4, 40, 9 }, after(400)).share_ == 0);
-    CHECK(pilot.steer({ tallyOf(400, 36), 4, 40, 9 }, after(600)).share_ == 0.08);
+    RolloutController controller({}, { orderOf(1), RolloutPhase::Trial, 0, 0, 0 }, start, 3, makeSequentialEvaluator());
+    CHECK(controller.adjust({ tallyOf(100, 8), 4, 40, 9 }, after(200)).share_ == 0.08);
+    CHECK(controller.adjust({ tallyOf(100, 36), 4, 40, 9 }, after(400)).share_ == 0);
+    CHECK(controller.adjust({ tallyOf(400, 36), 4, 40, 9 }, after(600)).share_ == 0.08);
 }
 
-TEST_CASE("an order for the version that runs already is complete", "[rollout]")
+TEST_CASE("an order for the version that already runs alone is complete", "[rollout]")
 {
-    RolloutPilot pilot({}, { orderOf(1), RolloutPhase::Trial, 0, 0, 0 }, start, 3, makeSequentialJudge());
-    pilot.steer({ tallyOf(100, 0), 40, 0, 0 }, after(0));
-    CHECK_FALSE(pilot.isReadyToComplete());
-    pilot.steer({ tallyOf(100, 0), 40, 0, 0 }, after(3000));
-    CHECK(pilot.isReadyToComplete());
+    RolloutController controller({}, { orderOf(1), RolloutPhase::Trial, 0, 0, 0 }, start, 3, makeSequentialEvaluator());
+    controller.adjust({ tallyOf(100, 0), 40, 0, 0 }, after(0));
+    CHECK_FALSE(controller.isReadyToComplete());
+    controller.adjust({ tallyOf(100, 0), 40, 0, 0 }, after(3000));
+    CHECK(controller.isReadyToComplete());
 }
 
-TEST_CASE("a new holder begins an order anew that another has reverted", "[rollout]")
+TEST_CASE("a new holder restarts an order that another has reverted", "[rollout]")
 {
-    RolloutPilot pilot({}, { orderOf(1), RolloutPhase::Reverted, 0, 3, 5 }, start, 4, makeSequentialJudge());
-    CHECK(pilot.steer({ tallyOf(1000, 0), 4, 40, 9 }, after(200)).phase_ == RolloutPhase::Reverted);
-    pilot.revert("again");
-    CHECK(pilot.state().step_ == 5);
-    RolloutPilot shifting({}, { orderOf(1), RolloutPhase::Shifting, 0.64, 3, 8 }, start, 4, makeSequentialJudge());
-    CHECK(shifting.steer({ tallyOf(1000, 640), 40, 40, 9 }, after(8000)).share_ == 1);
+    RolloutController controller({}, { orderOf(1), RolloutPhase::Reverted, 0, 3, 5 }, start, 4, makeSequentialEvaluator());
+    CHECK(controller.adjust({ tallyOf(1000, 0), 4, 40, 9 }, after(200)).phase_ == RolloutPhase::Reverted);
+    controller.revert("again");
+    CHECK(controller.state().step_ == 5);
+    RolloutController shifting({}, { orderOf(1), RolloutPhase::Shifting, 0.64, 3, 8 }, start, 4, makeSequentialEvaluator());
+    CHECK(shifting.adjust({ tallyOf(1000, 640), 40, 40, 9 }, after(8000)).share_ == 1);
     CHECK(shifting.state().term_ == 4);
 }
--- a/unittests/Settings/SettingsTest.cpp
+++ b/unittests/Settings/SettingsTest.cpp
@@ -1,7 +1,8 @@
-//===- unittests/Settings/SettingsTest.cpp - settings are checked ----------===//
+//===- unittests/Settings/SettingsTest.cpp - validation of settings -------===//
 ///
 /// \file
-/// The documented example stays valid; each kind of mistake has its line.
+/// Checks that the documented example is valid, and that each kind of mistake is
+/// reported with its line, its key and the expected value.
 //===----------------------------------------------------------------------===//
 #include "pistachioloom/Settings.h"
 
@@ -21,16 +22,16 @@
     return text.str();
 }
 
-struct Mistake {
-    std::string from_;
-    std::string to_;
+struct InvalidSetting {
+    std::string original_;
+    std::string replacement_;
     std::string key_;
     std::string expected_;
 };
 
 } // namespace
 
-TEST_CASE("the documented example is valid and says what it means")
+TEST_CASE("the documented example is valid and yields the documented values")
 {
     InputErrors errors;
     auto settings = loadSettings(PISTACHIOLOOM_EXAMPLE, errors);
@@ -40,12 +41,12 @@
     CHECK(settings->vm_.value_ == "caxias-a-1");
     CHECK(settings->membership_.heartbeat_ == milliseconds(500));
     CHECK(settings->caller_.bounds_.body_ == ByteCount { 1024UL * 1024 });
-    CHECK(settings->logs_.parts_.at("wire") == LogLevel::Warn);
+    CHECK(settings->logs_.levelByPart_.at("wire") == LogLevel::Warn);
 }
 
-TEST_CASE("each mistake is one line with file, line, key and what was expected")
+TEST_CASE("each mistake is reported with its line, its key and the expected value")
 {
-    auto mistake = GENERATE(values<Mistake>({
+    auto mistake = GENERATE(values<InvalidSetting>({
         { "data_centre: caxias-a", "data_center: caxias-a", "node.data_centre", "missing; expected text" },
         { "threads: 2", "threads: many", "node.threads", "expected a whole number from 1 to 256, found 'many'" },
         { "threads: 2", "threads: 0", "node.threads", "expected a whole number from 1 to 256, found '0'" },
@@ -65,22 +66,22 @@
         { "platform:", "platfrom:", "platform", "missing; expected a map" },
     }));
     std::string text = exampleText();
-    std::size_t position = text.find(mistake.from_);
+    std::size_t position = text.find(mistake.original_);
     REQUIRE(position != std::string::npos);
-    text.replace(position, mistake.from_.size(), mistake.to_);
+    text.replace(position, mistake.original_.size(), mistake.replacement_);
     InputErrors errors;
     CHECK_FALSE(parseSettings(text, "entry.yaml", errors));
     bool isFound = false;
-    std::string all;
+    std::string allErrors;
     for (const InputError& error : errors) {
         isFound |= error.key_ == mistake.key_ && error.message_.starts_with(mistake.expected_) && error.line_ > 0;
-        all += error.toString() + "\n";
+        allErrors += error.toString() + "\n";
     }
-    INFO(all);
+    INFO(allErrors);
     CHECK(isFound);
 }
 
-TEST_CASE("a file that cannot be read or is no map is an error")
+TEST_CASE("a file that cannot be read or is not a map is an error")
 {
     InputErrors errors;
     CHECK_FALSE(loadSettings("/nowhere/at/all.yaml", errors));
